--- a/crates/filbertstack-control/examples/measure.rs
+++ b/crates/filbertstack-control/examples/measure.rs
@@ -36,6 +36,7 @@
 use filbertstack_policy::gossip::RowKind;
 use filbertstack_policy::gossip::Settings;
 use filbertstack_policy::gossip::State;
+use filbertstack_policy::placement::DeploymentSpec;
 use filbertstack_policy::placement::Fleet;
 use filbertstack_policy::placement::Health;
 use filbertstack_policy::placement::Holding;
@@ -43,7 +44,6 @@
 use filbertstack_policy::placement::Member;
 use filbertstack_policy::placement::Stage;
 use filbertstack_policy::placement::Standing;
-use filbertstack_policy::placement::Want;
 use filbertstack_policy::placement::decide;
 use prost::Message as _;
 
@@ -272,7 +272,7 @@
     let mut fleet: Fleet = (0..instances)
         .map(|n| (format!("engine-{n:04}").parse().expect("a name"), member(n)))
         .collect();
-    let want = |n: usize, version: u8| Want {
+    let want = |n: usize, version: u8| DeploymentSpec {
         deployment: format!("d{n}").parse().expect("a name"),
         version: Digest::of(&[version, u8::try_from(n % 256).unwrap_or(0)]),
         replicas: instances / deployments * 2,
@@ -282,7 +282,7 @@
     let mut wants: Vec<_> = (0..deployments).map(|n| want(n, 0)).collect();
     let faults = LoadFaults::default();
     let now = Millis::secs(100_000);
-    let time = |fleet: &Fleet, wants: &[Want], standing: &Standing| {
+    let time = |fleet: &Fleet, wants: &[DeploymentSpec], standing: &Standing| {
         let start = Instant::now();
         let decision = decide(fleet, wants, standing, &faults, now);
         (micros(start, 1) / 1000.0, decision)
--- a/crates/filbertstack-policy/src/placement.rs
+++ b/crates/filbertstack-policy/src/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: which instances hold which deployments, and how the fleet gets there.
 //!
 //! All of it is pure. The leader gathers a [`Fleet`] from agents' reports, takes the declared
-//! [`Want`]s and the [`Standing`] orders out of the replicated state, and calls [`decide`]. What
+//! [`DeploymentSpec`]s and the [`Standing`] orders out of the replicated state, and calls [`decide`]. What
 //! comes back is the whole desired state of every target; the leader commits what differs.
 //! Nothing else is remembered but the [`LoadFaults`], so a new leader goes on where the old one
 //! stopped.
@@ -19,13 +19,13 @@
 //! use filbertstack_policy::placement::LoadFaults;
 //! use filbertstack_policy::placement::Member;
 //! use filbertstack_policy::placement::Standing;
-//! use filbertstack_policy::placement::Want;
+//! use filbertstack_policy::placement::DeploymentSpec;
 //! use filbertstack_policy::placement::decide;
 //!
 //! let labels = "role=llm, zone=van-a".parse().expect("labels");
 //! let member = Member::new(labels, 16 << 30, Health::Up(Millis::ZERO));
 //! let fleet = Fleet::from([("engine-1".parse().expect("a name"), member)]);
-//! let want = Want {
+//! let want = DeploymentSpec {
 //!     deployment: "voice".parse().expect("a name"),
 //!     version: Digest::of(b"manifest"),
 //!     replicas: 1,
@@ -52,6 +52,7 @@
 pub use faults::LoadFaults;
 pub use faults::Verdict;
 pub use fleet::Assignment;
+pub use fleet::DeploymentSpec;
 pub use fleet::Duty;
 pub use fleet::Fleet;
 pub use fleet::Health;
@@ -59,7 +60,6 @@
 pub use fleet::Member;
 pub use fleet::Stage;
 pub use fleet::Standing;
-pub use fleet::Want;
 pub use fleet::wants;
 pub use place::HOLD_DOWN;
 pub use place::MOVE_AFTER;
--- a/crates/filbertstack-policy/src/placement/decide.rs
+++ b/crates/filbertstack-policy/src/placement/decide.rs
@@ -7,9 +7,9 @@
 use filbertstack_core::names::InstanceName;
 
 use super::faults::LoadFaults;
+use super::fleet::DeploymentSpec;
 use super::fleet::Fleet;
 use super::fleet::Standing;
-use super::fleet::Want;
 use super::place::Placement;
 use super::place::Round;
 use super::place::Shortfall;
@@ -36,7 +36,7 @@
 /// targets follow them, the next decision changes nothing.
 pub fn decide(
     fleet: &Fleet,
-    wants: &[Want],
+    wants: &[DeploymentSpec],
     standing: &Standing,
     faults: &LoadFaults,
     now: Millis,
--- a/crates/filbertstack-policy/src/placement/fleet.rs
+++ b/crates/filbertstack-policy/src/placement/fleet.rs
@@ -147,7 +147,7 @@
 
 /// A deployment as placement sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Want {
+pub struct DeploymentSpec {
     /// The deployment.
     pub deployment: DeploymentName,
     /// The version to serve.
@@ -160,7 +160,7 @@
     pub pools: Vec<Selector>,
 }
 
-impl Want {
+impl DeploymentSpec {
     /// Whether the deployment's pools contain an instance with these labels.
     pub fn admits(&self, labels: &Labels) -> bool {
         self.pools.iter().any(|pool| pool.matches(labels))
@@ -168,7 +168,7 @@
 }
 
 /// The wants of the declarations; `weights` gives the size of a published version in bytes.
-pub fn wants(declared: &Declarations, weights: impl Fn(&Digest) -> u64) -> Vec<Want> {
+pub fn wants(declared: &Declarations, weights: impl Fn(&Digest) -> u64) -> Vec<DeploymentSpec> {
     let pools_of = |by: &Selector| {
         let pools = declared.pools.values();
         let chosen = pools.filter(|pool| by.matches(&pool.labels));
@@ -176,7 +176,7 @@
     };
     let deployments = declared.deployments.iter();
     deployments
-        .map(|(name, deployment)| Want {
+        .map(|(name, deployment)| DeploymentSpec {
             deployment: name.clone(),
             version: deployment.version,
             replicas: deployment.replicas as usize,
--- a/crates/filbertstack-policy/src/placement/place.rs
+++ b/crates/filbertstack-policy/src/placement/place.rs
@@ -9,12 +9,12 @@
 use filbertstack_core::names::InstanceName;
 
 use super::faults::LoadFaults;
+use super::fleet::DeploymentSpec;
 use super::fleet::Duty;
 use super::fleet::Fleet;
 use super::fleet::Health;
 use super::fleet::Member;
 use super::fleet::Standing;
-use super::fleet::Want;
 use crate::gossip::weight;
 
 /// How long an instance that does not answer keeps its place.
@@ -66,7 +66,7 @@
 }
 
 /// Places `wants`; `extra` tells how many more instances than declared each of them gets.
-pub(super) fn place(round: Round, wants: &[Want], extra: &[usize]) -> Placed {
+pub(super) fn place(round: Round, wants: &[DeploymentSpec], extra: &[usize]) -> Placed {
     let mut table = Table::new(round);
     // The largest first: what is small fits into the gaps that are left.
     let mut order: Vec<_> = (0..wants.len()).collect();
@@ -93,7 +93,7 @@
     placed
 }
 
-fn shortfall(want: &Want, seats: &Seats) -> Option<Shortfall> {
+fn shortfall(want: &DeploymentSpec, seats: &Seats) -> Option<Shortfall> {
     let missing = want.replicas.saturating_sub(seats.taken.len());
     (missing > 0).then(|| Shortfall {
         deployment: want.deployment.clone(),
@@ -172,7 +172,7 @@
     }
 
     /// Keeps what a deployment has, as far as it still fits and is wanted.
-    fn keep(&mut self, want: &Want, count: usize) -> Seats {
+    fn keep(&mut self, want: &DeploymentSpec, count: usize) -> Seats {
         let mut seats = Seats::default();
         let had = self.standing.get(&want.deployment).cloned();
         for slot in had.unwrap_or_default() {
@@ -190,7 +190,7 @@
     }
 
     /// Adds instances until the deployment has `count`.
-    fn fill(&mut self, want: &Want, count: usize, seats: &mut Seats) {
+    fn fill(&mut self, want: &DeploymentSpec, count: usize, seats: &mut Seats) {
         if seats.taken.len() >= count {
             seats.eligible = seats.taken.len();
             return;
@@ -206,7 +206,7 @@
     }
 
     /// Moves replicas out of zones that have two more than another zone could have.
-    fn level(&mut self, want: &Want, seats: &mut Seats) {
+    fn level(&mut self, want: &DeploymentSpec, seats: &mut Seats) {
         let least = seats.zones.values().min().copied().unwrap_or(0);
         let most = seats.zones.values().max().copied().unwrap_or(0);
         let zones = || self.slots.iter().map(|slot| &slot.member.zone);
@@ -230,7 +230,7 @@
         }
     }
 
-    fn may_stay(&self, slot: usize, want: &Want) -> bool {
+    fn may_stay(&self, slot: usize, want: &DeploymentSpec) -> bool {
         let Slot { name, member, .. } = &self.slots[slot];
         let now = self.round.now;
         let present = match member.health {
@@ -246,7 +246,7 @@
             && self.slots[slot].free >= member.takes(want.memory)
     }
 
-    fn may_join(&self, slot: usize, want: &Want, need: Need) -> bool {
+    fn may_join(&self, slot: usize, want: &DeploymentSpec, need: Need) -> bool {
         let Slot { name, member, .. } = &self.slots[slot];
         let now = self.round.now;
         let least = match need {
@@ -261,7 +261,7 @@
             && !self.round.faults.is_barred(name, &want.version, now)
     }
 
-    fn candidates(&self, want: &Want, seats: &Seats, need: Need) -> Candidates {
+    fn candidates(&self, want: &DeploymentSpec, seats: &Seats, need: Need) -> Candidates {
         let mut candidates = Candidates::default();
         for slot in 0..self.slots.len() {
             if !seats.taken.contains(&slot) && self.may_join(slot, want, need) {
@@ -274,7 +274,7 @@
 
     /// The replica whose loss costs least: from the fullest zone and rack, not serving, the last
     /// by name.
-    fn least_needed(&self, want: &Want, seats: &Seats) -> Option<usize> {
+    fn least_needed(&self, want: &DeploymentSpec, seats: &Seats) -> Option<usize> {
         seats.taken.iter().copied().max_by_key(|slot| {
             let member = self.slots[*slot].member;
             let zone = seats.zones.get(&member.zone).copied();
@@ -283,7 +283,7 @@
         })
     }
 
-    fn take(&mut self, slot: usize, want: &Want, seats: &mut Seats) {
+    fn take(&mut self, slot: usize, want: &DeploymentSpec, seats: &mut Seats) {
         let member = self.slots[slot].member;
         self.slots[slot].free -= member.takes(want.memory);
         self.slots[slot].load += 1;
@@ -292,7 +292,7 @@
         *seats.racks.entry(place_of(member)).or_default() += 1;
     }
 
-    fn give_back(&mut self, slot: usize, want: &Want, seats: &mut Seats) {
+    fn give_back(&mut self, slot: usize, want: &DeploymentSpec, seats: &mut Seats) {
         let member = self.slots[slot].member;
         self.slots[slot].free += member.takes(want.memory);
         self.slots[slot].load -= 1;
@@ -322,7 +322,7 @@
 }
 
 impl Candidates {
-    fn add(&mut self, slot: &Slot, index: usize, want: &Want) {
+    fn add(&mut self, slot: &Slot, index: usize, want: &DeploymentSpec) {
         let member = slot.member;
         let share = member.share(&want.version);
         let hash = weight(want.deployment.as_str(), slot.name.as_str());
--- a/crates/filbertstack-policy/src/placement/roll.rs
+++ b/crates/filbertstack-policy/src/placement/roll.rs
@@ -14,13 +14,13 @@
 
 use super::faults::Verdict;
 use super::fleet::Assignment;
+use super::fleet::DeploymentSpec;
 use super::fleet::Duty;
 use super::fleet::Fleet;
 use super::fleet::Health;
 use super::fleet::Holding;
 use super::fleet::Member;
 use super::fleet::Standing;
-use super::fleet::Want;
 use super::place::Placement;
 use super::place::Round;
 
@@ -32,7 +32,7 @@
 
 /// How many spare instances each deployment needs now: as many as serve another version and have no
 /// room for the declared one beside it, at most one in eight and at least one.
-pub(super) fn surges(fleet: &Fleet, standing: &Standing, wants: &[Want]) -> Vec<usize> {
+pub(super) fn surges(fleet: &Fleet, standing: &Standing, wants: &[DeploymentSpec]) -> Vec<usize> {
     let index = wants.iter().enumerate();
     let index: BTreeMap<_, _> = index.map(|(i, want)| (&want.deployment, i)).collect();
     let mut swaps = vec![0; wants.len()];
@@ -49,17 +49,17 @@
             swaps[index[deployment]] += 1;
         }
     }
-    let most = |want: &Want| (want.replicas / SURGE_PART).max(1);
+    let most = |want: &DeploymentSpec| (want.replicas / SURGE_PART).max(1);
     let pairs = swaps.into_iter().zip(wants);
     pairs.map(|(swaps, want)| swaps.min(most(want))).collect()
 }
 
 /// Whether the declared version is in the engine's memory or fits beside what is there.
-fn has_room(member: &Member, want: &Want) -> bool {
+fn has_room(member: &Member, want: &DeploymentSpec) -> bool {
     takes_memory(member, &want.version) || memory_used(member, None) + want.memory <= member.memory
 }
 
-fn is_old(assignment: &Assignment, want: &Want, member: &Member) -> bool {
+fn is_old(assignment: &Assignment, want: &DeploymentSpec, member: &Member) -> bool {
     assignment.deployment == want.deployment
         && assignment.duty == Duty::Serve
         && assignment.version != want.version
@@ -93,7 +93,7 @@
 }
 
 /// The next orders of all targets.
-pub(super) fn roll(round: Round, wants: &[Want], placement: &Placement) -> Rolled {
+pub(super) fn roll(round: Round, wants: &[DeploymentSpec], placement: &Placement) -> Rolled {
     let wants: BTreeMap<_, _> = wants.iter().map(|w| (&w.deployment, w)).collect();
     let mut roller = Roller::new(round, wants, placement);
     roller.keep();
@@ -111,7 +111,7 @@
 
 struct Roller<'a> {
     round: Round<'a>,
-    wants: BTreeMap<&'a DeploymentName, &'a Want>,
+    wants: BTreeMap<&'a DeploymentName, &'a DeploymentSpec>,
     placement: &'a Placement,
     orders: BTreeMap<&'a InstanceName, BTreeSet<Assignment>>,
     used: BTreeMap<&'a InstanceName, u64>,
@@ -122,7 +122,7 @@
 impl<'a> Roller<'a> {
     fn new(
         round: Round<'a>,
-        wants: BTreeMap<&'a DeploymentName, &'a Want>,
+        wants: BTreeMap<&'a DeploymentName, &'a DeploymentSpec>,
         placement: &'a Placement,
     ) -> Self {
         let used = round.fleet.iter();
@@ -181,13 +181,13 @@
         }
     }
 
-    fn is_placed(&self, want: &Want, name: &InstanceName) -> bool {
+    fn is_placed(&self, want: &DeploymentSpec, name: &InstanceName) -> bool {
         let placed = self.placement.get(&want.deployment);
         placed.is_some_and(|names| names.contains(name))
     }
 
     /// Orders the declared version, unless its last load failed just now.
-    fn serve(&mut self, name: &'a InstanceName, member: &Member, want: &Want) {
+    fn serve(&mut self, name: &'a InstanceName, member: &Member, want: &DeploymentSpec) {
         let verdict = self
             .round
             .faults
@@ -237,7 +237,7 @@
     }
 
     /// Whether the declared version is to be served there.
-    fn is_ordered(&self, want: &Want, name: &InstanceName) -> bool {
+    fn is_ordered(&self, want: &DeploymentSpec, name: &InstanceName) -> bool {
         let serve = assignment(&want.deployment, want.version, Duty::Serve);
         let orders = self.orders.get(name);
         orders.is_some_and(|orders| orders.contains(&serve))
@@ -261,7 +261,7 @@
     }
 
     /// The instances that answer for the deployment in any version.
-    fn alive(&self, want: &Want, leaving: &[Leaving<'a>]) -> BTreeSet<&'a InstanceName> {
+    fn alive(&self, want: &DeploymentSpec, leaving: &[Leaving<'a>]) -> BTreeSet<&'a InstanceName> {
         let old = leaving.iter().filter(|one| one.member.serves(&one.version));
         let old = old.map(|one| one.name);
         let orders = self.orders.iter();
@@ -269,13 +269,23 @@
         old.chain(new.map(|(name, _)| *name)).collect()
     }
 
-    fn serves_new(&self, want: &Want, name: &InstanceName, orders: &BTreeSet<Assignment>) -> bool {
+    fn serves_new(
+        &self,
+        want: &DeploymentSpec,
+        name: &InstanceName,
+        orders: &BTreeSet<Assignment>,
+    ) -> bool {
         let ordered = orders.contains(&assignment(&want.deployment, want.version, Duty::Serve));
         let member = self.round.fleet.get(name);
         ordered && member.is_some_and(|member| member.serves(&want.version))
     }
 
-    fn leave(&mut self, want: &Want, one: &Leaving<'a>, alive: &mut BTreeSet<&'a InstanceName>) {
+    fn leave(
+        &mut self,
+        want: &DeploymentSpec,
+        one: &Leaving<'a>,
+        alive: &mut BTreeSet<&'a InstanceName>,
+    ) {
         let Leaving {
             name,
             member,
@@ -298,7 +308,7 @@
     }
 
     /// Whether draining the old version would not let the declared one in yet.
-    fn is_pointless(&self, want: &Want, one: &Leaving) -> bool {
+    fn is_pointless(&self, want: &DeploymentSpec, one: &Leaving) -> bool {
         let ordered = self.is_ordered(want, one.name);
         let loaded = takes_memory(one.member, &one.version);
         loaded && self.is_placed(want, one.name) && !ordered && !self.swap_helps(want, one)
@@ -306,7 +316,7 @@
 
     /// Whether the declared version can be loaded once the old one is gone: its chunks are there and
     /// it fits.
-    fn swap_helps(&self, want: &Want, one: &Leaving) -> bool {
+    fn swap_helps(&self, want: &DeploymentSpec, one: &Leaving) -> bool {
         let held = one.member.holds.get(&one.version);
         let freed = held
             .filter(|h| h.stage.takes_memory())
@@ -335,7 +345,7 @@
     }
 
     /// A change that waits for a spare instance while nothing is on its way waits for ever.
-    fn note_blocked(&mut self, want: &Want, leaving: &[Leaving], alive: usize) {
+    fn note_blocked(&mut self, want: &DeploymentSpec, leaving: &[Leaving], alive: usize) {
         let waits = |one: &&Leaving| {
             let used = self.used.get(one.name).copied().unwrap_or(0);
             let needed = used + one.member.takes(want.memory);
--- a/crates/filbertstack-policy/src/placement/status.rs
+++ b/crates/filbertstack-policy/src/placement/status.rs
@@ -11,13 +11,13 @@
 use super::decide::Decision;
 use super::faults::LoadFaults;
 use super::faults::Verdict;
+use super::fleet::DeploymentSpec;
 use super::fleet::Duty;
 use super::fleet::Fleet;
 use super::fleet::Health;
 use super::fleet::Member;
 use super::fleet::Stage;
 use super::fleet::Standing;
-use super::fleet::Want;
 use super::roll::is_serving;
 
 /// How long a target may differ from its order before it is ordered again.
@@ -108,18 +108,18 @@
 /// The status of every deployment after a round.
 pub fn status(
     fleet: &Fleet,
-    wants: &[Want],
+    wants: &[DeploymentSpec],
     decision: &Decision,
     faults: &LoadFaults,
     now: Millis,
 ) -> Vec<DeploymentStatus> {
-    let of_want = |want: &Want| one_status(fleet, want, decision, faults, now);
+    let of_want = |want: &DeploymentSpec| one_status(fleet, want, decision, faults, now);
     wants.iter().map(of_want).collect()
 }
 
 fn one_status(
     fleet: &Fleet,
-    want: &Want,
+    want: &DeploymentSpec,
     decision: &Decision,
     faults: &LoadFaults,
     now: Millis,
@@ -157,7 +157,7 @@
 }
 
 /// The instances that answer from another version only.
-fn older<'a>(fleet: &Fleet, want: &Want, orders: &'a Standing) -> Vec<&'a InstanceName> {
+fn older<'a>(fleet: &Fleet, want: &DeploymentSpec, orders: &'a Standing) -> Vec<&'a InstanceName> {
     let serves_other = |(name, assignments): &(&InstanceName, &Vec<super::Assignment>)| {
         let Some(member) = fleet.get(*name) else {
             return false;
@@ -174,7 +174,7 @@
 fn reason(
     name: &InstanceName,
     member: &Member,
-    want: &Want,
+    want: &DeploymentSpec,
     faults: &LoadFaults,
     now: Millis,
 ) -> Option<Why> {
--- a/crates/filbertstack-policy/tests/placement_common/mod.rs
+++ b/crates/filbertstack-policy/tests/placement_common/mod.rs
@@ -9,6 +9,7 @@
 use filbertstack_core::names::InstanceName;
 use filbertstack_policy::placement::Assignment;
 use filbertstack_policy::placement::Decision;
+use filbertstack_policy::placement::DeploymentSpec;
 use filbertstack_policy::placement::Duty;
 use filbertstack_policy::placement::Fleet;
 use filbertstack_policy::placement::HOLD_DOWN;
@@ -19,7 +20,6 @@
 use filbertstack_policy::placement::Member;
 use filbertstack_policy::placement::Stage;
 use filbertstack_policy::placement::Standing;
-use filbertstack_policy::placement::Want;
 use filbertstack_policy::placement::decide;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -52,9 +52,9 @@
     (0..count).map(of).collect()
 }
 
-pub fn want(deployment: &str, n: u8, replicas: usize, memory: u64) -> Want {
+pub fn want(deployment: &str, n: u8, replicas: usize, memory: u64) -> DeploymentSpec {
     let pool: Selector = "role=llm".parse().expect("a selector");
-    Want {
+    DeploymentSpec {
         deployment: deployment.parse().expect("a name"),
         version: version(n),
         replicas,
@@ -66,7 +66,7 @@
 /// The fleet, its orders and how it follows them.
 pub struct World {
     pub fleet: Fleet,
-    pub wants: Vec<Want>,
+    pub wants: Vec<DeploymentSpec>,
     pub standing: Standing,
     pub faults: LoadFaults,
     pub now: Millis,
@@ -75,7 +75,7 @@
 }
 
 impl World {
-    pub fn new(fleet: Fleet, wants: Vec<Want>) -> Self {
+    pub fn new(fleet: Fleet, wants: Vec<DeploymentSpec>) -> Self {
         let mut world = Self {
             fleet,
             wants: Vec::new(),
@@ -88,7 +88,7 @@
         world
     }
 
-    pub fn declare(&mut self, wants: Vec<Want>) {
+    pub fn declare(&mut self, wants: Vec<DeploymentSpec>) {
         self.sizes
             .extend(wants.iter().map(|want| (want.version, want.memory)));
         self.wants = wants;
@@ -170,7 +170,7 @@
     }
 
     /// How many instances answer for the deployment, whatever the version.
-    pub fn alive(&self, want: &Want) -> usize {
+    pub fn alive(&self, want: &DeploymentSpec) -> usize {
         let answers = |(name, orders): &(&InstanceName, &Vec<Assignment>)| {
             let mut mine = orders.iter().filter(|a| a.deployment == want.deployment);
             mine.any(|a| a.duty == Duty::Serve && self.fleet[*name].serves(&a.version))
@@ -179,7 +179,7 @@
     }
 
     /// The instances that answer from the declared version.
-    pub fn serving(&self, want: &Want) -> Vec<&InstanceName> {
+    pub fn serving(&self, want: &DeploymentSpec) -> Vec<&InstanceName> {
         let ordered = |name: &&InstanceName| {
             let orders = self.standing.get(*name).into_iter().flatten();
             orders
@@ -190,7 +190,7 @@
         serves.map(|(name, _)| name).filter(ordered).collect()
     }
 
-    pub fn zones(&self, want: &Want) -> BTreeMap<String, usize> {
+    pub fn zones(&self, want: &DeploymentSpec) -> BTreeMap<String, usize> {
         let mut zones = BTreeMap::new();
         for name in self.serving(want) {
             let zone = self.fleet[name].zone.to_string();
--- a/crates/filbertstack-policy/tests/placement_roll.rs
+++ b/crates/filbertstack-policy/tests/placement_roll.rs
@@ -8,6 +8,7 @@
 
 use filbertstack_core::Millis;
 use filbertstack_policy::placement::Assignment;
+use filbertstack_policy::placement::DeploymentSpec;
 use filbertstack_policy::placement::Duty;
 use filbertstack_policy::placement::HOLD_DOWN;
 use filbertstack_policy::placement::Health;
@@ -16,7 +17,6 @@
 use filbertstack_policy::placement::Member;
 use filbertstack_policy::placement::Stage;
 use filbertstack_policy::placement::Standing;
-use filbertstack_policy::placement::Want;
 use filbertstack_policy::placement::Why;
 use filbertstack_policy::placement::status;
 use placement_common::GIB;
@@ -64,7 +64,7 @@
     (8..40_usize, 1..5_usize, 2..8_u64, deployments, 0..1000_u64)
 }
 
-fn wants_of(case: &Case, first: u8) -> Vec<Want> {
+fn wants_of(case: &Case, first: u8) -> Vec<DeploymentSpec> {
     let wants = case.3.iter().zip(0_u8..);
     wants
         .map(|((replicas, units), i)| want(&format!("d{i}"), first + i, *replicas, units * GIB))
@@ -90,7 +90,7 @@
             }
             if world.is_settled() {
                 let stuck = !decision.blocked.is_empty() || !decision.short.is_empty();
-                let done = |w: &Want| world.serving(w).len() == w.replicas;
+                let done = |w: &DeploymentSpec| world.serving(w).len() == w.replicas;
                 prop_assert!(stuck || world.wants.iter().all(done), "settled too early");
                 return Ok(());
             }
