--- a/crates/filbertstack-entry/src/lead.rs
+++ b/crates/filbertstack-entry/src/lead.rs
@@ -143,7 +143,7 @@
             .watcher
             .observe(now, &live, state.register(), chunks(&state));
         round.faults.observe(&fleet, now);
-        let wants = placement::wants(view.declared(), weights(&state));
+        let wants = placement::deployment_specs(view.declared(), weights(&state));
         let decision = placement::decide(&fleet, &wants, &standing(&view), &round.faults, now);
         let none = Vec::new();
         let targets: Vec<Desired> = decision
--- a/crates/filbertstack-entry/src/operators.rs
+++ b/crates/filbertstack-entry/src/operators.rs
@@ -378,7 +378,7 @@
     let chunks = |version: &Digest| view.version(*version).map_or(0, |facts| facts.chunks);
     let weights = |version: &Digest| view.version(*version).map_or(0, |facts| facts.weights);
     let fleet = Watcher::default().observe(now, live, &Register::default(), chunks);
-    let wants = placement::wants(view.declared(), weights);
+    let wants = placement::deployment_specs(view.declared(), weights);
     let faults = LoadFaults::default();
     let decision = placement::decide(&fleet, &wants, &standing(view), &faults, now);
     let all = placement::status(&fleet, &wants, &decision, &faults, now);
--- a/crates/filbertstack-policy/src/placement.rs
+++ b/crates/filbertstack-policy/src/placement.rs
@@ -60,7 +60,7 @@
 pub use fleet::Member;
 pub use fleet::Stage;
 pub use fleet::Standing;
-pub use fleet::wants;
+pub use fleet::deployment_specs;
 pub use place::HOLD_DOWN;
 pub use place::MOVE_AFTER;
 pub use place::Placement;
--- a/crates/filbertstack-policy/src/placement/fleet.rs
+++ b/crates/filbertstack-policy/src/placement/fleet.rs
@@ -168,7 +168,10 @@
 }
 
 /// The wants of the declarations; `weights` gives the size of a published version in bytes.
-pub fn wants(declared: &Declarations, weights: impl Fn(&Digest) -> u64) -> Vec<DeploymentSpec> {
+pub fn deployment_specs(
+    declared: &Declarations,
+    weights: impl Fn(&Digest) -> u64,
+) -> Vec<DeploymentSpec> {
     let pools_of = |by: &Selector| {
         let pools = declared.pools.values();
         let chosen = pools.filter(|pool| by.matches(&pool.labels));
