--- a/crates/filbertstack-control/examples/measure.rs
+++ b/crates/filbertstack-control/examples/measure.rs
@@ -36,6 +36,7 @@
 use filbertstack_policy::gossip::RowKind;
 use filbertstack_policy::gossip::Settings;
 use filbertstack_policy::gossip::State;
+use filbertstack_policy::placement::Assignments;
 use filbertstack_policy::placement::DeploymentSpec;
 use filbertstack_policy::placement::Fleet;
 use filbertstack_policy::placement::Health;
@@ -43,7 +44,6 @@
 use filbertstack_policy::placement::LoadFaults;
 use filbertstack_policy::placement::Member;
 use filbertstack_policy::placement::Stage;
-use filbertstack_policy::placement::Standing;
 use filbertstack_policy::placement::decide;
 use prost::Message as _;
 
@@ -282,12 +282,12 @@
     let mut wants: Vec<_> = (0..deployments).map(|n| want(n, 0)).collect();
     let faults = LoadFaults::default();
     let now = Millis::secs(100_000);
-    let time = |fleet: &Fleet, wants: &[DeploymentSpec], standing: &Standing| {
+    let time = |fleet: &Fleet, wants: &[DeploymentSpec], standing: &Assignments| {
         let start = Instant::now();
         let decision = decide(fleet, wants, standing, &faults, now);
         (micros(start, 1) / 1000.0, decision)
     };
-    let (first, decision) = time(&fleet, &wants, &Standing::new());
+    let (first, decision) = time(&fleet, &wants, &Assignments::new());
     let standing = decision.orders;
     for (name, orders) in &standing {
         let holds = orders.iter().map(|one| {
--- a/crates/filbertstack-entry/src/lead.rs
+++ b/crates/filbertstack-entry/src/lead.rs
@@ -20,8 +20,8 @@
 use filbertstack_core::names::InstanceName;
 use filbertstack_policy::placement;
 use filbertstack_policy::placement::Assignment;
+use filbertstack_policy::placement::Assignments;
 use filbertstack_policy::placement::LoadFaults;
-use filbertstack_policy::placement::Standing;
 use spdlog::info;
 use spdlog::warn;
 
@@ -217,7 +217,7 @@
 }
 
 /// The standing orders as placement reads them.
-pub fn standing(view: &View) -> Standing {
+pub fn standing(view: &View) -> Assignments {
     let orders = view.orders().iter();
     orders
         .map(|(name, order)| {
--- a/crates/filbertstack-policy/src/placement.rs
+++ b/crates/filbertstack-policy/src/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: which instances hold which deployments, and how the fleet gets there.
 //!
 //! All of it is pure. The leader gathers a [`Fleet`] from agents' reports, takes the declared
-//! [`DeploymentSpec`]s and the [`Standing`] orders out of the replicated state, and calls [`decide`]. What
+//! [`DeploymentSpec`]s and the [`Assignments`] orders out of the replicated state, and calls [`decide`]. What
 //! comes back is the whole desired state of every target; the leader commits what differs.
 //! Nothing else is remembered but the [`LoadFaults`], so a new leader goes on where the old one
 //! stopped.
@@ -18,7 +18,7 @@
 //! use filbertstack_policy::placement::Health;
 //! use filbertstack_policy::placement::LoadFaults;
 //! use filbertstack_policy::placement::Member;
-//! use filbertstack_policy::placement::Standing;
+//! use filbertstack_policy::placement::Assignments;
 //! use filbertstack_policy::placement::DeploymentSpec;
 //! use filbertstack_policy::placement::decide;
 //!
@@ -34,7 +34,7 @@
 //! };
 //! let faults = LoadFaults::default();
 //! let now = Millis::secs(60);
-//! let first = decide(&fleet, &[want.clone()], &Standing::new(), &faults, now);
+//! let first = decide(&fleet, &[want.clone()], &Assignments::new(), &faults, now);
 //! assert_eq!(first.changed.len(), 1);
 //! let again = decide(&fleet, &[want], &first.orders, &faults, now);
 //! assert!(again.changed.is_empty());
@@ -52,6 +52,7 @@
 pub use faults::LoadFaults;
 pub use faults::Verdict;
 pub use fleet::Assignment;
+pub use fleet::Assignments;
 pub use fleet::DeploymentSpec;
 pub use fleet::Duty;
 pub use fleet::Fleet;
@@ -59,7 +60,6 @@
 pub use fleet::Holding;
 pub use fleet::Member;
 pub use fleet::Stage;
-pub use fleet::Standing;
 pub use fleet::deployment_specs;
 pub use place::HOLD_DOWN;
 pub use place::MOVE_AFTER;
--- a/crates/filbertstack-policy/src/placement/decide.rs
+++ b/crates/filbertstack-policy/src/placement/decide.rs
@@ -7,9 +7,9 @@
 use filbertstack_core::names::InstanceName;
 
 use super::faults::LoadFaults;
+use super::fleet::Assignments;
 use super::fleet::DeploymentSpec;
 use super::fleet::Fleet;
-use super::fleet::Standing;
 use super::place::Placement;
 use super::place::Round;
 use super::place::Shortfall;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Decision {
     /// The desired state of every known target.
-    pub orders: Standing,
+    pub orders: Assignments,
     /// The targets whose desired state differs from the standing orders.
     pub changed: Vec<InstanceName>,
     /// Where each deployment shall stand, spare instances of a change included.
@@ -37,7 +37,7 @@
 pub fn decide(
     fleet: &Fleet,
     wants: &[DeploymentSpec],
-    standing: &Standing,
+    standing: &Assignments,
     faults: &LoadFaults,
     now: Millis,
 ) -> Decision {
@@ -59,7 +59,7 @@
     }
 }
 
-fn changed(standing: &Standing, orders: &Standing) -> Vec<InstanceName> {
+fn changed(standing: &Assignments, orders: &Assignments) -> Vec<InstanceName> {
     let none = Vec::new();
     let differs =
         |(name, wanted): &(&InstanceName, &Vec<_>)| standing.get(*name).unwrap_or(&none) != *wanted;
--- a/crates/filbertstack-policy/src/placement/fleet.rs
+++ b/crates/filbertstack-policy/src/placement/fleet.rs
@@ -143,7 +143,7 @@
 }
 
 /// The desired state of every target: sorted assignments by instance.
-pub type Standing = BTreeMap<InstanceName, Vec<Assignment>>;
+pub type Assignments = BTreeMap<InstanceName, Vec<Assignment>>;
 
 /// A deployment as placement sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/filbertstack-policy/src/placement/place.rs
+++ b/crates/filbertstack-policy/src/placement/place.rs
@@ -9,12 +9,12 @@
 use filbertstack_core::names::InstanceName;
 
 use super::faults::LoadFaults;
+use super::fleet::Assignments;
 use super::fleet::DeploymentSpec;
 use super::fleet::Duty;
 use super::fleet::Fleet;
 use super::fleet::Health;
 use super::fleet::Member;
-use super::fleet::Standing;
 use crate::gossip::weight;
 
 /// How long an instance that does not answer keeps its place.
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Round<'a> {
     pub(super) fleet: &'a Fleet,
-    pub(super) standing: &'a Standing,
+    pub(super) standing: &'a Assignments,
     pub(super) faults: &'a LoadFaults,
     pub(super) now: Millis,
 }
--- a/crates/filbertstack-policy/src/placement/roll.rs
+++ b/crates/filbertstack-policy/src/placement/roll.rs
@@ -14,13 +14,13 @@
 
 use super::faults::Verdict;
 use super::fleet::Assignment;
+use super::fleet::Assignments;
 use super::fleet::DeploymentSpec;
 use super::fleet::Duty;
 use super::fleet::Fleet;
 use super::fleet::Health;
 use super::fleet::Holding;
 use super::fleet::Member;
-use super::fleet::Standing;
 use super::place::Placement;
 use super::place::Round;
 
@@ -32,7 +32,11 @@
 
 /// How many spare instances each deployment needs now: as many as serve another version and have no
 /// room for the declared one beside it, at most one in eight and at least one.
-pub(super) fn surges(fleet: &Fleet, standing: &Standing, wants: &[DeploymentSpec]) -> Vec<usize> {
+pub(super) fn surges(
+    fleet: &Fleet,
+    standing: &Assignments,
+    wants: &[DeploymentSpec],
+) -> Vec<usize> {
     let index = wants.iter().enumerate();
     let index: BTreeMap<_, _> = index.map(|(i, want)| (&want.deployment, i)).collect();
     let mut swaps = vec![0; wants.len()];
@@ -87,7 +91,7 @@
 /// What rolling came to.
 #[derive(Debug, Default)]
 pub(super) struct Rolled {
-    pub(super) orders: Standing,
+    pub(super) orders: Assignments,
     /// The deployments that cannot go on without another instance.
     pub(super) blocked: BTreeSet<DeploymentName>,
 }
--- a/crates/filbertstack-policy/src/placement/status.rs
+++ b/crates/filbertstack-policy/src/placement/status.rs
@@ -11,13 +11,13 @@
 use super::decide::Decision;
 use super::faults::LoadFaults;
 use super::faults::Verdict;
+use super::fleet::Assignments;
 use super::fleet::DeploymentSpec;
 use super::fleet::Duty;
 use super::fleet::Fleet;
 use super::fleet::Health;
 use super::fleet::Member;
 use super::fleet::Stage;
-use super::fleet::Standing;
 use super::roll::is_serving;
 
 /// How long a target may differ from its order before it is ordered again.
@@ -157,7 +157,11 @@
 }
 
 /// The instances that answer from another version only.
-fn older<'a>(fleet: &Fleet, want: &DeploymentSpec, orders: &'a Standing) -> Vec<&'a InstanceName> {
+fn older<'a>(
+    fleet: &Fleet,
+    want: &DeploymentSpec,
+    orders: &'a Assignments,
+) -> Vec<&'a InstanceName> {
     let serves_other = |(name, assignments): &(&InstanceName, &Vec<super::Assignment>)| {
         let Some(member) = fleet.get(*name) else {
             return false;
@@ -200,7 +204,7 @@
 /// leader orders them again under a new fence. `since` remembers when each began to differ.
 pub fn drifted(
     fleet: &Fleet,
-    standing: &Standing,
+    standing: &Assignments,
     since: &mut BTreeMap<InstanceName, Millis>,
     now: Millis,
 ) -> Vec<InstanceName> {
--- a/crates/filbertstack-policy/tests/placement_common/mod.rs
+++ b/crates/filbertstack-policy/tests/placement_common/mod.rs
@@ -8,6 +8,7 @@
 use filbertstack_core::Selector;
 use filbertstack_core::names::InstanceName;
 use filbertstack_policy::placement::Assignment;
+use filbertstack_policy::placement::Assignments;
 use filbertstack_policy::placement::Decision;
 use filbertstack_policy::placement::DeploymentSpec;
 use filbertstack_policy::placement::Duty;
@@ -19,7 +20,6 @@
 use filbertstack_policy::placement::MOVE_AFTER;
 use filbertstack_policy::placement::Member;
 use filbertstack_policy::placement::Stage;
-use filbertstack_policy::placement::Standing;
 use filbertstack_policy::placement::decide;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -67,7 +67,7 @@
 pub struct World {
     pub fleet: Fleet,
     pub wants: Vec<DeploymentSpec>,
-    pub standing: Standing,
+    pub standing: Assignments,
     pub faults: LoadFaults,
     pub now: Millis,
     /// The memory of each version, as engines report it.
@@ -79,7 +79,7 @@
         let mut world = Self {
             fleet,
             wants: Vec::new(),
-            standing: Standing::new(),
+            standing: Assignments::new(),
             faults: LoadFaults::default(),
             now: START,
             sizes: BTreeMap::new(),
--- a/crates/filbertstack-policy/tests/placement_roll.rs
+++ b/crates/filbertstack-policy/tests/placement_roll.rs
@@ -8,6 +8,7 @@
 
 use filbertstack_core::Millis;
 use filbertstack_policy::placement::Assignment;
+use filbertstack_policy::placement::Assignments;
 use filbertstack_policy::placement::DeploymentSpec;
 use filbertstack_policy::placement::Duty;
 use filbertstack_policy::placement::HOLD_DOWN;
@@ -16,7 +17,6 @@
 use filbertstack_policy::placement::MOVE_AFTER;
 use filbertstack_policy::placement::Member;
 use filbertstack_policy::placement::Stage;
-use filbertstack_policy::placement::Standing;
 use filbertstack_policy::placement::Why;
 use filbertstack_policy::placement::status;
 use placement_common::GIB;
@@ -325,8 +325,8 @@
     result.unwrap_or_else(|error| panic!("{error}"));
 }
 
-fn moved(before: &Standing, after: &Standing) -> usize {
-    let pairs = |standing: &Standing| {
+fn moved(before: &Assignments, after: &Assignments) -> usize {
+    let pairs = |standing: &Assignments| {
         let mut pairs = BTreeSet::new();
         for (name, orders) in standing {
             let serve = orders.iter().filter(|one| one.duty == Duty::Serve);
@@ -352,12 +352,12 @@
     let (lost, held) = lost.map(|(n, o)| (n.clone(), o.len())).expect("one");
     world.fleet.remove(&lost);
     let after = world.decide().orders;
-    let plain = |count: usize| -> Standing {
+    let plain = |count: usize| -> Assignments {
         let all = world
             .wants
             .iter()
             .flat_map(|w| (0..w.replicas).map(move |r| (w, r)));
-        let mut standing = Standing::new();
+        let mut standing = Assignments::new();
         for (i, (want, _)) in all.enumerate() {
             let one = Assignment {
                 deployment: want.deployment.clone(),
