--- a/crates/filbertstack-control/examples/measure.rs
+++ b/crates/filbertstack-control/examples/measure.rs
@@ -41,7 +41,7 @@
 use filbertstack_policy::placement::Fleet;
 use filbertstack_policy::placement::Health;
 use filbertstack_policy::placement::Holding;
-use filbertstack_policy::placement::LoadFaults;
+use filbertstack_policy::placement::LoadFailures;
 use filbertstack_policy::placement::Member;
 use filbertstack_policy::placement::Stage;
 use filbertstack_policy::placement::decide;
@@ -280,7 +280,7 @@
         pools: vec!["role=llm".parse().expect("a selector")],
     };
     let mut wants: Vec<_> = (0..deployments).map(|n| want(n, 0)).collect();
-    let faults = LoadFaults::default();
+    let faults = LoadFailures::default();
     let now = Millis::secs(100_000);
     let time = |fleet: &Fleet, wants: &[DeploymentSpec], standing: &Assignments| {
         let start = Instant::now();
--- a/crates/filbertstack-entry/src/lead.rs
+++ b/crates/filbertstack-entry/src/lead.rs
@@ -21,7 +21,7 @@
 use filbertstack_policy::placement;
 use filbertstack_policy::placement::Assignment;
 use filbertstack_policy::placement::Assignments;
-use filbertstack_policy::placement::LoadFaults;
+use filbertstack_policy::placement::LoadFailures;
 use spdlog::info;
 use spdlog::warn;
 
@@ -171,7 +171,7 @@
     seen: Option<(Reached, u64)>,
     placed: Instant,
     watcher: Watcher,
-    faults: LoadFaults,
+    faults: LoadFailures,
 }
 
 impl Round {
@@ -198,7 +198,7 @@
             seen: None,
             placed: Instant::now(),
             watcher: Watcher::default(),
-            faults: LoadFaults::default(),
+            faults: LoadFailures::default(),
         }
     }
 }
--- a/crates/filbertstack-entry/src/operators.rs
+++ b/crates/filbertstack-entry/src/operators.rs
@@ -16,7 +16,7 @@
 use filbertstack_core::names::OrgName;
 use filbertstack_policy::placement;
 use filbertstack_policy::placement::DeploymentStatus;
-use filbertstack_policy::placement::LoadFaults;
+use filbertstack_policy::placement::LoadFailures;
 use filbertstack_wire::Dialer;
 use filbertstack_wire::Role;
 use filbertstack_wire::messages::Ask;
@@ -379,7 +379,7 @@
     let weights = |version: &Digest| view.version(*version).map_or(0, |facts| facts.weights);
     let fleet = Watcher::default().observe(now, live, &Register::default(), chunks);
     let wants = placement::deployment_specs(view.declared(), weights);
-    let faults = LoadFaults::default();
+    let faults = LoadFailures::default();
     let decision = placement::decide(&fleet, &wants, &standing(view), &faults, now);
     let all = placement::status(&fleet, &wants, &decision, &faults, now);
     all.iter().map(deployment).collect()
--- a/crates/filbertstack-policy/src/placement.rs
+++ b/crates/filbertstack-policy/src/placement.rs
@@ -3,7 +3,7 @@
 //! All of it is pure. The leader gathers a [`Fleet`] from agents' reports, takes the declared
 //! [`DeploymentSpec`]s and the [`Assignments`] orders out of the replicated state, and calls [`decide`]. What
 //! comes back is the whole desired state of every target; the leader commits what differs.
-//! Nothing else is remembered but the [`LoadFaults`], so a new leader goes on where the old one
+//! Nothing else is remembered but the [`LoadFailures`], so a new leader goes on where the old one
 //! stopped.
 //!
 //! The load pattern this answers: instances come and go all day (34 fail, 530 restart), a zone is
@@ -16,7 +16,7 @@
 //! use filbertstack_core::Millis;
 //! use filbertstack_policy::placement::Fleet;
 //! use filbertstack_policy::placement::Health;
-//! use filbertstack_policy::placement::LoadFaults;
+//! use filbertstack_policy::placement::LoadFailures;
 //! use filbertstack_policy::placement::Member;
 //! use filbertstack_policy::placement::Assignments;
 //! use filbertstack_policy::placement::DeploymentSpec;
@@ -32,7 +32,7 @@
 //!     memory: 8 << 30,
 //!     pools: vec!["role=llm".parse().expect("a selector")],
 //! };
-//! let faults = LoadFaults::default();
+//! let faults = LoadFailures::default();
 //! let now = Millis::secs(60);
 //! let first = decide(&fleet, &[want.clone()], &Assignments::new(), &faults, now);
 //! assert_eq!(first.changed.len(), 1);
@@ -49,7 +49,7 @@
 
 pub use decide::Decision;
 pub use decide::decide;
-pub use faults::LoadFaults;
+pub use faults::LoadFailures;
 pub use faults::Verdict;
 pub use fleet::Assignment;
 pub use fleet::Assignments;
--- a/crates/filbertstack-policy/src/placement/decide.rs
+++ b/crates/filbertstack-policy/src/placement/decide.rs
@@ -6,7 +6,7 @@
 use filbertstack_core::names::DeploymentName;
 use filbertstack_core::names::InstanceName;
 
-use super::faults::LoadFaults;
+use super::faults::LoadFailures;
 use super::fleet::Assignments;
 use super::fleet::DeploymentSpec;
 use super::fleet::Fleet;
@@ -38,7 +38,7 @@
     fleet: &Fleet,
     wants: &[DeploymentSpec],
     standing: &Assignments,
-    faults: &LoadFaults,
+    faults: &LoadFailures,
     now: Millis,
 ) -> Decision {
     let round = Round {
--- a/crates/filbertstack-policy/src/placement/faults.rs
+++ b/crates/filbertstack-policy/src/placement/faults.rs
@@ -47,11 +47,11 @@
 /// The loads that failed lately. A new leader starts with none and learns them anew: at worst a
 /// broken engine gets three more tries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LoadFaults {
+pub struct LoadFailures {
     faults: BTreeMap<InstanceName, BTreeMap<Digest, Fault>>,
 }
 
-impl LoadFaults {
+impl LoadFailures {
     /// What is thought of `version` on `instance`.
     pub fn verdict(&self, instance: &InstanceName, version: &Digest, now: Millis) -> Verdict {
         let of_instance = self.faults.get(instance);
--- a/crates/filbertstack-policy/src/placement/place.rs
+++ b/crates/filbertstack-policy/src/placement/place.rs
@@ -8,7 +8,7 @@
 use filbertstack_core::names::DeploymentName;
 use filbertstack_core::names::InstanceName;
 
-use super::faults::LoadFaults;
+use super::faults::LoadFailures;
 use super::fleet::Assignments;
 use super::fleet::DeploymentSpec;
 use super::fleet::Duty;
@@ -61,7 +61,7 @@
 pub(super) struct Round<'a> {
     pub(super) fleet: &'a Fleet,
     pub(super) standing: &'a Assignments,
-    pub(super) faults: &'a LoadFaults,
+    pub(super) faults: &'a LoadFailures,
     pub(super) now: Millis,
 }
 
--- a/crates/filbertstack-policy/src/placement/status.rs
+++ b/crates/filbertstack-policy/src/placement/status.rs
@@ -9,7 +9,7 @@
 use filbertstack_core::names::InstanceName;
 
 use super::decide::Decision;
-use super::faults::LoadFaults;
+use super::faults::LoadFailures;
 use super::faults::Verdict;
 use super::fleet::Assignments;
 use super::fleet::DeploymentSpec;
@@ -110,7 +110,7 @@
     fleet: &Fleet,
     wants: &[DeploymentSpec],
     decision: &Decision,
-    faults: &LoadFaults,
+    faults: &LoadFailures,
     now: Millis,
 ) -> Vec<DeploymentStatus> {
     let of_want = |want: &DeploymentSpec| one_status(fleet, want, decision, faults, now);
@@ -121,7 +121,7 @@
     fleet: &Fleet,
     want: &DeploymentSpec,
     decision: &Decision,
-    faults: &LoadFaults,
+    faults: &LoadFailures,
     now: Millis,
 ) -> DeploymentStatus {
     let mut why = BTreeSet::new();
@@ -179,7 +179,7 @@
     name: &InstanceName,
     member: &Member,
     want: &DeploymentSpec,
-    faults: &LoadFaults,
+    faults: &LoadFailures,
     now: Millis,
 ) -> Option<Why> {
     let name = name.clone();
--- a/crates/filbertstack-policy/tests/placement_common/mod.rs
+++ b/crates/filbertstack-policy/tests/placement_common/mod.rs
@@ -16,7 +16,7 @@
 use filbertstack_policy::placement::HOLD_DOWN;
 use filbertstack_policy::placement::Health;
 use filbertstack_policy::placement::Holding;
-use filbertstack_policy::placement::LoadFaults;
+use filbertstack_policy::placement::LoadFailures;
 use filbertstack_policy::placement::MOVE_AFTER;
 use filbertstack_policy::placement::Member;
 use filbertstack_policy::placement::Stage;
@@ -68,7 +68,7 @@
     pub fleet: Fleet,
     pub wants: Vec<DeploymentSpec>,
     pub standing: Assignments,
-    pub faults: LoadFaults,
+    pub faults: LoadFailures,
     pub now: Millis,
     /// The memory of each version, as engines report it.
     pub sizes: BTreeMap<Digest, u64>,
@@ -80,7 +80,7 @@
             fleet,
             wants: Vec::new(),
             standing: Assignments::new(),
-            faults: LoadFaults::default(),
+            faults: LoadFailures::default(),
             now: START,
             sizes: BTreeMap::new(),
         };
