--- a/crates/filbertstack-entry/src/fleet.rs
+++ b/crates/filbertstack-entry/src/fleet.rs
@@ -76,7 +76,7 @@
         seen.health = match seen.health {
             _ if member.leaving => Health::Leaving,
             Health::Up(since) => Health::Up(since),
-            Health::Away(_) | Health::Leaving => Health::Up(now),
+            Health::Unreachable(_) | Health::Leaving => Health::Up(now),
         };
         let before = std::mem::take(&mut seen.holds);
         for held in &member.held {
@@ -99,12 +99,12 @@
 
     fn missed(&mut self, now: Millis, name: &InstanceName) -> Health {
         let away = Seen {
-            health: Health::Away(now),
+            health: Health::Unreachable(now),
             holds: BTreeMap::new(),
         };
         let seen = self.seen.entry(name.clone()).or_insert(away);
-        if !matches!(seen.health, Health::Away(_)) {
-            seen.health = Health::Away(now);
+        if !matches!(seen.health, Health::Unreachable(_)) {
+            seen.health = Health::Unreachable(now);
         }
         seen.holds.clear();
         seen.health
--- a/crates/filbertstack-policy/src/placement/fleet.rs
+++ b/crates/filbertstack-policy/src/placement/fleet.rs
@@ -17,7 +17,7 @@
     /// It has answered since then.
     Up(Millis),
     /// It has not answered since then.
-    Away(Millis),
+    Unreachable(Millis),
     /// It said that it is leaving.
     Leaving,
 }
--- a/crates/filbertstack-policy/src/placement/place.rs
+++ b/crates/filbertstack-policy/src/placement/place.rs
@@ -235,7 +235,7 @@
         let now = self.round.now;
         let present = match member.health {
             Health::Up(_) => true,
-            Health::Away(since) => now.since(since) < HOLD_DOWN,
+            Health::Unreachable(since) => now.since(since) < HOLD_DOWN,
             Health::Leaving => false,
         };
         let barred = self.round.faults.is_barred(name, &want.version, now);
--- a/crates/filbertstack-policy/src/placement/roll.rs
+++ b/crates/filbertstack-policy/src/placement/roll.rs
@@ -159,7 +159,7 @@
 
     fn keep_one(&mut self, name: &'a InstanceName, member: &'a Member, one: &'a Assignment) {
         let want = self.wants.get(&one.deployment).copied();
-        let away = matches!(member.health, Health::Away(_));
+        let away = matches!(member.health, Health::Unreachable(_));
         match (one.duty, want) {
             (Duty::Drain, _) => {
                 if away || takes_memory(member, &one.version) {
@@ -300,7 +300,7 @@
         let counts = member.serves(&version) && alive.contains(name) && !both;
         let spare = alive.len() > want.replicas;
         let pointless = self.is_pointless(want, one);
-        let away = matches!(member.health, Health::Away(_)) && self.is_placed(want, name);
+        let away = matches!(member.health, Health::Unreachable(_)) && self.is_placed(want, name);
         if away || pointless || (counts && !spare) {
             self.put(name, assignment(&want.deployment, version, Duty::Serve));
             return;
--- a/crates/filbertstack-policy/src/placement/status.rs
+++ b/crates/filbertstack-policy/src/placement/status.rs
@@ -37,7 +37,7 @@
     /// A change of version needs a spare instance: add one, or lower the replicas.
     NoSpare,
     /// The instance does not answer.
-    Away(InstanceName),
+    Unreachable(InstanceName),
     /// The instance fetches the version.
     Fetching(InstanceName),
     /// The instance loads the version.
@@ -63,7 +63,7 @@
                     "a change of version needs a spare instance: add one or lower replicas"
                 )
             }
-            Self::Away(name) => write!(f, "{name} does not answer: see to its agent"),
+            Self::Unreachable(name) => write!(f, "{name} does not answer: see to its agent"),
             Self::Fetching(name) => write!(f, "{name} fetches the version"),
             Self::Loading(name) => write!(f, "{name} loads the version"),
             Self::Failed(name) => {
@@ -184,7 +184,7 @@
 ) -> Option<Why> {
     let name = name.clone();
     if !matches!(member.health, Health::Up(_)) {
-        return Some(Why::Away(name));
+        return Some(Why::Unreachable(name));
     }
     if faults.verdict(&name, &want.version, now) != Verdict::Fine {
         return Some(Why::Failed(name));
--- a/crates/filbertstack-policy/tests/placement_common/mod.rs
+++ b/crates/filbertstack-policy/tests/placement_common/mod.rs
@@ -127,9 +127,9 @@
         let member = self.fleet.get_mut(&picked).expect("it");
         member.health = match member.health {
             Health::Up(_) if rng.random_bool(0.1) => Health::Leaving,
-            Health::Up(_) if rng.random_bool(0.5) => Health::Away(self.now),
-            Health::Up(_) => Health::Away(self.now - HOLD_DOWN),
-            Health::Away(_) | Health::Leaving => Health::Up(self.now),
+            Health::Up(_) if rng.random_bool(0.5) => Health::Unreachable(self.now),
+            Health::Up(_) => Health::Unreachable(self.now - HOLD_DOWN),
+            Health::Unreachable(_) | Health::Leaving => Health::Up(self.now),
         };
         if rng.random_bool(0.3) {
             member.holds.clear();
--- a/crates/filbertstack-policy/tests/placement_roll.rs
+++ b/crates/filbertstack-policy/tests/placement_roll.rs
@@ -151,7 +151,7 @@
     let mut world = World::new(fleet(9, 3, 16 * GIB), vec![want("d", 1, 9, 6 * GIB)]);
     world.settle(&mut rng, 100).expect("settles");
     world.declare(vec![want("d", 2, 9, 6 * GIB)]);
-    let gone = Health::Away(world.now);
+    let gone = Health::Unreachable(world.now);
     let away = |m: &&mut Member| &*m.zone == "z1";
     let members = world.fleet.values_mut().filter(away);
     members.for_each(|member| member.health = gone);
@@ -181,7 +181,7 @@
         });
     };
     let now = world.now;
-    zone(&mut world, Health::Away(now));
+    zone(&mut world, Health::Unreachable(now));
     for _ in 0..60 {
         world.round(&mut rng);
     }
@@ -387,7 +387,7 @@
     world.settle(&mut rng, 100).expect("settles");
     let placed = world.serving(&world.wants[0])[0].clone();
     for _ in 0..10 {
-        let away = Health::Away(world.now);
+        let away = Health::Unreachable(world.now);
         world.fleet.get_mut(&placed).expect("it").health = away;
         world.now = world.now + Millis(HOLD_DOWN.0 - 1);
         assert!(world.decide().changed.is_empty());
@@ -395,7 +395,7 @@
         world.fleet.get_mut(&placed).expect("it").health = up;
         assert!(world.decide().changed.is_empty());
     }
-    world.fleet.get_mut(&placed).expect("it").health = Health::Away(world.now);
+    world.fleet.get_mut(&placed).expect("it").health = Health::Unreachable(world.now);
     world.now = world.now + HOLD_DOWN;
     let before = world.standing.clone();
     let after = world.decide().orders;
