--- a/crates/filbertstack-control/examples/measure.rs
+++ b/crates/filbertstack-control/examples/measure.rs
@@ -40,10 +40,10 @@
 use filbertstack_policy::placement::DeploymentSpec;
 use filbertstack_policy::placement::Fleet;
 use filbertstack_policy::placement::Health;
-use filbertstack_policy::placement::Holding;
 use filbertstack_policy::placement::LoadFailures;
 use filbertstack_policy::placement::Member;
 use filbertstack_policy::placement::Stage;
+use filbertstack_policy::placement::VersionState;
 use filbertstack_policy::placement::decide;
 use prost::Message as _;
 
@@ -291,7 +291,7 @@
     let standing = decision.orders;
     for (name, orders) in &standing {
         let holds = orders.iter().map(|one| {
-            let holding = Holding {
+            let holding = VersionState {
                 stage: Stage::Serving,
                 since: now,
                 memory: 16 << 30,
--- a/crates/filbertstack-entry/src/fleet.rs
+++ b/crates/filbertstack-entry/src/fleet.rs
@@ -10,10 +10,10 @@
 use filbertstack_core::names::InstanceName;
 use filbertstack_policy::placement::Fleet;
 use filbertstack_policy::placement::Health;
-use filbertstack_policy::placement::Holding;
 use filbertstack_policy::placement::Member as Placed;
 use filbertstack_policy::placement::SETTLE;
 use filbertstack_policy::placement::Stage;
+use filbertstack_policy::placement::VersionState;
 use filbertstack_wire::messages::Stage as Reported;
 
 use crate::members::Held;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 struct Seen {
     health: Health,
-    holds: BTreeMap<Digest, Holding>,
+    holds: BTreeMap<Digest, VersionState>,
 }
 
 /// Remembers since when each instance has been as it is.
@@ -87,7 +87,7 @@
             let since = same.map_or(now, |old| old.since);
             seen.holds.insert(
                 held.version,
-                Holding {
+                VersionState {
                     stage,
                     since,
                     memory: member.memory,
--- a/crates/filbertstack-policy/src/placement/faults.rs
+++ b/crates/filbertstack-policy/src/placement/faults.rs
@@ -7,8 +7,8 @@
 use filbertstack_core::names::InstanceName;
 
 use super::fleet::Fleet;
-use super::fleet::Holding;
 use super::fleet::Stage;
+use super::fleet::VersionState;
 
 /// The wait after the first failure; each further one waits four times as long.
 const FIRST_WAIT: Millis = Millis::secs(2);
@@ -113,7 +113,7 @@
     }
 }
 
-fn has_failed(holding: &Holding, now: Millis) -> bool {
+fn has_failed(holding: &VersionState, now: Millis) -> bool {
     match holding.stage {
         Stage::Failed => true,
         Stage::Loading => now.since(holding.since) > LOAD_LIMIT,
--- a/crates/filbertstack-policy/src/placement/fleet.rs
+++ b/crates/filbertstack-policy/src/placement/fleet.rs
@@ -46,7 +46,7 @@
 
 /// A version on an instance, as the agent reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Holding {
+pub struct VersionState {
     /// How far it has come.
     pub stage: Stage,
     /// Since when it stands at that stage.
@@ -71,7 +71,7 @@
     /// Whether it is to be emptied: it serves on until others have taken its place.
     pub cordoned: bool,
     /// The versions on it.
-    pub holds: BTreeMap<Digest, Holding>,
+    pub holds: BTreeMap<Digest, VersionState>,
     /// Whether its engine holds one version at a time, however much memory is left.
     pub single: bool,
 }
@@ -103,7 +103,7 @@
 
     /// Whether it answers from `version` now.
     pub fn serves(&self, version: &Digest) -> bool {
-        let serving = |holding: &Holding| holding.stage == Stage::Serving;
+        let serving = |holding: &VersionState| holding.stage == Stage::Serving;
         matches!(self.health, Health::Up(_)) && self.holds.get(version).is_some_and(serving)
     }
 
--- a/crates/filbertstack-policy/src/placement/roll.rs
+++ b/crates/filbertstack-policy/src/placement/roll.rs
@@ -19,8 +19,8 @@
 use super::fleet::Duty;
 use super::fleet::Fleet;
 use super::fleet::Health;
-use super::fleet::Holding;
 use super::fleet::Member;
+use super::fleet::VersionState;
 use super::place::Placement;
 use super::place::Round;
 
@@ -394,6 +394,6 @@
 }
 
 /// Whether a holding answers.
-pub(super) fn is_serving(holding: &Holding) -> bool {
+pub(super) fn is_serving(holding: &VersionState) -> bool {
     holding.stage == super::Stage::Serving
 }
--- a/crates/filbertstack-policy/tests/placement_common/mod.rs
+++ b/crates/filbertstack-policy/tests/placement_common/mod.rs
@@ -15,11 +15,11 @@
 use filbertstack_policy::placement::Fleet;
 use filbertstack_policy::placement::HOLD_DOWN;
 use filbertstack_policy::placement::Health;
-use filbertstack_policy::placement::Holding;
 use filbertstack_policy::placement::LoadFailures;
 use filbertstack_policy::placement::MOVE_AFTER;
 use filbertstack_policy::placement::Member;
 use filbertstack_policy::placement::Stage;
+use filbertstack_policy::placement::VersionState;
 use filbertstack_policy::placement::decide;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -233,7 +233,7 @@
             Some(_) => 100,
             None => 0,
         };
-        let fetched = Holding {
+        let fetched = VersionState {
             stage: Stage::Chunks(percent),
             since: now,
             memory: 0,
@@ -250,7 +250,7 @@
             Some(Stage::Loading) => Stage::Serving,
             Some(_) => continue,
         };
-        let holding = Holding {
+        let holding = VersionState {
             stage,
             since: now,
             memory: sizes[&order.version],
--- a/crates/filbertstack-policy/tests/placement_roll.rs
+++ b/crates/filbertstack-policy/tests/placement_roll.rs
@@ -13,10 +13,10 @@
 use filbertstack_policy::placement::Duty;
 use filbertstack_policy::placement::HOLD_DOWN;
 use filbertstack_policy::placement::Health;
-use filbertstack_policy::placement::Holding;
 use filbertstack_policy::placement::MOVE_AFTER;
 use filbertstack_policy::placement::Member;
 use filbertstack_policy::placement::Stage;
+use filbertstack_policy::placement::VersionState;
 use filbertstack_policy::placement::Why;
 use filbertstack_policy::placement::status;
 use placement_common::GIB;
@@ -233,7 +233,7 @@
     let mut world = World::new(fleet(30, 3, 8 * GIB), vec![want("d", 1, 3, 6 * GIB)]);
     let warm = [name(9), name(10), name(11)];
     for one in &warm {
-        let holding = Holding {
+        let holding = VersionState {
             stage: Stage::Chunks(80),
             since: START,
             memory: 0,
--- a/crates/filbertstack-policy/tests/placement_roll/drift.rs
+++ b/crates/filbertstack-policy/tests/placement_roll/drift.rs
@@ -4,9 +4,9 @@
 
 use filbertstack_core::Millis;
 use filbertstack_policy::placement::DRIFT_AFTER;
-use filbertstack_policy::placement::Holding;
 use filbertstack_policy::placement::Stage;
 use filbertstack_policy::placement::Verdict;
+use filbertstack_policy::placement::VersionState;
 use filbertstack_policy::placement::drifted;
 
 use crate::placement_common::GIB;
@@ -34,7 +34,7 @@
         let member = world.fleet.get_mut(&broken).expect("it");
         let held = member.holds.get_mut(&version(1));
         if let Some(holding) = held.filter(|h| h.stage == Stage::Loading) {
-            *holding = Holding {
+            *holding = VersionState {
                 stage: Stage::Failed,
                 since: now,
                 ..*holding
@@ -60,7 +60,7 @@
     let mut rng = rng(7);
     let mut world = World::new(fleet(3, 3, 8 * GIB), vec![want("d", 1, 3, 6 * GIB)]);
     world.settle(&mut rng, 100).expect("settles");
-    let foreign = Holding {
+    let foreign = VersionState {
         stage: Stage::Serving,
         since: START,
         memory: GIB,
