--- a/crates/filbertstack-control/examples/measure.rs
+++ b/crates/filbertstack-control/examples/measure.rs
@@ -298,7 +298,7 @@
             };
             (one.version, holding)
         });
-        fleet.get_mut(name).expect("it").holds = holds.collect::<BTreeMap<_, _>>();
+        fleet.get_mut(name).expect("it").versions = holds.collect::<BTreeMap<_, _>>();
     }
     let (idle, decision) = time(&fleet, &wants, &standing);
     assert!(decision.changed.is_empty());
--- a/crates/filbertstack-entry/src/fleet.rs
+++ b/crates/filbertstack-entry/src/fleet.rs
@@ -48,7 +48,7 @@
         for member in live.iter().filter(|member| !member.service) {
             let seen = self.heard(now, member, &chunks);
             let mut placed = Placed::new(member.labels.clone(), member.memory, seen.health);
-            placed.holds.clone_from(&seen.holds);
+            placed.versions.clone_from(&seen.holds);
             placed.single = true;
             fleet.insert(member.name.clone(), placed);
         }
--- a/crates/filbertstack-policy/src/placement/faults.rs
+++ b/crates/filbertstack-policy/src/placement/faults.rs
@@ -70,7 +70,7 @@
     /// Takes in what the agents report: each failure counts once, a success clears the count.
     pub fn observe(&mut self, fleet: &Fleet, now: Millis) {
         for (name, member) in fleet {
-            for (version, holding) in &member.holds {
+            for (version, holding) in &member.versions {
                 if holding.stage == Stage::Serving {
                     self.clear(name, version);
                 } else if has_failed(holding, now) {
--- a/crates/filbertstack-policy/src/placement/fleet.rs
+++ b/crates/filbertstack-policy/src/placement/fleet.rs
@@ -71,7 +71,7 @@
     /// Whether it is to be emptied: it serves on until others have taken its place.
     pub cordoned: bool,
     /// The versions on it.
-    pub holds: BTreeMap<Digest, VersionState>,
+    pub versions: BTreeMap<Digest, VersionState>,
     /// Whether its engine holds one version at a time, however much memory is left.
     pub single: bool,
 }
@@ -87,7 +87,7 @@
             memory,
             health,
             cordoned: false,
-            holds: BTreeMap::new(),
+            versions: BTreeMap::new(),
             single: false,
         }
     }
@@ -104,12 +104,12 @@
     /// Whether it answers from `version` now.
     pub fn serves(&self, version: &Digest) -> bool {
         let serving = |holding: &VersionState| holding.stage == Stage::Serving;
-        matches!(self.health, Health::Up(_)) && self.holds.get(version).is_some_and(serving)
+        matches!(self.health, Health::Up(_)) && self.versions.get(version).is_some_and(serving)
     }
 
     /// The hundredths of `version` that lie there.
     pub(super) fn share(&self, version: &Digest) -> u8 {
-        match self.holds.get(version).map(|holding| holding.stage) {
+        match self.versions.get(version).map(|holding| holding.stage) {
             None | Some(Stage::Failed) => 0,
             Some(Stage::Chunks(percent)) => percent.min(100),
             Some(_) => 100,
--- a/crates/filbertstack-policy/src/placement/roll.rs
+++ b/crates/filbertstack-policy/src/placement/roll.rs
@@ -71,14 +71,14 @@
 }
 
 fn takes_memory(member: &Member, version: &Digest) -> bool {
-    let holding = member.holds.get(version);
+    let holding = member.versions.get(version);
     holding.is_some_and(|holding| holding.stage.takes_memory())
 }
 
 /// The engine's memory in use, without that of `version`.
 fn memory_used(member: &Member, version: Option<&Digest>) -> u64 {
     let others = member
-        .holds
+        .versions
         .iter()
         .filter(|(held, _)| Some(*held) != version);
     let others = others.map(|(_, holding)| holding);
@@ -321,7 +321,7 @@
     /// Whether the declared version can be loaded once the old one is gone: its chunks are there and
     /// it fits.
     fn swap_helps(&self, want: &DeploymentSpec, one: &Leaving) -> bool {
-        let held = one.member.holds.get(&one.version);
+        let held = one.member.versions.get(&one.version);
         let freed = held
             .filter(|h| h.stage.takes_memory())
             .map_or(0, |h| one.member.takes(h.memory));
--- a/crates/filbertstack-policy/src/placement/status.rs
+++ b/crates/filbertstack-policy/src/placement/status.rs
@@ -189,7 +189,7 @@
     if faults.verdict(&name, &want.version, now) != Verdict::Fine {
         return Some(Why::Failed(name));
     }
-    let holding = member.holds.get(&want.version);
+    let holding = member.versions.get(&want.version);
     Some(match holding.map(|holding| holding.stage) {
         Some(Stage::Loading) => Why::Loading(name),
         Some(Stage::Failed) => Why::Failed(name),
@@ -232,12 +232,12 @@
     }
     let ordered: BTreeSet<_> = order.into_iter().flatten().map(|a| &a.version).collect();
     let mut serving = member
-        .holds
+        .versions
         .iter()
         .filter(|(_, holding)| is_serving(holding));
     let foreign = serving.any(|(version, _)| !ordered.contains(version));
     let unknown = ordered
         .iter()
-        .any(|version| !member.holds.contains_key(*version));
+        .any(|version| !member.versions.contains_key(*version));
     foreign || unknown
 }
--- a/crates/filbertstack-policy/tests/placement_common/mod.rs
+++ b/crates/filbertstack-policy/tests/placement_common/mod.rs
@@ -132,7 +132,7 @@
             Health::Unreachable(_) | Health::Leaving => Health::Up(self.now),
         };
         if rng.random_bool(0.3) {
-            member.holds.clear();
+            member.versions.clear();
         }
     }
 
@@ -158,7 +158,7 @@
             member.is_none_or(|m| match one.duty {
                 Duty::Serve => m.serves(&one.version),
                 Duty::Fetch => {
-                    let held = m.holds.get(&one.version);
+                    let held = m.versions.get(&one.version);
                     held.is_some_and(|held| held.stage == Stage::Chunks(100))
                 }
                 Duty::Drain => false,
@@ -201,7 +201,7 @@
 
     pub fn is_over_memory(&self) -> bool {
         self.fleet.values().any(|member| {
-            let loaded = member.holds.values().filter(|h| h.stage.takes_memory());
+            let loaded = member.versions.values().filter(|h| h.stage.takes_memory());
             loaded.map(|h| h.memory).sum::<u64>() > member.memory
         })
     }
@@ -225,10 +225,10 @@
             .any(|a| a.version == *v && a.duty == Duty::Fetch)
     };
     member
-        .holds
+        .versions
         .retain(|version, _| serve(version) || fetch(version));
     for order in orders.iter().filter(|a| a.duty == Duty::Fetch) {
-        let percent = match member.holds.get(&order.version).map(|held| held.stage) {
+        let percent = match member.versions.get(&order.version).map(|held| held.stage) {
             Some(Stage::Chunks(percent)) => (percent + FETCHED_A_STEP).min(100),
             Some(_) => 100,
             None => 0,
@@ -238,11 +238,11 @@
             since: now,
             memory: 0,
         };
-        member.holds.insert(order.version, fetched);
+        member.versions.insert(order.version, fetched);
     }
     for order in orders.iter().filter(|a| a.duty == Duty::Serve) {
         let known = member
-            .holds
+            .versions
             .get(&order.version)
             .map(|holding| holding.stage);
         let stage = match known {
@@ -255,6 +255,6 @@
             since: now,
             memory: sizes[&order.version],
         };
-        member.holds.insert(order.version, holding);
+        member.versions.insert(order.version, holding);
     }
 }
--- a/crates/filbertstack-policy/tests/placement_roll.rs
+++ b/crates/filbertstack-policy/tests/placement_roll.rs
@@ -177,7 +177,7 @@
         let mut lost = world.fleet.values_mut().filter(|m| &*m.zone == "z0");
         lost.by_ref().for_each(|m| {
             m.health = health;
-            m.holds.clear();
+            m.versions.clear();
         });
     };
     let now = world.now;
@@ -239,7 +239,7 @@
             memory: 0,
         };
         let member = world.fleet.get_mut(one).expect("it");
-        member.holds.insert(version(1), holding);
+        member.versions.insert(version(1), holding);
     }
     // All of one rack, so that the spread over racks decides nothing.
     for member in world.fleet.values_mut() {
@@ -405,7 +405,7 @@
     }
     let gone = world.fleet.get_mut(&placed).expect("it");
     gone.health = Health::Up(world.now);
-    gone.holds.clear();
+    gone.versions.clear();
     let stood = world.standing.clone();
     world.now = world.now + Millis::secs(1000);
     world.settle(&mut rng, 100).expect("settles");
@@ -434,7 +434,7 @@
             let new_drains = decision.orders[name].iter().filter(is_drain);
             let fresh = new_drains.filter(|a| !before[name].contains(a)).count();
             let placed = decision.placement[&world.wants[0].deployment].contains(name);
-            let held = world.fleet[name].holds.get(&version(2));
+            let held = world.fleet[name].versions.get(&version(2));
             let there = held.is_some_and(|held| held.stage == Stage::Chunks(100));
             assert!(fresh == 0 || !placed || there, "{name} drained unfetched");
             drained += fresh;
--- a/crates/filbertstack-policy/tests/placement_roll/drift.rs
+++ b/crates/filbertstack-policy/tests/placement_roll/drift.rs
@@ -32,7 +32,7 @@
         world.round(&mut rng);
         let now = world.now;
         let member = world.fleet.get_mut(&broken).expect("it");
-        let held = member.holds.get_mut(&version(1));
+        let held = member.versions.get_mut(&version(1));
         if let Some(holding) = held.filter(|h| h.stage == Stage::Loading) {
             *holding = VersionState {
                 stage: Stage::Failed,
@@ -66,7 +66,7 @@
         memory: GIB,
     };
     let member = world.fleet.get_mut(&name(1)).expect("it");
-    member.holds.insert(version(9), foreign);
+    member.versions.insert(version(9), foreign);
     let mut since = BTreeMap::new();
     let mut seen = Vec::new();
     for second in 0..40 {
