--- a/crates/filbertstack-entry/src/fleet.rs
+++ b/crates/filbertstack-entry/src/fleet.rs
@@ -49,7 +49,7 @@
             let seen = self.heard(now, member, &chunks);
             let mut placed = Placed::new(member.labels.clone(), member.memory, seen.health);
             placed.versions.clone_from(&seen.holds);
-            placed.single = true;
+            placed.single_version = true;
             fleet.insert(member.name.clone(), placed);
         }
         for (name, facts) in register.iter().filter(|(_, facts)| facts.memory > 0) {
--- a/crates/filbertstack-policy/src/placement/fleet.rs
+++ b/crates/filbertstack-policy/src/placement/fleet.rs
@@ -73,7 +73,7 @@
     /// The versions on it.
     pub versions: BTreeMap<Digest, VersionState>,
     /// Whether its engine holds one version at a time, however much memory is left.
-    pub single: bool,
+    pub single_version: bool,
 }
 
 impl Member {
@@ -88,13 +88,13 @@
             health,
             cordoned: false,
             versions: BTreeMap::new(),
-            single: false,
+            single_version: false,
         }
     }
 
     /// What a version that needs `memory` bytes takes of the memory here.
     pub(super) fn takes(&self, memory: u64) -> u64 {
-        if self.single {
+        if self.single_version {
             self.memory.max(memory)
         } else {
             memory
--- a/crates/filbertstack-policy/tests/placement_roll.rs
+++ b/crates/filbertstack-policy/tests/placement_roll.rs
@@ -420,7 +420,7 @@
     let mut rng = rng(5);
     let mut all = fleet(12, 3, 64 * GIB);
     for member in all.values_mut() {
-        member.single = true;
+        member.single_version = true;
     }
     let mut world = World::new(all, vec![want("d", 1, 10, 6 * GIB)]);
     world.settle(&mut rng, 100).expect("settles");
