--- a/crates/filbertstack-entry/src/fleet.rs
+++ b/crates/filbertstack-entry/src/fleet.rs
@@ -115,8 +115,8 @@
     let percent = held.chunks.saturating_mul(100) / chunks.max(1);
     Some(match held.stage {
         Reported::Absent => return None,
-        Reported::Fetching => Stage::Chunks(u8::try_from(percent.min(99)).unwrap_or(99)),
-        Reported::Verified => Stage::Chunks(100),
+        Reported::Fetching => Stage::Fetched(u8::try_from(percent.min(99)).unwrap_or(99)),
+        Reported::Verified => Stage::Fetched(100),
         Reported::Loading => Stage::Loading,
         Reported::Serving => Stage::Serving,
         Reported::Draining => Stage::Draining,
--- a/crates/filbertstack-policy/src/placement/faults.rs
+++ b/crates/filbertstack-policy/src/placement/faults.rs
@@ -117,6 +117,6 @@
     match holding.stage {
         Stage::Failed => true,
         Stage::Loading => now.since(holding.since) > LOAD_LIMIT,
-        Stage::Chunks(_) | Stage::Serving | Stage::Draining => false,
+        Stage::Fetched(_) | Stage::Serving | Stage::Draining => false,
     }
 }
--- a/crates/filbertstack-policy/src/placement/fleet.rs
+++ b/crates/filbertstack-policy/src/placement/fleet.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// Chunks lie there, so many in a hundred; the engine does not hold it.
-    Chunks(u8),
+    Fetched(u8),
     /// The engine loads it.
     Loading,
     /// The engine answers from it.
@@ -111,7 +111,7 @@
     pub(super) fn share(&self, version: &Digest) -> u8 {
         match self.versions.get(version).map(|holding| holding.stage) {
             None | Some(Stage::Failed) => 0,
-            Some(Stage::Chunks(percent)) => percent.min(100),
+            Some(Stage::Fetched(percent)) => percent.min(100),
             Some(_) => 100,
         }
     }
--- a/crates/filbertstack-policy/src/placement/status.rs
+++ b/crates/filbertstack-policy/src/placement/status.rs
@@ -195,7 +195,7 @@
         Some(Stage::Failed) => Why::Failed(name),
         Some(Stage::Draining) => Why::OtherVersion(name),
         Some(Stage::Serving) => return None,
-        Some(Stage::Chunks(_)) | None => Why::Fetching(name),
+        Some(Stage::Fetched(_)) | None => Why::Fetching(name),
     })
 }
 
--- a/crates/filbertstack-policy/tests/placement_common/mod.rs
+++ b/crates/filbertstack-policy/tests/placement_common/mod.rs
@@ -159,7 +159,7 @@
                 Duty::Serve => m.serves(&one.version),
                 Duty::Fetch => {
                     let held = m.versions.get(&one.version);
-                    held.is_some_and(|held| held.stage == Stage::Chunks(100))
+                    held.is_some_and(|held| held.stage == Stage::Fetched(100))
                 }
                 Duty::Drain => false,
             })
@@ -229,12 +229,12 @@
         .retain(|version, _| serve(version) || fetch(version));
     for order in orders.iter().filter(|a| a.duty == Duty::Fetch) {
         let percent = match member.versions.get(&order.version).map(|held| held.stage) {
-            Some(Stage::Chunks(percent)) => (percent + FETCHED_A_STEP).min(100),
+            Some(Stage::Fetched(percent)) => (percent + FETCHED_A_STEP).min(100),
             Some(_) => 100,
             None => 0,
         };
         let fetched = VersionState {
-            stage: Stage::Chunks(percent),
+            stage: Stage::Fetched(percent),
             since: now,
             memory: 0,
         };
@@ -246,7 +246,7 @@
             .get(&order.version)
             .map(|holding| holding.stage);
         let stage = match known {
-            None | Some(Stage::Chunks(_)) => Stage::Loading,
+            None | Some(Stage::Fetched(_)) => Stage::Loading,
             Some(Stage::Loading) => Stage::Serving,
             Some(_) => continue,
         };
--- a/crates/filbertstack-policy/tests/placement_roll.rs
+++ b/crates/filbertstack-policy/tests/placement_roll.rs
@@ -234,7 +234,7 @@
     let warm = [name(9), name(10), name(11)];
     for one in &warm {
         let holding = VersionState {
-            stage: Stage::Chunks(80),
+            stage: Stage::Fetched(80),
             since: START,
             memory: 0,
         };
@@ -435,7 +435,7 @@
             let fresh = new_drains.filter(|a| !before[name].contains(a)).count();
             let placed = decision.placement[&world.wants[0].deployment].contains(name);
             let held = world.fleet[name].versions.get(&version(2));
-            let there = held.is_some_and(|held| held.stage == Stage::Chunks(100));
+            let there = held.is_some_and(|held| held.stage == Stage::Fetched(100));
             assert!(fresh == 0 || !placed || there, "{name} drained unfetched");
             drained += fresh;
         }
