--- a/crates/filbertstack-entry/src/fleet.rs
+++ b/crates/filbertstack-entry/src/fleet.rs
@@ -11,7 +11,7 @@
 use filbertstack_policy::placement::Fleet;
 use filbertstack_policy::placement::Health;
 use filbertstack_policy::placement::Member as Placed;
-use filbertstack_policy::placement::SETTLE;
+use filbertstack_policy::placement::PLACEMENT_UPTIME;
 use filbertstack_policy::placement::Stage;
 use filbertstack_policy::placement::VersionState;
 use filbertstack_wire::messages::Stage as Reported;
@@ -70,7 +70,7 @@
             .entry(member.name.clone())
             .or_insert_with(|| Seen {
                 // One that was never seen away is no flapping instance: it may get work at once.
-                health: Health::Up(now - SETTLE),
+                health: Health::Up(now - PLACEMENT_UPTIME),
                 holds: BTreeMap::new(),
             });
         seen.health = match seen.health {
--- a/crates/filbertstack-policy/src/placement/place.rs
+++ b/crates/filbertstack-policy/src/placement/place.rs
@@ -27,7 +27,7 @@
 /// How long an instance must have answered before it gets something new.
 ///
 /// One that comes and goes would otherwise be given work each time it comes.
-pub const SETTLE: Millis = Millis::secs(10);
+pub const PLACEMENT_UPTIME: Millis = Millis::secs(10);
 
 /// How long an instance must have answered before others' replicas move to it for the spread.
 ///
@@ -250,7 +250,7 @@
         let Slot { name, member, .. } = &self.slots[slot];
         let now = self.round.now;
         let least = match need {
-            Need::Missing => SETTLE,
+            Need::Missing => PLACEMENT_UPTIME,
             Need::Spread => MOVE_AFTER,
         };
         let settled = matches!(member.health, Health::Up(since) if now.since(since) >= least);
