--- a/crates/filbertstack-entry/src/operators.rs
+++ b/crates/filbertstack-entry/src/operators.rs
@@ -386,7 +386,7 @@
 }
 
 fn deployment(status: &DeploymentStatus) -> Value {
-    let why: Vec<String> = status.why.iter().map(ToString::to_string).collect();
+    let why: Vec<String> = status.reasons.iter().map(ToString::to_string).collect();
     json!({
         "deployment": status.deployment,
         "version": status.version,
--- a/crates/filbertstack-policy/src/placement/status.rs
+++ b/crates/filbertstack-policy/src/placement/status.rs
@@ -95,7 +95,7 @@
     /// The counts.
     pub difference: Difference,
     /// The reasons, empty if it runs as declared.
-    pub why: Vec<Why>,
+    pub reasons: Vec<Why>,
 }
 
 impl DeploymentStatus {
@@ -124,23 +124,23 @@
     faults: &LoadFailures,
     now: Millis,
 ) -> DeploymentStatus {
-    let mut why = BTreeSet::new();
+    let mut reasons = BTreeSet::new();
     let short = decision.short.iter();
     let short = short.filter(|short| short.deployment == want.deployment);
-    why.extend(short.map(|short| Why::NoRoom {
+    reasons.extend(short.map(|short| Why::NoRoom {
         missing: short.missing,
     }));
     if decision.blocked.contains(&want.deployment) {
-        why.insert(Why::NoSpare);
+        reasons.insert(Why::NoSpare);
     }
     let older = older(fleet, want, &decision.orders);
-    why.extend(older.iter().map(|name| Why::OtherVersion((*name).clone())));
+    reasons.extend(older.iter().map(|name| Why::OtherVersion((*name).clone())));
     let placed = decision.placement.get(&want.deployment);
     let mut serving = 0;
     for name in placed.into_iter().flatten() {
         match fleet.get(name) {
             Some(member) if member.serves(&want.version) => serving += 1,
-            Some(member) => why.extend(reason(name, member, want, faults, now)),
+            Some(member) => reasons.extend(reason(name, member, want, faults, now)),
             None => {}
         }
     }
@@ -152,7 +152,7 @@
             serving,
             older: older.len(),
         },
-        why: why.into_iter().collect(),
+        reasons: reasons.into_iter().collect(),
     }
 }
 
--- a/crates/filbertstack-policy/tests/placement_roll.rs
+++ b/crates/filbertstack-policy/tests/placement_roll.rs
@@ -294,7 +294,7 @@
         world.now,
     );
     assert!(!status[0].is_met());
-    assert_eq!(status[0].why[0], Why::NoSpare);
+    assert_eq!(status[0].reasons[0], Why::NoSpare);
     let difference = format!("{:?}", status[0].difference);
     insta::assert_snapshot!(difference, @"Difference { declared: 12, serving: 0, older: 12 }");
 }
