--- a/crates/filbertstack-entry/src/operators.rs
+++ b/crates/filbertstack-entry/src/operators.rs
@@ -390,9 +390,9 @@
     json!({
         "deployment": status.deployment,
         "version": status.version,
-        "declared": status.difference.declared,
-        "serving": status.difference.serving,
-        "older": status.difference.older,
+        "declared": status.counts.declared,
+        "serving": status.counts.serving,
+        "older": status.counts.older,
         "met": status.is_met(),
         "why": why,
     })
--- a/crates/filbertstack-policy/src/placement/status.rs
+++ b/crates/filbertstack-policy/src/placement/status.rs
@@ -93,7 +93,7 @@
     /// The declared version.
     pub version: Digest,
     /// The counts.
-    pub difference: Difference,
+    pub counts: Difference,
     /// The reasons, empty if it runs as declared.
     pub reasons: Vec<Why>,
 }
@@ -101,7 +101,7 @@
 impl DeploymentStatus {
     /// Whether what runs is what is declared.
     pub fn is_met(&self) -> bool {
-        self.difference.serving >= self.difference.declared && self.difference.older == 0
+        self.counts.serving >= self.counts.declared && self.counts.older == 0
     }
 }
 
@@ -147,7 +147,7 @@
     DeploymentStatus {
         deployment: want.deployment.clone(),
         version: want.version,
-        difference: Difference {
+        counts: Difference {
             declared: want.replicas,
             serving,
             older: older.len(),
--- a/crates/filbertstack-policy/tests/placement_roll.rs
+++ b/crates/filbertstack-policy/tests/placement_roll.rs
@@ -295,8 +295,8 @@
     );
     assert!(!status[0].is_met());
     assert_eq!(status[0].reasons[0], Why::NoSpare);
-    let difference = format!("{:?}", status[0].difference);
-    insta::assert_snapshot!(difference, @"Difference { declared: 12, serving: 0, older: 12 }");
+    let counts = format!("{:?}", status[0].counts);
+    insta::assert_snapshot!(counts, @"Difference { declared: 12, serving: 0, older: 12 }");
 }
 
 /// Replicas spread over zones as evenly as room allows, whatever the fleet.
