--- a/crates/filbertstack-entry/src/operators.rs
+++ b/crates/filbertstack-entry/src/operators.rs
@@ -392,7 +392,7 @@
         "version": status.version,
         "declared": status.counts.declared,
         "serving": status.counts.serving,
-        "older": status.counts.older,
+        "older": status.counts.other_version,
         "met": status.is_met(),
         "why": why,
     })
--- a/crates/filbertstack-policy/src/placement/status.rs
+++ b/crates/filbertstack-policy/src/placement/status.rs
@@ -82,7 +82,7 @@
     /// The instances that answer from the declared version.
     pub serving: usize,
     /// The instances that answer from another version of the deployment only.
-    pub older: usize,
+    pub other_version: usize,
 }
 
 /// One deployment as `filbertstack status` shows it.
@@ -101,7 +101,7 @@
 impl DeploymentStatus {
     /// Whether what runs is what is declared.
     pub fn is_met(&self) -> bool {
-        self.counts.serving >= self.counts.declared && self.counts.older == 0
+        self.counts.serving >= self.counts.declared && self.counts.other_version == 0
     }
 }
 
@@ -150,7 +150,7 @@
         counts: Difference {
             declared: want.replicas,
             serving,
-            older: older.len(),
+            other_version: older.len(),
         },
         reasons: reasons.into_iter().collect(),
     }
--- a/crates/filbertstack-policy/tests/placement_roll.rs
+++ b/crates/filbertstack-policy/tests/placement_roll.rs
@@ -296,7 +296,7 @@
     assert!(!status[0].is_met());
     assert_eq!(status[0].reasons[0], Why::NoSpare);
     let counts = format!("{:?}", status[0].counts);
-    insta::assert_snapshot!(counts, @"Difference { declared: 12, serving: 0, older: 12 }");
+    insta::assert_snapshot!(counts, @"Difference { declared: 12, serving: 0, other_version: 12 }");
 }
 
 /// Replicas spread over zones as evenly as room allows, whatever the fleet.
