--- a/crates/filbertstack-control/examples/measure.rs
+++ b/crates/filbertstack-control/examples/measure.rs
@@ -27,9 +27,9 @@
 use filbertstack_core::Digest;
 use filbertstack_core::Labels;
 use filbertstack_core::Millis;
-use filbertstack_policy::gossip::Doubt;
 use filbertstack_policy::gossip::Facts;
 use filbertstack_policy::gossip::Gossip;
+use filbertstack_policy::gossip::Liveness;
 use filbertstack_policy::gossip::Message;
 use filbertstack_policy::gossip::MessageKind;
 use filbertstack_policy::gossip::Row;
@@ -324,7 +324,7 @@
         incarnation: NOW,
         version: 1,
         state: State::Up,
-        doubt: Doubt::None,
+        doubt: Liveness::None,
         facts: Facts(vec![0; 40].into()),
     };
     let entry_rows = (1..entries).map(|n| row(RowKind::Entry, 'e', n));
--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -27,8 +27,8 @@
 use filbertstack_policy::gossip::Announcement;
 use filbertstack_policy::gossip::Change;
 use filbertstack_policy::gossip::Departure;
-use filbertstack_policy::gossip::Doubt;
 use filbertstack_policy::gossip::Gossip;
+use filbertstack_policy::gossip::Liveness;
 use filbertstack_policy::gossip::Message;
 use filbertstack_policy::gossip::MessageKind;
 use filbertstack_policy::gossip::Outgoing;
@@ -112,7 +112,7 @@
             incarnation: incarnation(),
             version: 1,
             state: State::Up,
-            doubt: Doubt::None,
+            doubt: Liveness::None,
             facts: facts.to_facts(),
         };
         let names = voters.keys().cloned().collect();
@@ -293,7 +293,7 @@
             } else {
                 State::Up
             },
-            doubt: Doubt::None,
+            doubt: Liveness::None,
             facts: encoding::target_facts(announce),
         }
     }
--- a/crates/filbertstack-entry/src/gossip/encoding.rs
+++ b/crates/filbertstack-entry/src/gossip/encoding.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use filbertstack_core::Millis;
 use filbertstack_core::names::ZoneName;
-use filbertstack_policy::gossip::Doubt;
 use filbertstack_policy::gossip::Facts;
+use filbertstack_policy::gossip::Liveness;
 use filbertstack_policy::gossip::Message;
 use filbertstack_policy::gossip::MessageKind;
 use filbertstack_policy::gossip::Row;
@@ -195,9 +195,9 @@
             State::Left => 2,
         },
         doubt: match row.doubt {
-            Doubt::None => 0,
-            Doubt::Suspect => 1,
-            Doubt::Dead => 2,
+            Liveness::None => 0,
+            Liveness::Suspect => 1,
+            Liveness::Dead => 2,
         },
         facts: row.facts.0.to_vec(),
     }
@@ -221,9 +221,9 @@
             _ => return None,
         },
         doubt: match frame.doubt {
-            0 => Doubt::None,
-            1 => Doubt::Suspect,
-            2 => Doubt::Dead,
+            0 => Liveness::None,
+            1 => Liveness::Suspect,
+            2 => Liveness::Dead,
             _ => return None,
         },
         facts: Facts(Arc::from(frame.facts)),
--- a/crates/filbertstack-entry/tests/gossip.rs
+++ b/crates/filbertstack-entry/tests/gossip.rs
@@ -3,7 +3,7 @@
 use filbertstack_core::Millis;
 use filbertstack_entry::gossip::EntryFacts;
 use filbertstack_entry::gossip::encoding;
-use filbertstack_policy::gossip::Doubt;
+use filbertstack_policy::gossip::Liveness;
 use filbertstack_policy::gossip::Message;
 use filbertstack_policy::gossip::MessageKind;
 use filbertstack_policy::gossip::Row;
@@ -15,7 +15,7 @@
 use filbertstack_wire::messages::Copy;
 use filbertstack_wire::messages::Stage;
 
-fn row(kind: RowKind, state: State, doubt: Doubt) -> Row {
+fn row(kind: RowKind, state: State, doubt: Liveness) -> Row {
     let facts = EntryFacts {
         http: "10.0.0.1:80".parse().expect("an address"),
         links: "10.0.0.1:81".parse().expect("an address"),
@@ -57,7 +57,7 @@
     let mut rows = Vec::new();
     for kind in [RowKind::Entry, RowKind::Target] {
         for state in [State::Up, State::Leaving, State::Left] {
-            for doubt in [Doubt::None, Doubt::Suspect, Doubt::Dead] {
+            for doubt in [Liveness::None, Liveness::Suspect, Liveness::Dead] {
                 rows.push(row(kind, state, doubt));
             }
         }
--- a/crates/filbertstack-policy/src/gossip.rs
+++ b/crates/filbertstack-policy/src/gossip.rs
@@ -17,7 +17,7 @@
 //!
 //! ```
 //! use filbertstack_core::Millis;
-//! use filbertstack_policy::gossip::Doubt;
+//! use filbertstack_policy::gossip::Liveness;
 //! use filbertstack_policy::gossip::Facts;
 //! use filbertstack_policy::gossip::Gossip;
 //! use filbertstack_policy::gossip::Row;
@@ -32,7 +32,7 @@
 //!     incarnation: 1,
 //!     version: 1,
 //!     state: State::Up,
-//!     doubt: Doubt::None,
+//!     doubt: Liveness::None,
 //!     facts: Facts::default(),
 //! };
 //! let (van, kel) = (entry("van-a"), entry("kel-a"));
@@ -67,8 +67,8 @@
 pub use message::Summary;
 pub use row::Announcement;
 pub use row::Change;
-pub use row::Doubt;
 pub use row::Facts;
+pub use row::Liveness;
 pub use row::Row;
 pub use row::RowKind;
 pub use row::State;
--- a/crates/filbertstack-policy/src/gossip/book.rs
+++ b/crates/filbertstack-policy/src/gossip/book.rs
@@ -8,7 +8,7 @@
 
 use super::message::SUMMARY_BUCKETS;
 use super::message::Summary;
-use super::row::Doubt;
+use super::row::Liveness;
 use super::row::Row;
 
 /// A row with what this entry alone knows of it.
@@ -103,9 +103,9 @@
 /// part that comes and goes would make equal tables look different for as long.
 fn hash_of(row: &Row) -> (usize, u32) {
     let doubt = match row.doubt {
-        Doubt::None => 'n',
-        Doubt::Suspect => 's',
-        Doubt::Dead => 'd',
+        Liveness::None => 'n',
+        Liveness::Suspect => 's',
+        Liveness::Dead => 'd',
     };
     let name = Digest::of(row.name.as_str().as_bytes());
     let bucket = usize::from(name.as_bytes()[0]) % SUMMARY_BUCKETS;
--- a/crates/filbertstack-policy/src/gossip/row.rs
+++ b/crates/filbertstack-policy/src/gossip/row.rs
@@ -27,7 +27,7 @@
 
 /// What others think of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Doubt {
+pub enum Liveness {
     /// It answers.
     None,
     /// It was silent; it may still answer.
@@ -57,7 +57,7 @@
     /// How it describes itself.
     pub state: State,
     /// What others think of this version.
-    pub doubt: Doubt,
+    pub doubt: Liveness,
     /// What else it says of itself.
     pub facts: Facts,
 }
@@ -73,18 +73,18 @@
         self.rank() > other.rank()
     }
 
-    fn rank(&self) -> (u64, u64, Doubt) {
+    fn rank(&self) -> (u64, u64, Liveness) {
         (self.incarnation, self.version, self.doubt)
     }
 
     /// Whether the instance takes new work, as far as is known.
     pub fn takes_work(&self) -> bool {
-        self.state == State::Up && self.doubt != Doubt::Dead
+        self.state == State::Up && self.doubt != Liveness::Dead
     }
 
     /// Whether the instance is gone.
     pub fn is_gone(&self) -> bool {
-        self.state == State::Left || self.doubt == Doubt::Dead
+        self.state == State::Left || self.doubt == Liveness::Dead
     }
 
     /// About how many bytes the row takes in a message.
--- a/crates/filbertstack-policy/tests/gossip_net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net.rs
@@ -15,9 +15,9 @@
 use filbertstack_policy::gossip::Announcement;
 use filbertstack_policy::gossip::Change;
 use filbertstack_policy::gossip::Departure;
-use filbertstack_policy::gossip::Doubt;
 use filbertstack_policy::gossip::Facts;
 use filbertstack_policy::gossip::Gossip;
+use filbertstack_policy::gossip::Liveness;
 use filbertstack_policy::gossip::Message;
 use filbertstack_policy::gossip::MessageKind;
 use filbertstack_policy::gossip::Row;
@@ -165,7 +165,7 @@
     }
     net.rounds(400);
     let far = net.nodes[&name('e', 1)].row(&name('e', 6)).expect("a row");
-    assert_eq!(far.doubt, Doubt::Dead);
+    assert_eq!(far.doubt, Liveness::Dead);
     net.parts.clear();
     let healed = (0..150).find(|_| {
         net.round();
@@ -196,14 +196,14 @@
         for _ in 0..40 {
             let rows = net.nodes.values().filter_map(|node| node.row(&frozen));
             for row in rows {
-                suspected |= row.doubt == Doubt::Suspect;
-                dead |= row.doubt == Doubt::Dead;
+                suspected |= row.doubt == Liveness::Suspect;
+                dead |= row.doubt == Liveness::Dead;
             }
             net.round();
         }
         assert_eq!((suspected || dies, dead), (true, dies));
         let rows = net.nodes.values().filter_map(|node| node.row(&frozen));
-        assert!(rows.into_iter().all(|row| row.doubt == Doubt::None));
+        assert!(rows.into_iter().all(|row| row.doubt == Liveness::None));
     }
 }
 
@@ -218,7 +218,7 @@
     println!("dead target seen by all after {rounds} rounds");
     net.rounds(200);
     let rows = net.nodes.values().flat_map(Gossip::rows);
-    let wrong = rows.filter(|row| row.doubt == Doubt::Dead && row.name != dead);
+    let wrong = rows.filter(|row| row.doubt == Liveness::Dead && row.name != dead);
     assert_eq!(wrong.count(), 0);
 }
 
@@ -286,7 +286,7 @@
         for _ in 0..12 {
             net.round();
             let mut rows = net.nodes.values().filter_map(|node| node.row(&flapping));
-            assert!(rows.all(|row| row.doubt != Doubt::Dead), "turn {turn}");
+            assert!(rows.all(|row| row.doubt != Liveness::Dead), "turn {turn}");
         }
     }
     net.rounds(30);
@@ -303,7 +303,7 @@
             let mut one = row(&name('t', rng.random_range(0..3)), RowKind::Target, 0, 1);
             one.incarnation = rng.random_range(1..3);
             one.version = rng.random_range(1..4);
-            let doubts = [Doubt::None, Doubt::Suspect, Doubt::Dead];
+            let doubts = [Liveness::None, Liveness::Suspect, Liveness::Dead];
             one.doubt = doubts[rng.random_range(0..3)];
             rows.push(one);
         }
--- a/crates/filbertstack-policy/tests/gossip_net/net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net/net.rs
@@ -10,9 +10,9 @@
 use filbertstack_core::Millis;
 use filbertstack_core::names::InstanceName;
 use filbertstack_policy::gossip::Announcement;
-use filbertstack_policy::gossip::Doubt;
 use filbertstack_policy::gossip::Facts;
 use filbertstack_policy::gossip::Gossip;
+use filbertstack_policy::gossip::Liveness;
 use filbertstack_policy::gossip::Message;
 use filbertstack_policy::gossip::MessageKind;
 use filbertstack_policy::gossip::Outgoing;
@@ -34,7 +34,7 @@
         incarnation,
         version: 1,
         state: State::Up,
-        doubt: Doubt::None,
+        doubt: Liveness::None,
         facts: Facts(vec![0; 40].into()),
     }
 }
@@ -185,6 +185,6 @@
 
     pub fn doubted(&self) -> usize {
         let rows = self.nodes.values().flat_map(Gossip::rows);
-        rows.filter(|row| row.doubt != Doubt::None).count()
+        rows.filter(|row| row.doubt != Liveness::None).count()
     }
 }
