--- a/crates/filbertstack-entry/src/gossip/encoding.rs
+++ b/crates/filbertstack-entry/src/gossip/encoding.rs
@@ -195,7 +195,7 @@
             State::Left => 2,
         },
         doubt: match row.doubt {
-            Liveness::None => 0,
+            Liveness::Alive => 0,
             Liveness::Suspect => 1,
             Liveness::Dead => 2,
         },
@@ -221,7 +221,7 @@
             _ => return None,
         },
         doubt: match frame.doubt {
-            0 => Liveness::None,
+            0 => Liveness::Alive,
             1 => Liveness::Suspect,
             2 => Liveness::Dead,
             _ => return None,
--- a/crates/filbertstack-entry/tests/gossip.rs
+++ b/crates/filbertstack-entry/tests/gossip.rs
@@ -57,7 +57,7 @@
     let mut rows = Vec::new();
     for kind in [RowKind::Entry, RowKind::Target] {
         for state in [State::Up, State::Leaving, State::Left] {
-            for doubt in [Liveness::None, Liveness::Suspect, Liveness::Dead] {
+            for doubt in [Liveness::Alive, Liveness::Suspect, Liveness::Dead] {
                 rows.push(row(kind, state, doubt));
             }
         }
--- a/crates/filbertstack-policy/src/gossip/book.rs
+++ b/crates/filbertstack-policy/src/gossip/book.rs
@@ -103,7 +103,7 @@
 /// part that comes and goes would make equal tables look different for as long.
 fn hash_of(row: &Row) -> (usize, u32) {
     let doubt = match row.doubt {
-        Liveness::None => 'n',
+        Liveness::Alive => 'n',
         Liveness::Suspect => 's',
         Liveness::Dead => 'd',
     };
--- a/crates/filbertstack-policy/src/gossip/engine.rs
+++ b/crates/filbertstack-policy/src/gossip/engine.rs
@@ -210,7 +210,7 @@
     /// The row of a doubted instance, for itself: it may have missed what others say of it while
     /// it was cut off, and must answer before the doubt turns into its death.
     fn doubt_about(&self, to: &InstanceName) -> Vec<Row> {
-        let row = self.row(to).filter(|row| row.doubt != Liveness::None);
+        let row = self.row(to).filter(|row| row.doubt != Liveness::Alive);
         row.cloned().into_iter().collect()
     }
 
@@ -427,7 +427,7 @@
         let lapsed = self.leases.iter().filter(|(_, until)| **until < now);
         let doubted: Vec<_> = silent.chain(lapsed).map(|(name, _)| name.clone()).collect();
         for name in doubted {
-            let row = self.row(&name).filter(|row| row.doubt == Liveness::None);
+            let row = self.row(&name).filter(|row| row.doubt == Liveness::Alive);
             let row = row.filter(|row| row.state != State::Left).cloned();
             if let Some(row) = row {
                 let doubt = Liveness::Suspect;
--- a/crates/filbertstack-policy/src/gossip/row.rs
+++ b/crates/filbertstack-policy/src/gossip/row.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Liveness {
     /// It answers.
-    None,
+    Alive,
     /// It was silent; it may still answer.
     Suspect,
     /// It did not answer in time.
--- a/crates/filbertstack-policy/tests/gossip_net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net.rs
@@ -203,7 +203,7 @@
         }
         assert_eq!((suspected || dies, dead), (true, dies));
         let rows = net.nodes.values().filter_map(|node| node.row(&frozen));
-        assert!(rows.into_iter().all(|row| row.doubt == Liveness::None));
+        assert!(rows.into_iter().all(|row| row.doubt == Liveness::Alive));
     }
 }
 
@@ -303,7 +303,7 @@
             let mut one = row(&name('t', rng.random_range(0..3)), RowKind::Target, 0, 1);
             one.incarnation = rng.random_range(1..3);
             one.version = rng.random_range(1..4);
-            let doubts = [Liveness::None, Liveness::Suspect, Liveness::Dead];
+            let doubts = [Liveness::Alive, Liveness::Suspect, Liveness::Dead];
             one.doubt = doubts[rng.random_range(0..3)];
             rows.push(one);
         }
