--- a/crates/filbertstack-control/examples/measure.rs
+++ b/crates/filbertstack-control/examples/measure.rs
@@ -324,7 +324,7 @@
         incarnation: NOW,
         version: 1,
         state: State::Up,
-        doubt: Liveness::Alive,
+        liveness: Liveness::Alive,
         facts: Facts(vec![0; 40].into()),
     };
     let entry_rows = (1..entries).map(|n| row(RowKind::Entry, 'e', n));
--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -112,7 +112,7 @@
             incarnation: incarnation(),
             version: 1,
             state: State::Up,
-            doubt: Liveness::Alive,
+            liveness: Liveness::Alive,
             facts: facts.to_facts(),
         };
         let names = voters.keys().cloned().collect();
@@ -293,7 +293,7 @@
             } else {
                 State::Up
             },
-            doubt: Liveness::Alive,
+            liveness: Liveness::Alive,
             facts: encoding::target_facts(announce),
         }
     }
--- a/crates/filbertstack-entry/src/gossip/encoding.rs
+++ b/crates/filbertstack-entry/src/gossip/encoding.rs
@@ -194,7 +194,7 @@
             State::Leaving => 1,
             State::Left => 2,
         },
-        doubt: match row.doubt {
+        doubt: match row.liveness {
             Liveness::Alive => 0,
             Liveness::Suspect => 1,
             Liveness::Dead => 2,
@@ -220,7 +220,7 @@
             2 => State::Left,
             _ => return None,
         },
-        doubt: match frame.doubt {
+        liveness: match frame.doubt {
             0 => Liveness::Alive,
             1 => Liveness::Suspect,
             2 => Liveness::Dead,
--- a/crates/filbertstack-entry/tests/gossip.rs
+++ b/crates/filbertstack-entry/tests/gossip.rs
@@ -29,7 +29,7 @@
         incarnation: 7,
         version: 3,
         state,
-        doubt,
+        liveness: doubt,
         facts: facts.to_facts(),
     }
 }
--- a/crates/filbertstack-policy/src/gossip.rs
+++ b/crates/filbertstack-policy/src/gossip.rs
@@ -32,7 +32,7 @@
 //!     incarnation: 1,
 //!     version: 1,
 //!     state: State::Up,
-//!     doubt: Liveness::Alive,
+//!     liveness: Liveness::Alive,
 //!     facts: Facts::default(),
 //! };
 //! let (van, kel) = (entry("van-a"), entry("kel-a"));
--- a/crates/filbertstack-policy/src/gossip/book.rs
+++ b/crates/filbertstack-policy/src/gossip/book.rs
@@ -102,7 +102,7 @@
 /// Rows of the gone have no part: they are forgotten at a different moment by each entry, and a
 /// part that comes and goes would make equal tables look different for as long.
 fn hash_of(row: &Row) -> (usize, u32) {
-    let doubt = match row.doubt {
+    let doubt = match row.liveness {
         Liveness::Alive => 'n',
         Liveness::Suspect => 's',
         Liveness::Dead => 'd',
--- a/crates/filbertstack-policy/src/gossip/engine.rs
+++ b/crates/filbertstack-policy/src/gossip/engine.rs
@@ -210,7 +210,7 @@
     /// The row of a doubted instance, for itself: it may have missed what others say of it while
     /// it was cut off, and must answer before the doubt turns into its death.
     fn doubt_about(&self, to: &InstanceName) -> Vec<Row> {
-        let row = self.row(to).filter(|row| row.doubt != Liveness::Alive);
+        let row = self.row(to).filter(|row| row.liveness != Liveness::Alive);
         row.cloned().into_iter().collect()
     }
 
@@ -250,7 +250,7 @@
     /// other dead, and would never speak again once the network is whole.
     fn lost_peer(&mut self) -> Option<InstanceName> {
         let dead = self.book.rows().filter(|row| {
-            row.kind == RowKind::Entry && row.doubt == Liveness::Dead && row.state != State::Left
+            row.kind == RowKind::Entry && row.liveness == Liveness::Dead && row.state != State::Left
         });
         let mut lost: Vec<_> = dead.map(|row| row.name.clone()).collect();
         let unknown = |seed: &&InstanceName| self.book.get(seed).is_none();
@@ -321,7 +321,7 @@
             }
             RowKind::Target => {}
         }
-        if row.doubt == Liveness::Suspect {
+        if row.liveness == Liveness::Suspect {
             self.doubted.insert(row.name.clone());
         } else {
             self.doubted.remove(&row.name);
@@ -427,11 +427,13 @@
         let lapsed = self.leases.iter().filter(|(_, until)| **until < now);
         let doubted: Vec<_> = silent.chain(lapsed).map(|(name, _)| name.clone()).collect();
         for name in doubted {
-            let row = self.row(&name).filter(|row| row.doubt == Liveness::Alive);
+            let row = self
+                .row(&name)
+                .filter(|row| row.liveness == Liveness::Alive);
             let row = row.filter(|row| row.state != State::Left).cloned();
             if let Some(row) = row {
-                let doubt = Liveness::Suspect;
-                self.take(Row { doubt, ..row }, now);
+                let liveness = Liveness::Suspect;
+                self.take(Row { liveness, ..row }, now);
             }
         }
     }
@@ -442,8 +444,8 @@
         let over = doubted.filter(|known| now.since(known.since) > self.settings.doubt);
         let dead: Vec<_> = over.map(|known| known.row.clone()).collect();
         for row in dead {
-            let doubt = Liveness::Dead;
-            self.take(Row { doubt, ..row }, now);
+            let liveness = Liveness::Dead;
+            self.take(Row { liveness, ..row }, now);
         }
         if !self.rounds.is_multiple_of(self.settings.compare) {
             return;
--- a/crates/filbertstack-policy/src/gossip/row.rs
+++ b/crates/filbertstack-policy/src/gossip/row.rs
@@ -57,7 +57,7 @@
     /// How it describes itself.
     pub state: State,
     /// What others think of this version.
-    pub doubt: Liveness,
+    pub liveness: Liveness,
     /// What else it says of itself.
     pub facts: Facts,
 }
@@ -74,17 +74,17 @@
     }
 
     fn rank(&self) -> (u64, u64, Liveness) {
-        (self.incarnation, self.version, self.doubt)
+        (self.incarnation, self.version, self.liveness)
     }
 
     /// Whether the instance takes new work, as far as is known.
     pub fn takes_work(&self) -> bool {
-        self.state == State::Up && self.doubt != Liveness::Dead
+        self.state == State::Up && self.liveness != Liveness::Dead
     }
 
     /// Whether the instance is gone.
     pub fn is_gone(&self) -> bool {
-        self.state == State::Left || self.doubt == Liveness::Dead
+        self.state == State::Left || self.liveness == Liveness::Dead
     }
 
     /// About how many bytes the row takes in a message.
--- a/crates/filbertstack-policy/tests/gossip_net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net.rs
@@ -165,7 +165,7 @@
     }
     net.rounds(400);
     let far = net.nodes[&name('e', 1)].row(&name('e', 6)).expect("a row");
-    assert_eq!(far.doubt, Liveness::Dead);
+    assert_eq!(far.liveness, Liveness::Dead);
     net.parts.clear();
     let healed = (0..150).find(|_| {
         net.round();
@@ -196,14 +196,14 @@
         for _ in 0..40 {
             let rows = net.nodes.values().filter_map(|node| node.row(&frozen));
             for row in rows {
-                suspected |= row.doubt == Liveness::Suspect;
-                dead |= row.doubt == Liveness::Dead;
+                suspected |= row.liveness == Liveness::Suspect;
+                dead |= row.liveness == Liveness::Dead;
             }
             net.round();
         }
         assert_eq!((suspected || dies, dead), (true, dies));
         let rows = net.nodes.values().filter_map(|node| node.row(&frozen));
-        assert!(rows.into_iter().all(|row| row.doubt == Liveness::Alive));
+        assert!(rows.into_iter().all(|row| row.liveness == Liveness::Alive));
     }
 }
 
@@ -218,7 +218,7 @@
     println!("dead target seen by all after {rounds} rounds");
     net.rounds(200);
     let rows = net.nodes.values().flat_map(Gossip::rows);
-    let wrong = rows.filter(|row| row.doubt == Liveness::Dead && row.name != dead);
+    let wrong = rows.filter(|row| row.liveness == Liveness::Dead && row.name != dead);
     assert_eq!(wrong.count(), 0);
 }
 
@@ -286,7 +286,10 @@
         for _ in 0..12 {
             net.round();
             let mut rows = net.nodes.values().filter_map(|node| node.row(&flapping));
-            assert!(rows.all(|row| row.doubt != Liveness::Dead), "turn {turn}");
+            assert!(
+                rows.all(|row| row.liveness != Liveness::Dead),
+                "turn {turn}"
+            );
         }
     }
     net.rounds(30);
@@ -304,7 +307,7 @@
             one.incarnation = rng.random_range(1..3);
             one.version = rng.random_range(1..4);
             let doubts = [Liveness::Alive, Liveness::Suspect, Liveness::Dead];
-            one.doubt = doubts[rng.random_range(0..3)];
+            one.liveness = doubts[rng.random_range(0..3)];
             rows.push(one);
         }
         let mut tables = Vec::new();
--- a/crates/filbertstack-policy/tests/gossip_net/net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net/net.rs
@@ -34,7 +34,7 @@
         incarnation,
         version: 1,
         state: State::Up,
-        doubt: Liveness::Alive,
+        liveness: Liveness::Alive,
         facts: Facts(vec![0; 40].into()),
     }
 }
@@ -185,6 +185,6 @@
 
     pub fn doubted(&self) -> usize {
         let rows = self.nodes.values().flat_map(Gossip::rows);
-        rows.filter(|row| row.doubt != Liveness::Alive).count()
+        rows.filter(|row| row.liveness != Liveness::Alive).count()
     }
 }
