--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -302,7 +302,7 @@
     pub fn homes(&self, member: &InstanceName) -> Vec<SocketAddr> {
         let gossip = self.lock();
         let region = gossip.row(member).map_or(&self.region, |row| &row.region);
-        let homes = gossip::homes(member, region, gossip.rows());
+        let homes = gossip::home_entries(member, region, gossip.rows());
         let rows = homes.iter().filter_map(|name| gossip.row(name));
         let facts = rows.filter_map(EntryFacts::of);
         facts.map(|facts| facts.links).collect()
--- a/crates/filbertstack-policy/src/gossip.rs
+++ b/crates/filbertstack-policy/src/gossip.rs
@@ -4,7 +4,7 @@
 //! may only doubt a version, and the instance answers a doubt with a higher one. Entries talk to
 //! [`Settings::view`] neighbours chosen by rendezvous hash, so that a node has a dozen links
 //! whatever the size of the fleet, and no message is larger than [`Settings::bytes`] but the pages
-//! of a comparison. Targets announce themselves to three entries of their region ([`homes`]),
+//! of a comparison. Targets announce themselves to three entries of their region ([`home_entries`]),
 //! which answer for them.
 //!
 //! The load pattern this answers: a trickle of changes (564 instances a day come or go) broken by
@@ -57,7 +57,7 @@
 pub use engine::Gossip;
 pub use entries::Departure;
 pub use entries::SEEN_WITHIN;
-pub use entries::homes;
+pub use entries::home_entries;
 pub use entries::spread;
 pub(crate) use entries::weight;
 pub use message::Message;
--- a/crates/filbertstack-policy/src/gossip/engine.rs
+++ b/crates/filbertstack-policy/src/gossip/engine.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::book::Book;
-use super::entries::homes;
+use super::entries::home_entries;
 use super::entries::ranked;
 use super::entries::weight;
 use super::message::Message;
@@ -403,7 +403,7 @@
                 row.region == self.me.region || !entries.iter().any(of_region)
             };
             let is_home = target.filter(near).is_some_and(|row| {
-                let homes = homes(&name, &row.region, entries.iter().copied());
+                let homes = home_entries(&name, &row.region, entries.iter().copied());
                 homes.contains(&self.me.name)
             });
             if is_home {
--- a/crates/filbertstack-policy/src/gossip/entries.rs
+++ b/crates/filbertstack-policy/src/gossip/entries.rs
@@ -22,7 +22,7 @@
 
 /// The entries that a target of `region` announces itself to; entries of other regions only if
 /// its own has none.
-pub fn homes<'a>(
+pub fn home_entries<'a>(
     target: &InstanceName,
     region: &RegionName,
     rows: impl Iterator<Item = &'a Row> + Clone,
--- a/crates/filbertstack-policy/tests/gossip_net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net.rs
@@ -25,7 +25,7 @@
 use filbertstack_policy::gossip::SEEN_WITHIN;
 use filbertstack_policy::gossip::Settings;
 use filbertstack_policy::gossip::State;
-use filbertstack_policy::gossip::homes;
+use filbertstack_policy::gossip::home_entries;
 use filbertstack_policy::gossip::spread;
 use net::Net;
 use net::name;
@@ -126,7 +126,7 @@
         gone.version += 1;
         gone.state = State::Left;
         let now = net.now;
-        let home = homes(&target, &gone.region, net.nodes.values().map(Gossip::me));
+        let home = home_entries(&target, &gone.region, net.nodes.values().map(Gossip::me));
         let home = home
             .iter()
             .find(|home| **home != cut)
@@ -346,7 +346,7 @@
 fn only_homes_doubt_a_target() {
     let mut net = Net::settled(11, 4, 0.0, Settings::DEFAULT);
     let target = net.targets[&name('t', 1)].clone();
-    let homes = homes(
+    let homes = home_entries(
         &target.name,
         &target.region,
         net.nodes.values().map(Gossip::me),
--- a/crates/filbertstack-policy/tests/gossip_net/net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net/net.rs
@@ -20,7 +20,7 @@
 use filbertstack_policy::gossip::RowKind;
 use filbertstack_policy::gossip::Settings;
 use filbertstack_policy::gossip::State;
-use filbertstack_policy::gossip::homes;
+use filbertstack_policy::gossip::home_entries;
 
 pub fn name(kind: char, n: usize) -> InstanceName {
     format!("{kind}{n:04}").parse().expect("a name")
@@ -146,7 +146,7 @@
             if !(i as u64 + turn).is_multiple_of(3) {
                 continue;
             }
-            for home in homes(&target.name, &target.region, entries.iter()) {
+            for home in home_entries(&target.name, &target.region, entries.iter()) {
                 let lost = self.rng.random_bool(self.loss);
                 let Some(node) = self.nodes.get_mut(&home).filter(|_| !lost) else {
                     continue;
