--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -311,7 +311,7 @@
     /// The entries that `caller` is told to use, best first.
     pub fn entries_for(&self, caller: &str) -> Vec<EntryFacts> {
         let gossip = self.lock();
-        let names = gossip::spread(caller, Some(&self.region), gossip.rows(), MAX_TOLD);
+        let names = gossip::entries_for_caller(caller, Some(&self.region), gossip.rows(), MAX_TOLD);
         let rows = names.iter().filter_map(|name| gossip.row(name));
         rows.filter_map(EntryFacts::of).collect()
     }
--- a/crates/filbertstack-policy/src/gossip/entries.rs
+++ b/crates/filbertstack-policy/src/gossip/entries.rs
@@ -39,7 +39,7 @@
 
 /// The entries that a caller is told to use, best first: of its own region if that is known and
 /// has any, then the others, at most `count`.
-pub fn spread<'a>(
+pub fn entries_for_caller<'a>(
     caller: &str,
     region: Option<&RegionName>,
     rows: impl Iterator<Item = &'a Row> + Clone,
--- a/crates/filbertstack-policy/tests/gossip_net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net.rs
@@ -25,8 +25,8 @@
 use filbertstack_policy::gossip::SEEN_WITHIN;
 use filbertstack_policy::gossip::Settings;
 use filbertstack_policy::gossip::State;
+use filbertstack_policy::gossip::entries_for_caller;
 use filbertstack_policy::gossip::home_entries;
-use filbertstack_policy::gossip::spread;
 use net::Net;
 use net::name;
 use net::row;
@@ -254,7 +254,7 @@
     let net = Net::settled(11, 0, 0.0, Settings::DEFAULT);
     let mut rows: Vec<_> = net.nodes.values().map(|node| node.me().clone()).collect();
     let first = |rows: &[Row], caller: usize| {
-        spread(&format!("caller-{caller}"), None, rows.iter(), 3)[0].clone()
+        entries_for_caller(&format!("caller-{caller}"), None, rows.iter(), 3)[0].clone()
     };
     let before: Vec<_> = (0..1100).map(|caller| first(&rows, caller)).collect();
     let mut counts = BTreeMap::<_, usize>::new();
