--- a/crates/filbertstack-control/examples/measure.rs
+++ b/crates/filbertstack-control/examples/measure.rs
@@ -366,6 +366,6 @@
     println!(
         "gossip among {entries} entries and {targets} targets: {bytes} bytes a row, neighbours \
          chosen in {refresh:.0} us, a round {tick:.1} us, a message {receive:.1} us, {} neighbours",
-        node.view().len()
+        node.neighbours().len()
     );
 }
--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -162,7 +162,7 @@
         let now = self.now();
         let mut gossip = self.lock();
         let sends = gossip.tick(now);
-        let alone = gossip.view().is_empty();
+        let alone = gossip.neighbours().is_empty();
         self.pass_on(&mut gossip);
         drop(gossip);
         for send in sends {
@@ -339,7 +339,7 @@
         let now = self.now();
         let mut gossip = self.lock();
         gossip.declare(State::Left, self.facts.to_facts(), now);
-        let view = gossip.view().to_vec();
+        let view = gossip.neighbours().to_vec();
         let body = encoding::encode(&Message {
             kind: MessageKind::Answer,
             rows: vec![gossip.me().clone()],
--- a/crates/filbertstack-policy/src/gossip/engine.rs
+++ b/crates/filbertstack-policy/src/gossip/engine.rs
@@ -105,7 +105,7 @@
     }
 
     /// The entries that this one sends to.
-    pub fn view(&self) -> &[InstanceName] {
+    pub fn neighbours(&self) -> &[InstanceName] {
         &self.view
     }
 
