--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -330,7 +330,7 @@
         let facts = gossip.rows().filter_map(EntryFacts::of);
         let ages = facts.map(|facts| facts.max_age);
         let max_age = ages.max().unwrap_or(self.facts.max_age);
-        gossip.declare(State::Leaving, self.facts.to_facts(), now);
+        gossip.set_own_state(State::Leaving, self.facts.to_facts(), now);
         Departure::begin(now, max_age)
     }
 
@@ -338,7 +338,7 @@
     pub fn part(&self) {
         let now = self.now();
         let mut gossip = self.lock();
-        gossip.declare(State::Left, self.facts.to_facts(), now);
+        gossip.set_own_state(State::Left, self.facts.to_facts(), now);
         let view = gossip.neighbours().to_vec();
         let body = encoding::encode(&Message {
             kind: MessageKind::Answer,
--- a/crates/filbertstack-policy/src/gossip/engine.rs
+++ b/crates/filbertstack-policy/src/gossip/engine.rs
@@ -115,7 +115,7 @@
     }
 
     /// Changes what this entry says of itself.
-    pub fn declare(&mut self, state: State, facts: super::Facts, now: Millis) {
+    pub fn set_own_state(&mut self, state: State, facts: super::Facts, now: Millis) {
         self.me.version += 1;
         self.me.state = state;
         self.me.facts = facts;
--- a/crates/filbertstack-policy/tests/gossip_net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net.rs
@@ -45,7 +45,7 @@
             let leaver = name('e', leaver);
             let now = net.now;
             let node = net.nodes.get_mut(&leaver).expect("it");
-            node.declare(State::Leaving, Facts::default(), now);
+            node.set_own_state(State::Leaving, Facts::default(), now);
             let rounds = net.until(&leaver, 100, |row| !row.takes_work());
             let rounds = rounds.expect("seen by all");
             writeln!(table, "{entries} entries, loss {loss}: {rounds} rounds").expect("text");
@@ -73,7 +73,7 @@
     let leaver = name('e', 5);
     let now = net.now;
     let node = net.nodes.get_mut(&leaver).expect("it");
-    node.declare(State::Leaving, Facts::default(), now);
+    node.set_own_state(State::Leaving, Facts::default(), now);
     assert_eq!(net.until(&leaver, 100, |row| !row.takes_work()), None);
 }
 
