--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -246,7 +246,7 @@
         let known: Vec<_> = gossip.rows().filter_map(EntryFacts::of).collect();
         let hello = Message {
             kind: MessageKind::Push,
-            rows: vec![gossip.me().clone()],
+            rows: vec![gossip.own_row().clone()],
             summary: Some(Summary(Box::new([0; SUMMARY_BUCKETS]))),
         };
         drop(gossip);
@@ -342,7 +342,7 @@
         let view = gossip.neighbours().to_vec();
         let body = encoding::encode(&Message {
             kind: MessageKind::Answer,
-            rows: vec![gossip.me().clone()],
+            rows: vec![gossip.own_row().clone()],
             summary: None,
         });
         drop(gossip);
--- a/crates/filbertstack-policy/src/gossip/engine.rs
+++ b/crates/filbertstack-policy/src/gossip/engine.rs
@@ -90,7 +90,7 @@
     }
 
     /// This entry's own row.
-    pub fn me(&self) -> &Row {
+    pub fn own_row(&self) -> &Row {
         &self.me
     }
 
--- a/crates/filbertstack-policy/tests/gossip_net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net.rs
@@ -126,7 +126,11 @@
         gone.version += 1;
         gone.state = State::Left;
         let now = net.now;
-        let home = home_entries(&target, &gone.region, net.nodes.values().map(Gossip::me));
+        let home = home_entries(
+            &target,
+            &gone.region,
+            net.nodes.values().map(Gossip::own_row),
+        );
         let home = home
             .iter()
             .find(|home| **home != cut)
@@ -142,7 +146,7 @@
         let now = net.now;
         let node = net.nodes.get_mut(&name('e', 2)).expect("it");
         node.receive(&cut, message, now);
-        let back = net.nodes.values().filter(|node| node.me().name != cut);
+        let back = net.nodes.values().filter(|node| node.own_row().name != cut);
         let mut back = back.filter_map(|node| node.row(&target));
         // Broken on purpose: with rows of the gone forgotten at once, the old row is believed.
         assert_eq!(back.any(Row::takes_work), resurrected);
@@ -252,7 +256,11 @@
 #[test]
 fn callers_spread_and_leave_with_max_age() {
     let net = Net::settled(11, 0, 0.0, Settings::DEFAULT);
-    let mut rows: Vec<_> = net.nodes.values().map(|node| node.me().clone()).collect();
+    let mut rows: Vec<_> = net
+        .nodes
+        .values()
+        .map(|node| node.own_row().clone())
+        .collect();
     let first = |rows: &[Row], caller: usize| {
         entries_for_caller(&format!("caller-{caller}"), None, rows.iter(), 3)[0].clone()
     };
@@ -349,13 +357,13 @@
     let homes = home_entries(
         &target.name,
         &target.region,
-        net.nodes.values().map(Gossip::me),
+        net.nodes.values().map(Gossip::own_row),
     );
     let now = net.now;
     let stranger = net
         .nodes
         .values_mut()
-        .find(|node| !homes.contains(&node.me().name));
+        .find(|node| !homes.contains(&node.own_row().name));
     let stranger = stranger.expect("one that is no home");
     stranger.announce(Announcement { row: target }, now);
     for _ in 0..40 {
--- a/crates/filbertstack-policy/tests/gossip_net/net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net/net.rs
@@ -78,7 +78,11 @@
     /// A fleet in which everybody knows everybody.
     pub fn settled(entries: usize, targets: usize, loss: f64, settings: Settings) -> Self {
         let mut net = Self::new(entries, loss, settings);
-        let rows: Vec<_> = net.nodes.values().map(|node| node.me().clone()).collect();
+        let rows: Vec<_> = net
+            .nodes
+            .values()
+            .map(|node| node.own_row().clone())
+            .collect();
         for n in 0..targets {
             let target = row(&name('t', n), RowKind::Target, n % REGIONS, 1);
             net.targets.insert(target.name.clone(), target);
@@ -140,7 +144,7 @@
 
     /// Targets announce themselves to their homes and answer doubts, each in its third round.
     pub fn announce(&mut self) {
-        let entries: Vec<_> = self.nodes.values().map(|n| n.me().clone()).collect();
+        let entries: Vec<_> = self.nodes.values().map(|n| n.own_row().clone()).collect();
         let turn = self.now.0 / self.settings.round.0;
         for (i, target) in self.targets.values_mut().enumerate() {
             if !(i as u64 + turn).is_multiple_of(3) {
@@ -176,7 +180,10 @@
             if *i > 0 {
                 self.round();
             }
-            let others = self.nodes.values().filter(|node| node.me().name != *name);
+            let others = self
+                .nodes
+                .values()
+                .filter(|node| node.own_row().name != *name);
             others
                 .into_iter()
                 .all(|node| node.row(name).is_some_and(seen))
