--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -359,7 +359,7 @@
             match change {
                 Change::Updated(row) if row.kind == RowKind::Target => self.members.take(&row),
                 Change::Updated(_) => {}
-                Change::Forgotten(name) => self.members.forget(&name),
+                Change::Removed(name) => self.members.forget(&name),
                 Change::NameTaken { incarnation } => error!(
                     "another entry runs under the name {}, started at {incarnation} ms of its \
                      clock: stop one of the two, or set this instance's clock and start anew",
--- a/crates/filbertstack-policy/src/gossip/engine.rs
+++ b/crates/filbertstack-policy/src/gossip/engine.rs
@@ -457,7 +457,7 @@
         for name in old.into_iter().filter(|name| *name != self.me.name) {
             self.book.remove(&name);
             self.news.remove(&name);
-            self.changes.push(Change::Forgotten(name));
+            self.changes.push(Change::Removed(name));
         }
     }
 }
--- a/crates/filbertstack-policy/src/gossip/row.rs
+++ b/crates/filbertstack-policy/src/gossip/row.rs
@@ -106,7 +106,7 @@
     /// A new or newer row.
     Updated(Row),
     /// A row that is no longer kept.
-    Forgotten(InstanceName),
+    Removed(InstanceName),
     /// Another process runs under this entry's name with a greater incarnation: this one must
     /// stop, or start anew with a greater one.
     NameTaken {
