--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -150,7 +150,7 @@
                 return;
             }
             let alone = self.tick();
-            if alone || round % settings.compare == 0 {
+            if alone || round % settings.compare_rounds == 0 {
                 self.greet_seed(round);
             }
             thread::sleep(settings.round.into());
--- a/crates/filbertstack-policy/src/gossip/engine.rs
+++ b/crates/filbertstack-policy/src/gossip/engine.rs
@@ -141,7 +141,7 @@
         self.doubt_the_silent(now);
         self.expire(now);
         let mut sends = Vec::new();
-        let due = self.rounds.is_multiple_of(self.settings.compare);
+        let due = self.rounds.is_multiple_of(self.settings.compare_rounds);
         // While news is under way all tables differ, and pages would repeat what is coming.
         let compare = self.behind || (due && self.news.is_empty());
         for _ in 0..self.settings.fanout.min(self.view.len()) {
@@ -447,7 +447,7 @@
             let liveness = Liveness::Dead;
             self.take(Row { liveness, ..row }, now);
         }
-        if !self.rounds.is_multiple_of(self.settings.compare) {
+        if !self.rounds.is_multiple_of(self.settings.compare_rounds) {
             return;
         }
         let keep = self.settings.tombstone;
--- a/crates/filbertstack-policy/src/gossip/settings.rs
+++ b/crates/filbertstack-policy/src/gossip/settings.rs
@@ -18,7 +18,7 @@
     /// The most bytes of rows in the answer to a summary that differs.
     pub page: usize,
     /// Every how many rounds an entry compares its table with a neighbour's.
-    pub compare: u64,
+    pub compare_rounds: u64,
     /// How often a row that is news is sent: once to each neighbour on average. What was lost on
     /// all of those ways is found by the comparison.
     pub sends: u32,
@@ -44,7 +44,7 @@
         fanout: 2,
         bytes: 300,
         page: 4096,
-        compare: 10,
+        compare_rounds: 10,
         sends: 8,
         silence: Millis(3600),
         lease: Millis(4500),
--- a/crates/filbertstack-policy/tests/gossip_net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net.rs
@@ -66,7 +66,7 @@
     let settings = Settings {
         fanout: 1,
         sends: 1,
-        compare: u64::MAX,
+        compare_rounds: u64::MAX,
         ..Settings::DEFAULT
     };
     let mut net = Net::settled(50, 0, 0.3, settings);
