--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -153,7 +153,7 @@
             if alone || round % settings.compare_rounds == 0 {
                 self.greet_seed(round);
             }
-            thread::sleep(settings.round.into());
+            thread::sleep(settings.round_interval.into());
         }
     }
 
--- a/crates/filbertstack-policy/src/gossip/settings.rs
+++ b/crates/filbertstack-policy/src/gossip/settings.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// The time between two rounds. 400 ms bring a change to 340 entries in under 3 s.
-    pub round: Millis,
+    pub round_interval: Millis,
     /// How many neighbours an entry chooses; those that chose it are its neighbours too. Four make
     /// eight on average and leave the graph whole when a third of the entries is gone.
     pub view: usize,
@@ -39,7 +39,7 @@
 impl Settings {
     /// The figures for up to 340 entries and 2,000 targets.
     pub const DEFAULT: Self = Self {
-        round: Millis(400),
+        round_interval: Millis(400),
         view: 4,
         fanout: 2,
         bytes: 300,
--- a/crates/filbertstack-policy/tests/gossip_net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net.rs
@@ -55,7 +55,7 @@
         }
     }
     println!("{table}");
-    let seconds = Millis(FEW_SECONDS as u64 * Settings::DEFAULT.round.0);
+    let seconds = Millis(FEW_SECONDS as u64 * Settings::DEFAULT.round_interval.0);
     assert!(seconds <= SEEN_WITHIN);
 }
 
@@ -85,7 +85,7 @@
     let per_second = |net: &Net, rounds: u64| {
         let most = net.sent.values().max().copied().unwrap_or(0) as u64;
         let sum = net.sent.values().sum::<usize>() as u64;
-        let span = rounds * net.settings.round.0;
+        let span = rounds * net.settings.round_interval.0;
         (
             most * 1000 / span,
             sum * 1000 / span / net.nodes.len() as u64,
@@ -192,7 +192,7 @@
         let mut net = Net::settled(50, 0, 0.1, settings);
         let frozen = name('e', 9);
         net.parts.insert(frozen.clone(), 1);
-        let rounds = settings.silence.0 / settings.round.0 + 3;
+        let rounds = settings.silence.0 / settings.round_interval.0 + 3;
         net.rounds(usize::try_from(rounds).expect("few"));
         net.parts.clear();
         let mut suspected = false;
--- a/crates/filbertstack-policy/tests/gossip_net/net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net/net.rs
@@ -118,7 +118,7 @@
     }
 
     pub fn round(&mut self) {
-        self.now = self.now + self.settings.round;
+        self.now = self.now + self.settings.round_interval;
         self.announce();
         let now = self.now;
         let mut flying = Vec::new();
@@ -145,7 +145,7 @@
     /// Targets announce themselves to their homes and answer doubts, each in its third round.
     pub fn announce(&mut self) {
         let entries: Vec<_> = self.nodes.values().map(|n| n.own_row().clone()).collect();
-        let turn = self.now.0 / self.settings.round.0;
+        let turn = self.now.0 / self.settings.round_interval.0;
         for (i, target) in self.targets.values_mut().enumerate() {
             if !(i as u64 + turn).is_multiple_of(3) {
                 continue;
