--- a/crates/filbertstack-policy/src/gossip.rs
+++ b/crates/filbertstack-policy/src/gossip.rs
@@ -59,7 +59,7 @@
 pub use entries::SEEN_WITHIN;
 pub use entries::entries_for_caller;
 pub use entries::home_entries;
-pub(crate) use entries::weight;
+pub(crate) use entries::rendezvous_hash;
 pub use message::Message;
 pub use message::MessageKind;
 pub use message::Outgoing;
--- a/crates/filbertstack-policy/src/gossip/engine.rs
+++ b/crates/filbertstack-policy/src/gossip/engine.rs
@@ -12,7 +12,7 @@
 use super::book::Book;
 use super::entries::home_entries;
 use super::entries::ranked;
-use super::entries::weight;
+use super::entries::rendezvous_hash;
 use super::message::Message;
 use super::message::MessageKind;
 use super::message::Outgoing;
@@ -370,9 +370,10 @@
         let mut view = ranked(me.as_str(), others());
         view.truncate(self.settings.view);
         let chooses_me = |of: &&Row| {
-            let mine = weight(of.name.as_str(), me.as_str());
+            let mine = rendezvous_hash(of.name.as_str(), me.as_str());
             let rivals = others().filter(|row| row.name != of.name);
-            let better = rivals.filter(|row| weight(of.name.as_str(), row.name.as_str()) > mine);
+            let better =
+                rivals.filter(|row| rendezvous_hash(of.name.as_str(), row.name.as_str()) > mine);
             better.take(self.settings.view).count() < self.settings.view
         };
         view.extend(others().filter(chooses_me).map(|row| row.name.clone()));
--- a/crates/filbertstack-policy/src/gossip/entries.rs
+++ b/crates/filbertstack-policy/src/gossip/entries.rs
@@ -55,7 +55,7 @@
 
 /// The rows' names by falling rendezvous hash with `key`.
 pub(super) fn ranked<'a>(key: &str, rows: impl Iterator<Item = &'a Row>) -> Vec<InstanceName> {
-    let weighed = rows.map(|row| (weight(key, row.name.as_str()), &row.name));
+    let weighed = rows.map(|row| (rendezvous_hash(key, row.name.as_str()), &row.name));
     let mut weighed: Vec<_> = weighed.collect();
     weighed.sort_unstable_by(|a, b| b.cmp(a));
     weighed.into_iter().map(|(_, name)| name.clone()).collect()
@@ -63,7 +63,7 @@
 
 /// The rendezvous hash of two texts. Nobody gains by forging it: whoever can choose names can
 /// choose addresses.
-pub(crate) fn weight(key: &str, name: &str) -> u64 {
+pub(crate) fn rendezvous_hash(key: &str, name: &str) -> u64 {
     mix(hash(key).rotate_left(32) ^ hash(name))
 }
 
--- a/crates/filbertstack-policy/src/placement/decide.rs
+++ b/crates/filbertstack-policy/src/placement/decide.rs
@@ -1,4 +1,5 @@
-//! One round of placement: from what is declared and what runs to the next orders.
+//! This module runs one round of placement: it derives the next orders from the declared and the
+//! observed state.
 
 use std::collections::BTreeSet;
 
@@ -17,52 +18,53 @@
 use super::roll::roll;
 use super::roll::surges;
 
-/// What one round came to.
+/// The result of one placement round.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Decision {
     /// The desired state of every known target.
     pub orders: Assignments,
     /// The targets whose desired state differs from the standing orders.
     pub changed: Vec<InstanceName>,
-    /// Where each deployment shall stand, spare instances of a change included.
+    /// The instances of each deployment, including the spare instances of a change of version.
     pub placement: Placement,
     /// The deployments that could not be placed in full.
-    pub short: Vec<Shortfall>,
-    /// The deployments whose change of version waits for a spare instance that is not there.
+    pub shortfalls: Vec<Shortfall>,
+    /// The deployments whose change of version is blocked because no spare instance is available.
     pub blocked: BTreeSet<DeploymentName>,
 }
 
-/// Decides the next orders. The same inputs give the same decision; once its orders stand and the
-/// targets follow them, the next decision changes nothing.
+/// Returns the next orders. The same inputs give the same decision. Once its orders are in force
+/// and the targets follow them, the next decision changes nothing.
 pub fn decide(
     fleet: &Fleet,
-    wants: &[DeploymentSpec],
-    standing: &Assignments,
-    faults: &LoadFailures,
+    specs: &[DeploymentSpec],
+    current: &Assignments,
+    failures: &LoadFailures,
     now: Millis,
 ) -> Decision {
     let round = Round {
         fleet,
-        standing,
-        faults,
+        current,
+        failures,
         now,
     };
-    let extra = surges(fleet, standing, wants);
-    let placed = place(round, wants, &extra);
-    let rolled = roll(round, wants, &placed.placement);
+    let surge = surges(fleet, current, specs);
+    let placed = place(round, specs, &surge);
+    let rolled = roll(round, specs, &placed.placement);
     Decision {
-        changed: changed(standing, &rolled.orders),
+        changed: changed(current, &rolled.orders),
         orders: rolled.orders,
         placement: placed.placement,
-        short: placed.short,
+        shortfalls: placed.shortfalls,
         blocked: rolled.blocked,
     }
 }
 
-fn changed(standing: &Assignments, orders: &Assignments) -> Vec<InstanceName> {
-    let none = Vec::new();
-    let differs =
-        |(name, wanted): &(&InstanceName, &Vec<_>)| standing.get(*name).unwrap_or(&none) != *wanted;
+fn changed(current: &Assignments, orders: &Assignments) -> Vec<InstanceName> {
+    let empty = Vec::new();
+    let differs = |(name, assignments): &(&InstanceName, &Vec<_>)| {
+        current.get(*name).unwrap_or(&empty) != *assignments
+    };
     let names = orders.iter().filter(differs);
     names.map(|(name, _)| name.clone()).collect()
 }
--- a/crates/filbertstack-policy/src/placement/faults.rs
+++ b/crates/filbertstack-policy/src/placement/faults.rs
@@ -1,4 +1,5 @@
-//! Loads that failed or hung: tried again with growing waits, then elsewhere.
+//! This module records loads that failed or hung. They are retried with growing backoffs and then
+//! placed elsewhere.
 
 use std::collections::BTreeMap;
 
@@ -10,113 +11,128 @@
 use super::fleet::Stage;
 use super::fleet::VersionState;
 
-/// The wait after the first failure; each further one waits four times as long.
-const FIRST_WAIT: Millis = Millis::secs(2);
+/// The backoff after the first failure. Each further backoff is four times as long.
+const FIRST_BACKOFF: Millis = Millis::secs(2);
 
-/// After so many failures in a row the instance is left alone with that version.
+/// The number of consecutive failures after which the instance is excluded for that version.
 ///
-/// Three waits of 2, 8 and 32 s tell a short hiccup from a broken engine within a minute.
-const MAX_TRIES: u32 = 3;
+/// The backoffs of 2 and 8 s distinguish a short disturbance from a broken engine within a minute.
+const MAX_FAILURES: u32 = 3;
 
-/// How long an instance is left alone with a version that it could not load.
-const BAR: Millis = Millis::secs(600);
+/// How long an instance is excluded for a version that it could not load.
+const EXCLUSION: Millis = Millis::secs(600);
 
-/// A load that takes longer than this has hung: four times what a link's two copies in a window
-/// and an engine's start take at the sizes the product is made for.
-const LOAD_LIMIT: Millis = Millis::secs(600);
+/// A load that takes longer than this has hung. The limit is four times what an engine's start and
+/// a link that carries two copies in one window take at the sizes that the product is designed for.
+const LOAD_TIMEOUT: Millis = Millis::secs(600);
 
-/// What is thought of one version on one instance.
+/// Whether an instance may be ordered to load a version, given its earlier failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It may be ordered.
-    Fine,
-    /// It failed and is tried again at the given moment.
-    Waits(Millis),
-    /// It failed too often; another instance shall hold it until the given moment.
-    Barred(Millis),
+pub enum RetryState {
+    /// The load may be ordered now.
+    Ready,
+    /// The last load failed; the next one may be ordered at the given time.
+    Backoff(Millis),
+    /// The load failed too often; another instance must hold the version until the given time.
+    Excluded(Millis),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Fault {
-    tries: u32,
-    again: Millis,
-    /// The failure that was counted last, by its moment.
-    counted: Millis,
+struct LoadFailure {
+    count: u32,
+    retry_at: Millis,
+    /// The time of the failure that was counted last; it prevents counting a failure twice.
+    counted_at: Millis,
 }
 
-/// The loads that failed lately. A new leader starts with none and learns them anew: at worst a
-/// broken engine gets three more tries.
+/// The recent load failures by instance and version. A new leader starts with an empty record and
+/// fills it from the reports; at worst, a broken engine gets three more tries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadFailures {
-    faults: BTreeMap<InstanceName, BTreeMap<Digest, Fault>>,
+    failures: BTreeMap<InstanceName, BTreeMap<Digest, LoadFailure>>,
 }
 
 impl LoadFailures {
-    /// What is thought of `version` on `instance`.
-    pub fn verdict(&self, instance: &InstanceName, version: &Digest, now: Millis) -> Verdict {
-        let of_instance = self.faults.get(instance);
-        match of_instance.and_then(|faults| faults.get(version)) {
-            Some(fault) if fault.again <= now => Verdict::Fine,
-            Some(fault) if fault.tries >= MAX_TRIES => Verdict::Barred(fault.again),
-            Some(fault) => Verdict::Waits(fault.again),
-            None => Verdict::Fine,
+    /// Returns whether `instance` may be ordered to load `version`.
+    pub fn retry_state(
+        &self,
+        instance: &InstanceName,
+        version: &Digest,
+        now: Millis,
+    ) -> RetryState {
+        let of_instance = self.failures.get(instance);
+        match of_instance.and_then(|failures| failures.get(version)) {
+            Some(failure) if failure.retry_at <= now => RetryState::Ready,
+            Some(failure) if failure.count >= MAX_FAILURES => {
+                RetryState::Excluded(failure.retry_at)
+            }
+            Some(failure) => RetryState::Backoff(failure.retry_at),
+            None => RetryState::Ready,
         }
     }
 
-    pub(super) fn is_barred(&self, name: &InstanceName, version: &Digest, now: Millis) -> bool {
-        matches!(self.verdict(name, version, now), Verdict::Barred(_))
+    pub(super) fn is_excluded(&self, name: &InstanceName, version: &Digest, now: Millis) -> bool {
+        matches!(
+            self.retry_state(name, version, now),
+            RetryState::Excluded(_)
+        )
     }
 
-    /// Takes in what the agents report: each failure counts once, a success clears the count.
+    /// Updates the record from the agents' reports: each failure counts once, a success clears the
+    /// count.
     pub fn observe(&mut self, fleet: &Fleet, now: Millis) {
         for (name, member) in fleet {
-            for (version, holding) in &member.versions {
-                if holding.stage == Stage::Serving {
+            for (version, state) in &member.versions {
+                if state.stage == Stage::Serving {
                     self.clear(name, version);
-                } else if has_failed(holding, now) {
-                    self.count(name, version, holding.since, now);
+                } else if has_failed(state, now) {
+                    self.record(name, version, state.since, now);
                 }
             }
         }
-        self.faults.retain(|name, _| fleet.contains_key(name));
+        self.failures.retain(|name, _| fleet.contains_key(name));
     }
 
     fn clear(&mut self, name: &InstanceName, version: &Digest) {
-        if let Some(faults) = self.faults.get_mut(name) {
-            faults.remove(version);
-            if faults.is_empty() {
-                self.faults.remove(name);
+        if let Some(failures) = self.failures.get_mut(name) {
+            failures.remove(version);
+            if failures.is_empty() {
+                self.failures.remove(name);
             }
         }
     }
 
-    fn count(&mut self, name: &InstanceName, version: &Digest, at: Millis, now: Millis) {
-        let faults = self.faults.entry(name.clone()).or_default();
-        let known = faults.get(version);
-        if known.is_some_and(|fault| fault.counted == at) {
+    fn record(&mut self, name: &InstanceName, version: &Digest, failed_at: Millis, now: Millis) {
+        let failures = self.failures.entry(name.clone()).or_default();
+        let previous = failures.get(version);
+        if previous.is_some_and(|failure| failure.counted_at == failed_at) {
             return;
         }
-        let before = known.map_or(0, |fault| fault.tries);
-        // After a bar has run out the count starts again.
-        let tries = if before >= MAX_TRIES { 1 } else { before + 1 };
-        let wait = if tries >= MAX_TRIES {
-            BAR
+        let previous_count = previous.map_or(0, |failure| failure.count);
+        // The count starts again after an exclusion has ended.
+        let count = if previous_count >= MAX_FAILURES {
+            1
+        } else {
+            previous_count + 1
+        };
+        let backoff = if count >= MAX_FAILURES {
+            EXCLUSION
         } else {
-            Millis(FIRST_WAIT.0 << (2 * (tries - 1)))
+            Millis(FIRST_BACKOFF.0 << (2 * (count - 1)))
         };
-        let fault = Fault {
-            tries,
-            again: now + wait,
-            counted: at,
+        let failure = LoadFailure {
+            count,
+            retry_at: now + backoff,
+            counted_at: failed_at,
         };
-        faults.insert(*version, fault);
+        failures.insert(*version, failure);
     }
 }
 
-fn has_failed(holding: &VersionState, now: Millis) -> bool {
-    match holding.stage {
+fn has_failed(state: &VersionState, now: Millis) -> bool {
+    match state.stage {
         Stage::Failed => true,
-        Stage::Loading => now.since(holding.since) > LOAD_LIMIT,
+        Stage::Loading => now.since(state.since) > LOAD_TIMEOUT,
         Stage::Fetched(_) | Stage::Serving | Stage::Draining => false,
     }
 }
--- a/crates/filbertstack-policy/src/placement/fleet.rs
+++ b/crates/filbertstack-policy/src/placement/fleet.rs
@@ -1,4 +1,5 @@
-//! What placement looks at: instances as they report themselves, wants as they are declared.
+//! This module defines the inputs and outputs of placement: instances as agents report them,
+//! deployments as they are declared, and assignments.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,73 +12,74 @@
 use filbertstack_core::names::DeploymentName;
 use filbertstack_core::names::InstanceName;
 
-/// Whether an instance answers.
+/// Whether an instance is reachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It has answered since then.
+    /// The instance has answered since the given time.
     Up(Millis),
-    /// It has not answered since then.
+    /// The instance has not answered since the given time.
     Unreachable(Millis),
-    /// It said that it is leaving.
+    /// The instance announced that it is leaving.
     Leaving,
 }
 
-/// How far a version has come on an instance.
+/// The stage of a version on an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Chunks lie there, so many in a hundred; the engine does not hold it.
+    /// The given percentage of its chunks is stored on the instance; the engine has not loaded it.
     Fetched(u8),
-    /// The engine loads it.
+    /// The engine is loading it.
     Loading,
-    /// The engine answers from it.
+    /// The engine serves requests from it.
     Serving,
-    /// The engine finishes what it has begun.
+    /// The engine finishes the requests in progress and accepts no new ones.
     Draining,
-    /// The engine could not load it.
+    /// The engine failed to load it.
     Failed,
 }
 
 impl Stage {
-    /// Whether the version takes the engine's memory.
+    /// Returns whether a version at this stage occupies the engine's memory.
     pub fn takes_memory(self) -> bool {
         matches!(self, Self::Loading | Self::Serving | Self::Draining)
     }
 }
 
-/// A version on an instance, as the agent reports it.
+/// The state of one version on an instance, as the agent reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionState {
-    /// How far it has come.
+    /// The stage that the version has reached.
     pub stage: Stage,
-    /// Since when it stands at that stage.
+    /// The time at which the version reached that stage.
     pub since: Millis,
-    /// The memory that it takes in the engine, in bytes.
+    /// The memory that the version occupies in the engine, in bytes.
     pub memory: u64,
 }
 
-/// One instance.
+/// An instance of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its labels.
+    /// The instance's labels.
     pub labels: Labels,
-    /// Its availability zone.
+    /// The instance's availability zone.
     pub zone: Arc<str>,
-    /// Its rack, empty if it has no such label.
+    /// The instance's rack; empty if the instance has no `rack` label.
     pub rack: Arc<str>,
-    /// Its memory for weights in bytes.
+    /// The memory for weights, in bytes.
     pub memory: u64,
-    /// Whether it answers.
+    /// Whether the instance is reachable.
     pub health: Health,
-    /// Whether it is to be emptied: it serves on until others have taken its place.
+    /// Whether the instance is to be emptied: it continues to serve until other instances have
+    /// replaced it.
     pub cordoned: bool,
-    /// The versions on it.
+    /// The versions on the instance.
     pub versions: BTreeMap<Digest, VersionState>,
-    /// Whether its engine holds one version at a time, however much memory is left.
+    /// Whether the engine holds only one version at a time, however much memory is free.
     pub single_version: bool,
 }
 
 impl Member {
-    /// An instance that holds nothing; zone and rack are read from the labels.
+    /// Creates an instance that holds no version; the zone and the rack come from the labels.
     pub fn new(labels: Labels, memory: u64, health: Health) -> Self {
         let label = |key| labels.get(key).unwrap_or_default().into();
         Self {
@@ -92,8 +94,8 @@
         }
     }
 
-    /// What a version that needs `memory` bytes takes of the memory here.
-    pub(super) fn takes(&self, memory: u64) -> u64 {
+    /// Returns how much of this instance's memory a version of `memory` bytes takes.
+    pub(super) fn memory_for(&self, memory: u64) -> u64 {
         if self.single_version {
             self.memory.max(memory)
         } else {
@@ -101,15 +103,15 @@
         }
     }
 
-    /// Whether it answers from `version` now.
+    /// Returns whether the instance serves requests from `version` now.
     pub fn serves(&self, version: &Digest) -> bool {
-        let serving = |holding: &VersionState| holding.stage == Stage::Serving;
+        let serving = |state: &VersionState| state.stage == Stage::Serving;
         matches!(self.health, Health::Up(_)) && self.versions.get(version).is_some_and(serving)
     }
 
-    /// The hundredths of `version` that lie there.
-    pub(super) fn share(&self, version: &Digest) -> u8 {
-        match self.versions.get(version).map(|holding| holding.stage) {
+    /// Returns the percentage of `version` that is stored on the instance.
+    pub(super) fn fetched_percent(&self, version: &Digest) -> u8 {
+        match self.versions.get(version).map(|state| state.stage) {
             None | Some(Stage::Failed) => 0,
             Some(Stage::Fetched(percent)) => percent.min(100),
             Some(_) => 100,
@@ -117,21 +119,22 @@
     }
 }
 
-/// Every instance known, by name.
+/// All known instances by name.
 pub type Fleet = BTreeMap<InstanceName, Member>;
 
-/// What a target shall do with a version.
+/// What a target must do with a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Duty {
     /// Fetch, load and serve it.
     Serve,
     /// Finish the requests in progress, then unload it.
     Drain,
-    /// Fetch and verify it, and load nothing: it is to follow another version there.
+    /// Fetch and verify it, but do not load it yet: it will replace another version on the
+    /// instance.
     Fetch,
 }
 
-/// One version that a target shall hold.
+/// One version that a target must hold.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Assignment {
     /// The deployment it belongs to.
@@ -142,39 +145,40 @@
     pub duty: Duty,
 }
 
-/// The desired state of every target: sorted assignments by instance.
+/// The desired state of every target: the sorted assignments by instance.
 pub type Assignments = BTreeMap<InstanceName, Vec<Assignment>>;
 
-/// A deployment as placement sees it.
+/// The part of a declared deployment that placement needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeploymentSpec {
-    /// The deployment.
+    /// The deployment's name.
     pub deployment: DeploymentName,
     /// The version to serve.
     pub version: Digest,
     /// The number of instances to serve on.
     pub replicas: usize,
-    /// The memory that it takes on an instance, in bytes.
+    /// The memory that the version needs on an instance, in bytes.
     pub memory: u64,
-    /// The selectors of its pools: an instance fits that matches any of them.
+    /// The selectors of the deployment's pools; an instance is eligible if any of them matches it.
     pub pools: Vec<Selector>,
 }
 
 impl DeploymentSpec {
-    /// Whether the deployment's pools contain an instance with these labels.
+    /// Returns whether the deployment's pools contain an instance with these labels.
     pub fn admits(&self, labels: &Labels) -> bool {
         self.pools.iter().any(|pool| pool.matches(labels))
     }
 }
 
-/// The wants of the declarations; `weights` gives the size of a published version in bytes.
+/// Returns the specifications of all declared deployments; `weight_bytes` returns the size of a
+/// published version in bytes.
 pub fn deployment_specs(
     declared: &Declarations,
-    weights: impl Fn(&Digest) -> u64,
+    weight_bytes: impl Fn(&Digest) -> u64,
 ) -> Vec<DeploymentSpec> {
-    let pools_of = |by: &Selector| {
+    let pools_of = |selector: &Selector| {
         let pools = declared.pools.values();
-        let chosen = pools.filter(|pool| by.matches(&pool.labels));
+        let chosen = pools.filter(|pool| selector.matches(&pool.labels));
         chosen.map(|pool| pool.instances.clone()).collect()
     };
     let deployments = declared.deployments.iter();
@@ -183,7 +187,7 @@
             deployment: name.clone(),
             version: deployment.version,
             replicas: deployment.replicas as usize,
-            memory: deployment.memory.max(weights(&deployment.version)),
+            memory: deployment.memory.max(weight_bytes(&deployment.version)),
             pools: pools_of(&deployment.pools),
         })
         .collect()
--- a/crates/filbertstack-policy/src/placement/place.rs
+++ b/crates/filbertstack-policy/src/placement/place.rs
@@ -1,4 +1,5 @@
-//! Where each deployment stands: spread first, then as little movement as that allows.
+//! This module chooses the instances of each deployment. An even spread comes first, then as few
+//! moves as the spread allows.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,25 +16,26 @@
 use super::fleet::Fleet;
 use super::fleet::Health;
 use super::fleet::Member;
-use crate::gossip::weight;
+use crate::gossip::rendezvous_hash;
 
-/// How long an instance that does not answer keeps its place.
+/// How long an instance that does not answer keeps its replicas.
 ///
-/// An agent's restart or a stalled link takes seconds, a copy of the weights minutes: replaced at
-/// once, each of the day's 530 restarts would cost a copy. 30 s covers a restart; the other
-/// replicas carry the load meanwhile.
-pub const HOLD_DOWN: Millis = Millis::secs(30);
+/// An agent's restart or a stalled link takes seconds, a copy of the weights minutes. If instances
+/// were replaced at once, each of the day's 530 restarts would cost a copy. 30 s covers a restart;
+/// the other replicas carry the load meanwhile.
+pub const UNREACHABLE_GRACE: Millis = Millis::secs(30);
 
-/// How long an instance must have answered before it gets something new.
+/// How long an instance must have been up before it gets a new replica.
 ///
-/// One that comes and goes would otherwise be given work each time it comes.
+/// Without this delay an instance that comes and goes would get new work each time it returns.
 pub const PLACEMENT_UPTIME: Millis = Millis::secs(10);
 
-/// How long an instance must have answered before others' replicas move to it for the spread.
+/// How long an instance must have been up before replicas move to it from other instances for a
+/// more even spread.
 ///
-/// A zone that comes back often goes away again; five minutes let it prove itself, and the
-/// replicas elsewhere serve meanwhile.
-pub const MOVE_AFTER: Millis = Millis::secs(300);
+/// A zone that returns often fails again soon. Five minutes of uptime show that it is stable; until
+/// then, the replicas elsewhere serve.
+pub const REBALANCE_UPTIME: Millis = Millis::secs(300);
 
 /// The instances of each deployment.
 pub type Placement = BTreeMap<DeploymentName, BTreeSet<InstanceName>>;
@@ -49,286 +51,307 @@
     pub eligible: usize,
 }
 
-/// What placing came to.
+/// The result of placing all deployments.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Placed {
     pub(super) placement: Placement,
-    pub(super) short: Vec<Shortfall>,
+    pub(super) shortfalls: Vec<Shortfall>,
 }
 
-/// What stays the same for all deployments of one round.
+/// The inputs that are the same for all deployments of one round.
 #[derive(Clone, Copy)]
 pub(super) struct Round<'a> {
     pub(super) fleet: &'a Fleet,
-    pub(super) standing: &'a Assignments,
-    pub(super) faults: &'a LoadFailures,
+    pub(super) current: &'a Assignments,
+    pub(super) failures: &'a LoadFailures,
     pub(super) now: Millis,
 }
 
-/// Places `wants`; `extra` tells how many more instances than declared each of them gets.
-pub(super) fn place(round: Round, wants: &[DeploymentSpec], extra: &[usize]) -> Placed {
-    let mut table = Table::new(round);
-    // The largest first: what is small fits into the gaps that are left.
-    let mut order: Vec<_> = (0..wants.len()).collect();
-    order.sort_by_key(|i| (u64::MAX - wants[*i].memory, &wants[*i].deployment));
-    let mut seats: Vec<_> = wants.iter().map(|_| Seats::default()).collect();
+/// Places the deployments of `specs`; `surge` holds the number of instances that each of them gets
+/// beyond the declared replicas.
+pub(super) fn place(round: Round, specs: &[DeploymentSpec], surge: &[usize]) -> Placed {
+    let mut planner = Planner::new(round);
+    // The largest deployments are placed first; small ones fit into the gaps that remain.
+    let mut order: Vec<_> = (0..specs.len()).collect();
+    order.sort_by_key(|i| (u64::MAX - specs[*i].memory, &specs[*i].deployment));
+    let mut selections: Vec<_> = specs.iter().map(|_| Selection::default()).collect();
     for i in &order {
-        seats[*i] = table.keep(&wants[*i], wants[*i].replicas + extra[*i]);
+        selections[*i] = planner.keep_current(&specs[*i], specs[*i].replicas + surge[*i]);
     }
     let mut placed = Placed::default();
     for i in order {
-        let want = &wants[i];
-        table.fill(want, want.replicas + extra[i], &mut seats[i]);
-        table.level(want, &mut seats[i]);
-        placed.short.extend(shortfall(want, &seats[i]));
-        let names = seats[i]
-            .taken
+        let spec = &specs[i];
+        planner.fill(spec, spec.replicas + surge[i], &mut selections[i]);
+        planner.rebalance(spec, &mut selections[i]);
+        placed.shortfalls.extend(shortfall(spec, &selections[i]));
+        let names = selections[i]
+            .chosen
             .iter()
-            .map(|slot| table.slots[*slot].name.clone());
+            .map(|index| planner.instances[*index].name.clone());
         placed
             .placement
-            .insert(want.deployment.clone(), names.collect());
+            .insert(spec.deployment.clone(), names.collect());
     }
-    placed.short.sort_by(|a, b| a.deployment.cmp(&b.deployment));
+    placed
+        .shortfalls
+        .sort_by(|a, b| a.deployment.cmp(&b.deployment));
     placed
 }
 
-fn shortfall(want: &DeploymentSpec, seats: &Seats) -> Option<Shortfall> {
-    let missing = want.replicas.saturating_sub(seats.taken.len());
+fn shortfall(spec: &DeploymentSpec, selection: &Selection) -> Option<Shortfall> {
+    let missing = spec.replicas.saturating_sub(selection.chosen.len());
     (missing > 0).then(|| Shortfall {
-        deployment: want.deployment.clone(),
+        deployment: spec.deployment.clone(),
         missing,
-        eligible: seats.eligible,
+        eligible: selection.eligible,
     })
 }
 
-/// One instance with what is left of it.
-struct Slot<'a> {
+/// An instance with the capacity that is left on it.
+struct InstanceUsage<'a> {
     name: &'a InstanceName,
     member: &'a Member,
-    free: u64,
-    /// How many deployments it has.
-    load: usize,
+    free_memory: u64,
+    /// The number of deployments placed on the instance.
+    deployments: usize,
 }
 
-/// The instances that a deployment has, counted by zone and rack.
+/// The instances chosen for a deployment, counted by zone and rack.
 #[derive(Default)]
-struct Seats {
-    taken: BTreeSet<usize>,
+struct Selection {
+    chosen: BTreeSet<usize>,
     zones: BTreeMap<Arc<str>, usize>,
     racks: BTreeMap<(Arc<str>, Arc<str>), usize>,
     eligible: usize,
 }
 
-/// What an instance must be to get a replica that it does not have.
+/// Why a deployment gets another instance; this determines the uptime that the instance must have.
 #[derive(Clone, Copy, PartialEq)]
-enum Need {
-    /// Something is missing: one that has settled will do.
-    Missing,
-    /// Only the spread is at stake: it must have proved itself.
-    Spread,
+enum Purpose {
+    /// The deployment lacks a replica: [`PLACEMENT_UPTIME`] is required.
+    Fill,
+    /// A replica moves for a more even spread: [`REBALANCE_UPTIME`] is required.
+    Rebalance,
 }
 
-struct Table<'a> {
+struct Planner<'a> {
     round: Round<'a>,
-    slots: Vec<Slot<'a>>,
+    instances: Vec<InstanceUsage<'a>>,
     by_name: BTreeMap<&'a InstanceName, usize>,
-    standing: BTreeMap<&'a DeploymentName, Vec<usize>>,
+    current: BTreeMap<&'a DeploymentName, Vec<usize>>,
 }
 
-impl<'a> Table<'a> {
+impl<'a> Planner<'a> {
     fn new(round: Round<'a>) -> Self {
-        let slots = round.fleet.iter().map(|(name, member)| Slot {
+        let instances = round.fleet.iter().map(|(name, member)| InstanceUsage {
             name,
             member,
-            free: member.memory,
-            load: 0,
+            free_memory: member.memory,
+            deployments: 0,
         });
-        let slots: Vec<_> = slots.collect();
-        let by_name = slots.iter().enumerate().map(|(i, slot)| (slot.name, i));
-        let mut table = Self {
+        let instances: Vec<_> = instances.collect();
+        let by_name = instances
+            .iter()
+            .enumerate()
+            .map(|(i, usage)| (usage.name, i));
+        let mut planner = Self {
             round,
             by_name: by_name.collect(),
-            slots,
-            standing: BTreeMap::new(),
+            instances,
+            current: BTreeMap::new(),
         };
-        table.index_standing();
-        table
+        planner.index_current();
+        planner
     }
 
-    fn index_standing(&mut self) {
-        for (name, assignments) in self.round.standing {
-            let Some(slot) = self.by_name.get(name).copied() else {
+    fn index_current(&mut self) {
+        for (name, assignments) in self.round.current {
+            let Some(index) = self.by_name.get(name).copied() else {
                 continue;
             };
             for assignment in assignments.iter().filter(|a| a.duty == Duty::Serve) {
-                let slots = self.standing.entry(&assignment.deployment).or_default();
-                // Two versions of one deployment stand there while it is rolled.
-                if slots.last() != Some(&slot) {
-                    slots.push(slot);
+                let indices = self.current.entry(&assignment.deployment).or_default();
+                // An instance holds two versions of one deployment while its version changes.
+                if indices.last() != Some(&index) {
+                    indices.push(index);
                 }
             }
         }
     }
 
-    /// Keeps what a deployment has, as far as it still fits and is wanted.
-    fn keep(&mut self, want: &DeploymentSpec, count: usize) -> Seats {
-        let mut seats = Seats::default();
-        let had = self.standing.get(&want.deployment).cloned();
-        for slot in had.unwrap_or_default() {
-            if self.may_stay(slot, want) {
-                self.take(slot, want, &mut seats);
+    /// Keeps the deployment's current instances as far as they still qualify, up to `count`.
+    fn keep_current(&mut self, spec: &DeploymentSpec, count: usize) -> Selection {
+        let mut selection = Selection::default();
+        let previous = self.current.get(&spec.deployment).cloned();
+        for index in previous.unwrap_or_default() {
+            if self.can_stay(index, spec) {
+                self.assign(index, spec, &mut selection);
             }
         }
-        while seats.taken.len() > count {
-            let Some(slot) = self.least_needed(want, &seats) else {
+        while selection.chosen.len() > count {
+            let Some(index) = self.least_needed(spec, &selection) else {
                 break;
             };
-            self.give_back(slot, want, &mut seats);
+            self.release(index, spec, &mut selection);
         }
-        seats
+        selection
     }
 
-    /// Adds instances until the deployment has `count`.
-    fn fill(&mut self, want: &DeploymentSpec, count: usize, seats: &mut Seats) {
-        if seats.taken.len() >= count {
-            seats.eligible = seats.taken.len();
+    /// Adds instances until the deployment has `count` or no candidate is left.
+    fn fill(&mut self, spec: &DeploymentSpec, count: usize, selection: &mut Selection) {
+        if selection.chosen.len() >= count {
+            selection.eligible = selection.chosen.len();
             return;
         }
-        let mut candidates = self.candidates(want, seats, Need::Missing);
-        seats.eligible = seats.taken.len() + candidates.count;
-        while seats.taken.len() < count {
-            let Some(slot) = candidates.next(seats) else {
+        let mut candidates = self.candidates(spec, selection, Purpose::Fill);
+        selection.eligible = selection.chosen.len() + candidates.count;
+        while selection.chosen.len() < count {
+            let Some(index) = candidates.next(selection) else {
                 return;
             };
-            self.take(slot, want, seats);
+            self.assign(index, spec, selection);
         }
     }
 
-    /// Moves replicas out of zones that have two more than another zone could have.
-    fn level(&mut self, want: &DeploymentSpec, seats: &mut Seats) {
-        let least = seats.zones.values().min().copied().unwrap_or(0);
-        let most = seats.zones.values().max().copied().unwrap_or(0);
-        let zones = || self.slots.iter().map(|slot| &slot.member.zone);
-        let even = most <= least + 1 && zones().all(|z| seats.zones.contains_key(z));
-        if seats.taken.len() < 2 || (even || most < 2) {
+    /// Moves replicas from the fullest zone to zones that have at least two fewer and a candidate
+    /// for them.
+    fn rebalance(&mut self, spec: &DeploymentSpec, selection: &mut Selection) {
+        let least = selection.zones.values().min().copied().unwrap_or(0);
+        let most = selection.zones.values().max().copied().unwrap_or(0);
+        let zones = || self.instances.iter().map(|usage| &usage.member.zone);
+        let even = most <= least + 1 && zones().all(|z| selection.zones.contains_key(z));
+        if selection.chosen.len() < 2 || (even || most < 2) {
             return;
         }
-        let mut candidates = self.candidates(want, seats, Need::Spread);
-        while let Some(slot) = candidates.next(seats) {
-            let zone = &self.slots[slot].member.zone;
-            let here = seats.zones.get(zone).copied().unwrap_or(0);
-            let most = seats.zones.values().max().copied().unwrap_or(0);
+        let mut candidates = self.candidates(spec, selection, Purpose::Rebalance);
+        while let Some(index) = candidates.next(selection) {
+            let zone = &self.instances[index].member.zone;
+            let here = selection.zones.get(zone).copied().unwrap_or(0);
+            let most = selection.zones.values().max().copied().unwrap_or(0);
             if most < here + 2 {
                 return;
             }
-            let Some(leaver) = self.least_needed(want, seats) else {
+            let Some(removed) = self.least_needed(spec, selection) else {
                 return;
             };
-            self.give_back(leaver, want, seats);
-            self.take(slot, want, seats);
+            self.release(removed, spec, selection);
+            self.assign(index, spec, selection);
         }
     }
 
-    fn may_stay(&self, slot: usize, want: &DeploymentSpec) -> bool {
-        let Slot { name, member, .. } = &self.slots[slot];
+    fn can_stay(&self, index: usize, spec: &DeploymentSpec) -> bool {
+        let InstanceUsage { name, member, .. } = &self.instances[index];
         let now = self.round.now;
         let present = match member.health {
             Health::Up(_) => true,
-            Health::Unreachable(since) => now.since(since) < HOLD_DOWN,
+            Health::Unreachable(since) => now.since(since) < UNREACHABLE_GRACE,
             Health::Leaving => false,
         };
-        let barred = self.round.faults.is_barred(name, &want.version, now);
+        let excluded = self.round.failures.is_excluded(name, &spec.version, now);
         present
             && !member.cordoned
-            && !barred
-            && want.admits(&member.labels)
-            && self.slots[slot].free >= member.takes(want.memory)
+            && !excluded
+            && spec.admits(&member.labels)
+            && self.instances[index].free_memory >= member.memory_for(spec.memory)
     }
 
-    fn may_join(&self, slot: usize, want: &DeploymentSpec, need: Need) -> bool {
-        let Slot { name, member, .. } = &self.slots[slot];
+    fn can_join(&self, index: usize, spec: &DeploymentSpec, purpose: Purpose) -> bool {
+        let InstanceUsage { name, member, .. } = &self.instances[index];
         let now = self.round.now;
-        let least = match need {
-            Need::Missing => PLACEMENT_UPTIME,
-            Need::Spread => MOVE_AFTER,
+        let min_uptime = match purpose {
+            Purpose::Fill => PLACEMENT_UPTIME,
+            Purpose::Rebalance => REBALANCE_UPTIME,
         };
-        let settled = matches!(member.health, Health::Up(since) if now.since(since) >= least);
+        let settled = matches!(member.health, Health::Up(since) if now.since(since) >= min_uptime);
         settled
             && !member.cordoned
-            && self.slots[slot].free >= member.takes(want.memory)
-            && want.admits(&member.labels)
-            && !self.round.faults.is_barred(name, &want.version, now)
+            && self.instances[index].free_memory >= member.memory_for(spec.memory)
+            && spec.admits(&member.labels)
+            && !self.round.failures.is_excluded(name, &spec.version, now)
     }
 
-    fn candidates(&self, want: &DeploymentSpec, seats: &Seats, need: Need) -> Candidates {
+    fn candidates(
+        &self,
+        spec: &DeploymentSpec,
+        selection: &Selection,
+        purpose: Purpose,
+    ) -> Candidates {
         let mut candidates = Candidates::default();
-        for slot in 0..self.slots.len() {
-            if !seats.taken.contains(&slot) && self.may_join(slot, want, need) {
-                candidates.add(&self.slots[slot], slot, want);
+        for index in 0..self.instances.len() {
+            if !selection.chosen.contains(&index) && self.can_join(index, spec, purpose) {
+                candidates.add(&self.instances[index], index, spec);
             }
         }
         candidates.sort();
         candidates
     }
 
-    /// The replica whose loss costs least: from the fullest zone and rack, not serving, the last
-    /// by name.
-    fn least_needed(&self, want: &DeploymentSpec, seats: &Seats) -> Option<usize> {
-        seats.taken.iter().copied().max_by_key(|slot| {
-            let member = self.slots[*slot].member;
-            let zone = seats.zones.get(&member.zone).copied();
-            let rack = seats.racks.get(&place_of(member)).copied();
-            (zone, rack, !member.serves(&want.version), *slot)
+    /// Returns the instance whose loss costs least: one in the fullest zone and rack, not serving
+    /// if possible, the last by name.
+    fn least_needed(&self, spec: &DeploymentSpec, selection: &Selection) -> Option<usize> {
+        selection.chosen.iter().copied().max_by_key(|index| {
+            let member = self.instances[*index].member;
+            let zone = selection.zones.get(&member.zone).copied();
+            let rack = selection.racks.get(&rack_key(member)).copied();
+            (zone, rack, !member.serves(&spec.version), *index)
         })
     }
 
-    fn take(&mut self, slot: usize, want: &DeploymentSpec, seats: &mut Seats) {
-        let member = self.slots[slot].member;
-        self.slots[slot].free -= member.takes(want.memory);
-        self.slots[slot].load += 1;
-        seats.taken.insert(slot);
-        *seats.zones.entry(member.zone.clone()).or_default() += 1;
-        *seats.racks.entry(place_of(member)).or_default() += 1;
+    fn assign(&mut self, index: usize, spec: &DeploymentSpec, selection: &mut Selection) {
+        let member = self.instances[index].member;
+        self.instances[index].free_memory -= member.memory_for(spec.memory);
+        self.instances[index].deployments += 1;
+        selection.chosen.insert(index);
+        *selection.zones.entry(member.zone.clone()).or_default() += 1;
+        *selection.racks.entry(rack_key(member)).or_default() += 1;
     }
 
-    fn give_back(&mut self, slot: usize, want: &DeploymentSpec, seats: &mut Seats) {
-        let member = self.slots[slot].member;
-        self.slots[slot].free += member.takes(want.memory);
-        self.slots[slot].load -= 1;
-        seats.taken.remove(&slot);
-        if let Some(count) = seats.zones.get_mut(&member.zone) {
+    fn release(&mut self, index: usize, spec: &DeploymentSpec, selection: &mut Selection) {
+        let member = self.instances[index].member;
+        self.instances[index].free_memory += member.memory_for(spec.memory);
+        self.instances[index].deployments -= 1;
+        selection.chosen.remove(&index);
+        if let Some(count) = selection.zones.get_mut(&member.zone) {
             *count -= 1;
         }
-        if let Some(count) = seats.racks.get_mut(&place_of(member)) {
+        if let Some(count) = selection.racks.get_mut(&rack_key(member)) {
             *count -= 1;
         }
     }
 }
 
-fn place_of(member: &Member) -> (Arc<str>, Arc<str>) {
+fn rack_key(member: &Member) -> (Arc<str>, Arc<str>) {
     (member.zone.clone(), member.rack.clone())
 }
 
-/// How well an instance suits, the best last: few deployments, much of the version, then a hash,
-/// so that deployments do not all start at the first name.
-type Suits = (std::cmp::Reverse<usize>, u8, u64, usize);
+/// How well an instance suits a deployment: first by fewer deployments on it, then by a greater
+/// part of the version already fetched, then by a hash, so that not all deployments start with the
+/// first name. The best preference sorts last.
+type Preference = (std::cmp::Reverse<usize>, u8, u64, usize);
 
-/// The instances that a deployment could take, by zone and rack.
+/// The instances that a deployment could use, by zone and rack.
 #[derive(Default)]
 struct Candidates {
-    zones: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Vec<Suits>>>,
+    zones: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Vec<Preference>>>,
     count: usize,
 }
 
 impl Candidates {
-    fn add(&mut self, slot: &Slot, index: usize, want: &DeploymentSpec) {
-        let member = slot.member;
-        let share = member.share(&want.version);
-        let hash = weight(want.deployment.as_str(), slot.name.as_str());
-        let suits = (std::cmp::Reverse(slot.load), share, hash, index);
+    fn add(&mut self, usage: &InstanceUsage, index: usize, spec: &DeploymentSpec) {
+        let member = usage.member;
+        let fetched_percent = member.fetched_percent(&spec.version);
+        let hash = rendezvous_hash(spec.deployment.as_str(), usage.name.as_str());
+        let preference = (
+            std::cmp::Reverse(usage.deployments),
+            fetched_percent,
+            hash,
+            index,
+        );
         let racks = self.zones.entry(member.zone.clone()).or_default();
-        racks.entry(member.rack.clone()).or_default().push(suits);
+        racks
+            .entry(member.rack.clone())
+            .or_default()
+            .push(preference);
         self.count += 1;
     }
 
@@ -338,28 +361,28 @@
         }
     }
 
-    /// Takes out the best of the emptiest rack of the emptiest zone.
-    fn next(&mut self, seats: &Seats) -> Option<usize> {
-        let in_zone = |zone: &Arc<str>| seats.zones.get(zone).copied().unwrap_or(0);
+    /// Removes and returns the best instance of the emptiest rack in the emptiest zone.
+    fn next(&mut self, selection: &Selection) -> Option<usize> {
+        let in_zone = |zone: &Arc<str>| selection.zones.get(zone).copied().unwrap_or(0);
         let zone = self.zones.keys().min_by_key(|zone| in_zone(zone))?.clone();
         let racks = self.zones.get_mut(&zone)?;
         let in_rack = |rack: &Arc<str>| {
-            let place = (zone.clone(), rack.clone());
-            seats.racks.get(&place).copied().unwrap_or(0)
+            let key = (zone.clone(), rack.clone());
+            selection.racks.get(&key).copied().unwrap_or(0)
         };
-        let best = |suits: &[Suits]| std::cmp::Reverse(suits.last().copied());
+        let best = |preferences: &[Preference]| std::cmp::Reverse(preferences.last().copied());
         let rack = racks
             .iter()
-            .min_by_key(|(rack, suits)| (in_rack(rack), best(suits)));
+            .min_by_key(|(rack, preferences)| (in_rack(rack), best(preferences)));
         let rack = rack?.0.clone();
-        let suits = racks.get_mut(&rack)?;
-        let (_, _, _, slot) = suits.pop()?;
-        if suits.is_empty() {
+        let preferences = racks.get_mut(&rack)?;
+        let (_, _, _, index) = preferences.pop()?;
+        if preferences.is_empty() {
             racks.remove(&rack);
         }
         if racks.is_empty() {
             self.zones.remove(&zone);
         }
-        Some(slot)
+        Some(index)
     }
 }
--- a/crates/filbertstack-policy/src/placement/roll.rs
+++ b/crates/filbertstack-policy/src/placement/roll.rs
@@ -1,9 +1,10 @@
-//! How the fleet gets from what runs to what is placed, without dropping under what is declared.
+//! This module moves the fleet from what runs to what is placed without dropping below the declared
+//! replicas.
 //!
-//! New versions are loaded everywhere they fit beside the old ones, all at once. An old version
-//! is drained only where the new one answers on the same instance, or where more instances answer
-//! than are declared. An instance too small for both versions is swapped: the old one goes first,
-//! which takes a spare instance for as long as it lasts.
+//! New versions are loaded at once on every instance where they fit beside the old ones. An old
+//! version is drained only if the new one serves on the same instance or if more instances serve
+//! than are declared. An instance too small for both versions is swapped: the old version is
+//! drained first, which needs a spare instance for the duration of the swap.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,7 +13,7 @@
 use filbertstack_core::names::DeploymentName;
 use filbertstack_core::names::InstanceName;
 
-use super::faults::Verdict;
+use super::faults::RetryState;
 use super::fleet::Assignment;
 use super::fleet::Assignments;
 use super::fleet::DeploymentSpec;
@@ -24,90 +25,90 @@
 use super::place::Placement;
 use super::place::Round;
 
-/// One in so many replicas may stand on spare instances during a change of version.
+/// The divisor that limits the spare instances of a deployment during a change of version.
 ///
-/// Each spare instance lets one small instance swap at a time. An eighth ends a change in about
-/// eight rounds of loading and leaves most of the spare memory to others.
-const SURGE_PART: usize = 8;
-
-/// How many spare instances each deployment needs now: as many as serve another version and have no
-/// room for the declared one beside it, at most one in eight and at least one.
-pub(super) fn surges(
-    fleet: &Fleet,
-    standing: &Assignments,
-    wants: &[DeploymentSpec],
-) -> Vec<usize> {
-    let index = wants.iter().enumerate();
-    let index: BTreeMap<_, _> = index.map(|(i, want)| (&want.deployment, i)).collect();
-    let mut swaps = vec![0; wants.len()];
-    for (name, assignments) in standing {
+/// Each spare instance lets one small instance swap at a time. With an eighth, a change ends in
+/// about eight rounds of loading and leaves most of the spare memory to other deployments.
+const SURGE_DIVISOR: usize = 8;
+
+/// Returns how many spare instances each deployment needs now: one for each instance that serves
+/// another version and has no room for the declared one beside it, at most one in eight replicas,
+/// but always at least one if any is needed.
+pub(super) fn surges(fleet: &Fleet, current: &Assignments, specs: &[DeploymentSpec]) -> Vec<usize> {
+    let index = specs.iter().enumerate();
+    let index: BTreeMap<_, _> = index.map(|(i, spec)| (&spec.deployment, i)).collect();
+    let mut swaps = vec![0; specs.len()];
+    for (name, assignments) in current {
         let Some(member) = fleet.get(name) else {
             continue;
         };
         let old = |one: &&Assignment| {
-            let want = index.get(&one.deployment).map(|i| &wants[*i]);
-            want.is_some_and(|want| is_old(one, want, member) && !has_room(member, want))
+            let spec = index.get(&one.deployment).map(|i| &specs[*i]);
+            spec.is_some_and(|spec| {
+                serves_other_version(one, spec, member) && !has_room(member, spec)
+            })
         };
         let deployments = assignments.iter().filter(old).map(|one| &one.deployment);
         for deployment in deployments.collect::<BTreeSet<_>>() {
             swaps[index[deployment]] += 1;
         }
     }
-    let most = |want: &DeploymentSpec| (want.replicas / SURGE_PART).max(1);
-    let pairs = swaps.into_iter().zip(wants);
-    pairs.map(|(swaps, want)| swaps.min(most(want))).collect()
+    let most = |spec: &DeploymentSpec| (spec.replicas / SURGE_DIVISOR).max(1);
+    let pairs = swaps.into_iter().zip(specs);
+    pairs.map(|(swaps, spec)| swaps.min(most(spec))).collect()
 }
 
-/// Whether the declared version is in the engine's memory or fits beside what is there.
-fn has_room(member: &Member, want: &DeploymentSpec) -> bool {
-    takes_memory(member, &want.version) || memory_used(member, None) + want.memory <= member.memory
+/// Returns whether the declared version is in the engine's memory or fits beside the versions
+/// there.
+fn has_room(member: &Member, spec: &DeploymentSpec) -> bool {
+    takes_memory(member, &spec.version) || memory_used(member, None) + spec.memory <= member.memory
 }
 
-fn is_old(assignment: &Assignment, want: &DeploymentSpec, member: &Member) -> bool {
-    assignment.deployment == want.deployment
+fn serves_other_version(assignment: &Assignment, spec: &DeploymentSpec, member: &Member) -> bool {
+    assignment.deployment == spec.deployment
         && assignment.duty == Duty::Serve
-        && assignment.version != want.version
+        && assignment.version != spec.version
         && member.serves(&assignment.version)
 }
 
 fn takes_memory(member: &Member, version: &Digest) -> bool {
-    let holding = member.versions.get(version);
-    holding.is_some_and(|holding| holding.stage.takes_memory())
+    let state = member.versions.get(version);
+    state.is_some_and(|state| state.stage.takes_memory())
 }
 
-/// The engine's memory in use, without that of `version`.
+/// Returns the engine's memory in use, without the memory of `version`.
 fn memory_used(member: &Member, version: Option<&Digest>) -> u64 {
     let others = member
         .versions
         .iter()
         .filter(|(held, _)| Some(*held) != version);
-    let others = others.map(|(_, holding)| holding);
+    let others = others.map(|(_, state)| state);
     others
-        .filter(|holding| holding.stage.takes_memory())
-        .map(|holding| member.takes(holding.memory))
+        .filter(|state| state.stage.takes_memory())
+        .map(|state| member.memory_for(state.memory))
         .sum()
 }
 
-/// What rolling came to.
+/// The result of one rolling step.
 #[derive(Debug, Default)]
 pub(super) struct Rolled {
     pub(super) orders: Assignments,
-    /// The deployments that cannot go on without another instance.
+    /// The deployments that cannot proceed without another instance.
     pub(super) blocked: BTreeSet<DeploymentName>,
 }
 
-/// The next orders of all targets.
-pub(super) fn roll(round: Round, wants: &[DeploymentSpec], placement: &Placement) -> Rolled {
-    let wants: BTreeMap<_, _> = wants.iter().map(|w| (&w.deployment, w)).collect();
-    let mut roller = Roller::new(round, wants, placement);
-    roller.keep();
+/// Returns the next orders of all targets.
+pub(super) fn roll(round: Round, specs: &[DeploymentSpec], placement: &Placement) -> Rolled {
+    let specs: BTreeMap<_, _> = specs.iter().map(|spec| (&spec.deployment, spec)).collect();
+    let mut roller = Roller::new(round, specs, placement);
+    roller.sort_current();
     roller.load();
     roller.drain();
     roller.finish()
 }
 
-/// An assignment that stands without being wanted there.
-struct Leaving<'a> {
+/// A current assignment that the placement or the declared version no longer calls for.
+struct Obsolete<'a> {
     name: &'a InstanceName,
     member: &'a Member,
     version: Digest,
@@ -115,67 +116,68 @@
 
 struct Roller<'a> {
     round: Round<'a>,
-    wants: BTreeMap<&'a DeploymentName, &'a DeploymentSpec>,
+    specs: BTreeMap<&'a DeploymentName, &'a DeploymentSpec>,
     placement: &'a Placement,
     orders: BTreeMap<&'a InstanceName, BTreeSet<Assignment>>,
-    used: BTreeMap<&'a InstanceName, u64>,
-    leaving: BTreeMap<&'a DeploymentName, Vec<Leaving<'a>>>,
+    reserved_memory: BTreeMap<&'a InstanceName, u64>,
+    obsolete: BTreeMap<&'a DeploymentName, Vec<Obsolete<'a>>>,
     blocked: BTreeSet<DeploymentName>,
 }
 
 impl<'a> Roller<'a> {
     fn new(
         round: Round<'a>,
-        wants: BTreeMap<&'a DeploymentName, &'a DeploymentSpec>,
+        specs: BTreeMap<&'a DeploymentName, &'a DeploymentSpec>,
         placement: &'a Placement,
     ) -> Self {
-        let used = round.fleet.iter();
-        let used = used.map(|(name, member)| (name, memory_used(member, None)));
+        let reserved_memory = round.fleet.iter();
+        let reserved_memory =
+            reserved_memory.map(|(name, member)| (name, memory_used(member, None)));
         Self {
             round,
-            wants,
+            specs,
             placement,
             orders: BTreeMap::new(),
-            used: used.collect(),
-            leaving: BTreeMap::new(),
+            reserved_memory: reserved_memory.collect(),
+            obsolete: BTreeMap::new(),
             blocked: BTreeSet::new(),
         }
     }
 
-    /// Sorts the standing assignments into those that stay and those that shall leave.
-    fn keep(&mut self) {
+    /// Sorts the current assignments into those that stay and those that are obsolete.
+    fn sort_current(&mut self) {
         let round = self.round;
-        for (name, assignments) in round.standing {
-            // An instance that left for good has no agent to order.
+        for (name, assignments) in round.current {
+            // An instance that has left has no agent that could receive orders.
             let Some(member) = round.fleet.get(name) else {
                 continue;
             };
             self.orders.entry(name).or_default();
             for assignment in assignments {
-                self.keep_one(name, member, assignment);
+                self.sort_assignment(name, member, assignment);
             }
         }
     }
 
-    fn keep_one(&mut self, name: &'a InstanceName, member: &'a Member, one: &'a Assignment) {
-        let want = self.wants.get(&one.deployment).copied();
+    fn sort_assignment(&mut self, name: &'a InstanceName, member: &'a Member, one: &'a Assignment) {
+        let spec = self.specs.get(&one.deployment).copied();
         let away = matches!(member.health, Health::Unreachable(_));
-        match (one.duty, want) {
+        match (one.duty, spec) {
             (Duty::Drain, _) => {
                 if away || takes_memory(member, &one.version) {
                     self.put(name, one.clone());
                 }
             }
-            // Whether a version is to be fetched ahead is decided anew each time.
+            // Fetching a version ahead of its load is decided anew in each round.
             (Duty::Fetch, _) => {}
             (Duty::Serve, None) => self.drain_one(name, member, &one.deployment, one.version),
-            (Duty::Serve, Some(want)) => {
-                let placed = self.is_placed(want, name);
-                if placed && one.version == want.version {
-                    self.serve(name, member, want);
+            (Duty::Serve, Some(spec)) => {
+                let placed = self.is_placed(spec, name);
+                if placed && one.version == spec.version {
+                    self.serve(name, member, spec);
                 } else {
-                    let leaving = self.leaving.entry(&one.deployment).or_default();
-                    leaving.push(Leaving {
+                    let obsolete = self.obsolete.entry(&one.deployment).or_default();
+                    obsolete.push(Obsolete {
                         name,
                         member,
                         version: one.version,
@@ -185,155 +187,162 @@
         }
     }
 
-    fn is_placed(&self, want: &DeploymentSpec, name: &InstanceName) -> bool {
-        let placed = self.placement.get(&want.deployment);
+    fn is_placed(&self, spec: &DeploymentSpec, name: &InstanceName) -> bool {
+        let placed = self.placement.get(&spec.deployment);
         placed.is_some_and(|names| names.contains(name))
     }
 
-    /// Orders the declared version, unless its last load failed just now.
-    fn serve(&mut self, name: &'a InstanceName, member: &Member, want: &DeploymentSpec) {
-        let verdict = self
+    /// Orders the instance to serve the declared version, unless a failed load is still in its
+    /// backoff.
+    fn serve(&mut self, name: &'a InstanceName, member: &Member, spec: &DeploymentSpec) {
+        let retry_state = self
             .round
-            .faults
-            .verdict(name, &want.version, self.round.now);
-        if verdict != Verdict::Fine {
+            .failures
+            .retry_state(name, &spec.version, self.round.now);
+        if retry_state != RetryState::Ready {
             return;
         }
-        let assignment = assignment(&want.deployment, want.version, Duty::Serve);
+        let assignment = assignment(&spec.deployment, spec.version, Duty::Serve);
         let orders = self.orders.entry(name).or_default();
         orders.remove(&Assignment {
             duty: Duty::Drain,
             ..assignment.clone()
         });
         let new = orders.insert(assignment);
-        if new && !takes_memory(member, &want.version) {
-            *self.used.entry(name).or_default() += member.takes(want.memory);
+        if new && !takes_memory(member, &spec.version) {
+            *self.reserved_memory.entry(name).or_default() += member.memory_for(spec.memory);
         }
     }
 
-    /// Orders the declared version on every placed instance with room for it.
+    /// Orders the declared version on every placed instance that has room for it.
     fn load(&mut self) {
-        let wants: Vec<_> = self.wants.values().copied().collect();
-        for want in wants {
-            let placed = self.placement.get(&want.deployment);
+        let specs: Vec<_> = self.specs.values().copied().collect();
+        for spec in specs {
+            let placed = self.placement.get(&spec.deployment);
             for name in placed.into_iter().flatten() {
                 let Some((name, member)) = self.round.fleet.get_key_value(name) else {
                     continue;
                 };
-                // What one that is away will hold when it is back is not known.
+                // The versions that an unreachable instance will hold on its return are unknown.
                 if !matches!(member.health, Health::Up(_)) {
                     continue;
                 }
-                let used = self.used.get(name).copied().unwrap_or(0);
-                let there = takes_memory(member, &want.version);
-                if there || used + member.takes(want.memory) <= member.memory {
-                    self.serve(name, member, want);
-                } else if !self.is_ordered(want, name) {
-                    // Its chunks come while the old version still answers: the swap then takes
-                    // as long as a load, not as long as a copy.
+                let reserved_memory = self.reserved_memory.get(name).copied().unwrap_or(0);
+                let loaded = takes_memory(member, &spec.version);
+                if loaded || reserved_memory + member.memory_for(spec.memory) <= member.memory {
+                    self.serve(name, member, spec);
+                } else if !self.is_ordered(spec, name) {
+                    // The chunks are fetched while the old version still serves, so that the swap
+                    // takes only as long as a load and not as long as a copy.
                     self.put(
                         name,
-                        assignment(&want.deployment, want.version, Duty::Fetch),
+                        assignment(&spec.deployment, spec.version, Duty::Fetch),
                     );
                 }
             }
         }
     }
 
-    /// Whether the declared version is to be served there.
-    fn is_ordered(&self, want: &DeploymentSpec, name: &InstanceName) -> bool {
-        let serve = assignment(&want.deployment, want.version, Duty::Serve);
+    /// Returns whether the instance is ordered to serve the declared version.
+    fn is_ordered(&self, spec: &DeploymentSpec, name: &InstanceName) -> bool {
+        let serve = assignment(&spec.deployment, spec.version, Duty::Serve);
         let orders = self.orders.get(name);
         orders.is_some_and(|orders| orders.contains(&serve))
     }
 
-    /// Drains what shall leave, as long as enough instances answer.
+    /// Drains obsolete assignments as long as enough instances serve.
     fn drain(&mut self) {
-        let leaving = std::mem::take(&mut self.leaving);
-        for (deployment, mut leaving) in leaving {
-            let Some(want) = self.wants.get(deployment).copied() else {
+        let obsolete = std::mem::take(&mut self.obsolete);
+        for (deployment, mut obsolete) in obsolete {
+            let Some(spec) = self.specs.get(deployment).copied() else {
                 continue;
             };
-            // Those that are not placed first: draining them needs no load afterwards.
-            leaving.sort_by_key(|one| (self.is_placed(want, one.name), one.name));
-            let mut alive = self.alive(want, &leaving);
-            for one in &leaving {
-                self.leave(want, one, &mut alive);
+            // Instances outside the placement come first: draining them needs no load afterwards.
+            obsolete.sort_by_key(|one| (self.is_placed(spec, one.name), one.name));
+            let mut available = self.available(spec, &obsolete);
+            for one in &obsolete {
+                self.drain_or_keep(spec, one, &mut available);
             }
-            self.note_blocked(want, &leaving, alive.len());
+            self.record_blocked(spec, &obsolete, available.len());
         }
     }
 
-    /// The instances that answer for the deployment in any version.
-    fn alive(&self, want: &DeploymentSpec, leaving: &[Leaving<'a>]) -> BTreeSet<&'a InstanceName> {
-        let old = leaving.iter().filter(|one| one.member.serves(&one.version));
+    /// Returns the instances that serve the deployment in any version.
+    fn available(
+        &self,
+        spec: &DeploymentSpec,
+        obsolete: &[Obsolete<'a>],
+    ) -> BTreeSet<&'a InstanceName> {
+        let old = obsolete
+            .iter()
+            .filter(|one| one.member.serves(&one.version));
         let old = old.map(|one| one.name);
         let orders = self.orders.iter();
-        let new = orders.filter(|(name, orders)| self.serves_new(want, name, orders));
+        let new = orders.filter(|(name, orders)| self.serves_declared(spec, name, orders));
         old.chain(new.map(|(name, _)| *name)).collect()
     }
 
-    fn serves_new(
+    fn serves_declared(
         &self,
-        want: &DeploymentSpec,
+        spec: &DeploymentSpec,
         name: &InstanceName,
         orders: &BTreeSet<Assignment>,
     ) -> bool {
-        let ordered = orders.contains(&assignment(&want.deployment, want.version, Duty::Serve));
+        let ordered = orders.contains(&assignment(&spec.deployment, spec.version, Duty::Serve));
         let member = self.round.fleet.get(name);
-        ordered && member.is_some_and(|member| member.serves(&want.version))
+        ordered && member.is_some_and(|member| member.serves(&spec.version))
     }
 
-    fn leave(
+    fn drain_or_keep(
         &mut self,
-        want: &DeploymentSpec,
-        one: &Leaving<'a>,
-        alive: &mut BTreeSet<&'a InstanceName>,
+        spec: &DeploymentSpec,
+        one: &Obsolete<'a>,
+        available: &mut BTreeSet<&'a InstanceName>,
     ) {
-        let Leaving {
+        let Obsolete {
             name,
             member,
             version,
         } = *one;
         let orders = self.orders.get(name);
-        let both = orders.is_some_and(|orders| self.serves_new(want, name, orders));
-        let counts = member.serves(&version) && alive.contains(name) && !both;
-        let spare = alive.len() > want.replicas;
-        let pointless = self.is_pointless(want, one);
-        let away = matches!(member.health, Health::Unreachable(_)) && self.is_placed(want, name);
-        if away || pointless || (counts && !spare) {
-            self.put(name, assignment(&want.deployment, version, Duty::Serve));
+        let has_declared = orders.is_some_and(|orders| self.serves_declared(spec, name, orders));
+        let counts = member.serves(&version) && available.contains(name) && !has_declared;
+        let spare = available.len() > spec.replicas;
+        let useless = self.is_drain_useless(spec, one);
+        let away = matches!(member.health, Health::Unreachable(_)) && self.is_placed(spec, name);
+        if away || useless || (counts && !spare) {
+            self.put(name, assignment(&spec.deployment, version, Duty::Serve));
             return;
         }
         if counts {
-            alive.remove(name);
+            available.remove(name);
         }
-        self.drain_one(name, member, &want.deployment, version);
+        self.drain_one(name, member, &spec.deployment, version);
     }
 
-    /// Whether draining the old version would not let the declared one in yet.
-    fn is_pointless(&self, want: &DeploymentSpec, one: &Leaving) -> bool {
-        let ordered = self.is_ordered(want, one.name);
+    /// Returns whether draining the old version would not make room for the declared one yet.
+    fn is_drain_useless(&self, spec: &DeploymentSpec, one: &Obsolete) -> bool {
+        let ordered = self.is_ordered(spec, one.name);
         let loaded = takes_memory(one.member, &one.version);
-        loaded && self.is_placed(want, one.name) && !ordered && !self.swap_helps(want, one)
+        loaded && self.is_placed(spec, one.name) && !ordered && !self.can_swap(spec, one)
     }
 
-    /// Whether the declared version can be loaded once the old one is gone: its chunks are there and
-    /// it fits.
-    fn swap_helps(&self, want: &DeploymentSpec, one: &Leaving) -> bool {
+    /// Returns whether the declared version can be loaded once the old one is unloaded: its chunks
+    /// are fetched and it fits.
+    fn can_swap(&self, spec: &DeploymentSpec, one: &Obsolete) -> bool {
         let held = one.member.versions.get(&one.version);
         let freed = held
             .filter(|h| h.stage.takes_memory())
-            .map_or(0, |h| one.member.takes(h.memory));
-        let wanted = one.member.takes(want.memory);
-        let fetched = one.member.share(&want.version) == 100;
-        let used = self.used.get(one.name).copied().unwrap_or(0);
-        let waits = self
+            .map_or(0, |h| one.member.memory_for(h.memory));
+        let wanted = one.member.memory_for(spec.memory);
+        let fetched = one.member.fetched_percent(&spec.version) == 100;
+        let reserved_memory = self.reserved_memory.get(one.name).copied().unwrap_or(0);
+        let retry_state = self
             .round
-            .faults
-            .verdict(one.name, &want.version, self.round.now);
-        let fits = used.saturating_sub(freed) + wanted <= one.member.memory;
-        fetched && fits && waits == Verdict::Fine
+            .failures
+            .retry_state(one.name, &spec.version, self.round.now);
+        let fits = reserved_memory.saturating_sub(freed) + wanted <= one.member.memory;
+        fetched && fits && retry_state == RetryState::Ready
     }
 
     fn drain_one(
@@ -348,26 +357,27 @@
         }
     }
 
-    /// A change that waits for a spare instance while nothing is on its way waits for ever.
-    fn note_blocked(&mut self, want: &DeploymentSpec, leaving: &[Leaving], alive: usize) {
-        let waits = |one: &&Leaving| {
-            let used = self.used.get(one.name).copied().unwrap_or(0);
-            let needed = used + one.member.takes(want.memory);
-            self.is_placed(want, one.name)
+    /// Records a deployment as blocked if its change waits for a spare instance and no load is in
+    /// progress that could provide one: the change would wait for ever.
+    fn record_blocked(&mut self, spec: &DeploymentSpec, obsolete: &[Obsolete], available: usize) {
+        let waits = |one: &&Obsolete| {
+            let reserved_memory = self.reserved_memory.get(one.name).copied().unwrap_or(0);
+            let needed = reserved_memory + one.member.memory_for(spec.memory);
+            self.is_placed(spec, one.name)
                 && one.member.serves(&one.version)
                 && needed > one.member.memory
-                && !takes_memory(one.member, &want.version)
+                && !takes_memory(one.member, &spec.version)
         };
         let moving = self.orders.iter().any(|(name, _)| {
             let serves = self
                 .round
                 .fleet
                 .get(*name)
-                .is_some_and(|m| m.serves(&want.version));
-            self.is_ordered(want, name) && !serves
+                .is_some_and(|m| m.serves(&spec.version));
+            self.is_ordered(spec, name) && !serves
         });
-        if alive <= want.replicas && !moving && leaving.iter().any(|one| waits(&one)) {
-            self.blocked.insert(want.deployment.clone());
+        if available <= spec.replicas && !moving && obsolete.iter().any(|one| waits(&one)) {
+            self.blocked.insert(spec.deployment.clone());
         }
     }
 
@@ -393,7 +403,7 @@
     }
 }
 
-/// Whether a holding answers.
-pub(super) fn is_serving(holding: &VersionState) -> bool {
-    holding.stage == super::Stage::Serving
+/// Returns whether the engine serves the version.
+pub(super) fn is_serving(state: &VersionState) -> bool {
+    state.stage == super::Stage::Serving
 }
--- a/crates/filbertstack-policy/src/placement/status.rs
+++ b/crates/filbertstack-policy/src/placement/status.rs
@@ -1,4 +1,4 @@
-//! What is declared against what runs, and why they differ.
+//! This module compares what is declared with what runs and names the reasons for differences.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,7 +10,7 @@
 
 use super::decide::Decision;
 use super::faults::LoadFailures;
-use super::faults::Verdict;
+use super::faults::RetryState;
 use super::fleet::Assignments;
 use super::fleet::DeploymentSpec;
 use super::fleet::Duty;
@@ -22,33 +22,33 @@
 
 /// How long a target may differ from its order before it is ordered again.
 ///
-/// An order is on its way for well under a second and acted on at once; 15 s are past any
-/// ordinary delay, and an agent that got it twice does nothing.
+/// An order arrives in well under a second and takes effect at once, so 15 s exceed any ordinary
+/// delay. An agent that receives the same order twice does nothing.
 pub const DRIFT_AFTER: Millis = Millis::secs(15);
 
-/// Why a deployment does not run as declared.
+/// A reason why a deployment does not run as declared.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Why {
-    /// Its pools have too few free instances.
+pub enum UnmetReason {
+    /// The deployment's pools have too few free instances.
     NoRoom {
-        /// How many are missing.
+        /// The number of missing instances.
         missing: usize,
     },
-    /// A change of version needs a spare instance: add one, or lower the replicas.
+    /// The change of version needs a spare instance: add one, or lower the replicas.
     NoSpare,
     /// The instance does not answer.
     Unreachable(InstanceName),
-    /// The instance fetches the version.
+    /// The instance is fetching the version.
     Fetching(InstanceName),
-    /// The instance loads the version.
+    /// The instance is loading the version.
     Loading(InstanceName),
-    /// The load failed; it is tried again, or another instance is used.
+    /// The load failed; it is retried, or another instance replaces this one.
     Failed(InstanceName),
-    /// The instance still answers from another version.
+    /// The instance still serves another version.
     OtherVersion(InstanceName),
 }
 
-impl std::fmt::Display for Why {
+impl std::fmt::Display for UnmetReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::NoRoom { missing } => {
@@ -74,92 +74,96 @@
     }
 }
 
-/// Declared against observed.
+/// The declared and the observed number of replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Difference {
-    /// The instances declared.
+pub struct ReplicaCounts {
+    /// The number of declared replicas.
     pub declared: usize,
-    /// The instances that answer from the declared version.
+    /// The number of instances that serve the declared version.
     pub serving: usize,
-    /// The instances that answer from another version of the deployment only.
+    /// The number of instances that serve only another version of the deployment.
     pub other_version: usize,
 }
 
-/// One deployment as `filbertstack status` shows it.
+/// The status of one deployment, as `filbertstack status` shows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeploymentStatus {
     /// The deployment.
     pub deployment: DeploymentName,
     /// The declared version.
     pub version: Digest,
-    /// The counts.
-    pub counts: Difference,
-    /// The reasons, empty if it runs as declared.
-    pub reasons: Vec<Why>,
+    /// The number of declared and serving replicas.
+    pub counts: ReplicaCounts,
+    /// The reasons for the difference; empty if the deployment runs as declared.
+    pub reasons: Vec<UnmetReason>,
 }
 
 impl DeploymentStatus {
-    /// Whether what runs is what is declared.
+    /// Returns whether the deployment runs as declared.
     pub fn is_met(&self) -> bool {
         self.counts.serving >= self.counts.declared && self.counts.other_version == 0
     }
 }
 
-/// The status of every deployment after a round.
+/// Returns the status of every deployment after a round.
 pub fn status(
     fleet: &Fleet,
-    wants: &[DeploymentSpec],
+    specs: &[DeploymentSpec],
     decision: &Decision,
-    faults: &LoadFailures,
+    failures: &LoadFailures,
     now: Millis,
 ) -> Vec<DeploymentStatus> {
-    let of_want = |want: &DeploymentSpec| one_status(fleet, want, decision, faults, now);
-    wants.iter().map(of_want).collect()
+    let of_spec = |spec: &DeploymentSpec| deployment_status(fleet, spec, decision, failures, now);
+    specs.iter().map(of_spec).collect()
 }
 
-fn one_status(
+fn deployment_status(
     fleet: &Fleet,
-    want: &DeploymentSpec,
+    spec: &DeploymentSpec,
     decision: &Decision,
-    faults: &LoadFailures,
+    failures: &LoadFailures,
     now: Millis,
 ) -> DeploymentStatus {
     let mut reasons = BTreeSet::new();
-    let short = decision.short.iter();
-    let short = short.filter(|short| short.deployment == want.deployment);
-    reasons.extend(short.map(|short| Why::NoRoom {
-        missing: short.missing,
+    let shortfalls = decision.shortfalls.iter();
+    let shortfalls = shortfalls.filter(|shortfall| shortfall.deployment == spec.deployment);
+    reasons.extend(shortfalls.map(|shortfall| UnmetReason::NoRoom {
+        missing: shortfall.missing,
     }));
-    if decision.blocked.contains(&want.deployment) {
-        reasons.insert(Why::NoSpare);
+    if decision.blocked.contains(&spec.deployment) {
+        reasons.insert(UnmetReason::NoSpare);
     }
-    let older = older(fleet, want, &decision.orders);
-    reasons.extend(older.iter().map(|name| Why::OtherVersion((*name).clone())));
-    let placed = decision.placement.get(&want.deployment);
+    let on_other_version = on_other_version(fleet, spec, &decision.orders);
+    reasons.extend(
+        on_other_version
+            .iter()
+            .map(|name| UnmetReason::OtherVersion((*name).clone())),
+    );
+    let placed = decision.placement.get(&spec.deployment);
     let mut serving = 0;
     for name in placed.into_iter().flatten() {
         match fleet.get(name) {
-            Some(member) if member.serves(&want.version) => serving += 1,
-            Some(member) => reasons.extend(reason(name, member, want, faults, now)),
+            Some(member) if member.serves(&spec.version) => serving += 1,
+            Some(member) => reasons.extend(unmet_reason(name, member, spec, failures, now)),
             None => {}
         }
     }
     DeploymentStatus {
-        deployment: want.deployment.clone(),
-        version: want.version,
-        counts: Difference {
-            declared: want.replicas,
+        deployment: spec.deployment.clone(),
+        version: spec.version,
+        counts: ReplicaCounts {
+            declared: spec.replicas,
             serving,
-            other_version: older.len(),
+            other_version: on_other_version.len(),
         },
         reasons: reasons.into_iter().collect(),
     }
 }
 
-/// The instances that answer from another version only.
-fn older<'a>(
+/// Returns the instances that serve only another version of the deployment.
+fn on_other_version<'a>(
     fleet: &Fleet,
-    want: &DeploymentSpec,
+    spec: &DeploymentSpec,
     orders: &'a Assignments,
 ) -> Vec<&'a InstanceName> {
     let serves_other = |(name, assignments): &(&InstanceName, &Vec<super::Assignment>)| {
@@ -167,63 +171,64 @@
             return false;
         };
         let mut others = assignments.iter().filter(|a| {
-            a.deployment == want.deployment && a.version != want.version && a.duty == Duty::Serve
+            a.deployment == spec.deployment && a.version != spec.version && a.duty == Duty::Serve
         });
-        !member.serves(&want.version) && others.any(|a| member.serves(&a.version))
+        !member.serves(&spec.version) && others.any(|a| member.serves(&a.version))
     };
     let found = orders.iter().filter(serves_other);
     found.map(|(name, _)| name).collect()
 }
 
-fn reason(
+fn unmet_reason(
     name: &InstanceName,
     member: &Member,
-    want: &DeploymentSpec,
-    faults: &LoadFailures,
+    spec: &DeploymentSpec,
+    failures: &LoadFailures,
     now: Millis,
-) -> Option<Why> {
+) -> Option<UnmetReason> {
     let name = name.clone();
     if !matches!(member.health, Health::Up(_)) {
-        return Some(Why::Unreachable(name));
+        return Some(UnmetReason::Unreachable(name));
     }
-    if faults.verdict(&name, &want.version, now) != Verdict::Fine {
-        return Some(Why::Failed(name));
+    if failures.retry_state(&name, &spec.version, now) != RetryState::Ready {
+        return Some(UnmetReason::Failed(name));
     }
-    let holding = member.versions.get(&want.version);
-    Some(match holding.map(|holding| holding.stage) {
-        Some(Stage::Loading) => Why::Loading(name),
-        Some(Stage::Failed) => Why::Failed(name),
-        Some(Stage::Draining) => Why::OtherVersion(name),
+    let state = member.versions.get(&spec.version);
+    Some(match state.map(|state| state.stage) {
+        Some(Stage::Loading) => UnmetReason::Loading(name),
+        Some(Stage::Failed) => UnmetReason::Failed(name),
+        Some(Stage::Draining) => UnmetReason::OtherVersion(name),
         Some(Stage::Serving) => return None,
-        Some(Stage::Fetched(_)) | None => Why::Fetching(name),
+        Some(Stage::Fetched(_)) | None => UnmetReason::Fetching(name),
     })
 }
 
-/// The targets that differ from their standing order for longer than [`DRIFT_AFTER`]: an engine
-/// that answers from a version nobody ordered, or an order that the agent does not know. The
-/// leader orders them again under a new fence. `since` remembers when each began to differ.
+/// Returns the targets that have differed from their order for longer than [`DRIFT_AFTER`]: the
+/// engine serves a version that was not ordered, or the agent does not know an ordered version. The
+/// leader orders them again under a new fence. `since` records when each target began to differ.
 pub fn drifted(
     fleet: &Fleet,
-    standing: &Assignments,
+    current: &Assignments,
     since: &mut BTreeMap<InstanceName, Millis>,
     now: Millis,
 ) -> Vec<InstanceName> {
     let differs = |name: &InstanceName| {
         let member = fleet.get(name);
-        member.is_some_and(|member| has_drifted(member, standing.get(name)))
+        member.is_some_and(|member| has_drifted(member, current.get(name)))
     };
     since.retain(|name, _| differs(name));
     for name in fleet.keys().filter(|name| differs(name)) {
         since.entry(name.clone()).or_insert(now);
     }
-    let over = since
+    let overdue = since
         .iter_mut()
         .filter(|(_, at)| now.since(**at) > DRIFT_AFTER);
-    over.map(|(name, at)| {
-        *at = now;
-        name.clone()
-    })
-    .collect()
+    overdue
+        .map(|(name, at)| {
+            *at = now;
+            name.clone()
+        })
+        .collect()
 }
 
 fn has_drifted(member: &Member, order: Option<&Vec<super::Assignment>>) -> bool {
@@ -234,10 +239,10 @@
     let mut serving = member
         .versions
         .iter()
-        .filter(|(_, holding)| is_serving(holding));
-    let foreign = serving.any(|(version, _)| !ordered.contains(version));
-    let unknown = ordered
+        .filter(|(_, state)| is_serving(state));
+    let unordered = serving.any(|(version, _)| !ordered.contains(version));
+    let missing = ordered
         .iter()
         .any(|version| !member.versions.contains_key(*version));
-    foreign || unknown
+    unordered || missing
 }
