--- a/crates/filbertstack-policy/src/gossip.rs
+++ b/crates/filbertstack-policy/src/gossip.rs
@@ -1,19 +1,21 @@
-//! Membership: which entries and targets there are, spread by gossip among the entries.
+//! This module keeps the membership: which entries and targets exist, spread by gossip among the
+//! entries.
 //!
-//! Each entry keeps a row for every instance. An instance alone raises its row's version; others
-//! may only doubt a version, and the instance answers a doubt with a higher one. Entries talk to
-//! [`Settings::view`] neighbours chosen by rendezvous hash, so that a node has a dozen links
-//! whatever the size of the fleet, and no message is larger than [`Settings::bytes`] but the pages
-//! of a comparison. Targets announce themselves to three entries of their region ([`home_entries`]),
-//! which answer for them.
+//! Each entry keeps a row for every instance. Only the instance itself raises its row's version;
+//! other entries may only mark a version as suspect, and the instance refutes that with a higher
+//! version. An entry exchanges messages with [`Settings::neighbour_count`] neighbours chosen by
+//! rendezvous hash and with the entries that chose it, so that a node has about a dozen links
+//! whatever the size of the fleet. A message carries at most [`Settings::message_bytes`] of rows;
+//! only the pages of a comparison are larger. A target announces itself to three entries of its
+//! region ([`home_entries`]), which monitor it.
 //!
-//! The load pattern this answers: a trickle of changes (564 instances a day come or go) broken by
-//! bursts (a zone takes 26 entries and 154 targets with it, a new version changes 1,000 rows
-//! within minutes). Without a bound on bytes a burst would take the links from the requests;
-//! without the comparison of summaries a rumour lost to the network would stay lost.
+//! Load pattern: a trickle of changes (564 instances come or go per day) interrupted by bursts (the
+//! loss of a zone removes 26 entries and 154 targets, a new version changes 1,000 rows within
+//! minutes). Without the limit on bytes, a burst would take link capacity from requests. Without
+//! the comparison of summaries, an update lost on the network would stay lost.
 //!
-//! [`Gossip`] has no clock and no network: [`Gossip::tick`] and [`Gossip::receive`] are given the
-//! time and give back what to send.
+//! [`Gossip`] has no clock and does no I/O: [`Gossip::tick`] and [`Gossip::receive`] take the time
+//! and return the messages to send.
 //!
 //! ```
 //! use filbertstack_core::Millis;
@@ -47,12 +49,12 @@
 //! assert!(old.row(&kel.name).is_some() && new.row(&van.name).is_some());
 //! ```
 
-mod book;
 mod engine;
 mod entries;
 mod message;
 mod row;
 mod settings;
+mod table;
 
 pub use engine::Gossip;
 pub use entries::Departure;
--- a/crates/filbertstack-policy/src/gossip/engine.rs
+++ b/crates/filbertstack-policy/src/gossip/engine.rs
@@ -1,4 +1,4 @@
-//! The gossip of one entry.
+//! This module runs the gossip protocol of one entry.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,9 +9,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::book::Book;
 use super::entries::home_entries;
-use super::entries::ranked;
+use super::entries::rank_by_hash;
 use super::entries::rendezvous_hash;
 use super::message::Message;
 use super::message::MessageKind;
@@ -25,163 +24,171 @@
 use super::row::RowKind;
 use super::row::State;
 use super::settings::Settings;
+use super::table::RowTable;
 
-/// After so many comparisons without a new row the next one is due in its turn. Two neighbours may
-/// answer with the same page, so one alone says little.
-const MAX_FRUITLESS: u32 = 4;
+/// The number of consecutive comparisons without a new row after which the next one waits for its
+/// regular round. Two neighbours may answer with the same page, so a single empty comparison says
+/// little.
+const MAX_EMPTY_COMPARISONS: u32 = 4;
 
-/// The gossip of one entry.
+/// The gossip protocol of one entry.
 #[derive(Clone, Debug)]
 pub struct Gossip {
     settings: Settings,
-    me: Row,
+    own_row: Row,
     seeds: Vec<InstanceName>,
-    book: Book,
-    /// How often each row that is news was sent.
-    news: BTreeMap<InstanceName, u32>,
-    /// When each neighbour was heard last.
-    heard: BTreeMap<InstanceName, Millis>,
-    view: Vec<InstanceName>,
-    /// Until when each target that this entry answers for has announced itself.
+    table: RowTable,
+    /// How often each row that is still to be spread has been sent.
+    updates: BTreeMap<InstanceName, u32>,
+    /// When each neighbour was last heard.
+    last_heard: BTreeMap<InstanceName, Millis>,
+    neighbours: Vec<InstanceName>,
+    /// Until when the announcement of each target that this entry monitors is valid.
     leases: BTreeMap<InstanceName, Millis>,
-    /// Targets for which it is to be decided whether this entry answers for them.
-    arrived: BTreeSet<InstanceName>,
-    /// The doubted rows: each is dead unless it answers.
-    doubted: BTreeSet<InstanceName>,
-    /// The neighbours that were sent a summary and have not answered.
-    asked: BTreeSet<InstanceName>,
-    /// Whether a comparison brought something new, so that another is due at once.
-    behind: bool,
-    /// Comparisons in a row that brought nothing.
-    fruitless: u32,
-    /// Whether an entry came or went since the neighbours were chosen.
-    stale: bool,
-    turn: usize,
+    /// The targets for which this entry must still decide whether it monitors them.
+    undecided: BTreeSet<InstanceName>,
+    /// The rows marked as suspect: each becomes dead unless the instance refutes it in time.
+    suspects: BTreeSet<InstanceName>,
+    /// The neighbours that were sent a summary and have not answered yet.
+    pending_comparisons: BTreeSet<InstanceName>,
+    /// Whether another comparison is due at once, because tables still differ.
+    compare_again: bool,
+    /// The number of consecutive comparisons that brought no new row.
+    empty_comparisons: u32,
+    /// Whether an entry came or went since the neighbours were last chosen.
+    entries_changed: bool,
+    next_neighbour: usize,
     rounds: u64,
     rng: ChaCha8Rng,
     changes: Vec<Change>,
 }
 
 impl Gossip {
-    /// The gossip of the entry `me`, which first talks to `seeds`; `seed` draws its chances.
-    pub fn new(me: Row, seeds: Vec<InstanceName>, settings: Settings, seed: u64) -> Self {
+    /// Creates the gossip of the entry `own_row`, which contacts `seeds` first; `seed` initialises
+    /// the random generator.
+    pub fn new(own_row: Row, seeds: Vec<InstanceName>, settings: Settings, seed: u64) -> Self {
         let mut gossip = Self {
             settings,
             seeds,
-            book: Book::new(),
-            news: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            view: Vec::new(),
+            table: RowTable::new(),
+            updates: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
+            neighbours: Vec::new(),
             leases: BTreeMap::new(),
-            arrived: BTreeSet::new(),
-            doubted: BTreeSet::new(),
-            asked: BTreeSet::new(),
-            behind: true,
-            fruitless: 0,
-            stale: true,
-            turn: 0,
+            undecided: BTreeSet::new(),
+            suspects: BTreeSet::new(),
+            pending_comparisons: BTreeSet::new(),
+            compare_again: true,
+            empty_comparisons: 0,
+            entries_changed: true,
+            next_neighbour: 0,
             rounds: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             changes: Vec::new(),
-            me,
+            own_row,
         };
-        gossip.speak(Millis::ZERO);
+        gossip.publish_own_row(Millis::ZERO);
         gossip
     }
 
-    /// This entry's own row.
+    /// Returns this entry's own row.
     pub fn own_row(&self) -> &Row {
-        &self.me
+        &self.own_row
     }
 
-    /// Every row known, its own included.
+    /// Returns all known rows, including this entry's own.
     pub fn rows(&self) -> impl Iterator<Item = &Row> + Clone {
-        self.book.rows()
+        self.table.rows()
     }
 
-    /// The row of one instance.
+    /// Returns the row of one instance.
     pub fn row(&self, name: &InstanceName) -> Option<&Row> {
-        self.book.get(name).map(|known| &known.row)
+        self.table.get(name).map(|known| &known.row)
     }
 
-    /// The entries that this one sends to.
+    /// Returns the entries that this one sends to.
     pub fn neighbours(&self) -> &[InstanceName] {
-        &self.view
+        &self.neighbours
     }
 
-    /// What changed since this was last asked.
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Changes what this entry says of itself.
+    /// Sets this entry's own state and facts under a new version.
     pub fn set_own_state(&mut self, state: State, facts: super::Facts, now: Millis) {
-        self.me.version += 1;
-        self.me.state = state;
-        self.me.facts = facts;
-        self.speak(now);
+        self.own_row.version += 1;
+        self.own_row.state = state;
+        self.own_row.facts = facts;
+        self.publish_own_row(now);
     }
 
-    /// Takes a target's announcement; the row as it is known now. If that row carries a doubt or
-    /// a greater version, the target raises its own version above it and announces again.
+    /// Merges a target's announcement and returns the row as it is known now. If that row is
+    /// suspect or dead or has a higher version, the target raises its own version above it and
+    /// announces itself again.
     pub fn announce(&mut self, announcement: Announcement, now: Millis) -> Option<&Row> {
         let name = announcement.row.name.clone();
         self.merge(announcement.row, now);
-        // Only a home waits for the next announcement: the target may just not know better yet.
+        // Only a home entry expects the next announcement: a target that announces itself elsewhere
+        // may not know its home entries yet.
         if let Some(lease) = self.leases.get_mut(&name) {
             *lease = now + self.settings.lease;
         }
         self.row(&name)
     }
 
-    /// One round: what to send.
+    /// Runs one round and returns the messages to send.
     pub fn tick(&mut self, now: Millis) -> Vec<Outgoing> {
         self.rounds += 1;
         self.refresh(now);
-        self.doubt_the_silent(now);
+        self.suspect_silent(now);
         self.expire(now);
         let mut sends = Vec::new();
         let due = self.rounds.is_multiple_of(self.settings.compare_rounds);
-        // While news is under way all tables differ, and pages would repeat what is coming.
-        let compare = self.behind || (due && self.news.is_empty());
-        for _ in 0..self.settings.fanout.min(self.view.len()) {
-            let to = self.view[self.turn % self.view.len()].clone();
-            self.turn += 1;
+        // While updates are being spread all tables differ, and pages would repeat what is already
+        // on its way.
+        let compare = self.compare_again || (due && self.updates.is_empty());
+        for _ in 0..self.settings.fanout.min(self.neighbours.len()) {
+            let to = self.neighbours[self.next_neighbour % self.neighbours.len()].clone();
+            self.next_neighbour += 1;
             sends.push(self.push(to, compare));
         }
-        if due || self.view.is_empty() {
-            sends.extend(self.lost_peer().map(|to| self.push(to, true)));
+        if due || self.neighbours.is_empty() {
+            sends.extend(self.unreachable_peer().map(|to| self.push(to, true)));
         }
         sends
     }
 
-    /// Takes a message in; what to answer.
+    /// Processes a message and returns the answers to send.
     pub fn receive(&mut self, from: &InstanceName, message: Message, now: Millis) -> Vec<Outgoing> {
-        self.heard.insert(from.clone(), now);
-        let told: BTreeSet<_> = message.rows.iter().map(|row| row.name.clone()).collect();
-        let known = self.book.len();
+        self.last_heard.insert(from.clone(), now);
+        let received_names: BTreeSet<_> = message.rows.iter().map(|row| row.name.clone()).collect();
+        let known = self.table.len();
         let is_page = message.kind == MessageKind::Page;
         for row in message.rows {
             self.merge(row, now);
         }
-        let grew = self.book.len() > known;
-        if self.asked.remove(from) {
-            self.judge_comparison(is_page, grew);
+        let has_new_rows = self.table.len() > known;
+        if self.pending_comparisons.remove(from) {
+            self.record_comparison(is_page, has_new_rows);
         }
-        // What a newcomer is told is no news to anybody else.
-        if is_page && grew {
-            self.news.retain(|name, _| !told.contains(name));
+        // Rows that a new entry receives in a page are known to the others: it does not spread them
+        // further.
+        if is_page && has_new_rows {
+            self.updates
+                .retain(|name, _| !received_names.contains(name));
         }
-        let theirs = message.summary.filter(|s| s != self.book.summary());
-        let answer = match (message.kind, theirs) {
-            (MessageKind::Push, None) => self.answer(from, &told),
-            (MessageKind::Push, Some(theirs)) => {
-                let summary = Some(self.book.summary().clone());
-                self.page(from, &theirs, summary)
+        let remote = message.summary.filter(|s| s != self.table.summary());
+        let answer = match (message.kind, remote) {
+            (MessageKind::Push, None) => self.answer_message(from, &received_names),
+            (MessageKind::Push, Some(remote)) => {
+                let summary = Some(self.table.summary().clone());
+                self.page_message(from, &remote, summary)
             }
-            // Only a push is answered with a summary: otherwise two would answer each other for
-            // ever.
-            (MessageKind::Page, Some(theirs)) => self.page(from, &theirs, None),
+            // Only a push is answered with a summary; otherwise two entries would answer each other
+            // for ever.
+            (MessageKind::Page, Some(remote)) => self.page_message(from, &remote, None),
             _ => return Vec::new(),
         };
         vec![Outgoing {
@@ -190,16 +197,24 @@
         }]
     }
 
-    /// Decides whether another comparison is due at once: until a neighbour's table is the same, or
-    /// several in a row brought nothing.
-    fn judge_comparison(&mut self, differs: bool, grew: bool) {
-        self.fruitless = if grew { 0 } else { self.fruitless + 1 };
-        self.behind = differs && self.fruitless < MAX_FRUITLESS;
+    /// Decides whether another comparison is due at once. Comparisons continue until a neighbour's
+    /// table is equal or several in a row brought no new row.
+    fn record_comparison(&mut self, differs: bool, has_new_rows: bool) {
+        self.empty_comparisons = if has_new_rows {
+            0
+        } else {
+            self.empty_comparisons + 1
+        };
+        self.compare_again = differs && self.empty_comparisons < MAX_EMPTY_COMPARISONS;
     }
 
-    fn answer(&mut self, to: &InstanceName, told: &BTreeSet<InstanceName>) -> Message {
-        let mut rows = self.doubt_about(to);
-        rows.extend(self.pick_news(told));
+    fn answer_message(
+        &mut self,
+        to: &InstanceName,
+        received_names: &BTreeSet<InstanceName>,
+    ) -> Message {
+        let mut rows = self.suspected_row(to);
+        rows.extend(self.pick_updates(received_names));
         Message {
             kind: MessageKind::Answer,
             rows,
@@ -207,17 +222,25 @@
         }
     }
 
-    /// The row of a doubted instance, for itself: it may have missed what others say of it while
-    /// it was cut off, and must answer before the doubt turns into its death.
-    fn doubt_about(&self, to: &InstanceName) -> Vec<Row> {
+    /// Returns the row of instance `to` if it is suspect or dead. The instance may have missed this
+    /// while it was cut off and must refute it before it is declared dead.
+    fn suspected_row(&self, to: &InstanceName) -> Vec<Row> {
         let row = self.row(to).filter(|row| row.liveness != Liveness::Alive);
         row.cloned().into_iter().collect()
     }
 
-    fn page(&mut self, to: &InstanceName, theirs: &Summary, summary: Option<Summary>) -> Message {
-        let start = self.below(SUMMARY_BUCKETS);
-        let mut rows = self.doubt_about(to);
-        rows.extend(self.book.missing(theirs, start, self.settings.page));
+    fn page_message(
+        &mut self,
+        to: &InstanceName,
+        remote: &Summary,
+        summary: Option<Summary>,
+    ) -> Message {
+        let start = self.random_below(SUMMARY_BUCKETS);
+        let mut rows = self.suspected_row(to);
+        rows.extend(
+            self.table
+                .differing_rows(remote, start, self.settings.page_bytes),
+        );
         Message {
             kind: MessageKind::Page,
             rows,
@@ -225,18 +248,18 @@
         }
     }
 
-    /// A number under `bound`.
-    fn below(&mut self, bound: usize) -> usize {
+    /// Returns a random number below `bound`.
+    fn random_below(&mut self, bound: usize) -> usize {
         let drawn = self.rng.next_u32() as usize;
         drawn % bound.max(1)
     }
 
     fn push(&mut self, to: InstanceName, compare: bool) -> Outgoing {
-        let mut rows = self.doubt_about(&to);
-        rows.extend(self.pick_news(&BTreeSet::new()));
-        let summary = compare.then(|| self.book.summary().clone());
+        let mut rows = self.suspected_row(&to);
+        rows.extend(self.pick_updates(&BTreeSet::new()));
+        let summary = compare.then(|| self.table.summary().clone());
         if compare {
-            self.asked.insert(to.clone());
+            self.pending_comparisons.insert(to.clone());
         }
         let message = Message {
             kind: MessageKind::Push,
@@ -246,32 +269,37 @@
         Outgoing { to, message }
     }
 
-    /// An entry that is thought dead, or a seed not yet met. Two sides that lost each other both think the
-    /// other dead, and would never speak again once the network is whole.
-    fn lost_peer(&mut self) -> Option<InstanceName> {
-        let dead = self.book.rows().filter(|row| {
+    /// Returns a random entry that is believed dead, or a seed that is not known yet. After a
+    /// partition each side believes the other dead, and without this message the two would never
+    /// reconnect.
+    fn unreachable_peer(&mut self) -> Option<InstanceName> {
+        let dead = self.table.rows().filter(|row| {
             row.kind == RowKind::Entry && row.liveness == Liveness::Dead && row.state != State::Left
         });
         let mut lost: Vec<_> = dead.map(|row| row.name.clone()).collect();
-        let unknown = |seed: &&InstanceName| self.book.get(seed).is_none();
+        let unknown = |seed: &&InstanceName| self.table.get(seed).is_none();
         lost.extend(self.seeds.iter().filter(unknown).cloned());
-        let picked = self.below(lost.len());
+        let picked = self.random_below(lost.len());
         lost.get(picked).cloned()
     }
 
-    /// The news for one message: what was sent least, states that stop work first.
-    fn pick_news(&mut self, except: &BTreeSet<InstanceName>) -> Vec<Row> {
-        let known = self.news.iter().filter(|(name, _)| !except.contains(*name));
-        let rows = known.filter_map(|(name, sent)| Some((*sent, &self.book.get(name)?.row)));
+    /// Selects the updates for one message: rows that stop work come first, then those that were
+    /// sent least often.
+    fn pick_updates(&mut self, except: &BTreeSet<InstanceName>) -> Vec<Row> {
+        let known = self
+            .updates
+            .iter()
+            .filter(|(name, _)| !except.contains(*name));
+        let rows = known.filter_map(|(name, sent)| Some((*sent, &self.table.get(name)?.row)));
         let mut rows: Vec<_> = rows
             .map(|(sent, row)| (row.takes_work(), sent, row))
             .collect();
         rows.sort_by_key(|(takes_work, sent, row)| (*takes_work, *sent, &row.name));
-        let mut left = self.settings.bytes;
+        let mut remaining_bytes = self.settings.message_bytes;
         let mut picked = Vec::new();
         for (_, _, row) in rows {
-            if row.size() <= left || picked.is_empty() {
-                left = left.saturating_sub(row.size());
+            if row.size() <= remaining_bytes || picked.is_empty() {
+                remaining_bytes = remaining_bytes.saturating_sub(row.size());
                 picked.push(row.clone());
             }
         }
@@ -282,133 +310,137 @@
     }
 
     fn count_send(&mut self, name: &InstanceName) {
-        let sent = self.news.get_mut(name).map(|sent| {
+        let sent = self.updates.get_mut(name).map(|sent| {
             *sent += 1;
             *sent
         });
-        if sent.is_some_and(|sent| sent >= self.settings.sends) {
-            self.news.remove(name);
+        if sent.is_some_and(|sent| sent >= self.settings.max_sends) {
+            self.updates.remove(name);
         }
     }
 
-    /// Takes a row in if it is newer than what is known.
+    /// Stores a row if it is newer than the known one.
     fn merge(&mut self, row: Row, now: Millis) {
-        if row.name == self.me.name {
-            self.answer_doubt(&row, now);
+        if row.name == self.own_row.name {
+            self.refute(&row, now);
             return;
         }
-        let known = self.book.get(&row.name);
+        let known = self.table.get(&row.name);
         if known.is_some_and(|known| !row.is_newer(&known.row)) {
             return;
         }
-        // A gone instance that nobody here remembers needs no row: taken in, it would pass from
-        // one entry to the next for ever, each keeping it for its own time.
-        let full = self.book.len() >= self.settings.rows;
+        // A gone instance that this entry does not know needs no row: stored here, the row would
+        // pass from entry to entry for ever, because each keeps it for its own time.
+        let full = self.table.len() >= self.settings.max_rows;
         if known.is_none() && (full || row.is_gone()) {
             return;
         }
-        self.take(row, now);
+        self.store(row, now);
     }
 
-    fn take(&mut self, row: Row, now: Millis) {
-        let before = self.book.get(&row.name).map(|known| &known.row);
-        let worked = before.is_some_and(Row::takes_work);
-        let changed = before.is_none() || worked != row.takes_work();
+    fn store(&mut self, row: Row, now: Millis) {
+        let before = self.table.get(&row.name).map(|known| &known.row);
+        let took_work = before.is_some_and(Row::takes_work);
+        let changed = before.is_none() || took_work != row.takes_work();
         match row.kind {
-            RowKind::Entry => self.stale |= changed,
+            RowKind::Entry => self.entries_changed |= changed,
             RowKind::Target if changed => {
-                self.arrived.insert(row.name.clone());
+                self.undecided.insert(row.name.clone());
             }
             RowKind::Target => {}
         }
         if row.liveness == Liveness::Suspect {
-            self.doubted.insert(row.name.clone());
+            self.suspects.insert(row.name.clone());
         } else {
-            self.doubted.remove(&row.name);
+            self.suspects.remove(&row.name);
         }
-        self.news.insert(row.name.clone(), 0);
-        self.book.put(row.clone(), now);
+        self.updates.insert(row.name.clone(), 0);
+        self.table.insert(row.clone(), now);
         self.changes.push(Change::Updated(row));
     }
 
-    /// Answers what others say of this entry.
-    fn answer_doubt(&mut self, row: &Row, now: Millis) {
-        if row.incarnation > self.me.incarnation {
+    /// Refutes a suspicion about this entry with a higher version. A higher incarnation is reported
+    /// instead: another process runs under this entry's name.
+    fn refute(&mut self, row: &Row, now: Millis) {
+        if row.incarnation > self.own_row.incarnation {
             let incarnation = row.incarnation;
             self.changes.push(Change::NameTaken { incarnation });
             return;
         }
-        if row.incarnation == self.me.incarnation && row.is_newer(&self.me) {
-            self.me.version = row.version + 1;
-            self.speak(now);
+        if row.incarnation == self.own_row.incarnation && row.is_newer(&self.own_row) {
+            self.own_row.version = row.version + 1;
+            self.publish_own_row(now);
         }
     }
 
-    fn speak(&mut self, now: Millis) {
-        self.news.insert(self.me.name.clone(), 0);
-        self.book.put(self.me.clone(), now);
+    fn publish_own_row(&mut self, now: Millis) {
+        self.updates.insert(self.own_row.name.clone(), 0);
+        self.table.insert(self.own_row.clone(), now);
     }
 
-    /// Chooses neighbours, and the targets that this entry answers for, anew if entries changed.
+    /// Chooses the neighbours again if entries changed, and decides which targets this entry
+    /// monitors.
     fn refresh(&mut self, now: Millis) {
-        if std::mem::take(&mut self.stale) {
-            self.refresh_view(now);
-            let targets = self.book.rows().filter(|row| row.kind == RowKind::Target);
-            self.arrived = targets.map(|row| row.name.clone()).collect();
+        if std::mem::take(&mut self.entries_changed) {
+            self.refresh_neighbours(now);
+            let targets = self.table.rows().filter(|row| row.kind == RowKind::Target);
+            self.undecided = targets.map(|row| row.name.clone()).collect();
         }
-        self.refresh_mine(now);
+        self.refresh_leases(now);
     }
 
-    /// The neighbours: those that this entry ranks first, and those that rank it first. Without
-    /// the second half, an entry that nobody ranks first would be watched by nobody.
-    fn refresh_view(&mut self, now: Millis) {
-        let alive = self.book.rows();
+    /// Chooses the neighbours: the entries that this one ranks first, and the entries that rank
+    /// this one first. Without the second group, nobody would monitor an entry that nobody ranks
+    /// first.
+    fn refresh_neighbours(&mut self, now: Millis) {
+        let alive = self.table.rows();
         let alive = alive.filter(|r| r.kind == RowKind::Entry && !r.is_gone());
         let alive: Vec<_> = alive.collect();
-        let me = &self.me.name;
-        let others = || alive.iter().copied().filter(|row| row.name != *me);
-        let mut view = ranked(me.as_str(), others());
-        view.truncate(self.settings.view);
-        let chooses_me = |of: &&Row| {
-            let mine = rendezvous_hash(of.name.as_str(), me.as_str());
-            let rivals = others().filter(|row| row.name != of.name);
-            let better =
-                rivals.filter(|row| rendezvous_hash(of.name.as_str(), row.name.as_str()) > mine);
-            better.take(self.settings.view).count() < self.settings.view
+        let own_name = &self.own_row.name;
+        let others = || alive.iter().copied().filter(|row| row.name != *own_name);
+        let mut neighbours = rank_by_hash(own_name.as_str(), others());
+        neighbours.truncate(self.settings.neighbour_count);
+        let chooses_this = |entry: &&Row| {
+            let own_hash = rendezvous_hash(entry.name.as_str(), own_name.as_str());
+            let rivals = others().filter(|row| row.name != entry.name);
+            let better = rivals
+                .filter(|row| rendezvous_hash(entry.name.as_str(), row.name.as_str()) > own_hash);
+            better.take(self.settings.neighbour_count).count() < self.settings.neighbour_count
         };
-        view.extend(others().filter(chooses_me).map(|row| row.name.clone()));
-        view.sort();
-        view.dedup();
-        self.view = view;
-        let view: BTreeSet<_> = self.view.iter().cloned().collect();
-        self.asked.retain(|name| view.contains(name));
-        self.heard.retain(|name, _| view.contains(name));
-        for name in view {
-            self.heard.entry(name).or_insert(now);
+        neighbours.extend(others().filter(chooses_this).map(|row| row.name.clone()));
+        neighbours.sort();
+        neighbours.dedup();
+        self.neighbours = neighbours;
+        let neighbours: BTreeSet<_> = self.neighbours.iter().cloned().collect();
+        self.pending_comparisons
+            .retain(|name| neighbours.contains(name));
+        self.last_heard.retain(|name, _| neighbours.contains(name));
+        for name in neighbours {
+            self.last_heard.entry(name).or_insert(now);
         }
     }
 
-    /// Decides anew for each target in `arrived` whether this entry answers for it.
-    fn refresh_mine(&mut self, now: Millis) {
-        let arrived = std::mem::take(&mut self.arrived);
-        if arrived.is_empty() {
+    /// Decides for each target in `undecided` whether this entry monitors it.
+    fn refresh_leases(&mut self, now: Millis) {
+        let undecided = std::mem::take(&mut self.undecided);
+        if undecided.is_empty() {
             return;
         }
-        let entries = self.book.rows();
+        let entries = self.table.rows();
         let entries: Vec<_> = entries.filter(|r| r.kind == RowKind::Entry).collect();
-        for name in arrived {
-            let target = self.book.get(&name).map(|known| &known.row);
+        for name in undecided {
+            let target = self.table.get(&name).map(|known| &known.row);
             let target = target.filter(|row| !row.is_gone());
             let near = |row: &&Row| {
                 let of_region = |entry: &&Row| entry.region == row.region && entry.takes_work();
-                row.region == self.me.region || !entries.iter().any(of_region)
+                row.region == self.own_row.region || !entries.iter().any(of_region)
             };
             let is_home = target.filter(near).is_some_and(|row| {
                 let homes = home_entries(&name, &row.region, entries.iter().copied());
-                homes.contains(&self.me.name)
+                homes.contains(&self.own_row.name)
             });
             if is_home {
-                // A target that falls to this entry has a lease's time to come.
+                // A newly assigned target gets a full lease for its first announcement.
                 let until = now + self.settings.lease;
                 self.leases.entry(name).or_insert(until);
             } else {
@@ -417,47 +449,49 @@
         }
     }
 
-    /// Doubts neighbours and own targets that have been silent for too long.
-    fn doubt_the_silent(&mut self, now: Millis) {
-        let silence = self.settings.silence;
-        let heard = self
-            .view
+    /// Marks neighbours and monitored targets as suspect that have been silent for too long.
+    fn suspect_silent(&mut self, now: Millis) {
+        let silence_timeout = self.settings.silence_timeout;
+        let last_heard = self
+            .neighbours
             .iter()
-            .filter_map(|name| self.heard.get_key_value(name));
-        let silent = heard.filter(|(_, at)| now.since(**at) > silence);
+            .filter_map(|name| self.last_heard.get_key_value(name));
+        let silent = last_heard.filter(|(_, at)| now.since(**at) > silence_timeout);
         let lapsed = self.leases.iter().filter(|(_, until)| **until < now);
-        let doubted: Vec<_> = silent.chain(lapsed).map(|(name, _)| name.clone()).collect();
-        for name in doubted {
+        let suspects: Vec<_> = silent.chain(lapsed).map(|(name, _)| name.clone()).collect();
+        for name in suspects {
             let row = self
                 .row(&name)
                 .filter(|row| row.liveness == Liveness::Alive);
             let row = row.filter(|row| row.state != State::Left).cloned();
             if let Some(row) = row {
                 let liveness = Liveness::Suspect;
-                self.take(Row { liveness, ..row }, now);
+                self.store(Row { liveness, ..row }, now);
             }
         }
     }
 
-    /// Turns old doubts into deaths, and forgets what is long gone.
+    /// Declares instances dead that have been suspect for too long, and removes the rows of
+    /// instances that have been gone for long.
     fn expire(&mut self, now: Millis) {
-        let doubted = self.doubted.iter().filter_map(|name| self.book.get(name));
-        let over = doubted.filter(|known| now.since(known.since) > self.settings.doubt);
-        let dead: Vec<_> = over.map(|known| known.row.clone()).collect();
+        let suspects = self.suspects.iter().filter_map(|name| self.table.get(name));
+        let overdue =
+            suspects.filter(|known| now.since(known.since) > self.settings.suspect_timeout);
+        let dead: Vec<_> = overdue.map(|known| known.row.clone()).collect();
         for row in dead {
             let liveness = Liveness::Dead;
-            self.take(Row { liveness, ..row }, now);
+            self.store(Row { liveness, ..row }, now);
         }
         if !self.rounds.is_multiple_of(self.settings.compare_rounds) {
             return;
         }
-        let keep = self.settings.tombstone;
-        let gone = self.book.iter().filter(|known| known.row.is_gone());
-        let old = gone.filter(|known| now.since(known.since) > keep);
+        let tombstone_ttl = self.settings.tombstone_ttl;
+        let gone = self.table.iter().filter(|known| known.row.is_gone());
+        let old = gone.filter(|known| now.since(known.since) > tombstone_ttl);
         let old: Vec<_> = old.map(|known| known.row.name.clone()).collect();
-        for name in old.into_iter().filter(|name| *name != self.me.name) {
-            self.book.remove(&name);
-            self.news.remove(&name);
+        for name in old.into_iter().filter(|name| *name != self.own_row.name) {
+            self.table.remove(&name);
+            self.updates.remove(&name);
             self.changes.push(Change::Removed(name));
         }
     }
--- a/crates/filbertstack-policy/src/gossip/entries.rs
+++ b/crates/filbertstack-policy/src/gossip/entries.rs
@@ -1,8 +1,8 @@
-//! Which entries callers and targets talk to: chosen by rendezvous hash.
+//! This module chooses the entries that callers and targets use, by rendezvous hash.
 //!
-//! Every caller that asks for addresses would otherwise begin with the first of one list. A
-//! rendezvous hash gives each its own order, and an entry that goes changes it only for those
-//! that had it.
+//! If all callers received the same list of addresses, all would begin with the first one. A
+//! rendezvous hash gives each caller its own order, and an entry that leaves changes the order only
+//! for the callers that used it.
 
 use filbertstack_core::Millis;
 use filbertstack_core::names::InstanceName;
@@ -13,15 +13,15 @@
 use crate::subset::hash;
 use crate::subset::mix;
 
-/// How many entries answer for a target: two may be lost at once.
-pub const HOMES: usize = 3;
+/// The number of entries that monitor a target: two of them may be lost at once.
+pub const HOME_ENTRIES: usize = 3;
 
-/// How long it takes until every entry has seen that one is leaving: twice what the tests
-/// measure at 340 entries with a tenth of the messages lost.
+/// The time within which every entry sees that another one is leaving: twice what the tests measure
+/// at 340 entries with a tenth of the messages lost.
 pub const SEEN_WITHIN: Millis = Millis::secs(6);
 
-/// The entries that a target of `region` announces itself to; entries of other regions only if
-/// its own has none.
+/// Returns the entries that a target of `region` announces itself to. Entries of other regions are
+/// used only if its own region has none.
 pub fn home_entries<'a>(
     target: &InstanceName,
     region: &RegionName,
@@ -29,16 +29,16 @@
 ) -> Vec<InstanceName> {
     let entries = rows.filter(|row| row.kind == RowKind::Entry && row.takes_work());
     let near = entries.clone().filter(|row| row.region == *region);
-    let mut chosen = ranked(target.as_str(), near);
+    let mut chosen = rank_by_hash(target.as_str(), near);
     if chosen.is_empty() {
-        chosen = ranked(target.as_str(), entries);
+        chosen = rank_by_hash(target.as_str(), entries);
     }
-    chosen.truncate(HOMES);
+    chosen.truncate(HOME_ENTRIES);
     chosen
 }
 
-/// The entries that a caller is told to use, best first: of its own region if that is known and
-/// has any, then the others, at most `count`.
+/// Returns the entries that a caller is told to use, best first: those of its own region if that is
+/// known and has any, then the others, at most `count`.
 pub fn entries_for_caller<'a>(
     caller: &str,
     region: Option<&RegionName>,
@@ -47,49 +47,56 @@
 ) -> Vec<InstanceName> {
     let entries = rows.filter(|row| row.kind == RowKind::Entry && row.takes_work());
     let is_near = |row: &&Row| region == Some(&row.region);
-    let mut chosen = ranked(caller, entries.clone().filter(is_near));
-    chosen.extend(ranked(caller, entries.filter(|row| !is_near(row))));
+    let mut chosen = rank_by_hash(caller, entries.clone().filter(is_near));
+    chosen.extend(rank_by_hash(caller, entries.filter(|row| !is_near(row))));
     chosen.truncate(count);
     chosen
 }
 
-/// The rows' names by falling rendezvous hash with `key`.
-pub(super) fn ranked<'a>(key: &str, rows: impl Iterator<Item = &'a Row>) -> Vec<InstanceName> {
-    let weighed = rows.map(|row| (rendezvous_hash(key, row.name.as_str()), &row.name));
-    let mut weighed: Vec<_> = weighed.collect();
-    weighed.sort_unstable_by(|a, b| b.cmp(a));
-    weighed.into_iter().map(|(_, name)| name.clone()).collect()
+/// Returns the rows' names in descending order of their rendezvous hash with `key`.
+pub(super) fn rank_by_hash<'a>(
+    key: &str,
+    rows: impl Iterator<Item = &'a Row>,
+) -> Vec<InstanceName> {
+    let hashed = rows.map(|row| (rendezvous_hash(key, row.name.as_str()), &row.name));
+    let mut hashed: Vec<_> = hashed.collect();
+    hashed.sort_unstable_by(|a, b| b.cmp(a));
+    hashed.into_iter().map(|(_, name)| name.clone()).collect()
 }
 
-/// The rendezvous hash of two texts. Nobody gains by forging it: whoever can choose names can
-/// choose addresses.
+/// Returns the rendezvous hash of two texts. The hash need not resist forgery: whoever can choose
+/// names can also choose addresses.
 pub(crate) fn rendezvous_hash(key: &str, name: &str) -> u64 {
     mix(hash(key).rotate_left(32) ^ hash(name))
 }
 
-/// An entry that is leaving: until when it must still serve callers.
+/// The departure of an entry, which determines until when it must still serve callers.
 ///
-/// Callers keep addresses for `max_age`. Others give this entry's address out until they have
-/// seen that it leaves; a caller that got it then still comes `max_age` later. Stopping earlier,
-/// it would be a refused connection to that caller.
+/// Callers keep addresses for `max_age`. Other entries give out this entry's address until they see
+/// that it leaves, and a caller that received it then still uses it for `max_age`. If the entry
+/// stopped earlier, that caller's connection would be refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Departure {
-    left: Millis,
+    started_at: Millis,
     max_age: Millis,
 }
 
 impl Departure {
-    /// Begins at `now`; `max_age` is the longest that any answer allows addresses to be kept.
+    /// Starts the departure at `now`; `max_age` is the longest time that any answer allows
+    /// addresses to be kept.
     pub fn begin(now: Millis, max_age: Millis) -> Self {
-        Self { left: now, max_age }
+        Self {
+            started_at: now,
+            max_age,
+        }
     }
 
-    /// Until when the entry takes callers.
+    /// Returns until when the entry must accept callers.
     pub fn serves_until(&self) -> Millis {
-        self.left + SEEN_WITHIN + self.max_age
+        self.started_at + SEEN_WITHIN + self.max_age
     }
 
-    /// Whether the entry may stop taking callers.
+    /// Returns whether the entry may stop accepting callers.
     pub fn is_over(&self, now: Millis) -> bool {
         now >= self.serves_until()
     }
--- a/crates/filbertstack-policy/src/gossip/row.rs
+++ b/crates/filbertstack-policy/src/gossip/row.rs
@@ -1,74 +1,75 @@
-//! Rows: what is known of one instance, and which of two rows is the newer.
+//! This module defines the rows of the membership table and which of two rows is newer.
 
 use std::sync::Arc;
 
 use filbertstack_core::names::InstanceName;
 use filbertstack_core::names::RegionName;
 
-/// What an instance is.
+/// The kind of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RowKind {
-    /// An entry: it takes part in the gossip.
+    /// An entry, which takes part in the gossip.
     Entry,
-    /// A target: its homes speak for it.
+    /// A target; its home entries announce it to the others.
     Target,
 }
 
-/// How an instance describes itself.
+/// The state that an instance declares for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// It takes work.
+    /// The instance accepts work.
     Up,
-    /// It finishes what it has and takes nothing new.
+    /// The instance finishes its requests and accepts no new ones.
     Leaving,
-    /// It is gone; this process never comes back.
+    /// The instance is gone; this process never returns.
     Left,
 }
 
-/// What others think of an instance.
+/// What the other entries believe about an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Liveness {
-    /// It answers.
+    /// The instance answers.
     Alive,
-    /// It was silent; it may still answer.
+    /// The instance was silent for too long; it may still refute the suspicion.
     Suspect,
-    /// It did not answer in time.
+    /// The instance did not answer in time.
     Dead,
 }
 
-/// What an instance says of itself besides its state: addresses and versions held, as bytes that
-/// the gossip does not read.
+/// What an instance says about itself besides its state, such as addresses and versions held. The
+/// gossip does not read these bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Facts(pub Arc<[u8]>);
 
-/// What is known of one instance.
+/// What is known about one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// The name, which stays over restarts.
+    /// The instance's name, which is the same after a restart.
     pub name: InstanceName,
-    /// What it is.
+    /// The kind of the instance.
     pub kind: RowKind,
-    /// Its region.
+    /// The instance's region.
     pub region: RegionName,
-    /// The process: greater at each start.
+    /// The incarnation of the process; it grows with each start.
     pub incarnation: u64,
-    /// Raised by the instance itself at each change and to answer a doubt.
+    /// The version of the row; the instance itself raises it with each change and to refute a
+    /// suspicion.
     pub version: u64,
-    /// How it describes itself.
+    /// The state that the instance declares.
     pub state: State,
-    /// What others think of this version.
+    /// What the other entries believe about this version.
     pub liveness: Liveness,
-    /// What else it says of itself.
+    /// What else the instance says about itself.
     pub facts: Facts,
 }
 
-/// The bytes of a row besides its texts: incarnation, version, kind, state, doubt and lengths.
-const ROW_HEAD: usize = 20;
+/// The size of a row without its texts: incarnation, version, kind, state, liveness and lengths.
+const ROW_OVERHEAD_BYTES: usize = 20;
 
 impl Row {
-    /// Whether this row is newer than `other`, a row of the same instance.
+    /// Returns whether this row is newer than `other`, a row of the same instance.
     ///
-    /// A doubt weighs only within one version: whatever the instance says next is newer.
+    /// Liveness counts only within one version: whatever the instance says next is newer.
     pub fn is_newer(&self, other: &Self) -> bool {
         self.rank() > other.rank()
     }
@@ -77,38 +78,41 @@
         (self.incarnation, self.version, self.liveness)
     }
 
-    /// Whether the instance takes new work, as far as is known.
+    /// Returns whether the instance accepts new work, as far as is known.
     pub fn takes_work(&self) -> bool {
         self.state == State::Up && self.liveness != Liveness::Dead
     }
 
-    /// Whether the instance is gone.
+    /// Returns whether the instance is gone.
     pub fn is_gone(&self) -> bool {
         self.state == State::Left || self.liveness == Liveness::Dead
     }
 
-    /// About how many bytes the row takes in a message.
+    /// Returns the approximate size of the row in a message in bytes.
     pub fn size(&self) -> usize {
-        ROW_HEAD + self.name.as_str().len() + self.region.as_str().len() + self.facts.0.len()
+        ROW_OVERHEAD_BYTES
+            + self.name.as_str().len()
+            + self.region.as_str().len()
+            + self.facts.0.len()
     }
 }
 
-/// What a target tells its homes, again and again.
+/// The message that a target sends to its home entries at regular intervals.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announcement {
-    /// Its own row, without doubt.
+    /// The target's own row; its liveness is [`Liveness::Alive`].
     pub row: Row,
 }
 
-/// Something that changed in an entry's table.
+/// A change in an entry's table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A new or newer row.
+    /// A row was added or replaced by a newer one.
     Updated(Row),
-    /// A row that is no longer kept.
+    /// A row was removed.
     Removed(InstanceName),
-    /// Another process runs under this entry's name with a greater incarnation: this one must
-    /// stop, or start anew with a greater one.
+    /// Another process runs under this entry's name with a higher incarnation. This process must
+    /// stop or restart with a higher incarnation.
     NameTaken {
         /// The other process's incarnation.
         incarnation: u64,
--- a/crates/filbertstack-policy/src/gossip/settings.rs
+++ b/crates/filbertstack-policy/src/gossip/settings.rs
@@ -1,56 +1,59 @@
-//! The figures of the gossip, each with its grounds.
+//! This module defines the parameters of the gossip protocol and gives the reasons for their
+//! values.
 
 use filbertstack_core::Millis;
 
-/// The figures of the gossip. Every entry of a fleet runs the same.
+/// The parameters of the gossip protocol. All entries of a fleet use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The time between two rounds. 400 ms bring a change to 340 entries in under 3 s.
+    /// The time between two rounds. With 400 ms a change reaches 340 entries in under 3 s.
     pub round_interval: Millis,
-    /// How many neighbours an entry chooses; those that chose it are its neighbours too. Four make
-    /// eight on average and leave the graph whole when a third of the entries is gone.
-    pub view: usize,
-    /// The neighbours that it sends to in one round, in turn.
+    /// The number of neighbours that an entry chooses; the entries that chose it are its neighbours
+    /// too. With four, an entry has eight neighbours on average, and the graph stays connected when
+    /// a third of the entries is gone.
+    pub neighbour_count: usize,
+    /// The number of neighbours that an entry sends to in one round, in turn.
     pub fanout: usize,
-    /// The most bytes of rows in a message. Two messages and two answers a round make 3 KB a
-    /// second each way when there is more to tell than fits, of a budget of 8 KB.
-    pub bytes: usize,
-    /// The most bytes of rows in the answer to a summary that differs.
-    pub page: usize,
-    /// Every how many rounds an entry compares its table with a neighbour's.
+    /// The maximum size of the rows in a message, in bytes. Two messages and two answers per round
+    /// make 3 KB per second in each direction when there are more updates than fit; the budget is
+    /// 8 KB.
+    pub message_bytes: usize,
+    /// The maximum size of the rows in the answer to a summary that differs, in bytes.
+    pub page_bytes: usize,
+    /// The number of rounds between two comparisons of an entry's table with a neighbour's.
     pub compare_rounds: u64,
-    /// How often a row that is news is sent: once to each neighbour on average. What was lost on
-    /// all of those ways is found by the comparison.
-    pub sends: u32,
-    /// How long a neighbour may be silent before it is doubted: two turns each way.
-    pub silence: Millis,
-    /// How long a target may be silent towards an entry that answers for it: three announcements.
+    /// How often an updated row is sent: once to each neighbour on average. An update that is lost
+    /// on all of these ways is found by the comparison.
+    pub max_sends: u32,
+    /// How long a neighbour may be silent before it becomes suspect: two turns in each direction.
+    pub silence_timeout: Millis,
+    /// How long a target may be silent towards an entry that monitors it: three announcements.
     pub lease: Millis,
-    /// How long a doubted instance has to answer. It must hear of the doubt and be heard again,
-    /// which takes two times the spread of a change.
-    pub doubt: Millis,
-    /// How long the row of a gone instance is kept, so that an old row cannot bring it back.
-    /// Longer than regions lose each other for.
-    pub tombstone: Millis,
-    /// The most rows kept.
-    pub rows: usize,
+    /// How long a suspect instance has to refute the suspicion. It must hear of the suspicion and
+    /// be heard again, which takes twice the time that a change needs to reach all entries.
+    pub suspect_timeout: Millis,
+    /// How long the row of a gone instance is kept, so that an old row cannot revive it. The time
+    /// must exceed the longest time for which regions lose contact.
+    pub tombstone_ttl: Millis,
+    /// The maximum number of rows kept.
+    pub max_rows: usize,
 }
 
 impl Settings {
-    /// The figures for up to 340 entries and 2,000 targets.
+    /// The parameters for up to 340 entries and 2,000 targets.
     pub const DEFAULT: Self = Self {
         round_interval: Millis(400),
-        view: 4,
+        neighbour_count: 4,
         fanout: 2,
-        bytes: 300,
-        page: 4096,
+        message_bytes: 300,
+        page_bytes: 4096,
         compare_rounds: 10,
-        sends: 8,
-        silence: Millis(3600),
+        max_sends: 8,
+        silence_timeout: Millis(3600),
         lease: Millis(4500),
-        doubt: Millis::secs(8),
-        tombstone: Millis::secs(24 * 3600),
-        rows: 16_384,
+        suspect_timeout: Millis::secs(8),
+        tombstone_ttl: Millis::secs(24 * 3600),
+        max_rows: 16_384,
     };
 }
 
--- a/crates/filbertstack-policy/src/gossip/book.rs
+++ b/crates/filbertstack-policy/src/gossip/table.rs
@@ -1,4 +1,4 @@
-//! An entry's table of rows, with the hashes that two tables are compared by.
+//! This module keeps an entry's table of rows, with the hashes by which two tables are compared.
 
 use std::collections::BTreeMap;
 
@@ -11,24 +11,24 @@
 use super::row::Liveness;
 use super::row::Row;
 
-/// A row with what this entry alone knows of it.
+/// A row with the information that is local to this entry.
 #[derive(Clone, Debug)]
-pub(super) struct Known {
+pub(super) struct KnownRow {
     pub(super) row: Row,
-    /// Since when this entry has had the row's present doubt or state.
+    /// The time at which this entry stored the row's present version, state and liveness.
     pub(super) since: Millis,
     bucket: usize,
     hash: u32,
 }
 
-/// The rows by name.
+/// The rows by instance name.
 #[derive(Clone, Debug)]
-pub(super) struct Book {
-    rows: BTreeMap<InstanceName, Known>,
+pub(super) struct RowTable {
+    rows: BTreeMap<InstanceName, KnownRow>,
     summary: Summary,
 }
 
-impl Book {
+impl RowTable {
     pub(super) fn new() -> Self {
         Self {
             rows: BTreeMap::new(),
@@ -36,11 +36,11 @@
         }
     }
 
-    pub(super) fn get(&self, name: &InstanceName) -> Option<&Known> {
+    pub(super) fn get(&self, name: &InstanceName) -> Option<&KnownRow> {
         self.rows.get(name)
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = &Known> + Clone {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &KnownRow> + Clone {
         self.rows.values()
     }
 
@@ -56,13 +56,13 @@
         &self.summary
     }
 
-    /// Takes a row over; it replaces what is known of the instance.
-    pub(super) fn put(&mut self, row: Row, now: Millis) {
+    /// Stores a row in place of the instance's previous one.
+    pub(super) fn insert(&mut self, row: Row, now: Millis) {
         self.remove(&row.name);
-        let (bucket, hash) = hash_of(&row);
+        let (bucket, hash) = bucket_and_hash(&row);
         self.summary.0[bucket] ^= hash;
         let name = row.name.clone();
-        let known = Known {
+        let known = KnownRow {
             row,
             since: now,
             bucket,
@@ -79,30 +79,37 @@
         true
     }
 
-    /// The rows of the buckets in which `theirs` differs, from `start` on, up to `bytes`.
-    pub(super) fn missing(&self, theirs: &Summary, start: usize, bytes: usize) -> Vec<Row> {
+    /// Returns the rows of the buckets in which the `remote` summary differs, beginning at
+    /// `first_bucket`, up to `max_bytes`.
+    pub(super) fn differing_rows(
+        &self,
+        remote: &Summary,
+        first_bucket: usize,
+        max_bytes: usize,
+    ) -> Vec<Row> {
         let differs: Vec<_> = (0..SUMMARY_BUCKETS)
-            .map(|i| theirs.0[i] != self.summary.0[i])
+            .map(|i| remote.0[i] != self.summary.0[i])
             .collect();
-        let mut wanted: Vec<_> = self.iter().filter(|known| differs[known.bucket]).collect();
-        wanted.sort_by_key(|known| (known.bucket + SUMMARY_BUCKETS - start) % SUMMARY_BUCKETS);
-        let mut left = bytes;
+        let mut candidates: Vec<_> = self.iter().filter(|known| differs[known.bucket]).collect();
+        candidates
+            .sort_by_key(|known| (known.bucket + SUMMARY_BUCKETS - first_bucket) % SUMMARY_BUCKETS);
+        let mut remaining = max_bytes;
         let fits = |row: &&Row| {
-            let fits = row.size() <= left;
-            left = left.saturating_sub(row.size());
+            let fits = row.size() <= remaining;
+            remaining = remaining.saturating_sub(row.size());
             fits
         };
-        let rows = wanted.into_iter().map(|known| &known.row);
+        let rows = candidates.into_iter().map(|known| &known.row);
         rows.take_while(fits).cloned().collect()
     }
 }
 
-/// The bucket of a row and its part of the bucket's hash.
+/// Returns the bucket of a row and the row's part of that bucket's hash.
 ///
-/// Rows of the gone have no part: they are forgotten at a different moment by each entry, and a
-/// part that comes and goes would make equal tables look different for as long.
-fn hash_of(row: &Row) -> (usize, u32) {
-    let doubt = match row.liveness {
+/// Rows of gone instances contribute 0: each entry removes such a row at a different time, and a
+/// contribution that comes and goes would make equal tables look different for as long.
+fn bucket_and_hash(row: &Row) -> (usize, u32) {
+    let liveness = match row.liveness {
         Liveness::Alive => 'n',
         Liveness::Suspect => 's',
         Liveness::Dead => 'd',
@@ -112,7 +119,10 @@
     if row.is_gone() {
         return (bucket, 0);
     }
-    let text = format!("{} {} {} {doubt}", row.name, row.incarnation, row.version);
+    let text = format!(
+        "{} {} {} {liveness}",
+        row.name, row.incarnation, row.version
+    );
     let hash = Digest::of(text.as_bytes());
     let first: [u8; 4] = hash.as_bytes()[..4].try_into().unwrap_or_default();
     (bucket, u32::from_be_bytes(first))
--- a/crates/filbertstack-policy/tests/gossip_net/net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net/net.rs
@@ -1,4 +1,4 @@
-//! Entries that talk over links with losses, in virtual time.
+//! This module simulates entries that exchange gossip over lossy links, in virtual time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,14 +23,14 @@
 use filbertstack_policy::gossip::home_entries;
 
 pub fn name(kind: char, n: usize) -> InstanceName {
-    format!("{kind}{n:04}").parse().expect("a name")
+    format!("{kind}{n:04}").parse().expect("valid name")
 }
 
 pub fn row(name: &InstanceName, kind: RowKind, region: usize, incarnation: u64) -> Row {
     Row {
         name: name.clone(),
         kind,
-        region: format!("region-{region}").parse().expect("a name"),
+        region: format!("region-{region}").parse().expect("valid name"),
         incarnation,
         version: 1,
         state: State::Up,
@@ -39,18 +39,19 @@
     }
 }
 
-/// Entries that talk over links with losses; time advances by rounds.
+/// The simulated network of entries and targets; time advances by rounds.
 pub struct Net {
     pub settings: Settings,
     pub nodes: BTreeMap<InstanceName, Gossip>,
     pub targets: BTreeMap<InstanceName, Row>,
-    /// Entries in different parts do not hear each other.
-    pub parts: BTreeMap<InstanceName, usize>,
+    /// The partition of each entry, 0 if absent. Entries in different partitions cannot reach each
+    /// other.
+    pub partitions: BTreeMap<InstanceName, usize>,
     pub loss: f64,
     pub now: Millis,
     pub rng: ChaCha8Rng,
-    /// Bytes sent by each entry.
-    pub sent: BTreeMap<InstanceName, usize>,
+    /// The bytes sent by each entry.
+    pub sent_bytes: BTreeMap<InstanceName, usize>,
     pub links: BTreeMap<InstanceName, BTreeSet<InstanceName>>,
 }
 
@@ -62,11 +63,11 @@
             settings,
             nodes: BTreeMap::new(),
             targets: BTreeMap::new(),
-            parts: BTreeMap::new(),
+            partitions: BTreeMap::new(),
             loss,
             now: Millis::secs(1000),
             rng: ChaCha8Rng::seed_from_u64(entries as u64),
-            sent: BTreeMap::new(),
+            sent_bytes: BTreeMap::new(),
             links: BTreeMap::new(),
         };
         for n in 0..entries {
@@ -75,7 +76,7 @@
         net
     }
 
-    /// A fleet in which everybody knows everybody.
+    /// Creates a fleet in which all entries know all instances.
     pub fn settled(entries: usize, targets: usize, loss: f64, settings: Settings) -> Self {
         let mut net = Self::new(entries, loss, settings);
         let rows: Vec<_> = net
@@ -87,10 +88,10 @@
             let target = row(&name('t', n), RowKind::Target, n % REGIONS, 1);
             net.targets.insert(target.name.clone(), target);
         }
-        let everyone = rows.iter().chain(net.targets.values()).cloned();
+        let all_rows = rows.iter().chain(net.targets.values()).cloned();
         let message = Message {
             kind: MessageKind::Page,
-            rows: everyone.collect(),
+            rows: all_rows.collect(),
             summary: None,
         };
         let now = net.now;
@@ -98,51 +99,53 @@
             node.receive(&name('x', 0), message.clone(), now);
         }
         net.loss = 0.0;
-        net.rounds(8);
+        net.run_rounds(8);
         net.loss = loss;
-        net.sent.clear();
+        net.sent_bytes.clear();
         net.links.clear();
         net
     }
 
     pub fn start(&mut self, n: usize, incarnation: u64) {
-        let me = name('e', n);
+        let own_name = name('e', n);
         let seeds = (0..3).map(|seed| name('e', seed)).collect();
-        let own = row(&me, RowKind::Entry, n % REGIONS, incarnation);
-        let gossip = Gossip::new(own, seeds, self.settings, n as u64);
-        self.nodes.insert(me, gossip);
+        let own_row = row(&own_name, RowKind::Entry, n % REGIONS, incarnation);
+        let gossip = Gossip::new(own_row, seeds, self.settings, n as u64);
+        self.nodes.insert(own_name, gossip);
     }
 
-    pub fn part(&self, name: &InstanceName) -> usize {
-        self.parts.get(name).copied().unwrap_or(0)
+    pub fn partition(&self, name: &InstanceName) -> usize {
+        self.partitions.get(name).copied().unwrap_or(0)
     }
 
     pub fn round(&mut self) {
         self.now = self.now + self.settings.round_interval;
         self.announce();
         let now = self.now;
-        let mut flying = Vec::new();
+        let mut in_flight = Vec::new();
         for (from, node) in &mut self.nodes {
             let sends = node.tick(now);
-            flying.extend(sends.into_iter().map(|send| (from.clone(), send)));
+            in_flight.extend(sends.into_iter().map(|send| (from.clone(), send)));
         }
-        while let Some((from, Outgoing { to, message })) = flying.pop() {
-            *self.sent.entry(from.clone()).or_default() += message.size();
+        while let Some((from, Outgoing { to, message })) = in_flight.pop() {
+            *self.sent_bytes.entry(from.clone()).or_default() += message.size();
             self.links
                 .entry(from.clone())
                 .or_default()
                 .insert(to.clone());
-            let cut = self.part(&from) != self.part(&to) || self.rng.random_bool(self.loss);
-            if cut || !self.nodes.contains_key(&to) {
+            let is_lost =
+                self.partition(&from) != self.partition(&to) || self.rng.random_bool(self.loss);
+            if is_lost || !self.nodes.contains_key(&to) {
                 continue;
             }
-            let node = self.nodes.get_mut(&to).expect("it");
+            let node = self.nodes.get_mut(&to).expect("known instance");
             let answers = node.receive(&from, message, now);
-            flying.extend(answers.into_iter().map(|send| (to.clone(), send)));
+            in_flight.extend(answers.into_iter().map(|send| (to.clone(), send)));
         }
     }
 
-    /// Targets announce themselves to their homes and answer doubts, each in its third round.
+    /// Lets each target announce itself to its home entries and refute suspicions in every third
+    /// round.
     pub fn announce(&mut self) {
         let entries: Vec<_> = self.nodes.values().map(|n| n.own_row().clone()).collect();
         let turn = self.now.0 / self.settings.round_interval.0;
@@ -151,8 +154,8 @@
                 continue;
             }
             for home in home_entries(&target.name, &target.region, entries.iter()) {
-                let lost = self.rng.random_bool(self.loss);
-                let Some(node) = self.nodes.get_mut(&home).filter(|_| !lost) else {
+                let is_lost = self.rng.random_bool(self.loss);
+                let Some(node) = self.nodes.get_mut(&home).filter(|_| !is_lost) else {
                     continue;
                 };
                 let row = target.clone();
@@ -165,12 +168,13 @@
         }
     }
 
-    pub fn rounds(&mut self, count: usize) {
+    pub fn run_rounds(&mut self, count: usize) {
         (0..count).for_each(|_| self.round());
     }
 
-    /// Rounds until all entries but `except` see `name` as `seen`.
-    pub fn until(
+    /// Runs rounds until all entries except `name` see its row as `seen` requires, and returns
+    /// their number; `None` if `limit` rounds do not suffice.
+    pub fn rounds_until(
         &mut self,
         name: &InstanceName,
         limit: usize,
@@ -190,7 +194,7 @@
         })
     }
 
-    pub fn doubted(&self) -> usize {
+    pub fn not_alive_count(&self) -> usize {
         let rows = self.nodes.values().flat_map(Gossip::rows);
         rows.filter(|row| row.liveness != Liveness::Alive).count()
     }
