--- a/crates/filbertstack-policy/src/gossip/engine.rs
+++ b/crates/filbertstack-policy/src/gossip/engine.rs
@@ -390,8 +390,8 @@
     }
 
     /// Chooses the neighbours: the entries that this one ranks first, and the entries that rank
-    /// this one first. Without the second group, nobody would monitor an entry that nobody ranks
-    /// first.
+    /// this one first. Without the second group, an entry that no other entry ranks first would not
+    /// be monitored.
     fn refresh_neighbours(&mut self, now: Millis) {
         let alive = self.table.rows();
         let alive = alive.filter(|r| r.kind == RowKind::Entry && !r.is_gone());
--- a/crates/filbertstack-policy/src/gossip/settings.rs
+++ b/crates/filbertstack-policy/src/gossip/settings.rs
@@ -22,8 +22,8 @@
     pub page_bytes: usize,
     /// The number of rounds between two comparisons of an entry's table with a neighbour's.
     pub compare_rounds: u64,
-    /// How often an updated row is sent: once to each neighbour on average. An update that is lost
-    /// on all of these ways is found by the comparison.
+    /// How often an updated row is sent: once to each neighbour on average. The comparison finds an
+    /// update that is lost on the way to all of them.
     pub max_sends: u32,
     /// How long a neighbour may be silent before it becomes suspect: two turns in each direction.
     pub silence_timeout: Millis,
--- a/crates/filbertstack-policy/src/placement.rs
+++ b/crates/filbertstack-policy/src/placement.rs
@@ -3,13 +3,13 @@
 //! The module does no I/O. The leader builds a [`Fleet`] from the agents' reports, reads the
 //! declared [`DeploymentSpec`]s and the current [`Assignments`] from the replicated state, and
 //! calls [`decide`]. The returned [`Decision`] contains the desired state of every target; the
-//! leader commits the entries that differ. The only state outside the replicated log is the
+//! leader commits the entries that differ. Apart from the replicated state, a leader keeps only the
 //! [`LoadFailures`], so a new leader continues where the previous one stopped.
 //!
 //! Load pattern: instances come and go all day (34 fail, 530 restart), a zone is lost now and then,
-//! and versions change several times a day. If every change placed all deployments anew, weights
-//! would be copied to hundreds of instances. If replicas never moved, a lost zone would leave
-//! everything in the zones that remained.
+//! and versions change several times a day. If every change placed all deployments from scratch,
+//! weights would be copied to hundreds of instances. If replicas never moved, a lost zone would
+//! leave everything in the zones that remained.
 //!
 //! ```
 //! use filbertstack_core::Digest;
@@ -66,7 +66,7 @@
 pub use place::REBALANCE_UPTIME;
 pub use place::Shortfall;
 pub use place::UNREACHABLE_GRACE;
-pub use status::DRIFT_AFTER;
+pub use status::DRIFT_GRACE;
 pub use status::DeploymentStatus;
 pub use status::ReplicaCounts;
 pub use status::UnmetReason;
--- a/crates/filbertstack-policy/src/placement/decide.rs
+++ b/crates/filbertstack-policy/src/placement/decide.rs
@@ -23,7 +23,7 @@
 pub struct Decision {
     /// The desired state of every known target.
     pub orders: Assignments,
-    /// The targets whose desired state differs from the standing orders.
+    /// The targets whose desired state differs from their current assignments.
     pub changed: Vec<InstanceName>,
     /// The instances of each deployment, including the spare instances of a change of version.
     pub placement: Placement,
--- a/crates/filbertstack-policy/src/placement/place.rs
+++ b/crates/filbertstack-policy/src/placement/place.rs
@@ -113,7 +113,7 @@
     member: &'a Member,
     free_memory: u64,
     /// The number of deployments placed on the instance.
-    deployments: usize,
+    deployment_count: usize,
 }
 
 /// The instances chosen for a deployment, counted by zone and rack.
@@ -147,7 +147,7 @@
             name,
             member,
             free_memory: member.memory,
-            deployments: 0,
+            deployment_count: 0,
         });
         let instances: Vec<_> = instances.collect();
         let by_name = instances
@@ -300,7 +300,7 @@
     fn assign(&mut self, index: usize, spec: &DeploymentSpec, selection: &mut Selection) {
         let member = self.instances[index].member;
         self.instances[index].free_memory -= member.memory_for(spec.memory);
-        self.instances[index].deployments += 1;
+        self.instances[index].deployment_count += 1;
         selection.chosen.insert(index);
         *selection.zones.entry(member.zone.clone()).or_default() += 1;
         *selection.racks.entry(rack_key(member)).or_default() += 1;
@@ -309,7 +309,7 @@
     fn release(&mut self, index: usize, spec: &DeploymentSpec, selection: &mut Selection) {
         let member = self.instances[index].member;
         self.instances[index].free_memory += member.memory_for(spec.memory);
-        self.instances[index].deployments -= 1;
+        self.instances[index].deployment_count -= 1;
         selection.chosen.remove(&index);
         if let Some(count) = selection.zones.get_mut(&member.zone) {
             *count -= 1;
@@ -342,7 +342,7 @@
         let fetched_percent = member.fetched_percent(&spec.version);
         let hash = rendezvous_hash(spec.deployment.as_str(), usage.name.as_str());
         let preference = (
-            std::cmp::Reverse(usage.deployments),
+            std::cmp::Reverse(usage.deployment_count),
             fetched_percent,
             hash,
             index,
--- a/crates/filbertstack-policy/src/placement/roll.rs
+++ b/crates/filbertstack-policy/src/placement/roll.rs
@@ -161,16 +161,16 @@
 
     fn sort_assignment(&mut self, name: &'a InstanceName, member: &'a Member, one: &'a Assignment) {
         let spec = self.specs.get(&one.deployment).copied();
-        let away = matches!(member.health, Health::Unreachable(_));
+        let is_unreachable = matches!(member.health, Health::Unreachable(_));
         match (one.duty, spec) {
             (Duty::Drain, _) => {
-                if away || takes_memory(member, &one.version) {
-                    self.put(name, one.clone());
+                if is_unreachable || takes_memory(member, &one.version) {
+                    self.add_order(name, one.clone());
                 }
             }
-            // Fetching a version ahead of its load is decided anew in each round.
+            // Each round decides again whether a version is fetched ahead of its load.
             (Duty::Fetch, _) => {}
-            (Duty::Serve, None) => self.drain_one(name, member, &one.deployment, one.version),
+            (Duty::Serve, None) => self.drain_version(name, member, &one.deployment, one.version),
             (Duty::Serve, Some(spec)) => {
                 let placed = self.is_placed(spec, name);
                 if placed && one.version == spec.version {
@@ -234,7 +234,7 @@
                 } else if !self.is_ordered(spec, name) {
                     // The chunks are fetched while the old version still serves, so that the swap
                     // takes only as long as a load and not as long as a copy.
-                    self.put(
+                    self.add_order(
                         name,
                         assignment(&spec.deployment, spec.version, Duty::Fetch),
                     );
@@ -309,15 +309,16 @@
         let counts = member.serves(&version) && available.contains(name) && !has_declared;
         let spare = available.len() > spec.replicas;
         let useless = self.is_drain_useless(spec, one);
-        let away = matches!(member.health, Health::Unreachable(_)) && self.is_placed(spec, name);
-        if away || useless || (counts && !spare) {
-            self.put(name, assignment(&spec.deployment, version, Duty::Serve));
+        let returns_here =
+            matches!(member.health, Health::Unreachable(_)) && self.is_placed(spec, name);
+        if returns_here || useless || (counts && !spare) {
+            self.add_order(name, assignment(&spec.deployment, version, Duty::Serve));
             return;
         }
         if counts {
             available.remove(name);
         }
-        self.drain_one(name, member, &spec.deployment, version);
+        self.drain_version(name, member, &spec.deployment, version);
     }
 
     /// Returns whether draining the old version would not make room for the declared one yet.
@@ -345,7 +346,7 @@
         fetched && fits && retry_state == RetryState::Ready
     }
 
-    fn drain_one(
+    fn drain_version(
         &mut self,
         name: &'a InstanceName,
         member: &Member,
@@ -353,7 +354,7 @@
         version: Digest,
     ) {
         if takes_memory(member, &version) {
-            self.put(name, assignment(deployment, version, Duty::Drain));
+            self.add_order(name, assignment(deployment, version, Duty::Drain));
         }
     }
 
@@ -368,7 +369,7 @@
                 && needed > one.member.memory
                 && !takes_memory(one.member, &spec.version)
         };
-        let moving = self.orders.iter().any(|(name, _)| {
+        let is_loading = self.orders.iter().any(|(name, _)| {
             let serves = self
                 .round
                 .fleet
@@ -376,12 +377,12 @@
                 .is_some_and(|m| m.serves(&spec.version));
             self.is_ordered(spec, name) && !serves
         });
-        if available <= spec.replicas && !moving && obsolete.iter().any(|one| waits(&one)) {
+        if available <= spec.replicas && !is_loading && obsolete.iter().any(|one| waits(&one)) {
             self.blocked.insert(spec.deployment.clone());
         }
     }
 
-    fn put(&mut self, name: &'a InstanceName, assignment: Assignment) {
+    fn add_order(&mut self, name: &'a InstanceName, assignment: Assignment) {
         self.orders.entry(name).or_default().insert(assignment);
     }
 
--- a/crates/filbertstack-policy/src/placement/status.rs
+++ b/crates/filbertstack-policy/src/placement/status.rs
@@ -24,7 +24,7 @@
 ///
 /// An order arrives in well under a second and takes effect at once, so 15 s exceed any ordinary
 /// delay. An agent that receives the same order twice does nothing.
-pub const DRIFT_AFTER: Millis = Millis::secs(15);
+pub const DRIFT_GRACE: Millis = Millis::secs(15);
 
 /// A reason why a deployment does not run as declared.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -203,7 +203,7 @@
     })
 }
 
-/// Returns the targets that have differed from their order for longer than [`DRIFT_AFTER`]: the
+/// Returns the targets that have differed from their order for longer than [`DRIFT_GRACE`]: the
 /// engine serves a version that was not ordered, or the agent does not know an ordered version. The
 /// leader orders them again under a new fence. `since` records when each target began to differ.
 pub fn drifted(
@@ -222,7 +222,7 @@
     }
     let overdue = since
         .iter_mut()
-        .filter(|(_, at)| now.since(**at) > DRIFT_AFTER);
+        .filter(|(_, at)| now.since(**at) > DRIFT_GRACE);
     overdue
         .map(|(name, at)| {
             *at = now;
--- a/crates/filbertstack-policy/tests/gossip_net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net.rs
@@ -187,7 +187,9 @@
         net.partitions.insert(name('e', n), 1);
     }
     net.run_rounds(400);
-    let remote_row = net.nodes[&name('e', 1)].row(&name('e', 6)).expect("a row");
+    let remote_row = net.nodes[&name('e', 1)]
+        .row(&name('e', 6))
+        .expect("a row of the remote entry");
     assert_eq!(remote_row.liveness, Liveness::Dead);
     net.partitions.clear();
     let healed = (0..150).find(|_| {
@@ -303,8 +305,8 @@
     rows[4].state = State::Leaving;
     let leaving_entry = rows[4].name.clone();
     for (caller, entry) in before.iter().enumerate() {
-        let now = first(&rows, caller);
-        assert!(now != leaving_entry && (now == *entry || *entry == leaving_entry));
+        let after = first(&rows, caller);
+        assert!(after != leaving_entry && (after == *entry || *entry == leaving_entry));
     }
     let departure = Departure::begin(Millis::secs(100), Millis::secs(30));
     let end = Millis::secs(130) + SEEN_WITHIN;
@@ -344,8 +346,8 @@
             let mut one = row(&name('t', rng.random_range(0..3)), RowKind::Target, 0, 1);
             one.incarnation = rng.random_range(1..3);
             one.version = rng.random_range(1..4);
-            let doubts = [Liveness::Alive, Liveness::Suspect, Liveness::Dead];
-            one.liveness = doubts[rng.random_range(0..3)];
+            let levels = [Liveness::Alive, Liveness::Suspect, Liveness::Dead];
+            one.liveness = levels[rng.random_range(0..3)];
             rows.push(one);
         }
         let mut tables = Vec::new();
--- a/crates/filbertstack-policy/tests/placement_common/mod.rs
+++ b/crates/filbertstack-policy/tests/placement_common/mod.rs
@@ -48,8 +48,8 @@
 }
 
 pub fn fleet(count: usize, zones: usize, memory: u64) -> Fleet {
-    let entry = |n: usize| (name(n), member(n % zones, n / zones % 4, memory));
-    (0..count).map(entry).collect()
+    let named_member = |n: usize| (name(n), member(n % zones, n / zones % 4, memory));
+    (0..count).map(named_member).collect()
 }
 
 pub fn spec(deployment: &str, n: u8, replicas: usize, memory: u64) -> DeploymentSpec {
@@ -155,7 +155,7 @@
     }
 
     pub fn is_settled(&self) -> bool {
-        let holds = |name: &InstanceName, one: &Assignment| {
+        let is_followed = |name: &InstanceName, one: &Assignment| {
             let member = self.fleet.get(name);
             member.is_none_or(|m| match one.duty {
                 Duty::Serve => m.serves(&one.version),
@@ -167,17 +167,17 @@
             })
         };
         let mut orders = self.assignments.iter();
-        let followed = orders.all(|(name, all)| all.iter().all(|one| holds(name, one)));
+        let followed = orders.all(|(name, all)| all.iter().all(|one| is_followed(name, one)));
         followed && self.decide().changed.is_empty()
     }
 
     /// Returns how many instances serve the deployment, whatever the version.
     pub fn available(&self, spec: &DeploymentSpec) -> usize {
-        let answers = |(name, orders): &(&InstanceName, &Vec<Assignment>)| {
-            let mut mine = orders.iter().filter(|a| a.deployment == spec.deployment);
-            mine.any(|a| a.duty == Duty::Serve && self.fleet[*name].serves(&a.version))
+        let serves_any = |(name, orders): &(&InstanceName, &Vec<Assignment>)| {
+            let mut own_orders = orders.iter().filter(|a| a.deployment == spec.deployment);
+            own_orders.any(|a| a.duty == Duty::Serve && self.fleet[*name].serves(&a.version))
         };
-        self.assignments.iter().filter(answers).count()
+        self.assignments.iter().filter(serves_any).count()
     }
 
     /// Returns the instances that serve the declared version.
--- a/crates/filbertstack-policy/tests/placement_roll.rs
+++ b/crates/filbertstack-policy/tests/placement_roll.rs
@@ -68,7 +68,7 @@
 fn specs_of(case: &Case, first: u8) -> Vec<DeploymentSpec> {
     let specs = case.3.iter().zip(0_u8..);
     specs
-        .map(|((replicas, units), i)| spec(&format!("d{i}"), first + i, *replicas, units * GIB))
+        .map(|((replicas, gib), i)| spec(&format!("d{i}"), first + i, *replicas, gib * GIB))
         .collect()
 }
 
@@ -81,7 +81,11 @@
         let mut rng = rng(case.4);
         let mut world = World::new(fleet(case.0, case.1, case.2 * GIB), specs_of(&case, 1));
         world.settle(&mut rng, 200);
-        let before: Vec<_> = world.specs.iter().map(|w| world.available(w)).collect();
+        let before: Vec<_> = world
+            .specs
+            .iter()
+            .map(|spec| world.available(spec))
+            .collect();
         world.declare(specs_of(&case, 100));
         for _ in 0..400 {
             let decision = world.round(&mut rng);
@@ -92,7 +96,7 @@
             }
             if world.is_settled() {
                 let stuck = !decision.blocked.is_empty() || !decision.shortfalls.is_empty();
-                let done = |w: &DeploymentSpec| world.serving(w).len() == w.replicas;
+                let done = |spec: &DeploymentSpec| world.serving(spec).len() == spec.replicas;
                 prop_assert!(stuck || world.specs.iter().all(done), "settled too early");
                 return Ok(());
             }
@@ -131,7 +135,11 @@
     world.declare(specs_of(case, 100));
     for _ in 0..80 {
         world.disturb_instance(&mut rng);
-        let before: Vec<_> = world.specs.iter().map(|w| world.available(w)).collect();
+        let before: Vec<_> = world
+            .specs
+            .iter()
+            .map(|spec| world.available(spec))
+            .collect();
         world.assignments = world.decide().orders;
         for (spec, before) in world.specs.iter().zip(before) {
             let floor = spec.replicas.min(before);
@@ -154,10 +162,10 @@
     let mut world = World::new(fleet(9, 3, 16 * GIB), vec![spec("d", 1, 9, 6 * GIB)]);
     world.settle(&mut rng, 100).expect("the fleet settles");
     world.declare(vec![spec("d", 2, 9, 6 * GIB)]);
-    let gone = Health::Unreachable(world.now);
-    let away = |m: &&mut Member| &*m.zone == "z1";
-    let members = world.fleet.values_mut().filter(away);
-    members.for_each(|member| member.health = gone);
+    let unreachable = Health::Unreachable(world.now);
+    let in_zone = |m: &&mut Member| &*m.zone == "z1";
+    let members = world.fleet.values_mut().filter(in_zone);
+    members.for_each(|member| member.health = unreachable);
     let before = world.assignments.clone();
     for _ in 0..5 {
         world.round(&mut rng);
@@ -215,15 +223,15 @@
 }
 
 /// An operator cordons an instance before its repair: another instance must serve before this one
-/// stops. In the second run the instance leaves without notice and stops first.
+/// stops. In the second run the instance is told to leave at once and stops first.
 #[test]
 fn cordoned_instance_serves_until_replaced() {
     for is_cordoned in [true, false] {
         let mut rng = rng(10);
         let mut world = World::new(fleet(9, 3, 8 * GIB), vec![spec("d", 1, 6, 6 * GIB)]);
         world.settle(&mut rng, 100).expect("the fleet settles");
-        let cordoned_name = world.serving(&world.specs[0])[0].clone();
-        let member = world.fleet.get_mut(&cordoned_name).expect("known instance");
+        let emptied = world.serving(&world.specs[0])[0].clone();
+        let member = world.fleet.get_mut(&emptied).expect("known instance");
         member.cordoned = is_cordoned;
         if !is_cordoned {
             member.health = Health::Leaving;
@@ -235,7 +243,7 @@
         }
         assert_eq!(least, if is_cordoned { 6 } else { 5 });
         let serving = world.serving(&world.specs[0]);
-        assert!(serving.len() == 6 && !serving.contains(&&cordoned_name));
+        assert!(serving.len() == 6 && !serving.contains(&&emptied));
     }
 }
 
@@ -406,8 +414,8 @@
     world.settle(&mut rng, 100).expect("the fleet settles");
     let placed = world.serving(&world.specs[0])[0].clone();
     for _ in 0..10 {
-        let away = Health::Unreachable(world.now);
-        world.fleet.get_mut(&placed).expect("known instance").health = away;
+        let unreachable = Health::Unreachable(world.now);
+        world.fleet.get_mut(&placed).expect("known instance").health = unreachable;
         world.now = world.now + Millis(UNREACHABLE_GRACE.0 - 1);
         assert!(world.decide().changed.is_empty());
         let up = Health::Up(world.now);
@@ -422,9 +430,9 @@
     for _ in 0..40 {
         world.round(&mut rng);
     }
-    let gone = world.fleet.get_mut(&placed).expect("known instance");
-    gone.health = Health::Up(world.now);
-    gone.versions.clear();
+    let returned = world.fleet.get_mut(&placed).expect("known instance");
+    returned.health = Health::Up(world.now);
+    returned.versions.clear();
     let settled = world.assignments.clone();
     world.now = world.now + Millis::secs(1000);
     world.settle(&mut rng, 100).expect("the fleet settles");
--- a/crates/filbertstack-policy/tests/placement_roll/drift.rs
+++ b/crates/filbertstack-policy/tests/placement_roll/drift.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use filbertstack_core::Millis;
-use filbertstack_policy::placement::DRIFT_AFTER;
+use filbertstack_policy::placement::DRIFT_GRACE;
 use filbertstack_policy::placement::RetryState;
 use filbertstack_policy::placement::Stage;
 use filbertstack_policy::placement::VersionState;
@@ -56,7 +56,7 @@
 }
 
 /// An engine serves a version that was not ordered. The target must be ordered again, but only
-/// after [`DRIFT_AFTER`], and once more if that did not help.
+/// after [`DRIFT_GRACE`], and once more if that did not help.
 #[test]
 fn drifted_target_is_ordered_again() {
     let mut rng = rng(7);
@@ -77,6 +77,6 @@
             reported_at.push(second);
         }
     }
-    let delay_secs = DRIFT_AFTER.0 / 1000 + 1;
+    let delay_secs = DRIFT_GRACE.0 / 1000 + 1;
     assert_eq!(reported_at, [delay_secs, 2 * delay_secs]);
 }
