--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -274,7 +274,7 @@
             return false;
         }
         let row = renewed(known, self.target_row(announce, member));
-        gossip.announce(Announcement { row }, now);
+        gossip.receive_announcement(Announcement { row }, now);
         self.pass_on(&mut gossip);
         true
     }
--- a/crates/filbertstack-policy/src/gossip/engine.rs
+++ b/crates/filbertstack-policy/src/gossip/engine.rs
@@ -127,7 +127,11 @@
     /// Merges a target's announcement and returns the row as it is known now. If that row is
     /// suspect or dead or has a higher version, the target raises its own version above it and
     /// announces itself again.
-    pub fn announce(&mut self, announcement: Announcement, now: Millis) -> Option<&Row> {
+    pub fn receive_announcement(
+        &mut self,
+        announcement: Announcement,
+        now: Millis,
+    ) -> Option<&Row> {
         let name = announcement.row.name.clone();
         self.merge(announcement.row, now);
         // Only a home entry expects the next announcement: a target that announces itself elsewhere
--- a/crates/filbertstack-policy/tests/gossip_net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net.rs
@@ -143,7 +143,7 @@
             .find(|home| **home != cut_off)
             .expect("a reachable home entry");
         let home = net.nodes.get_mut(home).expect("known instance");
-        home.announce(
+        home.receive_announcement(
             Announcement {
                 row: departed.clone(),
             },
@@ -399,7 +399,7 @@
         .values_mut()
         .find(|node| !homes.contains(&node.own_row().name));
     let non_home = non_home.expect("an entry that is not a home entry");
-    non_home.announce(Announcement { row: target }, now);
+    non_home.receive_announcement(Announcement { row: target }, now);
     for _ in 0..40 {
         net.round();
         assert_eq!(net.not_alive_count(), 0);
--- a/crates/filbertstack-policy/tests/gossip_net/net.rs
+++ b/crates/filbertstack-policy/tests/gossip_net/net.rs
@@ -159,7 +159,7 @@
                     continue;
                 };
                 let row = target.clone();
-                let known = node.announce(Announcement { row }, self.now);
+                let known = node.receive_announcement(Announcement { row }, self.now);
                 let known = known.filter(|known| known.is_newer(target));
                 if let Some(known) = known.filter(|k| k.incarnation == target.incarnation) {
                     target.version = known.version + 1;
