--- a/crates/filbertstack-control/examples/measure.rs
+++ b/crates/filbertstack-control/examples/measure.rs
@@ -27,23 +27,23 @@
 use filbertstack_core::Digest;
 use filbertstack_core::Labels;
 use filbertstack_core::Millis;
-use filbertstack_policy::gossip::Doubt;
 use filbertstack_policy::gossip::Facts;
 use filbertstack_policy::gossip::Gossip;
+use filbertstack_policy::gossip::Liveness;
 use filbertstack_policy::gossip::Message;
 use filbertstack_policy::gossip::MessageKind;
 use filbertstack_policy::gossip::Row;
 use filbertstack_policy::gossip::RowKind;
 use filbertstack_policy::gossip::Settings;
 use filbertstack_policy::gossip::State;
+use filbertstack_policy::placement::Assignments;
+use filbertstack_policy::placement::DeploymentSpec;
 use filbertstack_policy::placement::Fleet;
 use filbertstack_policy::placement::Health;
-use filbertstack_policy::placement::Holding;
-use filbertstack_policy::placement::LoadFaults;
+use filbertstack_policy::placement::LoadFailures;
 use filbertstack_policy::placement::Member;
 use filbertstack_policy::placement::Stage;
-use filbertstack_policy::placement::Standing;
-use filbertstack_policy::placement::Want;
+use filbertstack_policy::placement::VersionState;
 use filbertstack_policy::placement::decide;
 use prost::Message as _;
 
@@ -272,7 +272,7 @@
     let mut fleet: Fleet = (0..instances)
         .map(|n| (format!("engine-{n:04}").parse().expect("a name"), member(n)))
         .collect();
-    let want = |n: usize, version: u8| Want {
+    let want = |n: usize, version: u8| DeploymentSpec {
         deployment: format!("d{n}").parse().expect("a name"),
         version: Digest::of(&[version, u8::try_from(n % 256).unwrap_or(0)]),
         replicas: instances / deployments * 2,
@@ -280,25 +280,25 @@
         pools: vec!["role=llm".parse().expect("a selector")],
     };
     let mut wants: Vec<_> = (0..deployments).map(|n| want(n, 0)).collect();
-    let faults = LoadFaults::default();
+    let faults = LoadFailures::default();
     let now = Millis::secs(100_000);
-    let time = |fleet: &Fleet, wants: &[Want], standing: &Standing| {
+    let time = |fleet: &Fleet, wants: &[DeploymentSpec], standing: &Assignments| {
         let start = Instant::now();
         let decision = decide(fleet, wants, standing, &faults, now);
         (micros(start, 1) / 1000.0, decision)
     };
-    let (first, decision) = time(&fleet, &wants, &Standing::new());
+    let (first, decision) = time(&fleet, &wants, &Assignments::new());
     let standing = decision.orders;
     for (name, orders) in &standing {
         let holds = orders.iter().map(|one| {
-            let holding = Holding {
+            let holding = VersionState {
                 stage: Stage::Serving,
                 since: now,
                 memory: 16 << 30,
             };
             (one.version, holding)
         });
-        fleet.get_mut(name).expect("it").holds = holds.collect::<BTreeMap<_, _>>();
+        fleet.get_mut(name).expect("it").versions = holds.collect::<BTreeMap<_, _>>();
     }
     let (idle, decision) = time(&fleet, &wants, &standing);
     assert!(decision.changed.is_empty());
@@ -324,7 +324,7 @@
         incarnation: NOW,
         version: 1,
         state: State::Up,
-        doubt: Doubt::None,
+        liveness: Liveness::Alive,
         facts: Facts(vec![0; 40].into()),
     };
     let entry_rows = (1..entries).map(|n| row(RowKind::Entry, 'e', n));
@@ -366,6 +366,6 @@
     println!(
         "gossip among {entries} entries and {targets} targets: {bytes} bytes a row, neighbours \
          chosen in {refresh:.0} us, a round {tick:.1} us, a message {receive:.1} us, {} neighbours",
-        node.view().len()
+        node.neighbours().len()
     );
 }
--- a/crates/filbertstack-entry/src/fleet.rs
+++ b/crates/filbertstack-entry/src/fleet.rs
@@ -10,10 +10,10 @@
 use filbertstack_core::names::InstanceName;
 use filbertstack_policy::placement::Fleet;
 use filbertstack_policy::placement::Health;
-use filbertstack_policy::placement::Holding;
 use filbertstack_policy::placement::Member as Placed;
-use filbertstack_policy::placement::SETTLE;
+use filbertstack_policy::placement::PLACEMENT_UPTIME;
 use filbertstack_policy::placement::Stage;
+use filbertstack_policy::placement::VersionState;
 use filbertstack_wire::messages::Stage as Reported;
 
 use crate::members::Held;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 struct Seen {
     health: Health,
-    holds: BTreeMap<Digest, Holding>,
+    holds: BTreeMap<Digest, VersionState>,
 }
 
 /// Remembers since when each instance has been as it is.
@@ -48,8 +48,8 @@
         for member in live.iter().filter(|member| !member.service) {
             let seen = self.heard(now, member, &chunks);
             let mut placed = Placed::new(member.labels.clone(), member.memory, seen.health);
-            placed.holds.clone_from(&seen.holds);
-            placed.single = true;
+            placed.versions.clone_from(&seen.holds);
+            placed.single_version = true;
             fleet.insert(member.name.clone(), placed);
         }
         for (name, facts) in register.iter().filter(|(_, facts)| facts.memory > 0) {
@@ -70,13 +70,13 @@
             .entry(member.name.clone())
             .or_insert_with(|| Seen {
                 // One that was never seen away is no flapping instance: it may get work at once.
-                health: Health::Up(now - SETTLE),
+                health: Health::Up(now - PLACEMENT_UPTIME),
                 holds: BTreeMap::new(),
             });
         seen.health = match seen.health {
             _ if member.leaving => Health::Leaving,
             Health::Up(since) => Health::Up(since),
-            Health::Away(_) | Health::Leaving => Health::Up(now),
+            Health::Unreachable(_) | Health::Leaving => Health::Up(now),
         };
         let before = std::mem::take(&mut seen.holds);
         for held in &member.held {
@@ -87,7 +87,7 @@
             let since = same.map_or(now, |old| old.since);
             seen.holds.insert(
                 held.version,
-                Holding {
+                VersionState {
                     stage,
                     since,
                     memory: member.memory,
@@ -99,12 +99,12 @@
 
     fn missed(&mut self, now: Millis, name: &InstanceName) -> Health {
         let away = Seen {
-            health: Health::Away(now),
+            health: Health::Unreachable(now),
             holds: BTreeMap::new(),
         };
         let seen = self.seen.entry(name.clone()).or_insert(away);
-        if !matches!(seen.health, Health::Away(_)) {
-            seen.health = Health::Away(now);
+        if !matches!(seen.health, Health::Unreachable(_)) {
+            seen.health = Health::Unreachable(now);
         }
         seen.holds.clear();
         seen.health
@@ -115,8 +115,8 @@
     let percent = held.chunks.saturating_mul(100) / chunks.max(1);
     Some(match held.stage {
         Reported::Absent => return None,
-        Reported::Fetching => Stage::Chunks(u8::try_from(percent.min(99)).unwrap_or(99)),
-        Reported::Verified => Stage::Chunks(100),
+        Reported::Fetching => Stage::Fetched(u8::try_from(percent.min(99)).unwrap_or(99)),
+        Reported::Verified => Stage::Fetched(100),
         Reported::Loading => Stage::Loading,
         Reported::Serving => Stage::Serving,
         Reported::Draining => Stage::Draining,
--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -27,8 +27,8 @@
 use filbertstack_policy::gossip::Announcement;
 use filbertstack_policy::gossip::Change;
 use filbertstack_policy::gossip::Departure;
-use filbertstack_policy::gossip::Doubt;
 use filbertstack_policy::gossip::Gossip;
+use filbertstack_policy::gossip::Liveness;
 use filbertstack_policy::gossip::Message;
 use filbertstack_policy::gossip::MessageKind;
 use filbertstack_policy::gossip::Outgoing;
@@ -112,7 +112,7 @@
             incarnation: incarnation(),
             version: 1,
             state: State::Up,
-            doubt: Doubt::None,
+            liveness: Liveness::Alive,
             facts: facts.to_facts(),
         };
         let names = voters.keys().cloned().collect();
@@ -150,10 +150,10 @@
                 return;
             }
             let alone = self.tick();
-            if alone || round % settings.compare == 0 {
+            if alone || round % settings.compare_rounds == 0 {
                 self.greet_seed(round);
             }
-            thread::sleep(settings.round.into());
+            thread::sleep(settings.round_interval.into());
         }
     }
 
@@ -162,7 +162,7 @@
         let now = self.now();
         let mut gossip = self.lock();
         let sends = gossip.tick(now);
-        let alone = gossip.view().is_empty();
+        let alone = gossip.neighbours().is_empty();
         self.pass_on(&mut gossip);
         drop(gossip);
         for send in sends {
@@ -246,7 +246,7 @@
         let known: Vec<_> = gossip.rows().filter_map(EntryFacts::of).collect();
         let hello = Message {
             kind: MessageKind::Push,
-            rows: vec![gossip.me().clone()],
+            rows: vec![gossip.own_row().clone()],
             summary: Some(Summary(Box::new([0; SUMMARY_BUCKETS]))),
         };
         drop(gossip);
@@ -274,7 +274,7 @@
             return false;
         }
         let row = renewed(known, self.target_row(announce, member));
-        gossip.announce(Announcement { row }, now);
+        gossip.receive_announcement(Announcement { row }, now);
         self.pass_on(&mut gossip);
         true
     }
@@ -293,7 +293,7 @@
             } else {
                 State::Up
             },
-            doubt: Doubt::None,
+            liveness: Liveness::Alive,
             facts: encoding::target_facts(announce),
         }
     }
@@ -302,7 +302,7 @@
     pub fn homes(&self, member: &InstanceName) -> Vec<SocketAddr> {
         let gossip = self.lock();
         let region = gossip.row(member).map_or(&self.region, |row| &row.region);
-        let homes = gossip::homes(member, region, gossip.rows());
+        let homes = gossip::home_entries(member, region, gossip.rows());
         let rows = homes.iter().filter_map(|name| gossip.row(name));
         let facts = rows.filter_map(EntryFacts::of);
         facts.map(|facts| facts.links).collect()
@@ -311,7 +311,7 @@
     /// The entries that `caller` is told to use, best first.
     pub fn entries_for(&self, caller: &str) -> Vec<EntryFacts> {
         let gossip = self.lock();
-        let names = gossip::spread(caller, Some(&self.region), gossip.rows(), MAX_TOLD);
+        let names = gossip::entries_for_caller(caller, Some(&self.region), gossip.rows(), MAX_TOLD);
         let rows = names.iter().filter_map(|name| gossip.row(name));
         rows.filter_map(EntryFacts::of).collect()
     }
@@ -330,7 +330,7 @@
         let facts = gossip.rows().filter_map(EntryFacts::of);
         let ages = facts.map(|facts| facts.max_age);
         let max_age = ages.max().unwrap_or(self.facts.max_age);
-        gossip.declare(State::Leaving, self.facts.to_facts(), now);
+        gossip.set_own_state(State::Leaving, self.facts.to_facts(), now);
         Departure::begin(now, max_age)
     }
 
@@ -338,11 +338,11 @@
     pub fn part(&self) {
         let now = self.now();
         let mut gossip = self.lock();
-        gossip.declare(State::Left, self.facts.to_facts(), now);
-        let view = gossip.view().to_vec();
+        gossip.set_own_state(State::Left, self.facts.to_facts(), now);
+        let view = gossip.neighbours().to_vec();
         let body = encoding::encode(&Message {
             kind: MessageKind::Answer,
-            rows: vec![gossip.me().clone()],
+            rows: vec![gossip.own_row().clone()],
             summary: None,
         });
         drop(gossip);
@@ -359,7 +359,7 @@
             match change {
                 Change::Updated(row) if row.kind == RowKind::Target => self.members.take(&row),
                 Change::Updated(_) => {}
-                Change::Forgotten(name) => self.members.forget(&name),
+                Change::Removed(name) => self.members.forget(&name),
                 Change::NameTaken { incarnation } => error!(
                     "another entry runs under the name {}, started at {incarnation} ms of its \
                      clock: stop one of the two, or set this instance's clock and start anew",
--- a/crates/filbertstack-entry/src/gossip/encoding.rs
+++ b/crates/filbertstack-entry/src/gossip/encoding.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use filbertstack_core::Millis;
 use filbertstack_core::names::ZoneName;
-use filbertstack_policy::gossip::Doubt;
 use filbertstack_policy::gossip::Facts;
+use filbertstack_policy::gossip::Liveness;
 use filbertstack_policy::gossip::Message;
 use filbertstack_policy::gossip::MessageKind;
 use filbertstack_policy::gossip::Row;
@@ -194,10 +194,10 @@
             State::Leaving => 1,
             State::Left => 2,
         },
-        doubt: match row.doubt {
-            Doubt::None => 0,
-            Doubt::Suspect => 1,
-            Doubt::Dead => 2,
+        doubt: match row.liveness {
+            Liveness::Alive => 0,
+            Liveness::Suspect => 1,
+            Liveness::Dead => 2,
         },
         facts: row.facts.0.to_vec(),
     }
@@ -220,10 +220,10 @@
             2 => State::Left,
             _ => return None,
         },
-        doubt: match frame.doubt {
-            0 => Doubt::None,
-            1 => Doubt::Suspect,
-            2 => Doubt::Dead,
+        liveness: match frame.doubt {
+            0 => Liveness::Alive,
+            1 => Liveness::Suspect,
+            2 => Liveness::Dead,
             _ => return None,
         },
         facts: Facts(Arc::from(frame.facts)),
--- a/crates/filbertstack-entry/src/lead.rs
+++ b/crates/filbertstack-entry/src/lead.rs
@@ -20,8 +20,8 @@
 use filbertstack_core::names::InstanceName;
 use filbertstack_policy::placement;
 use filbertstack_policy::placement::Assignment;
-use filbertstack_policy::placement::LoadFaults;
-use filbertstack_policy::placement::Standing;
+use filbertstack_policy::placement::Assignments;
+use filbertstack_policy::placement::LoadFailures;
 use spdlog::info;
 use spdlog::warn;
 
@@ -143,7 +143,7 @@
             .watcher
             .observe(now, &live, state.register(), chunks(&state));
         round.faults.observe(&fleet, now);
-        let wants = placement::wants(view.declared(), weights(&state));
+        let wants = placement::deployment_specs(view.declared(), weights(&state));
         let decision = placement::decide(&fleet, &wants, &standing(&view), &round.faults, now);
         let none = Vec::new();
         let targets: Vec<Desired> = decision
@@ -171,7 +171,7 @@
     seen: Option<(Reached, u64)>,
     placed: Instant,
     watcher: Watcher,
-    faults: LoadFaults,
+    faults: LoadFailures,
 }
 
 impl Round {
@@ -198,7 +198,7 @@
             seen: None,
             placed: Instant::now(),
             watcher: Watcher::default(),
-            faults: LoadFaults::default(),
+            faults: LoadFailures::default(),
         }
     }
 }
@@ -217,7 +217,7 @@
 }
 
 /// The standing orders as placement reads them.
-pub fn standing(view: &View) -> Standing {
+pub fn standing(view: &View) -> Assignments {
     let orders = view.orders().iter();
     orders
         .map(|(name, order)| {
--- a/crates/filbertstack-entry/src/operators.rs
+++ b/crates/filbertstack-entry/src/operators.rs
@@ -16,7 +16,7 @@
 use filbertstack_core::names::OrgName;
 use filbertstack_policy::placement;
 use filbertstack_policy::placement::DeploymentStatus;
-use filbertstack_policy::placement::LoadFaults;
+use filbertstack_policy::placement::LoadFailures;
 use filbertstack_wire::Dialer;
 use filbertstack_wire::Role;
 use filbertstack_wire::messages::Ask;
@@ -378,21 +378,21 @@
     let chunks = |version: &Digest| view.version(*version).map_or(0, |facts| facts.chunks);
     let weights = |version: &Digest| view.version(*version).map_or(0, |facts| facts.weights);
     let fleet = Watcher::default().observe(now, live, &Register::default(), chunks);
-    let wants = placement::wants(view.declared(), weights);
-    let faults = LoadFaults::default();
+    let wants = placement::deployment_specs(view.declared(), weights);
+    let faults = LoadFailures::default();
     let decision = placement::decide(&fleet, &wants, &standing(view), &faults, now);
     let all = placement::status(&fleet, &wants, &decision, &faults, now);
     all.iter().map(deployment).collect()
 }
 
 fn deployment(status: &DeploymentStatus) -> Value {
-    let why: Vec<String> = status.why.iter().map(ToString::to_string).collect();
+    let why: Vec<String> = status.reasons.iter().map(ToString::to_string).collect();
     json!({
         "deployment": status.deployment,
         "version": status.version,
-        "declared": status.difference.declared,
-        "serving": status.difference.serving,
-        "older": status.difference.older,
+        "declared": status.counts.declared,
+        "serving": status.counts.serving,
+        "older": status.counts.other_version,
         "met": status.is_met(),
         "why": why,
     })
--- a/crates/filbertstack-policy/src/placement/decide.rs
+++ b/crates/filbertstack-policy/src/placement/decide.rs
@@ -1,4 +1,5 @@
-//! One round of placement: from what is declared and what runs to the next orders.
+//! This module runs one round of placement: it derives the next orders from the declared and the
+//! observed state.
 
 use std::collections::BTreeSet;
 
@@ -6,10 +7,10 @@
 use filbertstack_core::names::DeploymentName;
 use filbertstack_core::names::InstanceName;
 
-use super::faults::LoadFaults;
+use super::faults::LoadFailures;
+use super::fleet::Assignments;
+use super::fleet::DeploymentSpec;
 use super::fleet::Fleet;
-use super::fleet::Standing;
-use super::fleet::Want;
 use super::place::Placement;
 use super::place::Round;
 use super::place::Shortfall;
@@ -17,52 +18,53 @@
 use super::roll::roll;
 use super::roll::surges;
 
-/// What one round came to.
+/// The result of one placement round.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Decision {
     /// The desired state of every known target.
-    pub orders: Standing,
-    /// The targets whose desired state differs from the standing orders.
+    pub orders: Assignments,
+    /// The targets whose desired state differs from their current assignments.
     pub changed: Vec<InstanceName>,
-    /// Where each deployment shall stand, spare instances of a change included.
+    /// The instances of each deployment, including the spare instances of a change of version.
     pub placement: Placement,
     /// The deployments that could not be placed in full.
-    pub short: Vec<Shortfall>,
-    /// The deployments whose change of version waits for a spare instance that is not there.
+    pub shortfalls: Vec<Shortfall>,
+    /// The deployments whose change of version is blocked because no spare instance is available.
     pub blocked: BTreeSet<DeploymentName>,
 }
 
-/// Decides the next orders. The same inputs give the same decision; once its orders stand and the
-/// targets follow them, the next decision changes nothing.
+/// Returns the next orders. The same inputs give the same decision. Once its orders are in force
+/// and the targets follow them, the next decision changes nothing.
 pub fn decide(
     fleet: &Fleet,
-    wants: &[Want],
-    standing: &Standing,
-    faults: &LoadFaults,
+    specs: &[DeploymentSpec],
+    current: &Assignments,
+    failures: &LoadFailures,
     now: Millis,
 ) -> Decision {
     let round = Round {
         fleet,
-        standing,
-        faults,
+        current,
+        failures,
         now,
     };
-    let extra = surges(fleet, standing, wants);
-    let placed = place(round, wants, &extra);
-    let rolled = roll(round, wants, &placed.placement);
+    let surge = surges(fleet, current, specs);
+    let placed = place(round, specs, &surge);
+    let rolled = roll(round, specs, &placed.placement);
     Decision {
-        changed: changed(standing, &rolled.orders),
+        changed: changed(current, &rolled.orders),
         orders: rolled.orders,
         placement: placed.placement,
-        short: placed.short,
+        shortfalls: placed.shortfalls,
         blocked: rolled.blocked,
     }
 }
 
-fn changed(standing: &Standing, orders: &Standing) -> Vec<InstanceName> {
-    let none = Vec::new();
-    let differs =
-        |(name, wanted): &(&InstanceName, &Vec<_>)| standing.get(*name).unwrap_or(&none) != *wanted;
+fn changed(current: &Assignments, orders: &Assignments) -> Vec<InstanceName> {
+    let empty = Vec::new();
+    let differs = |(name, assignments): &(&InstanceName, &Vec<_>)| {
+        current.get(*name).unwrap_or(&empty) != *assignments
+    };
     let names = orders.iter().filter(differs);
     names.map(|(name, _)| name.clone()).collect()
 }
