--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -15,7 +15,7 @@
 use filbertstack_policy::dispatch::Ended;
 use filbertstack_policy::dispatch::Refused;
 use filbertstack_policy::dispatch::TargetId;
-use filbertstack_policy::dispatch::Wanted;
+use filbertstack_policy::dispatch::TargetRequest;
 use http::Request;
 use http::Response;
 use http::StatusCode;
@@ -262,7 +262,7 @@
 /// A [`Refusal`] that says when to come back.
 pub fn choose(requests: &Rc<Requests>, call: &Call, tries: &Tries) -> Result<Chosen, Refusal> {
     let goal = call.route.goal.max(AGAIN).min(call.left());
-    let wanted = Wanted {
+    let wanted = TargetRequest {
         service: &call.service,
         prompt: call.prompt(),
         goal: Millis::from(goal),
--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -17,7 +17,7 @@
 use filbertstack_policy::dispatch::Refused;
 use filbertstack_policy::dispatch::Sharers;
 use filbertstack_policy::dispatch::TargetId;
-use filbertstack_policy::dispatch::Wanted;
+use filbertstack_policy::dispatch::TargetRequest;
 use filbertstack_policy::registry::Stamp;
 use filbertstack_policy::rollout;
 use filbertstack_policy::subset;
@@ -237,7 +237,7 @@
     ///
     /// # Errors
     /// [`Refused`] if none can serve it in time.
-    pub fn choose(&self, wanted: &Wanted<'_>) -> Result<Chosen, Refused> {
+    pub fn choose(&self, wanted: &TargetRequest<'_>) -> Result<Chosen, Refused> {
         let now = self.node.clock.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
         let id = dispatcher.choose(now, wanted)?;
--- a/crates/filbertstack-gateway/src/request/waiting.rs
+++ b/crates/filbertstack-gateway/src/request/waiting.rs
@@ -6,7 +6,7 @@
 
 use filbertstack_core::Millis;
 use filbertstack_policy::dispatch::Refused;
-use filbertstack_policy::dispatch::Wanted;
+use filbertstack_policy::dispatch::TargetRequest;
 use tokio::time::Instant;
 use tokio::time::sleep;
 use tokio::time::timeout_at;
@@ -113,7 +113,7 @@
 }
 
 fn choose(requests: &Requests, call: &Call, goal: Duration) -> Result<Chosen, Refused> {
-    requests.targets.choose(&Wanted {
+    requests.targets.choose(&TargetRequest {
         service: &call.service,
         prompt: call.prompt(),
         goal: Millis::from(goal),
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -73,7 +73,7 @@
 
 /// A request that needs a target.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct TargetRequest<'a> {
     /// The service.
     pub service: &'a str,
     /// Prompt tokens; 0 for a plain call.
@@ -158,7 +158,7 @@
     ///
     /// # Errors
     /// [`Refused`], with the time after which the caller may come back.
-    pub fn choose(&mut self, now: Millis, wanted: &Wanted<'_>) -> Result<TargetId, Refused> {
+    pub fn choose(&mut self, now: Millis, wanted: &TargetRequest<'_>) -> Result<TargetId, Refused> {
         let prompt = f64::from(wanted.prompt);
         let limit = millis_f64(wanted.goal) * GOAL_SHARE;
         let mut beside: Vec<(f64, TargetId)> = Vec::new();
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -12,7 +12,7 @@
 use filbertstack_policy::dispatch::Refused;
 use filbertstack_policy::dispatch::Sharers;
 use filbertstack_policy::dispatch::TargetId;
-use filbertstack_policy::dispatch::Wanted;
+use filbertstack_policy::dispatch::TargetRequest;
 use filbertstack_policy::subset;
 use filbertstack_policy::subset::Candidate;
 use rand::RngExt as _;
@@ -254,7 +254,7 @@
     prompt: u32,
     goal: Millis,
 ) -> Result<usize, Refused> {
-    let wanted = Wanted {
+    let wanted = TargetRequest {
         service: "llm",
         prompt,
         goal,
