--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -12,8 +12,8 @@
 use filbertstack_platform::request::ReplyHead;
 use filbertstack_platform::request::send_on;
 use filbertstack_platform::request::strip;
+use filbertstack_policy::dispatch::ChooseError;
 use filbertstack_policy::dispatch::Ended;
-use filbertstack_policy::dispatch::Refused;
 use filbertstack_policy::dispatch::TargetId;
 use filbertstack_policy::dispatch::TargetRequest;
 use http::Request;
@@ -271,7 +271,7 @@
     requests.targets.choose(&wanted).map_err(refuse)
 }
 
-fn refuse(refused: Refused) -> Refusal {
+fn refuse(refused: ChooseError) -> Refusal {
     let after = Duration::from(refused.after());
     Refusal::busy("no target can serve it in time", after)
 }
--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -10,11 +10,11 @@
 
 use filbertstack_core::Millis;
 use filbertstack_core::serving::EngineModel;
+use filbertstack_policy::dispatch::ChooseError;
 use filbertstack_policy::dispatch::Dispatcher;
 use filbertstack_policy::dispatch::Ended;
 use filbertstack_policy::dispatch::Load;
 use filbertstack_policy::dispatch::Offered;
-use filbertstack_policy::dispatch::Refused;
 use filbertstack_policy::dispatch::Sharers;
 use filbertstack_policy::dispatch::TargetId;
 use filbertstack_policy::dispatch::TargetRequest;
@@ -236,15 +236,15 @@
     /// Chooses a target for a request.
     ///
     /// # Errors
-    /// [`Refused`] if none can serve it in time.
-    pub fn choose(&self, wanted: &TargetRequest<'_>) -> Result<Chosen, Refused> {
+    /// [`ChooseError`] if none can serve it in time.
+    pub fn choose(&self, wanted: &TargetRequest<'_>) -> Result<Chosen, ChooseError> {
         let now = self.node.clock.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
         let id = dispatcher.choose(now, wanted)?;
         let (predicted, report_age) = dispatcher.grounds(now, &id, wanted.prompt);
         let place = self.places.borrow().get(&id).copied();
         // Both are replaced together, so a target that is offered has a place.
-        let place = place.ok_or(Refused::NoTarget {
+        let place = place.ok_or(ChooseError::NoTarget {
             after: Millis::secs(1),
         })?;
         Ok(Chosen {
--- a/crates/filbertstack-gateway/src/request/waiting.rs
+++ b/crates/filbertstack-gateway/src/request/waiting.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use filbertstack_core::Millis;
-use filbertstack_policy::dispatch::Refused;
+use filbertstack_policy::dispatch::ChooseError;
 use filbertstack_policy::dispatch::TargetRequest;
 use tokio::time::Instant;
 use tokio::time::sleep;
@@ -61,14 +61,14 @@
 /// Chooses the first target of a request; where none takes work for the moment, as soon as one does.
 ///
 /// # Errors
-/// [`Refused`], with the time after which the caller may come back.
-pub async fn first(requests: &Requests, call: &Call) -> Result<Chosen, Refused> {
+/// [`ChooseError`], with the time after which the caller may come back.
+pub async fn first(requests: &Requests, call: &Call) -> Result<Chosen, ChooseError> {
     requests.targets.come(&call.service);
     let refused = match choose_in_time(requests, call) {
         Ok(chosen) => return Ok(chosen),
         Err(refused) => refused,
     };
-    let recovers = call.waited || matches!(refused, Refused::NoTarget { .. });
+    let recovers = call.waited || matches!(refused, ChooseError::NoTarget { .. });
     let time = call.deadline.saturating_duration_since(call.came);
     let until = until(requests, Some(&call.service), call.came, time);
     let Some(until) = until.filter(|_| recovers) else {
@@ -94,7 +94,7 @@
     call.route.goal.saturating_sub(call.came.elapsed())
 }
 
-fn choose_in_time(requests: &Requests, call: &Call) -> Result<Chosen, Refused> {
+fn choose_in_time(requests: &Requests, call: &Call) -> Result<Chosen, ChooseError> {
     let chosen = choose(requests, call, goal_left(call))?;
     let now = requests.node.clock.now();
     requests.recovery.borrow_mut().serve(now, &call.service);
@@ -112,7 +112,7 @@
     Some(chosen)
 }
 
-fn choose(requests: &Requests, call: &Call, goal: Duration) -> Result<Chosen, Refused> {
+fn choose(requests: &Requests, call: &Call, goal: Duration) -> Result<Chosen, ChooseError> {
     requests.targets.choose(&TargetRequest {
         service: &call.service,
         prompt: call.prompt(),
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -86,7 +86,7 @@
 
 /// Why a request gets no target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum ChooseError {
     /// The service has no target that takes work.
     NoTarget {
         /// When to come back.
@@ -99,7 +99,7 @@
     },
 }
 
-impl Refused {
+impl ChooseError {
     /// When the caller may come back.
     pub fn after(self) -> Millis {
         match self {
@@ -157,8 +157,12 @@
     /// Chooses the target with the earliest predicted first event.
     ///
     /// # Errors
-    /// [`Refused`], with the time after which the caller may come back.
-    pub fn choose(&mut self, now: Millis, wanted: &TargetRequest<'_>) -> Result<TargetId, Refused> {
+    /// [`ChooseError`], with the time after which the caller may come back.
+    pub fn choose(
+        &mut self,
+        now: Millis,
+        wanted: &TargetRequest<'_>,
+    ) -> Result<TargetId, ChooseError> {
         let prompt = f64::from(wanted.prompt);
         let limit = millis_f64(wanted.goal) * GOAL_SHARE;
         let mut beside: Vec<(f64, TargetId)> = Vec::new();
@@ -211,11 +215,11 @@
         best.map(|(_, id)| id).ok_or_else(|| {
             if least.is_infinite() {
                 let after = self.spread(NO_TARGET);
-                return Refused::NoTarget { after };
+                return ChooseError::NoTarget { after };
             }
             let wait = (least - limit).clamp(RETURN[0], RETURN[1]);
             let after = self.spread(wait);
-            Refused::Full { after }
+            ChooseError::Full { after }
         })
     }
 
--- a/crates/filbertstack-policy/tests/dispatch.rs
+++ b/crates/filbertstack-policy/tests/dispatch.rs
@@ -6,11 +6,11 @@
 
 use batch::EIGHT;
 use filbertstack_core::Millis;
+use filbertstack_policy::dispatch::ChooseError;
 use filbertstack_policy::dispatch::Dispatcher;
 use filbertstack_policy::dispatch::Ended;
 use filbertstack_policy::dispatch::Load;
 use filbertstack_policy::dispatch::Offered;
-use filbertstack_policy::dispatch::Refused;
 use filbertstack_policy::dispatch::Sharers;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
@@ -22,7 +22,7 @@
 use replay::replay;
 
 /// Demand is about three times what twelve engines can read and write. Taken in turn, every
-/// request waits in an engine's queue and nearly every first event is late. Refused at once where
+/// request waits in an engine's queue and nearly every first event is late. ChooseError at once where
 /// no engine can make it, five of six that are taken are on time, and the engines stay full.
 #[test]
 fn in_a_standing_overload_those_taken_are_on_time() {
@@ -284,7 +284,10 @@
         entry.report(Millis(101_000), &format!("e{n}"), load(16));
     }
     let at_once = choose(&mut entry, 101_000, 100);
-    assert!(matches!(at_once, Err(Refused::Full { .. })), "{at_once:?}");
+    assert!(
+        matches!(at_once, Err(ChooseError::Full { .. })),
+        "{at_once:?}"
+    );
     for n in 1..3 {
         entry.report(Millis(131_000), &format!("e{n}"), load(16));
     }
@@ -301,7 +304,7 @@
 fn a_refusal_says_when_to_come_back() {
     let mut entry = Dispatcher::new(ChaCha8Rng::seed_from_u64(1));
     let none = choose(&mut entry, 0, 100).expect_err("there is no target");
-    assert!(matches!(none, Refused::NoTarget { after } if after >= Millis(500)));
+    assert!(matches!(none, ChooseError::NoTarget { after } if after >= Millis(500)));
     entry.offer(vec![offered(0, true)]);
     let load = Load {
         running: 16,
@@ -310,7 +313,7 @@
     };
     entry.report(Millis(0), "e0", load);
     let full = choose(&mut entry, 0, 100).expect_err("it is full");
-    assert!(matches!(full, Refused::Full { after } if after <= Millis(600)));
+    assert!(matches!(full, ChooseError::Full { after } if after <= Millis(600)));
 }
 
 /// A target does not answer, three times in a row. It gets nothing for two seconds, then one
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -5,11 +5,11 @@
 
 use filbertstack_core::Millis;
 use filbertstack_core::serving::EngineModel;
+use filbertstack_policy::dispatch::ChooseError;
 use filbertstack_policy::dispatch::Dispatcher;
 use filbertstack_policy::dispatch::Ended;
 use filbertstack_policy::dispatch::Load;
 use filbertstack_policy::dispatch::Offered;
-use filbertstack_policy::dispatch::Refused;
 use filbertstack_policy::dispatch::Sharers;
 use filbertstack_policy::dispatch::TargetId;
 use filbertstack_policy::dispatch::TargetRequest;
@@ -244,7 +244,7 @@
     })
 }
 
-pub fn choose(entry: &mut Dispatcher, now: u64, prompt: u32) -> Result<usize, Refused> {
+pub fn choose(entry: &mut Dispatcher, now: u64, prompt: u32) -> Result<usize, ChooseError> {
     choose_within(entry, now, prompt, FULL.goal)
 }
 
@@ -253,7 +253,7 @@
     now: u64,
     prompt: u32,
     goal: Millis,
-) -> Result<usize, Refused> {
+) -> Result<usize, ChooseError> {
     let wanted = TargetRequest {
         service: "llm",
         prompt,
