--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -272,7 +272,7 @@
 }
 
 fn refuse(refused: ChooseError) -> Refusal {
-    let after = Duration::from(refused.after());
+    let after = Duration::from(refused.retry_after());
     Refusal::busy("no target can serve it in time", after)
 }
 
--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -245,7 +245,7 @@
         let place = self.places.borrow().get(&id).copied();
         // Both are replaced together, so a target that is offered has a place.
         let place = place.ok_or(ChooseError::NoTarget {
-            after: Millis::secs(1),
+            retry_after: Millis::secs(1),
         })?;
         Ok(Chosen {
             id,
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -90,20 +90,20 @@
     /// The service has no target that takes work.
     NoTarget {
         /// When to come back.
-        after: Millis,
+        retry_after: Millis,
     },
     /// No target would answer within the goal.
     Full {
         /// When to come back.
-        after: Millis,
+        retry_after: Millis,
     },
 }
 
 impl ChooseError {
     /// When the caller may come back.
-    pub fn after(self) -> Millis {
+    pub fn retry_after(self) -> Millis {
         match self {
-            Self::NoTarget { after } | Self::Full { after } => after,
+            Self::NoTarget { retry_after } | Self::Full { retry_after } => retry_after,
         }
     }
 }
@@ -214,12 +214,12 @@
         let best = best.or_else(|| self.draw(probes));
         best.map(|(_, id)| id).ok_or_else(|| {
             if least.is_infinite() {
-                let after = self.spread(NO_TARGET);
-                return ChooseError::NoTarget { after };
+                let retry_after = self.spread(NO_TARGET);
+                return ChooseError::NoTarget { retry_after };
             }
             let wait = (least - limit).clamp(RETURN[0], RETURN[1]);
-            let after = self.spread(wait);
-            ChooseError::Full { after }
+            let retry_after = self.spread(wait);
+            ChooseError::Full { retry_after }
         })
     }
 
--- a/crates/filbertstack-policy/tests/dispatch.rs
+++ b/crates/filbertstack-policy/tests/dispatch.rs
@@ -304,7 +304,7 @@
 fn a_refusal_says_when_to_come_back() {
     let mut entry = Dispatcher::new(ChaCha8Rng::seed_from_u64(1));
     let none = choose(&mut entry, 0, 100).expect_err("there is no target");
-    assert!(matches!(none, ChooseError::NoTarget { after } if after >= Millis(500)));
+    assert!(matches!(none, ChooseError::NoTarget { retry_after } if retry_after >= Millis(500)));
     entry.offer(vec![offered(0, true)]);
     let load = Load {
         running: 16,
@@ -313,7 +313,7 @@
     };
     entry.report(Millis(0), "e0", load);
     let full = choose(&mut entry, 0, 100).expect_err("it is full");
-    assert!(matches!(full, ChooseError::Full { after } if after <= Millis(600)));
+    assert!(matches!(full, ChooseError::Full { retry_after } if retry_after <= Millis(600)));
 }
 
 /// A target does not answer, three times in a row. It gets nothing for two seconds, then one
