--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -14,10 +14,10 @@
 use filbertstack_policy::dispatch::Dispatcher;
 use filbertstack_policy::dispatch::Ended;
 use filbertstack_policy::dispatch::Load;
-use filbertstack_policy::dispatch::Offered;
 use filbertstack_policy::dispatch::Sharers;
 use filbertstack_policy::dispatch::TargetId;
 use filbertstack_policy::dispatch::TargetRequest;
+use filbertstack_policy::dispatch::TargetSpec;
 use filbertstack_policy::registry::Stamp;
 use filbertstack_policy::rollout;
 use filbertstack_policy::subset;
@@ -189,7 +189,7 @@
         agent: Option<&AgentRow>,
         sharers: Sharers,
         now: Millis,
-    ) -> (Offered, Place) {
+    ) -> (TargetSpec, Place) {
         let catalogue = self.node.declared.catalogue();
         let service = catalogue.service(&row.service);
         let engine = service.and_then(|s| s.engine.clone()).map(Arc::new);
@@ -202,7 +202,7 @@
         let patience = rollout::patience(ages.into_iter(), version, bound);
         let loading = agent.is_some_and(|agent| agent.loading);
         let serves = engine.is_none() || (version > 0 && version >= floor && !loading);
-        let offered = Offered {
+        let offered = TargetSpec {
             id: id.clone(),
             service: row.service.as_str().into(),
             slots: row.slots,
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -42,9 +42,9 @@
 pub use self::share::Sharers;
 pub use self::target::Ended;
 pub use self::target::Load;
-pub use self::target::Offered;
 use self::target::Target;
 pub use self::target::TargetId;
+pub use self::target::TargetSpec;
 
 /// The part of the goal that a predicted first event may take. The rest covers the way to the
 /// caller and the error of loads that are reported with a lag.
@@ -128,16 +128,16 @@
     }
 
     /// Replaces what is known of the targets; requests under way and health are kept.
-    pub fn offer(&mut self, offered: Vec<Offered>) {
+    pub fn offer(&mut self, spec: Vec<TargetSpec>) {
         let mut targets = BTreeMap::new();
-        for offered in offered {
-            let known = self.targets.remove(&offered.id);
-            let mut target = known.unwrap_or_else(|| Target::new(offered.clone()));
-            target.offered = offered;
-            targets.insert(target.offered.id.clone(), target);
+        for spec in spec {
+            let known = self.targets.remove(&spec.id);
+            let mut target = known.unwrap_or_else(|| Target::new(spec.clone()));
+            target.spec = spec;
+            targets.insert(target.spec.id.clone(), target);
         }
         self.targets = targets;
-        let services = self.targets.values().map(|t| &t.offered.service);
+        let services = self.targets.values().map(|t| &t.spec.service);
         let services: BTreeSet<&Arc<str>> = services.collect();
         self.demand.retain(|service, _| services.contains(service));
     }
@@ -175,8 +175,8 @@
         let rooms = self.rooms(now, wanted.service, limit, deaf);
         let mut least = f64::INFINITY;
         for target in self.targets.values() {
-            let id = &target.offered.id;
-            let other = &*target.offered.service != wanted.service || wanted.tried.contains(id);
+            let id = &target.spec.id;
+            let other = &*target.spec.service != wanted.service || wanted.tried.contains(id);
             if other || !target.takes_work(now) {
                 continue;
             }
@@ -188,11 +188,11 @@
                 continue;
             }
             least = least.min(predicted);
-            let Offered {
+            let TargetSpec {
                 near: is_near,
                 sharers,
                 ..
-            } = target.offered;
+            } = target.spec;
             let share = rooms[usize::from(is_near)].share(sharers, is_near, demand);
             if predicted > limit || !target.has_room(now, limit, share) {
                 continue;
@@ -227,12 +227,12 @@
     fn rooms(&self, now: Millis, service: &str, limit: f64, deaf: bool) -> [Rooms; 2] {
         let mut rooms = [Rooms::default(); 2];
         for target in self.targets.values() {
-            let serves = &*target.offered.service == service && target.takes_work(now);
+            let serves = &*target.spec.service == service && target.takes_work(now);
             if !serves || (!deaf && target.is_silent(now)) {
                 continue;
             }
             if let Some(room) = target.room(now, limit) {
-                rooms[usize::from(target.offered.near)].add(room, target.offered.sharers);
+                rooms[usize::from(target.spec.near)].add(room, target.spec.sharers);
             }
         }
         rooms
@@ -243,7 +243,7 @@
     fn is_deaf(&self, now: Millis, service: &str) -> bool {
         let targets = self.targets.values();
         let mut balance = 0_i32;
-        for target in targets.filter(|t| &*t.offered.service == service && t.has_reported()) {
+        for target in targets.filter(|t| &*t.spec.service == service && t.has_reported()) {
             balance += if target.is_silent(now) { 1 } else { -1 };
         }
         balance > 0
@@ -252,7 +252,7 @@
     /// Whether an engine is silent though others of its service are heard.
     pub fn is_silent(&self, now: Millis, id: &str) -> bool {
         let target = self.targets.get(id);
-        target.is_none_or(|t| t.is_silent(now) && !self.is_deaf(now, &t.offered.service))
+        target.is_none_or(|t| t.is_silent(now) && !self.is_deaf(now, &t.spec.service))
     }
 
     /// Notes that bytes of an answer came from `id`.
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -46,7 +46,7 @@
 
 /// What is known of a target before any request is sent there.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Offered {
+pub struct TargetSpec {
     /// Its identity.
     pub id: TargetId,
     /// The service that it belongs to.
@@ -89,7 +89,7 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Target {
-    pub(super) offered: Offered,
+    pub(super) spec: TargetSpec,
     own: u32,
     /// Prompt tokens sent that have not led to a first event yet.
     unread: f64,
@@ -109,9 +109,9 @@
 }
 
 impl Target {
-    pub(super) fn new(offered: Offered) -> Self {
+    pub(super) fn new(spec: TargetSpec) -> Self {
         Self {
-            offered,
+            spec,
             own: 0,
             unread: 0.0,
             load: None,
@@ -131,7 +131,7 @@
             Health::Ejected { .. } => self.outlier.probe_due(now),
             Health::Probed => false,
         };
-        self.offered.open && well && now >= self.shut
+        self.spec.open && well && now >= self.shut
     }
 
     /// Takes in a load report; `lot`, of 0 to 1, is drawn for it.
@@ -225,7 +225,7 @@
     /// Whether a silent one may be probed: by each entry at another time, by lot.
     pub(super) fn may_probe(&self, now: Millis) -> bool {
         let turn = 0.5 + self.lot;
-        let pause = millis(secs(PROBE) * self.offered.sharers.users() * turn);
+        let pause = millis(secs(PROBE) * self.spec.sharers.users() * turn);
         self.own == 0 && now.since(self.tried.max(self.heard)) >= pause
     }
 
@@ -251,13 +251,13 @@
     }
 
     fn slots(&self) -> f64 {
-        f64::from(self.offered.slots.max(1))
+        f64::from(self.spec.slots.max(1))
     }
 
     /// Milliseconds to the first event, or to the answer of a plain call.
     pub(super) fn predict(&self, now: Millis, prompt: f64) -> f64 {
         let ahead = self.occupancy(now);
-        let Some(engine) = &self.offered.engine else {
+        let Some(engine) = &self.spec.engine else {
             let rounds = ((ahead + 1.0) / self.slots()).max(1.0);
             return self.call_ms * rounds;
         };
@@ -269,8 +269,8 @@
     /// Milliseconds that a first event is later than predicted, in the mean, by what other entries have
     /// sent: one prompt that is read before. Little of it goes to a target beside this entry.
     pub(super) fn unseen_ms(&self) -> f64 {
-        match &self.offered.engine {
-            Some(engine) if self.offered.sharers.beside == 0 => read_ms(engine, engine.prompt),
+        match &self.spec.engine {
+            Some(engine) if self.spec.sharers.beside == 0 => read_ms(engine, engine.prompt),
             _ => 0.0,
         }
     }
@@ -278,7 +278,7 @@
     /// Requests that find a place for first events within `limit` milliseconds: those of the last report
     /// and those that have come free since; `None` without a report that still says something.
     pub(super) fn room(&self, now: Millis, limit: f64) -> Option<f64> {
-        let engine = self.offered.engine.as_deref()?;
+        let engine = self.spec.engine.as_deref()?;
         let (at, load) = self.fresh(now)?;
         let pace = load.pace.max(1.0);
         let turn = turn_ms(engine) * pace;
@@ -292,12 +292,12 @@
     /// Whether this entry, which may take `share` of the room, may send another request before the
     /// next report.
     pub(super) fn has_room(&self, now: Millis, limit: f64, share: f64) -> bool {
-        if self.offered.engine.is_none() {
+        if self.spec.engine.is_none() {
             return true;
         }
         let Some(room) = self.room(now, limit) else {
             // Nobody tells what others have there: an even share of its slots.
-            let slots = self.offered.sharers.part(self.slots());
+            let slots = self.spec.sharers.part(self.slots());
             return f64::from(self.own) < (slots + self.lot).floor().max(1.0);
         };
         f64::from(self.uncounted()) < (room * share + self.lot).floor()
--- a/crates/filbertstack-policy/tests/dispatch.rs
+++ b/crates/filbertstack-policy/tests/dispatch.rs
@@ -10,8 +10,8 @@
 use filbertstack_policy::dispatch::Dispatcher;
 use filbertstack_policy::dispatch::Ended;
 use filbertstack_policy::dispatch::Load;
-use filbertstack_policy::dispatch::Offered;
 use filbertstack_policy::dispatch::Sharers;
+use filbertstack_policy::dispatch::TargetSpec;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 use replay::FULL;
@@ -269,7 +269,7 @@
         used: 1,
         beside: 0,
     };
-    let shared = |n| Offered {
+    let shared = |n| TargetSpec {
         sharers,
         ..offered(n, true)
     };
@@ -343,7 +343,7 @@
 #[test]
 fn calls_that_have_ended_do_not_count() {
     let mut entry = Dispatcher::new(ChaCha8Rng::seed_from_u64(1));
-    entry.offer(vec![Offered {
+    entry.offer(vec![TargetSpec {
         engine: None,
         slots: 6,
         ..offered(0, true)
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -9,10 +9,10 @@
 use filbertstack_policy::dispatch::Dispatcher;
 use filbertstack_policy::dispatch::Ended;
 use filbertstack_policy::dispatch::Load;
-use filbertstack_policy::dispatch::Offered;
 use filbertstack_policy::dispatch::Sharers;
 use filbertstack_policy::dispatch::TargetId;
 use filbertstack_policy::dispatch::TargetRequest;
+use filbertstack_policy::dispatch::TargetSpec;
 use filbertstack_policy::subset;
 use filbertstack_policy::subset::Candidate;
 use rand::RngExt as _;
@@ -74,8 +74,8 @@
     pub left: u32,
 }
 
-pub fn offered(n: usize, open: bool) -> Offered {
-    Offered {
+pub fn offered(n: usize, open: bool) -> TargetSpec {
+    TargetSpec {
         id: format!("e{n}").into(),
         service: "llm".into(),
         slots: MODEL.slots,
@@ -174,7 +174,7 @@
         let all: Vec<usize> = (0..replay.entries).collect();
         let offered = |n: &usize| {
             let is = near(*n);
-            Offered {
+            TargetSpec {
                 near: is,
                 sharers: Sharers {
                     entries: counted(&all, is),
