--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -206,7 +206,7 @@
             id: id.clone(),
             service: row.service.as_str().into(),
             slots: row.slots,
-            near: row.zone == self.node.settings.node.zone,
+            local: row.zone == self.node.settings.node.zone,
             sharers,
             engine,
             open: serves && !row.draining,
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -189,7 +189,7 @@
             }
             least = least.min(predicted);
             let TargetSpec {
-                near: is_near,
+                local: is_near,
                 sharers,
                 ..
             } = target.spec;
@@ -232,7 +232,7 @@
                 continue;
             }
             if let Some(room) = target.room(now, limit) {
-                rooms[usize::from(target.spec.near)].add(room, target.spec.sharers);
+                rooms[usize::from(target.spec.local)].add(room, target.spec.sharers);
             }
         }
         rooms
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -54,7 +54,7 @@
     /// Requests that it processes at once.
     pub slots: u32,
     /// Whether it is in the entry's zone.
-    pub near: bool,
+    pub local: bool,
     /// Who shares its places.
     pub sharers: Sharers,
     /// How its engine computes, if it is one.
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -79,7 +79,7 @@
         id: format!("e{n}").into(),
         service: "llm".into(),
         slots: MODEL.slots,
-        near: true,
+        local: true,
         sharers: Sharers {
             entries: 1,
             targets: 1,
@@ -175,7 +175,7 @@
         let offered = |n: &usize| {
             let is = near(*n);
             TargetSpec {
-                near: is,
+                local: is,
                 sharers: Sharers {
                     entries: counted(&all, is),
                     targets: counted(&there, is),
