--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -12,8 +12,8 @@
 use filbertstack_platform::request::ReplyHead;
 use filbertstack_platform::request::send_on;
 use filbertstack_platform::request::strip;
+use filbertstack_policy::dispatch::AttemptEnd;
 use filbertstack_policy::dispatch::ChooseError;
-use filbertstack_policy::dispatch::Ended;
 use filbertstack_policy::dispatch::TargetId;
 use filbertstack_policy::dispatch::TargetRequest;
 use http::Request;
@@ -104,7 +104,7 @@
     first: Option<Duration>,
     /// The status of the target's answer; 0 until it came.
     status: u16,
-    ended: Ended,
+    ended: AttemptEnd,
 }
 
 impl Lease {
@@ -142,14 +142,14 @@
 
     /// Notes that the target failed.
     pub fn fail(&mut self) {
-        self.ended = Ended::Failed;
+        self.ended = AttemptEnd::Failed;
     }
 
     /// Notes that the answer is whole, and keeps the connection if a later request may use it:
     /// those that may run once only go on new ones, and a target resets connections beyond the
     /// number that it takes, idle ones included.
     pub fn finish(&mut self) {
-        self.ended = Ended::Answered(Millis::from(self.sent.elapsed()));
+        self.ended = AttemptEnd::Answered(Millis::from(self.sent.elapsed()));
         let keep = !self.closes && self.call.may_repeat();
         let kept = self.connection.take().filter(|_| keep);
         if let Some(connection) = kept {
@@ -161,10 +161,10 @@
 impl Drop for Lease {
     fn drop(&mut self) {
         let outcome = match self.ended {
-            Ended::Answered(_) => "answered",
-            Ended::Refused => "not taken",
-            Ended::Failed => "failed",
-            Ended::Left => "caller left",
+            AttemptEnd::Answered(_) => "answered",
+            AttemptEnd::Refused => "not taken",
+            AttemptEnd::Failed => "failed",
+            AttemptEnd::Left => "caller left",
         };
         let took = self.sent.elapsed();
         self.requests.metrics.entry.duration.record(outcome, took);
@@ -310,7 +310,7 @@
         heard: Instant::now(),
         first: None,
         status: 0,
-        ended: Ended::Left,
+        ended: AttemptEnd::Left,
     };
     requests.targets.sent(&chosen.id, call.prompt());
     let mut connected = match Connected::to(requests, call, chosen.addr).await {
@@ -448,7 +448,7 @@
     if head.ours && (head.not_run || status == StatusCode::MISDIRECTED_REQUEST) {
         let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
         let span = if misdirected { MISDIRECTED } else { FULL };
-        lease.ended = Ended::Refused;
+        lease.ended = AttemptEnd::Refused;
         lease.requests.targets.shut(&lease.id, span);
         return Outcome::NotRun;
     }
@@ -463,7 +463,7 @@
         return Outcome::Unknown;
     }
     if status.is_server_error() {
-        lease.ended = Ended::Refused;
+        lease.ended = AttemptEnd::Refused;
         let repeats = call.route.repeat == Repeat::Idempotent;
         if repeats {
             return Outcome::Failed(response, lease);
--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -10,9 +10,9 @@
 
 use filbertstack_core::Millis;
 use filbertstack_core::serving::EngineModel;
+use filbertstack_policy::dispatch::AttemptEnd;
 use filbertstack_policy::dispatch::ChooseError;
 use filbertstack_policy::dispatch::Dispatcher;
-use filbertstack_policy::dispatch::Ended;
 use filbertstack_policy::dispatch::Load;
 use filbertstack_policy::dispatch::Sharers;
 use filbertstack_policy::dispatch::TargetId;
@@ -282,7 +282,7 @@
     }
 
     /// Counts the end of a request; `unread` is its prompt if no event had come.
-    pub fn ended(&self, id: &str, unread: u32, ended: Ended) {
+    pub fn ended(&self, id: &str, unread: u32, ended: AttemptEnd) {
         let now = self.node.clock.now();
         self.dispatcher.borrow_mut().ended(now, id, unread, ended);
     }
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -40,7 +40,7 @@
 use self::share::Demand;
 use self::share::Rooms;
 pub use self::share::Sharers;
-pub use self::target::Ended;
+pub use self::target::AttemptEnd;
 pub use self::target::Load;
 use self::target::Target;
 pub use self::target::TargetId;
@@ -305,7 +305,7 @@
     }
 
     /// Counts the end of a request at `id`; `unread` is its prompt if no event had come.
-    pub fn ended(&mut self, now: Millis, id: &str, unread: u32, ended: Ended) {
+    pub fn ended(&mut self, now: Millis, id: &str, unread: u32, ended: AttemptEnd) {
         if let Some(target) = self.targets.get_mut(id) {
             target.end(now, unread, ended);
         }
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -76,7 +76,7 @@
 
 /// How a request at a target ended, as far as the target's health goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptEnd {
     /// With an answer, after this time.
     Answered(Millis),
     /// The target had no room; it is well.
@@ -173,22 +173,22 @@
     }
 
     /// Counts the end of a request; `unread` is its prompt if no event had come.
-    pub(super) fn end(&mut self, now: Millis, unread: u32, ended: Ended) {
+    pub(super) fn end(&mut self, now: Millis, unread: u32, ended: AttemptEnd) {
         self.own = self.own.saturating_sub(1);
         self.read(unread);
         match ended {
-            Ended::Answered(took) => self.succeed(took),
-            Ended::Failed => {
+            AttemptEnd::Answered(took) => self.succeed(took),
+            AttemptEnd::Failed => {
                 let out = self.outlier.is_out();
                 if self.outlier.fail() || out {
                     self.outlier.lose(now);
                 }
             }
-            Ended::Refused => {
+            AttemptEnd::Refused => {
                 self.sent.pop_back();
                 self.withdraw(now);
             }
-            Ended::Left => self.withdraw(now),
+            AttemptEnd::Left => self.withdraw(now),
         }
     }
 
--- a/crates/filbertstack-policy/tests/dispatch.rs
+++ b/crates/filbertstack-policy/tests/dispatch.rs
@@ -6,9 +6,9 @@
 
 use batch::EIGHT;
 use filbertstack_core::Millis;
+use filbertstack_policy::dispatch::AttemptEnd;
 use filbertstack_policy::dispatch::ChooseError;
 use filbertstack_policy::dispatch::Dispatcher;
-use filbertstack_policy::dispatch::Ended;
 use filbertstack_policy::dispatch::Load;
 use filbertstack_policy::dispatch::Sharers;
 use filbertstack_policy::dispatch::TargetSpec;
@@ -325,7 +325,7 @@
     for _ in 0..3 {
         assert_eq!(choose(&mut entry, 0, 100), Ok(0));
         entry.sent(Millis(0), "e0", 100);
-        entry.ended(Millis(0), "e0", 100, Ended::Failed);
+        entry.ended(Millis(0), "e0", 100, AttemptEnd::Failed);
     }
     assert!(choose(&mut entry, 1_000, 100).is_err());
     assert_eq!(choose(&mut entry, 2_001, 100), Ok(0));
@@ -334,7 +334,7 @@
         choose(&mut entry, 2_002, 100).is_err(),
         "one probe at a time"
     );
-    entry.ended(Millis(2_100), "e0", 0, Ended::Answered(Millis(99)));
+    entry.ended(Millis(2_100), "e0", 0, AttemptEnd::Answered(Millis(99)));
     assert_eq!(choose(&mut entry, 2_101, 100), Ok(0));
 }
 
@@ -352,7 +352,7 @@
         let now = 50 * n;
         assert_eq!(choose(&mut entry, now, 0), Ok(0), "call {n}");
         entry.sent(Millis(now), "e0", 0);
-        let answered = Ended::Answered(Millis(20));
+        let answered = AttemptEnd::Answered(Millis(20));
         entry.ended(Millis(now + 20), "e0", 0, answered);
     }
 }
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -5,9 +5,9 @@
 
 use filbertstack_core::Millis;
 use filbertstack_core::serving::EngineModel;
+use filbertstack_policy::dispatch::AttemptEnd;
 use filbertstack_policy::dispatch::ChooseError;
 use filbertstack_policy::dispatch::Dispatcher;
-use filbertstack_policy::dispatch::Ended;
 use filbertstack_policy::dispatch::Load;
 use filbertstack_policy::dispatch::Sharers;
 use filbertstack_policy::dispatch::TargetId;
@@ -117,7 +117,7 @@
                     received.late += u32::from(!on_time);
                 } else {
                     let took = Millis(now - done.sent);
-                    entry.ended(Millis(now), &id, 0, Ended::Answered(took));
+                    entry.ended(Millis(now), &id, 0, AttemptEnd::Answered(took));
                 }
             }
         }
