--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -164,7 +164,7 @@
             AttemptEnd::Answered(_) => "answered",
             AttemptEnd::Refused => "not taken",
             AttemptEnd::Failed => "failed",
-            AttemptEnd::Left => "caller left",
+            AttemptEnd::CallerLeft => "caller left",
         };
         let took = self.sent.elapsed();
         self.requests.metrics.entry.duration.record(outcome, took);
@@ -310,7 +310,7 @@
         heard: Instant::now(),
         first: None,
         status: 0,
-        ended: AttemptEnd::Left,
+        ended: AttemptEnd::CallerLeft,
     };
     requests.targets.sent(&chosen.id, call.prompt());
     let mut connected = match Connected::to(requests, call, chosen.addr).await {
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -84,7 +84,7 @@
     /// Without an answer.
     Failed,
     /// The caller left; this says nothing of the target.
-    Left,
+    CallerLeft,
 }
 
 #[derive(Clone, Debug)]
@@ -188,7 +188,7 @@
                 self.sent.pop_back();
                 self.withdraw(now);
             }
-            AttemptEnd::Left => self.withdraw(now),
+            AttemptEnd::CallerLeft => self.withdraw(now),
         }
     }
 
