--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -99,7 +99,7 @@
         for (id, row, addr) in latest {
             let agent = agents.get(row.addr.as_str()).copied();
             let sharers = Sharers {
-                beside: beside.get(&addr).copied().unwrap_or(0),
+                preferred_by: beside.get(&addr).copied().unwrap_or(0),
                 ..census.sharers(row)
             };
             let (target, place) = self.offered((id, row, addr), agent, sharers, now);
@@ -343,7 +343,7 @@
             entries: self.entries[part],
             targets: counted(&self.targets),
             used: counted(&self.used),
-            beside: 0,
+            preferred_by: 0,
         }
     }
 }
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -198,7 +198,7 @@
                 continue;
             }
             let expected = predicted + target.unseen_ms();
-            if sharers.beside > 0 {
+            if sharers.preferred_by > 0 {
                 beside.push((expected, id.clone()));
             } else if is_near {
                 near.push((expected, id.clone()));
--- a/crates/filbertstack-policy/src/dispatch/share.rs
+++ b/crates/filbertstack-policy/src/dispatch/share.rs
@@ -48,7 +48,7 @@
     /// How many of these one entry uses.
     pub used: u32,
     /// The entries [beside](crate::subset::beside) the target, if this one is; else 0.
-    pub beside: u32,
+    pub preferred_by: u32,
 }
 
 impl Sharers {
@@ -107,7 +107,7 @@
         let mean = self.sum / self.count.max(1.0);
         let spare = ((BESIDE_TAKEN + NEAR_TAKEN) * mean / wanted).max(1.0);
         let taken = if near { NEAR_TAKEN } else { FAR_TAKEN };
-        let beside = match sharers.beside {
+        let beside = match sharers.preferred_by {
             0 => 0.0,
             beside => BESIDE_TAKEN / f64::from(beside),
         };
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -270,7 +270,7 @@
     /// sent: one prompt that is read before. Little of it goes to a target beside this entry.
     pub(super) fn unseen_ms(&self) -> f64 {
         match &self.spec.engine {
-            Some(engine) if self.spec.sharers.beside == 0 => read_ms(engine, engine.prompt),
+            Some(engine) if self.spec.sharers.preferred_by == 0 => read_ms(engine, engine.prompt),
             _ => 0.0,
         }
     }
--- a/crates/filbertstack-policy/tests/dispatch.rs
+++ b/crates/filbertstack-policy/tests/dispatch.rs
@@ -267,7 +267,7 @@
         entries: 20,
         targets: 1,
         used: 1,
-        beside: 0,
+        preferred_by: 0,
     };
     let shared = |n| TargetSpec {
         sharers,
