--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -113,7 +113,7 @@
             places.insert(id.clone(), place);
         }
         self.node.loads.want(engines.keys().copied().collect());
-        self.dispatcher.borrow_mut().offer(offered);
+        self.dispatcher.borrow_mut().set_targets(offered);
         *self.places.borrow_mut() = places;
         *self.engines.borrow_mut() = engines;
     }
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -128,7 +128,7 @@
     }
 
     /// Replaces what is known of the targets; requests under way and health are kept.
-    pub fn offer(&mut self, spec: Vec<TargetSpec>) {
+    pub fn set_targets(&mut self, spec: Vec<TargetSpec>) {
         let mut targets = BTreeMap::new();
         for spec in spec {
             let known = self.targets.remove(&spec.id);
--- a/crates/filbertstack-policy/tests/dispatch.rs
+++ b/crates/filbertstack-policy/tests/dispatch.rs
@@ -229,7 +229,7 @@
 #[test]
 fn a_silent_engine_that_answers_gets_work() {
     let mut entry = Dispatcher::new(ChaCha8Rng::seed_from_u64(1));
-    entry.offer((0..3).map(|n| offered(n, true)).collect());
+    entry.set_targets((0..3).map(|n| offered(n, true)).collect());
     let idle = Load {
         running: 0,
         waiting: 0,
@@ -273,7 +273,7 @@
         sharers,
         ..offered(n, true)
     };
-    entry.offer((0..3).map(shared).collect());
+    entry.set_targets((0..3).map(shared).collect());
     let load = |running| Load {
         running,
         waiting: running,
@@ -305,7 +305,7 @@
     let mut entry = Dispatcher::new(ChaCha8Rng::seed_from_u64(1));
     let none = choose(&mut entry, 0, 100).expect_err("there is no target");
     assert!(matches!(none, ChooseError::NoTarget { retry_after } if retry_after >= Millis(500)));
-    entry.offer(vec![offered(0, true)]);
+    entry.set_targets(vec![offered(0, true)]);
     let load = Load {
         running: 16,
         waiting: 20,
@@ -321,7 +321,7 @@
 #[test]
 fn a_target_that_fails_is_left_out_and_probed() {
     let mut entry = Dispatcher::new(ChaCha8Rng::seed_from_u64(1));
-    entry.offer(vec![offered(0, true)]);
+    entry.set_targets(vec![offered(0, true)]);
     for _ in 0..3 {
         assert_eq!(choose(&mut entry, 0, 100), Ok(0));
         entry.sent(Millis(0), "e0", 100);
@@ -343,7 +343,7 @@
 #[test]
 fn calls_that_have_ended_do_not_count() {
     let mut entry = Dispatcher::new(ChaCha8Rng::seed_from_u64(1));
-    entry.offer(vec![TargetSpec {
+    entry.set_targets(vec![TargetSpec {
         engine: None,
         slots: 6,
         ..offered(0, true)
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -187,7 +187,7 @@
                 ..offered(*n, true)
             }
         };
-        entry.offer(used.iter().map(offered).collect());
+        entry.set_targets(used.iter().map(offered).collect());
         for n in used.into_iter().filter(|n| !(replay.frozen)(*n, now)) {
             let (running, waiting) = engines[n].load_at(now.saturating_sub(LAG));
             let pace = engines[n].pace;
