--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -230,7 +230,7 @@
     /// Counts a request for `service` that comes.
     pub fn come(&self, service: &Arc<str>) {
         let now = self.node.clock.now();
-        self.dispatcher.borrow_mut().come(now, service);
+        self.dispatcher.borrow_mut().count_request(now, service);
     }
 
     /// Chooses a target for a request.
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -143,7 +143,7 @@
     }
 
     /// Counts a request for `service` that comes, once however often a target is chosen for it.
-    pub fn come(&mut self, now: Millis, service: &Arc<str>) {
+    pub fn count_request(&mut self, now: Millis, service: &Arc<str>) {
         self.demand.entry(service.clone()).or_default().count(now);
     }
 
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -260,7 +260,7 @@
         goal,
         tried: &[],
     };
-    entry.come(Millis(now), &"llm".into());
+    entry.count_request(Millis(now), &"llm".into());
     let id: TargetId = entry.choose(Millis(now), &wanted)?;
     Ok(id[1..].parse().expect("a number"))
 }
