--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -177,7 +177,7 @@
         let mut dispatcher = self.dispatcher.borrow_mut();
         for row in rows {
             if let Some(id) = engines.get(&row.engine) {
-                dispatcher.report(now, id, load(row));
+                dispatcher.record_load(now, id, load(row));
             }
         }
     }
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -148,9 +148,9 @@
     }
 
     /// Takes in a load report.
-    pub fn report(&mut self, now: Millis, id: &str, load: Load) {
+    pub fn record_load(&mut self, now: Millis, id: &str, load: Load) {
         if let Some(target) = self.targets.get_mut(id) {
-            target.report(now, load, self.rng.random_range(0.0..1.0));
+            target.record_load(now, load, self.rng.random_range(0.0..1.0));
         }
     }
 
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -135,7 +135,7 @@
     }
 
     /// Takes in a load report; `lot`, of 0 to 1, is drawn for it.
-    pub(super) fn report(&mut self, now: Millis, load: Load, lot: f64) {
+    pub(super) fn record_load(&mut self, now: Millis, load: Load, lot: f64) {
         self.load = Some((now, load));
         self.heard = now;
         let taken = Millis(now.0.saturating_sub(LAG.0));
--- a/crates/filbertstack-policy/tests/dispatch.rs
+++ b/crates/filbertstack-policy/tests/dispatch.rs
@@ -240,9 +240,9 @@
         waiting: 16,
         ..idle
     };
-    entry.report(Millis(0), "e0", idle);
+    entry.record_load(Millis(0), "e0", idle);
     for n in 1..3 {
-        entry.report(Millis(3_000), &format!("e{n}"), busy);
+        entry.record_load(Millis(3_000), &format!("e{n}"), busy);
     }
     assert_eq!(
         choose(&mut entry, 3_000, 100),
@@ -279,9 +279,9 @@
         waiting: running,
         pace: 1.0,
     };
-    entry.report(Millis(100_000), "e0", load(0));
+    entry.record_load(Millis(100_000), "e0", load(0));
     for n in 1..3 {
-        entry.report(Millis(101_000), &format!("e{n}"), load(16));
+        entry.record_load(Millis(101_000), &format!("e{n}"), load(16));
     }
     let at_once = choose(&mut entry, 101_000, 100);
     assert!(
@@ -289,7 +289,7 @@
         "{at_once:?}"
     );
     for n in 1..3 {
-        entry.report(Millis(131_000), &format!("e{n}"), load(16));
+        entry.record_load(Millis(131_000), &format!("e{n}"), load(16));
     }
     assert_eq!(
         choose(&mut entry, 131_000, 100),
@@ -311,7 +311,7 @@
         waiting: 20,
         pace: 1.0,
     };
-    entry.report(Millis(0), "e0", load);
+    entry.record_load(Millis(0), "e0", load);
     let full = choose(&mut entry, 0, 100).expect_err("it is full");
     assert!(matches!(full, ChooseError::Full { retry_after } if retry_after <= Millis(600)));
 }
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -196,7 +196,7 @@
                 waiting,
                 pace,
             };
-            entry.report(Millis(now), &format!("e{n}"), load);
+            entry.record_load(Millis(now), &format!("e{n}"), load);
         }
     }
 }
