--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -272,7 +272,7 @@
     /// Notes that bytes of an answer came.
     pub fn heard(&self, id: &str) {
         let now = self.node.clock.now();
-        self.dispatcher.borrow_mut().hear(now, id);
+        self.dispatcher.borrow_mut().record_activity(now, id);
     }
 
     /// Whether a target is silent though others are heard, or gone.
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -256,9 +256,9 @@
     }
 
     /// Notes that bytes of an answer came from `id`.
-    pub fn hear(&mut self, now: Millis, id: &str) {
+    pub fn record_activity(&mut self, now: Millis, id: &str) {
         if let Some(target) = self.targets.get_mut(id) {
-            target.hear(now);
+            target.record_activity(now);
         }
     }
 
@@ -299,7 +299,7 @@
     /// Counts the first event of a request at `id`.
     pub fn began(&mut self, now: Millis, id: &str, prompt: u32) {
         if let Some(target) = self.targets.get_mut(id) {
-            target.hear(now);
+            target.record_activity(now);
             target.read(prompt);
         }
     }
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -144,7 +144,7 @@
     }
 
     /// Notes that bytes of an answer came.
-    pub(super) fn hear(&mut self, now: Millis) {
+    pub(super) fn record_activity(&mut self, now: Millis) {
         self.heard = now;
     }
 
