--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -241,7 +241,7 @@
         let now = self.node.clock.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
         let id = dispatcher.choose(now, wanted)?;
-        let (predicted, report_age) = dispatcher.grounds(now, &id, wanted.prompt);
+        let (predicted, report_age) = dispatcher.prediction(now, &id, wanted.prompt);
         let place = self.places.borrow().get(&id).copied();
         // Both are replaced together, so a target that is offered has a place.
         let place = place.ok_or(ChooseError::NoTarget {
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -264,7 +264,7 @@
 
     /// What a choice of `id` rests on: the predicted milliseconds to the first event of a prompt,
     /// and the age of the load report, if there is one that still says something.
-    pub fn grounds(&self, now: Millis, id: &str, prompt: u32) -> (f64, Option<Millis>) {
+    pub fn prediction(&self, now: Millis, id: &str, prompt: u32) -> (f64, Option<Millis>) {
         let Some(target) = self.targets.get(id) else {
             return (0.0, None);
         };
