--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -260,7 +260,7 @@
     /// Counts a request that is sent.
     pub fn sent(&self, id: &str, prompt: u32) {
         let now = self.node.clock.now();
-        self.dispatcher.borrow_mut().sent(now, id, prompt);
+        self.dispatcher.borrow_mut().count_sent(now, id, prompt);
     }
 
     /// Counts a first event.
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -290,9 +290,9 @@
     }
 
     /// Counts a request that is sent to `id`.
-    pub fn sent(&mut self, now: Millis, id: &str, prompt: u32) {
+    pub fn count_sent(&mut self, now: Millis, id: &str, prompt: u32) {
         if let Some(target) = self.targets.get_mut(id) {
-            target.send(now, prompt);
+            target.count_sent(now, prompt);
         }
     }
 
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -154,7 +154,7 @@
     }
 
     /// Counts a request that is sent there.
-    pub(super) fn send(&mut self, now: Millis, prompt: u32) {
+    pub(super) fn count_sent(&mut self, now: Millis, prompt: u32) {
         if self.outlier.probe_due(now) {
             self.outlier.probe();
         }
--- a/crates/filbertstack-policy/tests/dispatch.rs
+++ b/crates/filbertstack-policy/tests/dispatch.rs
@@ -249,7 +249,7 @@
         Ok(0),
         "nobody else has room"
     );
-    entry.sent(Millis(3_000), "e0", 100);
+    entry.count_sent(Millis(3_000), "e0", 100);
     assert!(
         choose(&mut entry, 3_001, 100).is_err(),
         "one probe at a time"
@@ -324,12 +324,12 @@
     entry.set_targets(vec![offered(0, true)]);
     for _ in 0..3 {
         assert_eq!(choose(&mut entry, 0, 100), Ok(0));
-        entry.sent(Millis(0), "e0", 100);
+        entry.count_sent(Millis(0), "e0", 100);
         entry.ended(Millis(0), "e0", 100, AttemptEnd::Failed);
     }
     assert!(choose(&mut entry, 1_000, 100).is_err());
     assert_eq!(choose(&mut entry, 2_001, 100), Ok(0));
-    entry.sent(Millis(2_001), "e0", 100);
+    entry.count_sent(Millis(2_001), "e0", 100);
     assert!(
         choose(&mut entry, 2_002, 100).is_err(),
         "one probe at a time"
@@ -351,7 +351,7 @@
     for n in 0..100 {
         let now = 50 * n;
         assert_eq!(choose(&mut entry, now, 0), Ok(0), "call {n}");
-        entry.sent(Millis(now), "e0", 0);
+        entry.count_sent(Millis(now), "e0", 0);
         let answered = AttemptEnd::Answered(Millis(20));
         entry.ended(Millis(now + 20), "e0", 0, answered);
     }
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -148,7 +148,7 @@
             match chosen {
                 Ok(n) => {
                     received.crossed += u32::from(n % replay.zones != from % replay.zones);
-                    entries[from].sent(Millis(now), &format!("e{n}"), prompt);
+                    entries[from].count_sent(Millis(now), &format!("e{n}"), prompt);
                     engines[n].send(now, from, prompt);
                 }
                 Err(_) => received.refused += 1,
