--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -266,7 +266,9 @@
     /// Counts a first event.
     pub fn began(&self, id: &str, prompt: u32) {
         let now = self.node.clock.now();
-        self.dispatcher.borrow_mut().began(now, id, prompt);
+        self.dispatcher
+            .borrow_mut()
+            .count_first_event(now, id, prompt);
     }
 
     /// Notes that bytes of an answer came.
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -297,10 +297,10 @@
     }
 
     /// Counts the first event of a request at `id`.
-    pub fn began(&mut self, now: Millis, id: &str, prompt: u32) {
+    pub fn count_first_event(&mut self, now: Millis, id: &str, prompt: u32) {
         if let Some(target) = self.targets.get_mut(id) {
             target.record_activity(now);
-            target.read(prompt);
+            target.count_read(prompt);
         }
     }
 
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -168,14 +168,14 @@
     }
 
     /// Counts a prompt as read, or as given up.
-    pub(super) fn read(&mut self, prompt: u32) {
+    pub(super) fn count_read(&mut self, prompt: u32) {
         self.unread = (self.unread - f64::from(prompt)).max(0.0);
     }
 
     /// Counts the end of a request; `unread` is its prompt if no event had come.
     pub(super) fn end(&mut self, now: Millis, unread: u32, ended: AttemptEnd) {
         self.own = self.own.saturating_sub(1);
-        self.read(unread);
+        self.count_read(unread);
         match ended {
             AttemptEnd::Answered(took) => self.succeed(took),
             AttemptEnd::Failed => {
--- a/crates/filbertstack-policy/tests/dispatch.rs
+++ b/crates/filbertstack-policy/tests/dispatch.rs
@@ -254,7 +254,7 @@
         choose(&mut entry, 3_001, 100).is_err(),
         "one probe at a time"
     );
-    entry.began(Millis(3_100), "e0", 100);
+    entry.count_first_event(Millis(3_100), "e0", 100);
     assert_eq!(choose(&mut entry, 3_101, 100), Ok(0), "it answers");
 }
 
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -110,7 +110,7 @@
                 let entry = &mut entries[done.entry];
                 let id = format!("e{n}");
                 if done.first {
-                    entry.began(Millis(now), &id, done.prompt);
+                    entry.count_first_event(Millis(now), &id, done.prompt);
                     received.left += u32::from(now - done.sent > PATIENCE);
                     let on_time = now - done.sent <= replay.goal.0;
                     received.on_time += u32::from(on_time);
