--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -286,7 +286,9 @@
     /// Counts the end of a request; `unread` is its prompt if no event had come.
     pub fn ended(&self, id: &str, unread: u32, ended: AttemptEnd) {
         let now = self.node.clock.now();
-        self.dispatcher.borrow_mut().ended(now, id, unread, ended);
+        self.dispatcher
+            .borrow_mut()
+            .count_end(now, id, unread, ended);
     }
 
     /// Takes a target out for a while.
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -305,9 +305,9 @@
     }
 
     /// Counts the end of a request at `id`; `unread` is its prompt if no event had come.
-    pub fn ended(&mut self, now: Millis, id: &str, unread: u32, ended: AttemptEnd) {
+    pub fn count_end(&mut self, now: Millis, id: &str, unread: u32, ended: AttemptEnd) {
         if let Some(target) = self.targets.get_mut(id) {
-            target.end(now, unread, ended);
+            target.count_end(now, unread, ended);
         }
     }
 
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -173,7 +173,7 @@
     }
 
     /// Counts the end of a request; `unread` is its prompt if no event had come.
-    pub(super) fn end(&mut self, now: Millis, unread: u32, ended: AttemptEnd) {
+    pub(super) fn count_end(&mut self, now: Millis, unread: u32, ended: AttemptEnd) {
         self.own = self.own.saturating_sub(1);
         self.count_read(unread);
         match ended {
--- a/crates/filbertstack-policy/tests/dispatch.rs
+++ b/crates/filbertstack-policy/tests/dispatch.rs
@@ -325,7 +325,7 @@
     for _ in 0..3 {
         assert_eq!(choose(&mut entry, 0, 100), Ok(0));
         entry.count_sent(Millis(0), "e0", 100);
-        entry.ended(Millis(0), "e0", 100, AttemptEnd::Failed);
+        entry.count_end(Millis(0), "e0", 100, AttemptEnd::Failed);
     }
     assert!(choose(&mut entry, 1_000, 100).is_err());
     assert_eq!(choose(&mut entry, 2_001, 100), Ok(0));
@@ -334,7 +334,7 @@
         choose(&mut entry, 2_002, 100).is_err(),
         "one probe at a time"
     );
-    entry.ended(Millis(2_100), "e0", 0, AttemptEnd::Answered(Millis(99)));
+    entry.count_end(Millis(2_100), "e0", 0, AttemptEnd::Answered(Millis(99)));
     assert_eq!(choose(&mut entry, 2_101, 100), Ok(0));
 }
 
@@ -353,6 +353,6 @@
         assert_eq!(choose(&mut entry, now, 0), Ok(0), "call {n}");
         entry.count_sent(Millis(now), "e0", 0);
         let answered = AttemptEnd::Answered(Millis(20));
-        entry.ended(Millis(now + 20), "e0", 0, answered);
+        entry.count_end(Millis(now + 20), "e0", 0, answered);
     }
 }
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -117,7 +117,7 @@
                     received.late += u32::from(!on_time);
                 } else {
                     let took = Millis(now - done.sent);
-                    entry.ended(Millis(now), &id, 0, AttemptEnd::Answered(took));
+                    entry.count_end(Millis(now), &id, 0, AttemptEnd::Answered(took));
                 }
             }
         }
