--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -294,7 +294,7 @@
     /// Takes a target out for a while.
     pub fn shut(&self, id: &str, span: Millis) {
         let now = self.node.clock.now();
-        self.dispatcher.borrow_mut().shut(now, id, span);
+        self.dispatcher.borrow_mut().suspend(now, id, span);
     }
 }
 
--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -312,9 +312,9 @@
     }
 
     /// Takes a target out for `span`, as it refused for a reason that will not pass at once.
-    pub fn shut(&mut self, now: Millis, id: &str, span: Millis) {
+    pub fn suspend(&mut self, now: Millis, id: &str, span: Millis) {
         if let Some(target) = self.targets.get_mut(id) {
-            target.shut(now + span);
+            target.suspend(now + span);
         }
     }
 }
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -105,7 +105,7 @@
     call_ms: f64,
     outlier: Outlier,
     /// Until when the target takes nothing, as it said itself.
-    shut: Millis,
+    suspended_until: Millis,
 }
 
 impl Target {
@@ -121,7 +121,7 @@
             lot: 0.0,
             call_ms: FIRST_CALL_MS,
             outlier: Outlier::default(),
-            shut: Millis::ZERO,
+            suspended_until: Millis::ZERO,
         }
     }
 
@@ -131,7 +131,7 @@
             Health::Ejected { .. } => self.outlier.probe_due(now),
             Health::Probed => false,
         };
-        self.spec.open && well && now >= self.shut
+        self.spec.open && well && now >= self.suspended_until
     }
 
     /// Takes in a load report; `lot`, of 0 to 1, is drawn for it.
@@ -149,8 +149,8 @@
     }
 
     /// Takes it out until `until`.
-    pub(super) fn shut(&mut self, until: Millis) {
-        self.shut = until;
+    pub(super) fn suspend(&mut self, until: Millis) {
+        self.suspended_until = until;
     }
 
     /// Counts a request that is sent there.
