--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -139,7 +139,7 @@
         let mut beside = BTreeMap::new();
         for targets in services.values() {
             let names: Vec<&str> = targets.iter().map(|(name, _)| *name).collect();
-            for met in subset::beside(&own, &entries, &names) {
+            for met in subset::preferred(&own, &entries, &names) {
                 beside.insert(targets[met.target].1, met.entries);
             }
         }
--- a/crates/filbertstack-policy/src/dispatch/share.rs
+++ b/crates/filbertstack-policy/src/dispatch/share.rs
@@ -47,7 +47,7 @@
     pub targets: u32,
     /// How many of these one entry uses.
     pub used: u32,
-    /// The entries [beside](crate::subset::beside) the target, if this one is; else 0.
+    /// The entries [beside](crate::subset::preferred) the target, if this one is; else 0.
     pub preferred_by: u32,
 }
 
--- a/crates/filbertstack-policy/src/subset.rs
+++ b/crates/filbertstack-policy/src/subset.rs
@@ -79,7 +79,7 @@
 /// The entries and the targets of one zone are laid along a line, each evenly in the order of their
 /// hashes, and an entry is beside those whose part of the line meets its own. So every entry has a target
 /// beside it and every target an entry, in even numbers, without any agreement.
-pub fn beside(entry: &str, entries: &[&str], targets: &[&str]) -> Vec<Met> {
+pub fn preferred(entry: &str, entries: &[&str], targets: &[&str]) -> Vec<Met> {
     let Some(place) = in_order(entries).iter().position(|n| entries[*n] == entry) else {
         return Vec::new();
     };
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -212,7 +212,7 @@
     let targets: Vec<String> = engines.iter().map(|n| format!("engine-{n}")).collect();
     let entries: Vec<&str> = entries.iter().map(String::as_str).collect();
     let targets: Vec<&str> = targets.iter().map(String::as_str).collect();
-    let met = subset::beside(&format!("entry-{entry}"), &entries, &targets);
+    let met = subset::preferred(&format!("entry-{entry}"), &entries, &targets);
     let met = met
         .into_iter()
         .map(|met| (engines[met.target], met.entries));
--- a/crates/filbertstack-policy/tests/subset.rs
+++ b/crates/filbertstack-policy/tests/subset.rs
@@ -5,7 +5,7 @@
 
 use filbertstack_policy::subset::Candidate;
 use filbertstack_policy::subset::SIZE;
-use filbertstack_policy::subset::beside;
+use filbertstack_policy::subset::preferred;
 use filbertstack_policy::subset::used;
 use proptest::prelude::ProptestConfig;
 use proptest::proptest;
@@ -35,7 +35,7 @@
         let (entries, targets) = (lent(&entries), lent(&targets));
         let mut met: BTreeMap<usize, Vec<u32>> = BTreeMap::new();
         for entry in &entries {
-            let own = beside(entry, &entries, &targets);
+            let own = preferred(entry, &entries, &targets);
             assert!(!own.is_empty());
             assert!(own.len() <= targets.len() / entries.len() + 2, "{own:?}");
             for one in own {
@@ -54,15 +54,15 @@
 fn the_order_of_the_names_does_not_matter() {
     let (entries, targets) = (names("entry", 5), names("engine", 8));
     let (mut entries, targets) = (lent(&entries), lent(&targets));
-    let first = beside("entry-3", &entries, &targets);
+    let first = preferred("entry-3", &entries, &targets);
     entries.reverse();
-    assert_eq!(beside("entry-3", &entries, &targets), first);
+    assert_eq!(preferred("entry-3", &entries, &targets), first);
 }
 
 /// Guards against preferences of an entry that the others do not count, such as one that leaves.
 #[test]
 fn an_entry_that_is_not_among_the_entries_has_none_beside_it() {
-    assert_eq!(beside("entry-9", &["entry-1"], &["engine-1"]), []);
+    assert_eq!(preferred("entry-9", &["entry-1"], &["engine-1"]), []);
 }
 
 /// Guards against an entry that does not use a target which others leave to it.
