--- a/crates/filbertstack-policy/src/subset.rs
+++ b/crates/filbertstack-policy/src/subset.rs
@@ -63,7 +63,7 @@
 
 /// A target beside an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Met {
+pub struct Preferred {
     /// Its index among the targets.
     pub target: usize,
     /// How many entries are beside it.
@@ -79,7 +79,7 @@
 /// The entries and the targets of one zone are laid along a line, each evenly in the order of their
 /// hashes, and an entry is beside those whose part of the line meets its own. So every entry has a target
 /// beside it and every target an entry, in even numbers, without any agreement.
-pub fn preferred(entry: &str, entries: &[&str], targets: &[&str]) -> Vec<Met> {
+pub fn preferred(entry: &str, entries: &[&str], targets: &[&str]) -> Vec<Preferred> {
     let Some(place) = in_order(entries).iter().position(|n| entries[*n] == entry) else {
         return Vec::new();
     };
@@ -88,7 +88,7 @@
     let met = (0..targets).filter(|target| meets(place, entries, *target, targets));
     let counted = met.map(|target| {
         let beside = (0..entries).filter(|entry| meets(*entry, entries, target, targets));
-        Met {
+        Preferred {
             target: line[target],
             entries: u32::try_from(beside.count()).unwrap_or(u32::MAX),
         }
