--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -163,7 +163,7 @@
         }
         let node = &self.node.settings.node;
         let used = services.values().flat_map(|candidates| {
-            subset::used(&node.name, &node.zone, candidates, |addr| {
+            subset::select(&node.name, &node.zone, candidates, |addr| {
                 beside.contains_key(&addr)
             })
         });
--- a/crates/filbertstack-policy/src/subset.rs
+++ b/crates/filbertstack-policy/src/subset.rs
@@ -47,7 +47,7 @@
 }
 
 /// The targets that `entry` uses: those beside it, and of its subset as many as there is room for.
-pub fn used<K: Copy>(
+pub fn select<K: Copy>(
     entry: &str,
     zone: &str,
     candidates: &[Candidate<'_, K>],
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -239,7 +239,7 @@
             zone,
         })
         .collect();
-    subset::used(&format!("entry-{entry}"), &zone(entry), &candidates, |n| {
+    subset::select(&format!("entry-{entry}"), &zone(entry), &candidates, |n| {
         beside.contains_key(&n)
     })
 }
--- a/crates/filbertstack-policy/tests/subset.rs
+++ b/crates/filbertstack-policy/tests/subset.rs
@@ -6,7 +6,7 @@
 use filbertstack_policy::subset::Candidate;
 use filbertstack_policy::subset::SIZE;
 use filbertstack_policy::subset::preferred;
-use filbertstack_policy::subset::used;
+use filbertstack_policy::subset::select;
 use proptest::prelude::ProptestConfig;
 use proptest::proptest;
 use proptest::test_runner::RngSeed;
@@ -76,7 +76,7 @@
             zone: "z0",
         })
         .collect();
-    let chosen = used("entry-1", "z0", &candidates, |key| key < 5);
+    let chosen = select("entry-1", "z0", &candidates, |key| key < 5);
     assert_eq!(chosen[..5], [0, 1, 2, 3, 4]);
     assert_eq!(chosen.len(), SIZE);
     let different: BTreeSet<_> = chosen.iter().collect();
