--- a/crates/filbertstack-policy/src/outlier.rs
+++ b/crates/filbertstack-policy/src/outlier.rs
@@ -22,7 +22,7 @@
 
 /// At most this share of a group's targets is out: if more look bad, the cause is likely the load
 /// or the entry itself, and sending everything to the few left would fell those too.
-pub const MOST_OUT: f64 = 0.5;
+pub const MAX_EJECTED_SHARE: f64 = 0.5;
 
 /// Whether a target gets work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/filbertstack-policy/src/route/learn.rs
+++ b/crates/filbertstack-policy/src/route/learn.rs
@@ -15,7 +15,7 @@
 use crate::cost::Cost;
 use crate::limit::Sample;
 use crate::outlier::Health;
-use crate::outlier::MOST_OUT;
+use crate::outlier::MAX_EJECTED_SHARE;
 use crate::retry::NotRun;
 use crate::target::Target;
 use crate::units::count;
@@ -239,7 +239,7 @@
         let members = self.members(group);
         let is_out = |key: &&TargetKey| self.targets.get(**key).is_some_and(Target::is_out);
         let out = members.iter().filter(is_out).count() + 1;
-        count(out) <= count(members.len()) * MOST_OUT
+        count(out) <= count(members.len()) * MAX_EJECTED_SHARE
     }
 }
 
