--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -127,7 +127,7 @@
 
     pub(super) fn takes_work(&self, now: Millis) -> bool {
         let well = match self.outlier.health() {
-            Health::Well => true,
+            Health::Healthy => true,
             Health::Ejected { .. } => self.outlier.probe_due(now),
             Health::Probed => false,
         };
--- a/crates/filbertstack-policy/src/outlier.rs
+++ b/crates/filbertstack-policy/src/outlier.rs
@@ -29,7 +29,7 @@
 pub enum Health {
     /// It gets work.
     #[default]
-    Well,
+    Healthy,
     /// It gets none until then, and one probe after that.
     Ejected {
         /// The end of the ejection.
@@ -55,7 +55,7 @@
 
     /// Whether the target is out: ejected or awaiting its probe's answer.
     pub fn is_out(&self) -> bool {
-        self.health != Health::Well
+        self.health != Health::Healthy
     }
 
     /// Whether a probe is due.
@@ -101,7 +101,7 @@
 
     /// Takes the target back after a good probe. The count of ejections stays for the next one.
     pub fn readmit(&mut self) {
-        self.health = Health::Well;
+        self.health = Health::Healthy;
         self.failures = 0;
     }
 }
