--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -129,7 +129,7 @@
         let well = match self.outlier.health() {
             Health::Healthy => true,
             Health::Ejected { .. } => self.outlier.probe_due(now),
-            Health::Probed => false,
+            Health::Probing => false,
         };
         self.spec.open && well && now >= self.suspended_until
     }
@@ -202,7 +202,7 @@
 
     /// Takes a probe back that says nothing of the target's health.
     fn withdraw(&mut self, now: Millis) {
-        if self.outlier.health() == Health::Probed {
+        if self.outlier.health() == Health::Probing {
             self.outlier.withdraw(now);
         }
     }
--- a/crates/filbertstack-policy/src/outlier.rs
+++ b/crates/filbertstack-policy/src/outlier.rs
@@ -36,7 +36,7 @@
         until: Millis,
     },
     /// One probe is on its way.
-    Probed,
+    Probing,
 }
 
 /// One target's record of failures and ejections.
@@ -91,7 +91,7 @@
 
     /// Notes that a probe was sent.
     pub fn probe(&mut self) {
-        self.health = Health::Probed;
+        self.health = Health::Probing;
     }
 
     /// Notes that the probe was withdrawn before it told anything: another may go at once.
--- a/crates/filbertstack-policy/src/route/learn.rs
+++ b/crates/filbertstack-policy/src/route/learn.rs
@@ -133,7 +133,7 @@
     fn reopen(&mut self, now: Millis, attempt: &Attempt) {
         if let Some(target) = self.targets.get_mut(attempt.target)
             && attempt.is_probe()
-            && target.outlier.health() == Health::Probed
+            && target.outlier.health() == Health::Probing
         {
             target.outlier.eject(now);
         }
