--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -179,7 +179,7 @@
         match ended {
             AttemptEnd::Answered(took) => self.succeed(took),
             AttemptEnd::Failed => {
-                let out = self.outlier.is_out();
+                let out = self.outlier.is_ejected();
                 if self.outlier.fail() || out {
                     self.outlier.lose(now);
                 }
@@ -195,7 +195,7 @@
     fn succeed(&mut self, took: Millis) {
         self.call_ms += (millis_f64(took) - self.call_ms) * CALL_WEIGHT;
         self.outlier.succeed();
-        if self.outlier.is_out() {
+        if self.outlier.is_ejected() {
             self.outlier.readmit();
         }
     }
--- a/crates/filbertstack-policy/src/outlier.rs
+++ b/crates/filbertstack-policy/src/outlier.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether the target is out: ejected or awaiting its probe's answer.
-    pub fn is_out(&self) -> bool {
+    pub fn is_ejected(&self) -> bool {
         self.health != Health::Healthy
     }
 
--- a/crates/filbertstack-policy/src/route.rs
+++ b/crates/filbertstack-policy/src/route.rs
@@ -469,7 +469,7 @@
         };
         if let Some(target) = self.targets.get_mut(key) {
             target.in_flight += 1;
-            if target.outlier.is_out() {
+            if target.outlier.is_ejected() {
                 attempt.role = Role::Probe;
                 target.outlier.probe();
             }
@@ -542,7 +542,7 @@
         };
         if let Some(target) = self.targets.get_mut(attempt.target)
             && attempt.is_probe()
-            && target.outlier.is_out()
+            && target.outlier.is_ejected()
         {
             target.outlier.withdraw(now);
         }
--- a/crates/filbertstack-policy/src/route/learn.rs
+++ b/crates/filbertstack-policy/src/route/learn.rs
@@ -145,7 +145,7 @@
         let can_eject = self.can_eject(attempt.group);
         if let Some(target) = self.targets.get_mut(attempt.target)
             && can_eject
-            && !target.outlier.is_out()
+            && !target.outlier.is_ejected()
         {
             target.limit.fail(now, attempt.sent);
             target.outlier.lose(now);
@@ -159,7 +159,7 @@
         };
         target.limit.fail(now, attempt.sent);
         let bad = target.outlier.fail();
-        if attempt.is_probe() || (bad && can_eject && !target.outlier.is_out()) {
+        if attempt.is_probe() || (bad && can_eject && !target.outlier.is_ejected()) {
             target.outlier.eject(now);
         }
     }
@@ -191,7 +191,7 @@
         let Some(target) = self.targets.get_mut(attempt.target) else {
             return;
         };
-        let out = target.outlier.is_out();
+        let out = target.outlier.is_ejected();
         match (attempt.is_probe() && out, slow) {
             (true, false) if !attempt.overdue => target.readmit(now),
             (true, _) => target.outlier.eject(now),
--- a/crates/filbertstack-policy/src/target.rs
+++ b/crates/filbertstack-policy/src/target.rs
@@ -109,7 +109,7 @@
 
     /// Whether the target is out: ejected or awaiting its probe's answer.
     pub fn is_out(&self) -> bool {
-        self.outlier.is_out()
+        self.outlier.is_ejected()
     }
 
     /// Whether one more request may go there. Limits are rounded, not cut: eleven entries at 2.9
@@ -119,7 +119,7 @@
     }
 
     pub(crate) fn takes_work(&self) -> bool {
-        !self.leaving && !self.outlier.is_out()
+        !self.leaving && !self.outlier.is_ejected()
     }
 
     pub(crate) fn observe_load(&mut self, now: Millis, report: LoadReport) {
