--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -180,7 +180,7 @@
             AttemptEnd::Answered(took) => self.succeed(took),
             AttemptEnd::Failed => {
                 let out = self.outlier.is_ejected();
-                if self.outlier.fail() || out {
+                if self.outlier.record_failure() || out {
                     self.outlier.lose(now);
                 }
             }
--- a/crates/filbertstack-policy/src/outlier.rs
+++ b/crates/filbertstack-policy/src/outlier.rs
@@ -64,7 +64,7 @@
     }
 
     /// Counts a failure; `true` if the target should be ejected for it.
-    pub fn fail(&mut self) -> bool {
+    pub fn record_failure(&mut self) -> bool {
         self.failures = self.failures.saturating_add(1);
         self.failures >= FAILURES
     }
--- a/crates/filbertstack-policy/src/route/learn.rs
+++ b/crates/filbertstack-policy/src/route/learn.rs
@@ -158,7 +158,7 @@
             return;
         };
         target.limit.fail(now, attempt.sent);
-        let bad = target.outlier.fail();
+        let bad = target.outlier.record_failure();
         if attempt.is_probe() || (bad && can_eject && !target.outlier.is_ejected()) {
             target.outlier.eject(now);
         }
