--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -194,7 +194,7 @@
 
     fn succeed(&mut self, took: Millis) {
         self.call_ms += (millis_f64(took) - self.call_ms) * CALL_WEIGHT;
-        self.outlier.succeed();
+        self.outlier.record_success();
         if self.outlier.is_ejected() {
             self.outlier.readmit();
         }
--- a/crates/filbertstack-policy/src/outlier.rs
+++ b/crates/filbertstack-policy/src/outlier.rs
@@ -70,7 +70,7 @@
     }
 
     /// Counts a good answer.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
--- a/crates/filbertstack-policy/src/route/learn.rs
+++ b/crates/filbertstack-policy/src/route/learn.rs
@@ -106,7 +106,7 @@
         let Some(target) = self.targets.get_mut(attempt.target) else {
             return;
         };
-        target.outlier.succeed();
+        target.outlier.record_success();
         let streamed = secs(now.since(attempt.first.unwrap_or(now)));
         if cost.output > 1 {
             target.note_between(streamed / f64::from(cost.output - 1));
