--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -181,7 +181,7 @@
             AttemptEnd::Failed => {
                 let out = self.outlier.is_ejected();
                 if self.outlier.record_failure() || out {
-                    self.outlier.lose(now);
+                    self.outlier.eject_lost(now);
                 }
             }
             AttemptEnd::Refused => {
--- a/crates/filbertstack-policy/src/outlier.rs
+++ b/crates/filbertstack-policy/src/outlier.rs
@@ -83,7 +83,7 @@
     }
 
     /// Ejects the target for having no link.
-    pub fn lose(&mut self, now: Millis) {
+    pub fn eject_lost(&mut self, now: Millis) {
         self.health = Health::Ejected {
             until: now + LOST_SPAN,
         };
--- a/crates/filbertstack-policy/src/route/learn.rs
+++ b/crates/filbertstack-policy/src/route/learn.rs
@@ -148,7 +148,7 @@
             && !target.outlier.is_ejected()
         {
             target.limit.fail(now, attempt.sent);
-            target.outlier.lose(now);
+            target.outlier.eject_lost(now);
         }
     }
 
