--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -156,7 +156,7 @@
     /// Counts a request that is sent there.
     pub(super) fn count_sent(&mut self, now: Millis, prompt: u32) {
         if self.outlier.probe_due(now) {
-            self.outlier.probe();
+            self.outlier.start_probe();
         }
         self.own += 1;
         self.tried = now;
--- a/crates/filbertstack-policy/src/outlier.rs
+++ b/crates/filbertstack-policy/src/outlier.rs
@@ -90,7 +90,7 @@
     }
 
     /// Notes that a probe was sent.
-    pub fn probe(&mut self) {
+    pub fn start_probe(&mut self) {
         self.health = Health::Probing;
     }
 
--- a/crates/filbertstack-policy/src/route.rs
+++ b/crates/filbertstack-policy/src/route.rs
@@ -471,7 +471,7 @@
             target.in_flight += 1;
             if target.outlier.is_ejected() {
                 attempt.role = Role::Probe;
-                target.outlier.probe();
+                target.outlier.start_probe();
             }
         }
         if let Some(group) = self.groups.get_mut(group) {
