--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -203,7 +203,7 @@
     /// Takes a probe back that says nothing of the target's health.
     fn withdraw(&mut self, now: Millis) {
         if self.outlier.health() == Health::Probing {
-            self.outlier.withdraw(now);
+            self.outlier.cancel_probe(now);
         }
     }
 
--- a/crates/filbertstack-policy/src/outlier.rs
+++ b/crates/filbertstack-policy/src/outlier.rs
@@ -95,7 +95,7 @@
     }
 
     /// Notes that the probe was withdrawn before it told anything: another may go at once.
-    pub fn withdraw(&mut self, now: Millis) {
+    pub fn cancel_probe(&mut self, now: Millis) {
         self.health = Health::Ejected { until: now };
     }
 
--- a/crates/filbertstack-policy/src/route.rs
+++ b/crates/filbertstack-policy/src/route.rs
@@ -544,7 +544,7 @@
             && attempt.is_probe()
             && target.outlier.is_ejected()
         {
-            target.outlier.withdraw(now);
+            target.outlier.cancel_probe(now);
         }
     }
 
