--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -64,9 +64,9 @@
 use crate::admission::Supply;
 use crate::admission::TicketKey;
 use crate::fair::Item;
-use crate::retry::Attempted;
 use crate::retry::Budget;
 use crate::retry::Decision;
+use crate::retry::FailedAttempt;
 use crate::retry::Outcome;
 use crate::retry::decide;
 use crate::route::AttemptKey;
@@ -527,7 +527,7 @@
             return Ended::Open;
         }
         let supply = self.supply(now, ticket.group);
-        let attempted = Attempted {
+        let attempted = FailedAttempt {
             outcome,
             attempts: ticket.attempts,
             idempotent: ticket.need.idempotent,
--- a/crates/filbertstack-policy/src/retry.rs
+++ b/crates/filbertstack-policy/src/retry.rs
@@ -72,7 +72,7 @@
 
 /// What a decision rests on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Attempted {
+pub struct FailedAttempt {
     /// How the last attempt ended.
     pub outcome: Outcome,
     /// The attempts so far.
@@ -121,7 +121,7 @@
 }
 
 /// Decides after an attempt, and takes from the budget if it is to be repeated.
-pub fn decide(budget: &mut Budget, rng: &mut ChaCha8Rng, attempted: &Attempted) -> Decision {
+pub fn decide(budget: &mut Budget, rng: &mut ChaCha8Rng, attempted: &FailedAttempt) -> Decision {
     if !may_repeat(attempted) || attempted.attempts >= MOST_ATTEMPTS {
         return Decision::GiveUp;
     }
@@ -134,7 +134,7 @@
 
 /// A request of unknown outcome may have run: repeating it could run it twice. An answer of which
 /// the caller holds a part cannot be begun again without mixing two answers.
-fn may_repeat(attempted: &Attempted) -> bool {
+fn may_repeat(attempted: &FailedAttempt) -> bool {
     match attempted.outcome {
         Outcome::NotRun(_) => true,
         Outcome::Ran { .. } => false,
