--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -532,7 +532,7 @@
             attempts: ticket.attempts,
             idempotent: ticket.need.idempotent,
             answered: ticket.answered,
-            left: ticket.deadline.since(now),
+            time_left: ticket.deadline.since(now),
             takes: supply.takes(ticket.need.cost.work()),
         };
         match decide(&mut self.budget, &mut self.rng, &attempted) {
--- a/crates/filbertstack-policy/src/retry.rs
+++ b/crates/filbertstack-policy/src/retry.rs
@@ -82,7 +82,7 @@
     /// Whether bytes of an answer have already gone to the caller.
     pub answered: bool,
     /// The time left to the deadline.
-    pub left: Millis,
+    pub time_left: Millis,
     /// The time that another attempt is expected to take.
     pub takes: Millis,
 }
@@ -126,7 +126,7 @@
         return Decision::GiveUp;
     }
     let after = backoff(rng, attempted.attempts);
-    if after + attempted.takes > attempted.left || !budget.spend() {
+    if after + attempted.takes > attempted.time_left || !budget.spend() {
         return Decision::GiveUp;
     }
     Decision::Again { after }
