--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -533,7 +533,7 @@
             idempotent: ticket.need.idempotent,
             answered: ticket.answered,
             time_left: ticket.deadline.since(now),
-            takes: supply.takes(ticket.need.cost.work()),
+            expected_time: supply.takes(ticket.need.cost.work()),
         };
         match decide(&mut self.budget, &mut self.rng, &attempted) {
             Decision::Again { after } => self.again(now, key, after, outcome),
--- a/crates/filbertstack-policy/src/retry.rs
+++ b/crates/filbertstack-policy/src/retry.rs
@@ -84,7 +84,7 @@
     /// The time left to the deadline.
     pub time_left: Millis,
     /// The time that another attempt is expected to take.
-    pub takes: Millis,
+    pub expected_time: Millis,
 }
 
 /// The budget of one entry's retries and hedges: a token bucket filled by first attempts.
@@ -126,7 +126,7 @@
         return Decision::GiveUp;
     }
     let after = backoff(rng, attempted.attempts);
-    if after + attempted.takes > attempted.time_left || !budget.spend() {
+    if after + attempted.expected_time > attempted.time_left || !budget.spend() {
         return Decision::GiveUp;
     }
     Decision::Again { after }
