--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -536,7 +536,7 @@
             expected_time: supply.takes(ticket.need.cost.work()),
         };
         match decide(&mut self.budget, &mut self.rng, &attempted) {
-            Decision::Again { after } => self.again(now, key, after, outcome),
+            Decision::Retry { after } => self.again(now, key, after, outcome),
             Decision::GiveUp => self.give_up(now, key, &supply),
         }
     }
--- a/crates/filbertstack-policy/src/retry.rs
+++ b/crates/filbertstack-policy/src/retry.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Try again, not before this span has passed.
-    Again {
+    Retry {
         /// The wait.
         after: Millis,
     },
@@ -129,7 +129,7 @@
     if after + attempted.expected_time > attempted.time_left || !budget.spend() {
         return Decision::GiveUp;
     }
-    Decision::Again { after }
+    Decision::Retry { after }
 }
 
 /// A request of unknown outcome may have run: repeating it could run it twice. An answer of which
