--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -440,7 +440,7 @@
             let target = self.router.choose(now, ticket.group, &ticket.need);
             let fresh = target.filter(|target| !ticket.need.tried.contains(target));
             if let Some(target) = fresh
-                && self.budget.spend_spare()
+                && self.budget.spend_hedge()
             {
                 self.tickets[key].hedged = true;
                 self.send(now, key, target);
--- a/crates/filbertstack-policy/src/retry.rs
+++ b/crates/filbertstack-policy/src/retry.rs
@@ -115,7 +115,7 @@
     }
 
     /// Takes one attempt for a hedge, which leaves half of the budget to retries.
-    pub fn spend_spare(&mut self) -> bool {
+    pub fn spend_hedge(&mut self) -> bool {
         self.saved > SAVED / 2.0 && self.spend()
     }
 }
