--- a/crates/filbertstack-gateway/src/request/mod.rs
+++ b/crates/filbertstack-gateway/src/request/mod.rs
@@ -26,7 +26,7 @@
 use filbertstack_policy::dispatch::Dispatcher;
 use filbertstack_policy::recovery::Recovery;
 use filbertstack_policy::repeats::Allowance;
-use filbertstack_policy::repeats::Repeats;
+use filbertstack_policy::repeats::RepeatBudget;
 use filbertstack_telemetry::Metrics;
 use http::HeaderMap;
 use http::Method;
@@ -73,7 +73,7 @@
 pub struct Requests {
     node: Rc<Node>,
     targets: Targets,
-    repeats: RefCell<Repeats>,
+    repeats: RefCell<RepeatBudget>,
     pool: Pool,
     rng: RefCell<ChaCha8Rng>,
     under_way: Rc<Cell<usize>>,
@@ -167,7 +167,7 @@
         let dispatcher = Dispatcher::new(ChaCha8Rng::from_rng(&mut rng));
         Rc::new(Self {
             targets: Targets::new(node.clone(), dispatcher),
-            repeats: RefCell::new(Repeats::new(allowance, 1)),
+            repeats: RefCell::new(RepeatBudget::new(allowance, 1)),
             pool: Pool::default(),
             rng: RefCell::new(rng),
             under_way: Rc::default(),
--- a/crates/filbertstack-policy/src/repeats.rs
+++ b/crates/filbertstack-policy/src/repeats.rs
@@ -16,22 +16,22 @@
 /// The budget of all entries together, for each service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Repeats for each request.
+    /// RepeatBudget for each request.
     pub ratio: f64,
-    /// Repeats in a window beside those. It is used once: what is spent of it is earned back by
+    /// RepeatBudget in a window beside those. It is used once: what is spent of it is earned back by
     /// requests alone, so that no window sees it twice.
     pub fixed: f64,
 }
 
 /// One entry's budget.
 #[derive(Clone, Debug)]
-pub struct Repeats {
+pub struct RepeatBudget {
     allowance: Allowance,
     entries: f64,
     saved: BTreeMap<Arc<str>, f64>,
 }
 
-impl Repeats {
+impl RepeatBudget {
     /// A full budget for one of `entries` entries.
     pub fn new(allowance: Allowance, entries: u32) -> Self {
         Self {
--- a/crates/filbertstack-policy/tests/repeats.rs
+++ b/crates/filbertstack-policy/tests/repeats.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use filbertstack_policy::repeats::Allowance;
-use filbertstack_policy::repeats::Repeats;
+use filbertstack_policy::repeats::RepeatBudget;
 
 const ALLOWANCE: Allowance = Allowance {
     ratio: 0.2,
@@ -17,8 +17,8 @@
 fn all_entries_together_stay_within_the_allowance() {
     let service: Arc<str> = "llm".into();
     for entries in [1_u32, 11, 46, 340] {
-        let mut all: Vec<Repeats> = (0..entries)
-            .map(|_| Repeats::new(ALLOWANCE, entries))
+        let mut all: Vec<RepeatBudget> = (0..entries)
+            .map(|_| RepeatBudget::new(ALLOWANCE, entries))
             .collect();
         let requests = 2_000_u32;
         let mut repeats = 0_u32;
@@ -43,7 +43,7 @@
 #[test]
 fn services_have_budgets_of_their_own() {
     let (a, b): (Arc<str>, Arc<str>) = ("a".into(), "b".into());
-    let mut repeats = Repeats::new(ALLOWANCE, 110);
+    let mut repeats = RepeatBudget::new(ALLOWANCE, 110);
     while repeats.spend(&a) {}
     assert!(repeats.spend(&b));
 }
