--- a/crates/filbertstack-gateway/src/request/mod.rs
+++ b/crates/filbertstack-gateway/src/request/mod.rs
@@ -186,7 +186,7 @@
 
     /// Learns how many entries share the budget of repeated sends.
     pub fn share(&self, entries: u32) {
-        self.repeats.borrow_mut().share(entries);
+        self.repeats.borrow_mut().set_entries(entries);
     }
 
     /// Notes that the process ends within `grace`.
--- a/crates/filbertstack-policy/src/repeats.rs
+++ b/crates/filbertstack-policy/src/repeats.rs
@@ -42,7 +42,7 @@
     }
 
     /// Learns how many entries share the budget.
-    pub fn share(&mut self, entries: u32) {
+    pub fn set_entries(&mut self, entries: u32) {
         self.entries = f64::from(entries.max(1));
     }
 
