--- a/crates/filbertstack-gateway/src/request/waiting.rs
+++ b/crates/filbertstack-gateway/src/request/waiting.rs
@@ -97,7 +97,10 @@
 fn choose_in_time(requests: &Requests, call: &Call) -> Result<Chosen, ChooseError> {
     let chosen = choose(requests, call, goal_left(call))?;
     let now = requests.node.clock.now();
-    requests.recovery.borrow_mut().serve(now, &call.service);
+    requests
+        .recovery
+        .borrow_mut()
+        .count_sent(now, &call.service);
     Ok(chosen)
 }
 
--- a/crates/filbertstack-policy/src/recovery.rs
+++ b/crates/filbertstack-policy/src/recovery.rs
@@ -55,7 +55,7 @@
     }
 
     /// Notes that a request for `service` was sent as it came.
-    pub fn serve(&mut self, now: Millis, service: &Arc<str>) {
+    pub fn count_sent(&mut self, now: Millis, service: &Arc<str>) {
         self.spare = (self.spare + SPARE).min(1.0);
         self.sent = now;
         match self.served.get_mut(service) {
--- a/crates/filbertstack-policy/tests/recovery.rs
+++ b/crates/filbertstack-policy/tests/recovery.rs
@@ -49,7 +49,7 @@
         None
     );
     assert_eq!(recovery.patience(Millis(60_000), None, time, 0), None);
-    recovery.serve(Millis(60_000), &service);
+    recovery.count_sent(Millis(60_000), &service);
     let again = recovery.patience(Millis(61_000), Some("llm"), time, 0);
     assert_eq!(again, Some(Millis(1_500)));
     assert_eq!(
@@ -74,7 +74,7 @@
     let mut recovery = Recovery::new(Millis(0));
     let mut sent = 0;
     for now in 0..300 {
-        recovery.serve(Millis(now), &service);
+        recovery.count_sent(Millis(now), &service);
         if recovery.may_send(Millis(now)) {
             recovery.send(Millis(now));
             sent += 1;
