--- a/crates/filbertstack-gateway/src/request/waiting.rs
+++ b/crates/filbertstack-gateway/src/request/waiting.rs
@@ -107,7 +107,7 @@
 /// Chooses a target for a request that is late as it has waited, beside those that come.
 fn choose_late(requests: &Requests, call: &Call) -> Option<Chosen> {
     let now = requests.node.clock.now();
-    if !requests.recovery.borrow().may_send(now) {
+    if !requests.recovery.borrow().may_send_waiter(now) {
         return None;
     }
     let chosen = choose(requests, call, call.route.goal).ok()?;
--- a/crates/filbertstack-policy/src/recovery.rs
+++ b/crates/filbertstack-policy/src/recovery.rs
@@ -67,7 +67,7 @@
     }
 
     /// Whether one that waits may be sent now.
-    pub fn may_send(&self, now: Millis) -> bool {
+    pub fn may_send_waiter(&self, now: Millis) -> bool {
         self.spare >= 1.0 || now.since(self.sent) >= PAUSE
     }
 
--- a/crates/filbertstack-policy/tests/recovery.rs
+++ b/crates/filbertstack-policy/tests/recovery.rs
@@ -75,7 +75,7 @@
     let mut sent = 0;
     for now in 0..300 {
         recovery.count_sent(Millis(now), &service);
-        if recovery.may_send(Millis(now)) {
+        if recovery.may_send_waiter(Millis(now)) {
             recovery.send(Millis(now));
             sent += 1;
         }
@@ -90,7 +90,7 @@
     let mut recovery = Recovery::new(Millis(0));
     let times: Vec<u64> = (0..1_000)
         .filter(|now| {
-            let may = recovery.may_send(Millis(*now));
+            let may = recovery.may_send_waiter(Millis(*now));
             if may {
                 recovery.send(Millis(*now));
             }
