--- a/crates/filbertstack-gateway/src/request/waiting.rs
+++ b/crates/filbertstack-gateway/src/request/waiting.rs
@@ -111,7 +111,7 @@
         return None;
     }
     let chosen = choose(requests, call, call.route.goal).ok()?;
-    requests.recovery.borrow_mut().send(now);
+    requests.recovery.borrow_mut().count_waiter_sent(now);
     Some(chosen)
 }
 
--- a/crates/filbertstack-policy/src/recovery.rs
+++ b/crates/filbertstack-policy/src/recovery.rs
@@ -72,7 +72,7 @@
     }
 
     /// Notes that one that waited was sent.
-    pub fn send(&mut self, now: Millis) {
+    pub fn count_waiter_sent(&mut self, now: Millis) {
         self.spare = 0.0;
         self.sent = now;
     }
--- a/crates/filbertstack-policy/tests/recovery.rs
+++ b/crates/filbertstack-policy/tests/recovery.rs
@@ -76,7 +76,7 @@
     for now in 0..300 {
         recovery.count_sent(Millis(now), &service);
         if recovery.may_send_waiter(Millis(now)) {
-            recovery.send(Millis(now));
+            recovery.count_waiter_sent(Millis(now));
             sent += 1;
         }
     }
@@ -92,7 +92,7 @@
         .filter(|now| {
             let may = recovery.may_send_waiter(Millis(*now));
             if may {
-                recovery.send(Millis(*now));
+                recovery.count_waiter_sent(Millis(*now));
             }
             may
         })
