--- a/crates/filbertstack-gateway/src/request/waiting.rs
+++ b/crates/filbertstack-gateway/src/request/waiting.rs
@@ -134,6 +134,6 @@
     let now = requests.node.clock.now();
     let waiting = requests.waiting.get();
     let recovery = requests.recovery.borrow();
-    let wait = recovery.patience(now, service, Millis::from(time), waiting)?;
+    let wait = recovery.wait_limit(now, service, Millis::from(time), waiting)?;
     Some(came + Duration::from(wait))
 }
--- a/crates/filbertstack-policy/src/recovery.rs
+++ b/crates/filbertstack-policy/src/recovery.rs
@@ -79,7 +79,7 @@
 
     /// How long after it came a request that has `time` in all waits for `service`, or for what is
     /// declared if that is not known yet; `None` if it is refused at once. `waiting` others wait.
-    pub fn patience(
+    pub fn wait_limit(
         &self,
         now: Millis,
         service: Option<&str>,
--- a/crates/filbertstack-policy/tests/recovery.rs
+++ b/crates/filbertstack-policy/tests/recovery.rs
@@ -17,7 +17,7 @@
 fn served(waits: bool) -> usize {
     let recovery = Recovery::new(Millis(ENTRIES));
     let serves = |came: u64| {
-        let wait = recovery.patience(Millis(came), Some("llm"), Millis(TIME), 0);
+        let wait = recovery.wait_limit(Millis(came), Some("llm"), Millis(TIME), 0);
         let wait = wait.filter(|_| waits).map_or(0, |wait| wait.0);
         (came + wait >= ENGINES).then_some(()).ok_or(came + wait)
     };
@@ -45,15 +45,15 @@
     let time = Millis(TIME);
     let service: Arc<str> = "llm".into();
     assert_eq!(
-        recovery.patience(Millis(60_000), Some("llm"), time, 0),
+        recovery.wait_limit(Millis(60_000), Some("llm"), time, 0),
         None
     );
-    assert_eq!(recovery.patience(Millis(60_000), None, time, 0), None);
+    assert_eq!(recovery.wait_limit(Millis(60_000), None, time, 0), None);
     recovery.count_sent(Millis(60_000), &service);
-    let again = recovery.patience(Millis(61_000), Some("llm"), time, 0);
+    let again = recovery.wait_limit(Millis(61_000), Some("llm"), time, 0);
     assert_eq!(again, Some(Millis(1_500)));
     assert_eq!(
-        recovery.patience(Millis(66_000), Some("llm"), time, 0),
+        recovery.wait_limit(Millis(66_000), Some("llm"), time, 0),
         None
     );
 }
@@ -62,7 +62,7 @@
 #[test]
 fn no_more_wait_than_an_entry_holds() {
     let recovery = Recovery::new(Millis(0));
-    let with = |waiting| recovery.patience(Millis(100), None, Millis(TIME), waiting);
+    let with = |waiting| recovery.wait_limit(Millis(100), None, Millis(TIME), waiting);
     assert!(with(63).is_some());
     assert_eq!(with(64), None);
 }
