--- a/crates/filbertstack-gateway/src/control/people.rs
+++ b/crates/filbertstack-gateway/src/control/people.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use filbertstack_core::Millis;
-use filbertstack_policy::registry::Offer;
+use filbertstack_policy::registry::Applied;
 use filbertstack_policy::registry::Registry;
 use filbertstack_policy::registry::Stamp;
 use tokio::sync::watch;
@@ -115,10 +115,10 @@
         };
         let offer = known.offer(&id, stamp, Rc::new(kind), row.gone, now);
         drop(known);
-        if offer == Offer::Late {
+        if offer == Applied::Late {
             return false;
         }
-        let changed = offer == Offer::Changed;
+        let changed = offer == Applied::Changed;
         if own || changed {
             self.pending
                 .borrow_mut()
--- a/crates/filbertstack-policy/src/registry.rs
+++ b/crates/filbertstack-policy/src/registry.rs
@@ -33,7 +33,7 @@
 
 /// What became of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum Applied {
     /// It is the newest, and says something new.
     Changed,
     /// It is the newest, and says what was known.
@@ -75,25 +75,25 @@
         value: T,
         gone: bool,
         now: Millis,
-    ) -> Offer {
+    ) -> Applied {
         let known = self.rows.get_mut(id);
         let Some(known) = known else {
             self.insert(id, stamp, value, gone, now);
-            return Offer::Changed;
+            return Applied::Changed;
         };
         if stamp < known.stamp {
-            return Offer::Late;
+            return Applied::Late;
         }
         // What has left starts again only with a later birth.
         if known.gone && stamp.born == known.stamp.born && !gone {
-            return Offer::Late;
+            return Applied::Late;
         }
         let same = known.value == value && known.gone == gone && known.stamp.born == stamp.born;
         self.insert(id, stamp, value, gone, now);
         if same {
-            Offer::Refreshed
+            Applied::Refreshed
         } else {
-            Offer::Changed
+            Applied::Changed
         }
     }
 
--- a/crates/filbertstack-policy/tests/registry.rs
+++ b/crates/filbertstack-policy/tests/registry.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use filbertstack_core::Millis;
-use filbertstack_policy::registry::Offer;
+use filbertstack_policy::registry::Applied;
 use filbertstack_policy::registry::Registry;
 use filbertstack_policy::registry::Stamp;
 use filbertstack_policy::registry::UNCONFIRMED;
@@ -25,7 +25,7 @@
     registry.offer(&id("i"), at(1, 4), "ready", false, now);
     registry.offer(&id("i"), at(1, 6), "draining", false, now);
     let late = registry.offer(&id("i"), at(1, 5), "ready", false, now);
-    assert_eq!(late, Offer::Late);
+    assert_eq!(late, Applied::Late);
     assert_eq!(
         registry.get("i").map(|(value, _, _)| *value),
         Some("draining")
@@ -39,9 +39,9 @@
     let mut registry = Registry::default();
     registry.offer(&id("i"), at(1, 90), "first", false, Millis(0));
     let second = registry.offer(&id("i"), at(2, 1), "second", false, Millis(1));
-    assert_eq!(second, Offer::Changed);
+    assert_eq!(second, Applied::Changed);
     let crossed = registry.offer(&id("i"), at(1, 91), "first", false, Millis(2));
-    assert_eq!(crossed, Offer::Late);
+    assert_eq!(crossed, Applied::Late);
 }
 
 /// A target says goodbye, and a statement that it sent before arrives after that. It must not
@@ -54,11 +54,11 @@
     assert!(!registry.remove("i", Millis(1)), "it has left already");
     assert_eq!(
         registry.offer(&id("i"), at(1, 2), "a", false, Millis(2)),
-        Offer::Late
+        Applied::Late
     );
     assert_eq!(registry.present().count(), 0);
     let again = registry.offer(&id("i"), at(2, 1), "a", false, Millis(3));
-    assert_eq!(again, Offer::Changed);
+    assert_eq!(again, Applied::Changed);
     assert_eq!(registry.present().count(), 1);
 }
 
@@ -73,7 +73,7 @@
     assert_eq!(registry.expire(Millis(101), patience).len(), 1);
     assert_eq!(registry.present().count(), 0);
     let back = registry.offer(&id("i"), at(1, 2), "a", false, Millis(150));
-    assert_eq!(back, Offer::Changed);
+    assert_eq!(back, Applied::Changed);
 }
 
 /// All voters have just started and list nobody. A follower that took their list as the truth
@@ -96,7 +96,7 @@
     let mut registry = Registry::default();
     registry.offer(&id("i"), at(1, 1), "a", false, Millis(0));
     let again = registry.offer(&id("i"), at(1, 2), "a", false, Millis(1));
-    assert_eq!(again, Offer::Refreshed);
+    assert_eq!(again, Applied::Refreshed);
 }
 
 /// A voter is frozen for five seconds, with all that it knows. When it wakes, the last statement of
