--- a/crates/filbertstack-gateway/src/control/people.rs
+++ b/crates/filbertstack-gateway/src/control/people.rs
@@ -115,7 +115,7 @@
         };
         let offer = known.offer(&id, stamp, Rc::new(kind), row.gone, now);
         drop(known);
-        if offer == Applied::Late {
+        if offer == Applied::Stale {
             return false;
         }
         let changed = offer == Applied::Changed;
--- a/crates/filbertstack-policy/src/registry.rs
+++ b/crates/filbertstack-policy/src/registry.rs
@@ -39,7 +39,7 @@
     /// It is the newest, and says what was known.
     Refreshed,
     /// A newer one is known.
-    Late,
+    Stale,
 }
 
 #[derive(Clone, Debug)]
@@ -82,11 +82,11 @@
             return Applied::Changed;
         };
         if stamp < known.stamp {
-            return Applied::Late;
+            return Applied::Stale;
         }
         // What has left starts again only with a later birth.
         if known.gone && stamp.born == known.stamp.born && !gone {
-            return Applied::Late;
+            return Applied::Stale;
         }
         let same = known.value == value && known.gone == gone && known.stamp.born == stamp.born;
         self.insert(id, stamp, value, gone, now);
--- a/crates/filbertstack-policy/tests/registry.rs
+++ b/crates/filbertstack-policy/tests/registry.rs
@@ -25,7 +25,7 @@
     registry.offer(&id("i"), at(1, 4), "ready", false, now);
     registry.offer(&id("i"), at(1, 6), "draining", false, now);
     let late = registry.offer(&id("i"), at(1, 5), "ready", false, now);
-    assert_eq!(late, Applied::Late);
+    assert_eq!(late, Applied::Stale);
     assert_eq!(
         registry.get("i").map(|(value, _, _)| *value),
         Some("draining")
@@ -41,7 +41,7 @@
     let second = registry.offer(&id("i"), at(2, 1), "second", false, Millis(1));
     assert_eq!(second, Applied::Changed);
     let crossed = registry.offer(&id("i"), at(1, 91), "first", false, Millis(2));
-    assert_eq!(crossed, Applied::Late);
+    assert_eq!(crossed, Applied::Stale);
 }
 
 /// A target says goodbye, and a statement that it sent before arrives after that. It must not
@@ -54,7 +54,7 @@
     assert!(!registry.remove("i", Millis(1)), "it has left already");
     assert_eq!(
         registry.offer(&id("i"), at(1, 2), "a", false, Millis(2)),
-        Applied::Late
+        Applied::Stale
     );
     assert_eq!(registry.present().count(), 0);
     let again = registry.offer(&id("i"), at(2, 1), "a", false, Millis(3));
