--- a/crates/filbertstack-gateway/src/control/people.rs
+++ b/crates/filbertstack-gateway/src/control/people.rs
@@ -113,7 +113,7 @@
             let silent = known.get(&id).is_some_and(|(_, s, _)| s <= stamp);
             return silent && known.forget(&id);
         };
-        let offer = known.offer(&id, stamp, Rc::new(kind), row.gone, now);
+        let offer = known.apply(&id, stamp, Rc::new(kind), row.gone, now);
         drop(known);
         if offer == Applied::Stale {
             return false;
--- a/crates/filbertstack-policy/src/registry.rs
+++ b/crates/filbertstack-policy/src/registry.rs
@@ -68,7 +68,7 @@
 
 impl<T: Clone + PartialEq> Registry<T> {
     /// Takes a statement in.
-    pub fn offer(
+    pub fn apply(
         &mut self,
         id: &Arc<str>,
         stamp: Stamp,
--- a/crates/filbertstack-policy/tests/registry.rs
+++ b/crates/filbertstack-policy/tests/registry.rs
@@ -22,9 +22,9 @@
 fn a_late_statement_does_not_undo_a_drain() {
     let mut registry = Registry::default();
     let now = Millis(0);
-    registry.offer(&id("i"), at(1, 4), "ready", false, now);
-    registry.offer(&id("i"), at(1, 6), "draining", false, now);
-    let late = registry.offer(&id("i"), at(1, 5), "ready", false, now);
+    registry.apply(&id("i"), at(1, 4), "ready", false, now);
+    registry.apply(&id("i"), at(1, 6), "draining", false, now);
+    let late = registry.apply(&id("i"), at(1, 5), "ready", false, now);
     assert_eq!(late, Applied::Stale);
     assert_eq!(
         registry.get("i").map(|(value, _, _)| *value),
@@ -37,10 +37,10 @@
 #[test]
 fn a_second_start_goes_before_the_first() {
     let mut registry = Registry::default();
-    registry.offer(&id("i"), at(1, 90), "first", false, Millis(0));
-    let second = registry.offer(&id("i"), at(2, 1), "second", false, Millis(1));
+    registry.apply(&id("i"), at(1, 90), "first", false, Millis(0));
+    let second = registry.apply(&id("i"), at(2, 1), "second", false, Millis(1));
     assert_eq!(second, Applied::Changed);
-    let crossed = registry.offer(&id("i"), at(1, 91), "first", false, Millis(2));
+    let crossed = registry.apply(&id("i"), at(1, 91), "first", false, Millis(2));
     assert_eq!(crossed, Applied::Stale);
 }
 
@@ -49,15 +49,15 @@
 #[test]
 fn what_has_left_comes_back_only_by_a_new_start() {
     let mut registry = Registry::default();
-    registry.offer(&id("i"), at(1, 1), "a", false, Millis(0));
+    registry.apply(&id("i"), at(1, 1), "a", false, Millis(0));
     assert!(registry.remove("i", Millis(1)));
     assert!(!registry.remove("i", Millis(1)), "it has left already");
     assert_eq!(
-        registry.offer(&id("i"), at(1, 2), "a", false, Millis(2)),
+        registry.apply(&id("i"), at(1, 2), "a", false, Millis(2)),
         Applied::Stale
     );
     assert_eq!(registry.present().count(), 0);
-    let again = registry.offer(&id("i"), at(2, 1), "a", false, Millis(3));
+    let again = registry.apply(&id("i"), at(2, 1), "a", false, Millis(3));
     assert_eq!(again, Applied::Changed);
     assert_eq!(registry.present().count(), 1);
 }
@@ -67,12 +67,12 @@
 #[test]
 fn a_silent_process_comes_back_with_its_next_statement() {
     let mut registry = Registry::default();
-    registry.offer(&id("i"), at(1, 1), "a", false, Millis(0));
+    registry.apply(&id("i"), at(1, 1), "a", false, Millis(0));
     let patience = |_: &&str| Millis(100);
     assert_eq!(registry.expire(Millis(100), patience).len(), 0);
     assert_eq!(registry.expire(Millis(101), patience).len(), 1);
     assert_eq!(registry.present().count(), 0);
-    let back = registry.offer(&id("i"), at(1, 2), "a", false, Millis(150));
+    let back = registry.apply(&id("i"), at(1, 2), "a", false, Millis(150));
     assert_eq!(back, Applied::Changed);
 }
 
@@ -81,11 +81,11 @@
 #[test]
 fn an_empty_list_does_not_empty_the_registry_at_once() {
     let mut registry = Registry::default();
-    registry.offer(&id("i"), at(1, 1), "a", false, Millis(0));
+    registry.apply(&id("i"), at(1, 1), "a", false, Millis(0));
     registry.begin_listing(Millis(10));
     assert!(!registry.prune(Millis(10) + UNCONFIRMED));
     assert_eq!(registry.present().count(), 1);
-    registry.offer(&id("i"), at(1, 2), "a", false, Millis(20));
+    registry.apply(&id("i"), at(1, 2), "a", false, Millis(20));
     assert!(!registry.prune(Millis(60_000)), "it was listed since");
     registry.begin_listing(Millis(60_000));
     assert!(registry.prune(Millis(60_001) + UNCONFIRMED), "it never was");
@@ -94,8 +94,8 @@
 #[test]
 fn the_same_again_is_no_change() {
     let mut registry = Registry::default();
-    registry.offer(&id("i"), at(1, 1), "a", false, Millis(0));
-    let again = registry.offer(&id("i"), at(1, 2), "a", false, Millis(1));
+    registry.apply(&id("i"), at(1, 1), "a", false, Millis(0));
+    let again = registry.apply(&id("i"), at(1, 2), "a", false, Millis(1));
     assert_eq!(again, Applied::Refreshed);
 }
 
@@ -105,7 +105,7 @@
 #[test]
 fn a_node_that_could_hear_nobody_takes_nobody_out() {
     let mut registry = Registry::default();
-    registry.offer(&id("i"), at(1, 1), "a", false, Millis(0));
+    registry.apply(&id("i"), at(1, 1), "a", false, Millis(0));
     let patience = |_: &&str| Millis(100);
     registry.defer(Millis(5_000));
     assert_eq!(registry.expire(Millis(5_100), patience).len(), 0);
