--- a/crates/filbertstack-gateway/src/control/people.rs
+++ b/crates/filbertstack-gateway/src/control/people.rs
@@ -204,7 +204,7 @@
 
     /// Does not count a span in which this node could hear nobody.
     pub fn defer(&self, span: Millis) {
-        self.rows.borrow_mut().defer(span);
+        self.rows.borrow_mut().extend_deadlines(span);
     }
 
     /// Drops those that have been silent for too long, and tells followers. For voters, who hear
--- a/crates/filbertstack-policy/src/registry.rs
+++ b/crates/filbertstack-policy/src/registry.rs
@@ -185,7 +185,7 @@
     /// Does not count a span in which nobody could be heard: the node itself was frozen or cut off.
     /// Counted, it would take out every process there is, and refuse all requests, until each has
     /// made its next statement.
-    pub fn defer(&mut self, span: Millis) {
+    pub fn extend_deadlines(&mut self, span: Millis) {
         for row in self.rows.values_mut() {
             row.heard = row.heard + span;
         }
--- a/crates/filbertstack-policy/tests/registry.rs
+++ b/crates/filbertstack-policy/tests/registry.rs
@@ -107,7 +107,7 @@
     let mut registry = Registry::default();
     registry.apply(&id("i"), at(1, 1), "a", false, Millis(0));
     let patience = |_: &&str| Millis(100);
-    registry.defer(Millis(5_000));
+    registry.extend_deadlines(Millis(5_000));
     assert_eq!(registry.expire(Millis(5_100), patience).len(), 0);
     assert_eq!(registry.present().count(), 1);
     assert_eq!(registry.expire(Millis(5_101), patience).len(), 1);
