--- a/crates/filbertstack-policy/src/registry.rs
+++ b/crates/filbertstack-policy/src/registry.rs
@@ -20,7 +20,7 @@
 
 /// For how long a row is kept that the present source does not list: a source that has just
 /// started knows nothing, and hears of every target within two of their heartbeats.
-pub const UNCONFIRMED: Millis = Millis::secs(4);
+pub const UNLISTED_TTL: Millis = Millis::secs(4);
 
 /// Where a statement stands among those about the same process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -151,7 +151,7 @@
     pub fn prune(&mut self, now: Millis) -> bool {
         let mut dropped = false;
         self.rows.retain(|_, row| {
-            let unlisted = row.unlisted.is_some_and(|at| now.since(at) > UNCONFIRMED);
+            let unlisted = row.unlisted.is_some_and(|at| now.since(at) > UNLISTED_TTL);
             let keep = if row.gone {
                 now.since(row.heard) < REMEMBERED
             } else {
--- a/crates/filbertstack-policy/tests/registry.rs
+++ b/crates/filbertstack-policy/tests/registry.rs
@@ -6,7 +6,7 @@
 use filbertstack_policy::registry::Applied;
 use filbertstack_policy::registry::Registry;
 use filbertstack_policy::registry::Stamp;
-use filbertstack_policy::registry::UNCONFIRMED;
+use filbertstack_policy::registry::UNLISTED_TTL;
 
 fn at(born: u64, sequence: u64) -> Stamp {
     Stamp { born, sequence }
@@ -83,12 +83,15 @@
     let mut registry = Registry::default();
     registry.apply(&id("i"), at(1, 1), "a", false, Millis(0));
     registry.begin_listing(Millis(10));
-    assert!(!registry.prune(Millis(10) + UNCONFIRMED));
+    assert!(!registry.prune(Millis(10) + UNLISTED_TTL));
     assert_eq!(registry.present().count(), 1);
     registry.apply(&id("i"), at(1, 2), "a", false, Millis(20));
     assert!(!registry.prune(Millis(60_000)), "it was listed since");
     registry.begin_listing(Millis(60_000));
-    assert!(registry.prune(Millis(60_001) + UNCONFIRMED), "it never was");
+    assert!(
+        registry.prune(Millis(60_001) + UNLISTED_TTL),
+        "it never was"
+    );
 }
 
 #[test]
