--- a/crates/filbertstack-policy/src/registry.rs
+++ b/crates/filbertstack-policy/src/registry.rs
@@ -16,7 +16,7 @@
 
 /// For how long what has left stays known: longer than any statement is delayed, as links between
 /// instances give up after seconds.
-pub const REMEMBERED: Millis = Millis::secs(60);
+pub const REMOVED_TTL: Millis = Millis::secs(60);
 
 /// For how long a row is kept that the present source does not list: a source that has just
 /// started knows nothing, and hears of every target within two of their heartbeats.
@@ -153,7 +153,7 @@
         self.rows.retain(|_, row| {
             let unlisted = row.unlisted.is_some_and(|at| now.since(at) > UNLISTED_TTL);
             let keep = if row.gone {
-                now.since(row.heard) < REMEMBERED
+                now.since(row.heard) < REMOVED_TTL
             } else {
                 !unlisted
             };
