--- a/crates/filbertstack-agent/src/unanswered.rs
+++ b/crates/filbertstack-agent/src/unanswered.rs
@@ -4,7 +4,7 @@
 
 use filbertstack_core::Digest;
 use filbertstack_core::Millis;
-use filbertstack_policy::rollout::LATE_CALL;
+use filbertstack_policy::rollout::MAX_CALL_DELAY;
 
 /// What an engine is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,5 +42,5 @@
 
 /// Whether an order without an answer, sent then, may yet be carried out.
 fn may_come(sent: Instant, now: Instant) -> bool {
-    Millis::from(now.saturating_duration_since(sent)) < LATE_CALL
+    Millis::from(now.saturating_duration_since(sent)) < MAX_CALL_DELAY
 }
--- a/crates/filbertstack-gateway/src/agent/inherited.rs
+++ b/crates/filbertstack-gateway/src/agent/inherited.rs
@@ -7,7 +7,7 @@
 use filbertstack_policy::inherited::Fit;
 use filbertstack_policy::inherited::Inherited;
 use filbertstack_policy::inherited::inherited;
-use filbertstack_policy::rollout::LATE_CALL;
+use filbertstack_policy::rollout::MAX_CALL_DELAY;
 use spdlog::info;
 
 use crate::agent::Agent;
@@ -65,7 +65,7 @@
             Ok(Inherited::Nothing | Inherited::Order(_)) => self.settled = true,
             Err(error) => info!("pieces not compared", kv: { error = error.to_string() }),
         }
-        self.settled |= now.since(self.began) >= LATE_CALL;
+        self.settled |= now.since(self.began) >= MAX_CALL_DELAY;
     }
 }
 
--- a/crates/filbertstack-gateway/src/agent/orders.rs
+++ b/crates/filbertstack-gateway/src/agent/orders.rs
@@ -5,7 +5,7 @@
 use filbertstack_core::Millis;
 use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::Running;
-use filbertstack_policy::rollout::LATE_CALL;
+use filbertstack_policy::rollout::MAX_CALL_DELAY;
 use spdlog::info;
 use spdlog::warn;
 use tokio::time::sleep;
@@ -66,7 +66,7 @@
         return;
     };
     let age = agent.node.clock.now().since(order.noted);
-    if order.sent == 0 && agent.stage.whole().is_none() && age >= LATE_CALL {
+    if order.sent == 0 && agent.stage.whole().is_none() && age >= MAX_CALL_DELAY {
         // Its pieces can't be had any more, and nobody would wait for them for good.
         info!("order given up", kv: { version = order.weights.version, age_ms = age.0 });
         agent.stage.set_open_order(None);
--- a/crates/filbertstack-gateway/src/agent/stage.rs
+++ b/crates/filbertstack-gateway/src/agent/stage.rs
@@ -10,7 +10,7 @@
 use filbertstack_core::Millis;
 use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
-use filbertstack_policy::rollout::LATE_CALL;
+use filbertstack_policy::rollout::MAX_CALL_DELAY;
 use slotmap::SlotMap;
 use slotmap::new_key_type;
 use tokio::sync::Notify;
@@ -64,7 +64,7 @@
 impl OpenPut {
     /// Whether the engine started at `born` may yet carry it out.
     fn may_come(&self, born: u64, now: Millis) -> bool {
-        self.born == born && now.since(self.sent) < LATE_CALL
+        self.born == born && now.since(self.sent) < MAX_CALL_DELAY
     }
 }
 
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -31,7 +31,7 @@
 
 /// How long after it was sent a call that an engine left without an answer may be carried out. The
 /// latest order seen to be begun so was 12 s old.
-pub const LATE_CALL: Millis = Millis(15_000);
+pub const MAX_CALL_DELAY: Millis = Millis(15_000);
 
 /// When a version should be loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
