--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -9,7 +9,7 @@
 use filbertstack_platform::engine::PieceList;
 use filbertstack_platform::engine::Running;
 use filbertstack_policy::rollout::Drain;
-use filbertstack_policy::rollout::Haste;
+use filbertstack_policy::rollout::LoadTiming;
 use filbertstack_policy::rollout::Staged;
 use filbertstack_policy::rollout::drain;
 use filbertstack_policy::rollout::order_after;
@@ -161,8 +161,8 @@
     }
     let newer = |weights: &&Holding| weights.version > list.weights.version;
     let haste = match needed.iter().find(newer) {
-        Some(newer) if is_on_its_way(agent, newer) => Haste::LastCall,
-        _ => Haste::Usual,
+        Some(newer) if is_on_its_way(agent, newer) => LoadTiming::LastCall,
+        _ => LoadTiming::Usual,
     };
     needed.contains(&list.weights) && time_to_order(agent, &list.weights, haste) == Millis::ZERO
 }
@@ -191,7 +191,7 @@
 }
 
 /// How long until it is this engine's turn; none for an engine that serves nothing.
-fn time_to_order(agent: &Agent, wanted: &Holding, haste: Haste) -> Millis {
+fn time_to_order(agent: &Agent, wanted: &Holding, haste: LoadTiming) -> Millis {
     let Some(served) = agent.engine.holding() else {
         return Millis::ZERO;
     };
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -35,7 +35,7 @@
 
 /// When a version should be loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Haste {
+pub enum LoadTiming {
     /// As evenly as there is time.
     Usual,
     /// As late as it may: a newer one is on its way, and an engine that waits for it loads once.
@@ -138,15 +138,15 @@
 
 /// How long after a version was named the engine of `own` is ordered to load it. `agents` are
 /// those of all engines of the model, in one order everywhere.
-pub fn order_after(own: &str, agents: &[Arc<str>], bound: Millis, haste: Haste) -> Millis {
+pub fn order_after(own: &str, agents: &[Arc<str>], bound: Millis, haste: LoadTiming) -> Millis {
     let place = agents.iter().position(|agent| &**agent == own).unwrap_or(0);
     let steps = u64::try_from(agents.len().saturating_sub(1))
         .unwrap_or(1)
         .max(1);
     let place = u64::try_from(place).unwrap_or(0);
     let first = match haste {
-        Haste::Usual => FIRST,
-        Haste::LastCall => LAST_CALL,
+        LoadTiming::Usual => FIRST,
+        LoadTiming::LastCall => LAST_CALL,
     };
     let (first, last) = (part(bound, first), part(bound, LAST));
     Millis(first.0 + (last.0 - first.0) * place / steps)
