--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -39,7 +39,7 @@
     /// As evenly as there is time.
     Usual,
     /// As late as it may: a newer one is on its way, and an engine that waits for it loads once.
-    LastCall,
+    Latest,
 }
 
 /// How long entries may go on sending to an engine after its agent said that it takes nothing: the
@@ -146,7 +146,7 @@
     let place = u64::try_from(place).unwrap_or(0);
     let first = match haste {
         LoadTiming::Usual => FIRST,
-        LoadTiming::LastCall => LAST_CALL,
+        LoadTiming::Latest => LAST_CALL,
     };
     let (first, last) = (part(bound, first), part(bound, LAST));
     Millis(first.0 + (last.0 - first.0) * place / steps)
--- a/crates/filbertstack-policy/tests/rollout.rs
+++ b/crates/filbertstack-policy/tests/rollout.rs
@@ -61,7 +61,7 @@
     let agents = agents(20);
     for own in &agents {
         let usual = order_after(own, &agents, BOUND, LoadTiming::Usual);
-        let late = order_after(own, &agents, BOUND, LoadTiming::LastCall);
+        let late = order_after(own, &agents, BOUND, LoadTiming::Latest);
         assert!(late >= usual && late >= Millis(5_000));
         assert!(late < BOUND);
     }
