--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -8,7 +8,7 @@
 use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
 use filbertstack_platform::engine::Running;
-use filbertstack_policy::rollout::Drain;
+use filbertstack_policy::rollout::DrainStep;
 use filbertstack_policy::rollout::LoadTiming;
 use filbertstack_policy::rollout::Staged;
 use filbertstack_policy::rollout::drain;
@@ -243,9 +243,9 @@
         let work = report.map_or(0, |report| report.running + report.waiting);
         let may_break = agent.node.declared.may_break_off(&wanted.model);
         match drain(spent, work, may_break) {
-            Drain::Await => sleep(DRAINING).await,
-            Drain::Finish => break,
-            Drain::BreakOff => return Running::BreakOff,
+            DrainStep::Await => sleep(DRAINING).await,
+            DrainStep::Finish => break,
+            DrainStep::BreakOff => return Running::BreakOff,
         }
     }
     Running::Finish
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -53,7 +53,7 @@
 
 /// What the agent of an engine that takes nothing new does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Drain {
+pub enum DrainStep {
     /// Waits: answers end.
     Await,
     /// Orders the engine to load when it has finished what it runs.
@@ -64,15 +64,15 @@
 
 /// What to do `spent` after entries were told that an engine takes nothing new, while it has `work`
 /// requests. `may_break` tells whether all of them can go on at another engine.
-pub fn drain(spent: Millis, work: u32, may_break: bool) -> Drain {
+pub fn drain(spent: Millis, work: u32, may_break: bool) -> DrainStep {
     if spent < TOLD {
-        Drain::Await
+        DrainStep::Await
     } else if work == 0 || !may_break {
-        Drain::Finish
+        DrainStep::Finish
     } else if spent < FINISHING {
-        Drain::Await
+        DrainStep::Await
     } else {
-        Drain::BreakOff
+        DrainStep::BreakOff
     }
 }
 
--- a/crates/filbertstack-policy/tests/rollout.rs
+++ b/crates/filbertstack-policy/tests/rollout.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use filbertstack_core::Millis;
-use filbertstack_policy::rollout::Drain;
+use filbertstack_policy::rollout::DrainStep;
 use filbertstack_policy::rollout::LoadTiming;
 use filbertstack_policy::rollout::Named;
 use filbertstack_policy::rollout::Staged;
@@ -177,9 +177,9 @@
     for now in (0..).step_by(20) {
         let work = u32::try_from(left(now)).expect("few");
         match drain(Millis(now), work, may_break) {
-            Drain::Await => {}
-            Drain::Finish => return (now.max(last), 0),
-            Drain::BreakOff => return (now, left(now)),
+            DrainStep::Await => {}
+            DrainStep::Finish => return (now.max(last), 0),
+            DrainStep::BreakOff => return (now, left(now)),
         }
     }
     unreachable!("an engine is ordered to load at some time")
