--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -11,7 +11,7 @@
 use filbertstack_policy::rollout::DrainStep;
 use filbertstack_policy::rollout::LoadTiming;
 use filbertstack_policy::rollout::Staged;
-use filbertstack_policy::rollout::drain;
+use filbertstack_policy::rollout::drain_step;
 use filbertstack_policy::rollout::order_after;
 use filbertstack_policy::rollout::repeat_after;
 use filbertstack_policy::rollout::staged_now;
@@ -242,7 +242,7 @@
         let report = agent.engine.report();
         let work = report.map_or(0, |report| report.running + report.waiting);
         let may_break = agent.node.declared.may_break_off(&wanted.model);
-        match drain(spent, work, may_break) {
+        match drain_step(spent, work, may_break) {
             DrainStep::Await => sleep(DRAINING).await,
             DrainStep::Finish => break,
             DrainStep::BreakOff => return Running::BreakOff,
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -64,7 +64,7 @@
 
 /// What to do `spent` after entries were told that an engine takes nothing new, while it has `work`
 /// requests. `may_break` tells whether all of them can go on at another engine.
-pub fn drain(spent: Millis, work: u32, may_break: bool) -> DrainStep {
+pub fn drain_step(spent: Millis, work: u32, may_break: bool) -> DrainStep {
     if spent < TOLD {
         DrainStep::Await
     } else if work == 0 || !may_break {
--- a/crates/filbertstack-policy/tests/rollout.rs
+++ b/crates/filbertstack-policy/tests/rollout.rs
@@ -7,7 +7,7 @@
 use filbertstack_policy::rollout::LoadTiming;
 use filbertstack_policy::rollout::Named;
 use filbertstack_policy::rollout::Staged;
-use filbertstack_policy::rollout::drain;
+use filbertstack_policy::rollout::drain_step;
 use filbertstack_policy::rollout::floor;
 use filbertstack_policy::rollout::order_after;
 use filbertstack_policy::rollout::patience;
@@ -176,7 +176,7 @@
     let last = ends.iter().max().copied().unwrap_or(0);
     for now in (0..).step_by(20) {
         let work = u32::try_from(left(now)).expect("few");
-        match drain(Millis(now), work, may_break) {
+        match drain_step(Millis(now), work, may_break) {
             DrainStep::Await => {}
             DrainStep::Finish => return (now.max(last), 0),
             DrainStep::BreakOff => return (now, left(now)),
