--- a/crates/filbertstack-gateway/src/control/declared.rs
+++ b/crates/filbertstack-gateway/src/control/declared.rs
@@ -12,7 +12,7 @@
 use filbertstack_core::Millis;
 use filbertstack_core::serving::Catalogue;
 use filbertstack_platform::catalogue;
-use filbertstack_policy::rollout::Named;
+use filbertstack_policy::rollout::NamedVersion;
 use filbertstack_policy::rollout::remember;
 use spdlog::info;
 use spdlog::warn;
@@ -43,7 +43,7 @@
     assembly: RefCell<Assembly>,
     catalogue: RefCell<Rc<Catalogue>>,
     /// By model, the latest versions in their order.
-    weights: RefCell<BTreeMap<Arc<str>, Vec<Named>>>,
+    weights: RefCell<BTreeMap<Arc<str>, Vec<NamedVersion>>>,
     origins: RefCell<Vec<SocketAddr>>,
     models: RefCell<Vec<ServedModel>>,
     /// Whether all that is declared has been told since the process began.
@@ -80,7 +80,7 @@
     }
 
     /// The latest versions of a model's weights, in their order.
-    pub fn named(&self, model: &str) -> Vec<Named> {
+    pub fn named(&self, model: &str) -> Vec<NamedVersion> {
         self.weights
             .borrow()
             .get(model)
@@ -89,7 +89,7 @@
     }
 
     /// The latest versions of each model's weights that was named, in their order.
-    pub fn all_named(&self) -> Vec<(Arc<str>, Vec<Named>)> {
+    pub fn all_named(&self) -> Vec<(Arc<str>, Vec<NamedVersion>)> {
         let weights = self.weights.borrow().clone();
         weights.into_iter().collect()
     }
@@ -225,7 +225,13 @@
         info!("weights named", kv: {
             model = named.model.clone(), version = version, age_ms = named.age_ms
         });
-        remember(versions, Named { version, at }, VERSIONS, now, self.rollout);
+        remember(
+            versions,
+            NamedVersion { version, at },
+            VERSIONS,
+            now,
+            self.rollout,
+        );
         true
     }
 
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -78,7 +78,7 @@
 
 /// A version of weights and when it was named, as far as a node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Named {
+pub struct NamedVersion {
     /// The version.
     pub version: u64,
     /// When it was named.
@@ -96,7 +96,13 @@
 /// them would ever be old enough to bind, and engines would begin requests on a version that was
 /// replaced long ago. Where too many follow each other, two count as one that was named with the
 /// earlier: it binds too early rather than too late.
-pub fn remember(named: &mut Vec<Named>, newest: Named, least: usize, now: Millis, bound: Millis) {
+pub fn remember(
+    named: &mut Vec<NamedVersion>,
+    newest: NamedVersion,
+    least: usize,
+    now: Millis,
+    bound: Millis,
+) {
     named.push(newest);
     while named.len() > least && now.since(named[1].at) >= bound {
         named.remove(0);
--- a/crates/filbertstack-policy/tests/rollout.rs
+++ b/crates/filbertstack-policy/tests/rollout.rs
@@ -5,7 +5,7 @@
 use filbertstack_core::Millis;
 use filbertstack_policy::rollout::DrainStep;
 use filbertstack_policy::rollout::LoadTiming;
-use filbertstack_policy::rollout::Named;
+use filbertstack_policy::rollout::NamedVersion;
 use filbertstack_policy::rollout::Staged;
 use filbertstack_policy::rollout::drain_step;
 use filbertstack_policy::rollout::floor;
@@ -84,7 +84,7 @@
     let times = (0..span.0 / gap.0).map(|n| n * gap.0);
     for (version, ms) in (2..).zip(times) {
         let now = Millis(ms);
-        let newest = Named { version, at: now };
+        let newest = NamedVersion { version, at: now };
         remember(&mut named, newest, 4, now, BOUND);
         let ages = named.iter().map(|n| (n.version, now.since(n.at)));
         let due = now.0.checked_sub(BOUND.0).map_or(0, |ms| 2 + ms / gap.0);
@@ -110,13 +110,13 @@
     let mut named = Vec::new();
     for version in 2..200 {
         let at = Millis(version * 10_000);
-        remember(&mut named, Named { version, at }, 4, at, BOUND);
+        remember(&mut named, NamedVersion { version, at }, 4, at, BOUND);
     }
     let versions: Vec<u64> = named.iter().map(|n| n.version).collect();
     assert_eq!(versions, [196, 197, 198, 199]);
     for version in 200..1_000 {
         let at = Millis(2_000_000 + version);
-        remember(&mut named, Named { version, at }, 4, at, BOUND);
+        remember(&mut named, NamedVersion { version, at }, 4, at, BOUND);
     }
     assert_eq!(named.len(), 64);
 }
