--- a/crates/filbertstack-gateway/src/control/declared.rs
+++ b/crates/filbertstack-gateway/src/control/declared.rs
@@ -13,7 +13,7 @@
 use filbertstack_core::serving::Catalogue;
 use filbertstack_platform::catalogue;
 use filbertstack_policy::rollout::NamedVersion;
-use filbertstack_policy::rollout::remember;
+use filbertstack_policy::rollout::record_version;
 use spdlog::info;
 use spdlog::warn;
 use tokio::sync::watch;
@@ -225,7 +225,7 @@
         info!("weights named", kv: {
             model = named.model.clone(), version = version, age_ms = named.age_ms
         });
-        remember(
+        record_version(
             versions,
             NamedVersion { version, at },
             VERSIONS,
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -96,7 +96,7 @@
 /// them would ever be old enough to bind, and engines would begin requests on a version that was
 /// replaced long ago. Where too many follow each other, two count as one that was named with the
 /// earlier: it binds too early rather than too late.
-pub fn remember(
+pub fn record_version(
     named: &mut Vec<NamedVersion>,
     newest: NamedVersion,
     least: usize,
--- a/crates/filbertstack-policy/tests/rollout.rs
+++ b/crates/filbertstack-policy/tests/rollout.rs
@@ -11,7 +11,7 @@
 use filbertstack_policy::rollout::floor;
 use filbertstack_policy::rollout::order_after;
 use filbertstack_policy::rollout::patience;
-use filbertstack_policy::rollout::remember;
+use filbertstack_policy::rollout::record_version;
 use filbertstack_policy::rollout::repeat_after;
 use filbertstack_policy::rollout::staged_now;
 
@@ -85,7 +85,7 @@
     for (version, ms) in (2..).zip(times) {
         let now = Millis(ms);
         let newest = NamedVersion { version, at: now };
-        remember(&mut named, newest, 4, now, BOUND);
+        record_version(&mut named, newest, 4, now, BOUND);
         let ages = named.iter().map(|n| (n.version, now.since(n.at)));
         let due = now.0.checked_sub(BOUND.0).map_or(0, |ms| 2 + ms / gap.0);
         floors.push((floor(ages, BOUND), due));
@@ -110,13 +110,13 @@
     let mut named = Vec::new();
     for version in 2..200 {
         let at = Millis(version * 10_000);
-        remember(&mut named, NamedVersion { version, at }, 4, at, BOUND);
+        record_version(&mut named, NamedVersion { version, at }, 4, at, BOUND);
     }
     let versions: Vec<u64> = named.iter().map(|n| n.version).collect();
     assert_eq!(versions, [196, 197, 198, 199]);
     for version in 200..1_000 {
         let at = Millis(2_000_000 + version);
-        remember(&mut named, NamedVersion { version, at }, 4, at, BOUND);
+        record_version(&mut named, NamedVersion { version, at }, 4, at, BOUND);
     }
     assert_eq!(named.len(), 64);
 }
