--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -132,7 +132,7 @@
 /// wait in the link's queue and then in its own, though its load looks low. They were sent while the
 /// older version might answer, and began on it seconds later, when it must not. An engine refuses a
 /// request that has waited for longer than it is told as not run, and another serves it.
-pub fn patience(
+pub fn max_wait(
     named: impl Iterator<Item = (u64, Millis)>,
     version: u64,
     bound: Millis,
--- a/crates/filbertstack-policy/tests/rollout.rs
+++ b/crates/filbertstack-policy/tests/rollout.rs
@@ -9,8 +9,8 @@
 use filbertstack_policy::rollout::Staged;
 use filbertstack_policy::rollout::drain_step;
 use filbertstack_policy::rollout::floor;
+use filbertstack_policy::rollout::max_wait;
 use filbertstack_policy::rollout::order_after;
-use filbertstack_policy::rollout::patience;
 use filbertstack_policy::rollout::record_version;
 use filbertstack_policy::rollout::repeat_after;
 use filbertstack_policy::rollout::staged_now;
@@ -265,20 +265,20 @@
     let way = Millis(300);
     for since in (0..10_000).step_by(100).map(Millis) {
         let named = [(1, Millis(60_000)), (2, since)];
-        let left = patience(named.into_iter(), 1, bound).expect("a newer one is named");
+        let left = max_wait(named.into_iter(), 1, bound).expect("a newer one is named");
         let begins = since + left + way;
         assert!(
             left == Millis::ZERO || begins <= bound,
             "{since:?}: {left:?}"
         );
-        assert_eq!(patience(named.into_iter(), 2, bound), None);
+        assert_eq!(max_wait(named.into_iter(), 2, bound), None);
     }
-    let at_once = patience([(2, Millis::ZERO)].into_iter(), 1, bound);
+    let at_once = max_wait([(2, Millis::ZERO)].into_iter(), 1, bound);
     assert!(
         at_once > Some(Millis(6_000)),
         "requests last for six seconds"
     );
     let late = bound.since(Millis(2_000));
-    let late = patience([(2, late)].into_iter(), 1, bound);
+    let late = max_wait([(2, late)].into_iter(), 1, bound);
     assert!(late > Some(Millis(1_500)), "most streams end in that time");
 }
