--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -12,7 +12,7 @@
 use filbertstack_policy::rollout::LoadTiming;
 use filbertstack_policy::rollout::Staged;
 use filbertstack_policy::rollout::drain_step;
-use filbertstack_policy::rollout::order_after;
+use filbertstack_policy::rollout::order_delay;
 use filbertstack_policy::rollout::repeat_after;
 use filbertstack_policy::rollout::staged_now;
 use filbertstack_policy::subset::hash;
@@ -206,7 +206,7 @@
         .collect();
     ids.sort_by_key(|id| hash(id));
     let bound = Millis::from(agent.node.settings.bounds.rollout);
-    let turn = first.at + order_after(&agent.id(), &ids, bound, haste);
+    let turn = first.at + order_delay(&agent.id(), &ids, bound, haste);
     turn.since(agent.node.clock.now())
 }
 
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -144,7 +144,7 @@
 
 /// How long after a version was named the engine of `own` is ordered to load it. `agents` are
 /// those of all engines of the model, in one order everywhere.
-pub fn order_after(own: &str, agents: &[Arc<str>], bound: Millis, haste: LoadTiming) -> Millis {
+pub fn order_delay(own: &str, agents: &[Arc<str>], bound: Millis, haste: LoadTiming) -> Millis {
     let place = agents.iter().position(|agent| &**agent == own).unwrap_or(0);
     let steps = u64::try_from(agents.len().saturating_sub(1))
         .unwrap_or(1)
--- a/crates/filbertstack-policy/tests/rollout.rs
+++ b/crates/filbertstack-policy/tests/rollout.rs
@@ -10,7 +10,7 @@
 use filbertstack_policy::rollout::drain_step;
 use filbertstack_policy::rollout::floor;
 use filbertstack_policy::rollout::max_wait;
-use filbertstack_policy::rollout::order_after;
+use filbertstack_policy::rollout::order_delay;
 use filbertstack_policy::rollout::record_version;
 use filbertstack_policy::rollout::repeat_after;
 use filbertstack_policy::rollout::staged_now;
@@ -43,7 +43,7 @@
     let agents = agents(20);
     let turns: Vec<Millis> = agents
         .iter()
-        .map(|own| order_after(own, &agents, BOUND, LoadTiming::Usual))
+        .map(|own| order_delay(own, &agents, BOUND, LoadTiming::Usual))
         .collect();
     let binding = (0..BOUND.0).find(|ms| floor([(2, Millis(*ms))].into_iter(), BOUND) == 2);
     let binding = Millis(binding.expect("it binds before the bound"));
@@ -60,8 +60,8 @@
 fn an_older_version_waits_for_its_last_call() {
     let agents = agents(20);
     for own in &agents {
-        let usual = order_after(own, &agents, BOUND, LoadTiming::Usual);
-        let late = order_after(own, &agents, BOUND, LoadTiming::Latest);
+        let usual = order_delay(own, &agents, BOUND, LoadTiming::Usual);
+        let late = order_delay(own, &agents, BOUND, LoadTiming::Latest);
         assert!(late >= usual && late >= Millis(5_000));
         assert!(late < BOUND);
     }
@@ -124,7 +124,7 @@
 #[test]
 fn a_single_engine_loads_when_it_can() {
     let agents = agents(1);
-    let turn = order_after(&agents[0], &agents, BOUND, LoadTiming::Usual);
+    let turn = order_delay(&agents[0], &agents, BOUND, LoadTiming::Usual);
     assert!(turn <= Millis(2_400));
 }
 
