--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -13,7 +13,7 @@
 use filbertstack_policy::rollout::Staged;
 use filbertstack_policy::rollout::drain_step;
 use filbertstack_policy::rollout::order_delay;
-use filbertstack_policy::rollout::repeat_after;
+use filbertstack_policy::rollout::resend_delay;
 use filbertstack_policy::rollout::staged_now;
 use filbertstack_policy::subset::hash;
 use spdlog::info;
@@ -185,7 +185,7 @@
     }
     agent.engine.set_loading(false);
     match agent.stage.open_order() {
-        Some(order) => orders::await_outcome(agent, repeat_after(order.sent)).await,
+        Some(order) => orders::await_outcome(agent, resend_delay(order.sent)).await,
         None => sleep(AGAIN).await,
     }
 }
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -166,7 +166,7 @@
 const LONGEST_REPEAT: Millis = Millis(3_200);
 
 /// How long to wait for the outcome of an order that was sent `sent` times before it is sent again.
-pub fn repeat_after(sent: u32) -> Millis {
+pub fn resend_delay(sent: u32) -> Millis {
     let doubled = REPEAT.0 << sent.saturating_sub(1).min(8);
     Millis(doubled).min(LONGEST_REPEAT)
 }
--- a/crates/filbertstack-policy/tests/rollout.rs
+++ b/crates/filbertstack-policy/tests/rollout.rs
@@ -12,7 +12,7 @@
 use filbertstack_policy::rollout::max_wait;
 use filbertstack_policy::rollout::order_delay;
 use filbertstack_policy::rollout::record_version;
-use filbertstack_policy::rollout::repeat_after;
+use filbertstack_policy::rollout::resend_delay;
 use filbertstack_policy::rollout::staged_now;
 
 const BOUND: Millis = Millis(8_000);
@@ -249,8 +249,8 @@
 /// finishes its work, so there are few; one whose first answer was lost is asked again at once.
 #[test]
 fn an_order_without_an_answer_is_repeated_soon_and_then_seldom() {
-    assert_eq!(repeat_after(1), Millis(200));
-    let waits = (1..).map(repeat_after).scan(Millis(0), |at, wait| {
+    assert_eq!(resend_delay(1), Millis(200));
+    let waits = (1..).map(resend_delay).scan(Millis(0), |at, wait| {
         *at = *at + wait;
         Some(*at)
     });
