--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -14,7 +14,7 @@
 use filbertstack_policy::rollout::drain_step;
 use filbertstack_policy::rollout::order_delay;
 use filbertstack_policy::rollout::resend_delay;
-use filbertstack_policy::rollout::staged_now;
+use filbertstack_policy::rollout::version_to_stage;
 use filbertstack_policy::subset::hash;
 use spdlog::info;
 use spdlog::warn;
@@ -120,7 +120,7 @@
         });
         let ordered = agent.stage.open_order().map(|order| order.weights);
         let version = ordered.as_ref().map(|weights| weights.version);
-        let chosen = staged_now(&versions, staged, version, here);
+        let chosen = version_to_stage(&versions, staged, version, here);
         let chosen = needed
             .iter()
             .chain(&ordered)
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -193,7 +193,7 @@
 /// What an engine may yet be loading gives way to nothing: an order that got no answer was seen to be
 /// begun 2 to 12 s later, and loads whatever lies there then. Callers got tokens from half of one
 /// version and half of the next.
-pub fn staged_now(
+pub fn version_to_stage(
     wanted: &[u64],
     staged: Option<Staged>,
     ordered: Option<u64>,
--- a/crates/filbertstack-policy/tests/rollout.rs
+++ b/crates/filbertstack-policy/tests/rollout.rs
@@ -13,7 +13,7 @@
 use filbertstack_policy::rollout::order_delay;
 use filbertstack_policy::rollout::record_version;
 use filbertstack_policy::rollout::resend_delay;
-use filbertstack_policy::rollout::staged_now;
+use filbertstack_policy::rollout::version_to_stage;
 
 const BOUND: Millis = Millis(8_000);
 
@@ -135,15 +135,15 @@
 #[test]
 fn a_version_gives_way_only_to_one_that_is_here() {
     assert_eq!(
-        staged_now(&[2, 3], Some(whole(2)), None, |_| false),
+        version_to_stage(&[2, 3], Some(whole(2)), None, |_| false),
         Some(2)
     );
     assert_eq!(
-        staged_now(&[2, 3], Some(whole(2)), None, |v| v == 2),
+        version_to_stage(&[2, 3], Some(whole(2)), None, |v| v == 2),
         Some(2)
     );
     assert_eq!(
-        staged_now(&[2, 3], Some(whole(2)), None, |v| v == 3),
+        version_to_stage(&[2, 3], Some(whole(2)), None, |v| v == 3),
         Some(3)
     );
 }
@@ -153,21 +153,24 @@
 #[test]
 fn a_version_that_cannot_be_had_gives_way_to_an_older_that_can() {
     assert_eq!(
-        staged_now(&[2, 3], Some(begun(3)), None, |v| v == 2),
+        version_to_stage(&[2, 3], Some(begun(3)), None, |v| v == 2),
         Some(2)
     );
     assert_eq!(
-        staged_now(&[2, 3], Some(begun(3)), None, |_| false),
+        version_to_stage(&[2, 3], Some(begun(3)), None, |_| false),
         Some(3)
     );
 }
 
 #[test]
 fn the_only_version_wanted_is_begun_at_once() {
-    assert_eq!(staged_now(&[], Some(whole(2)), None, |_| true), None);
-    assert_eq!(staged_now(&[2], None, None, |_| false), Some(2));
-    assert_eq!(staged_now(&[3], Some(whole(2)), None, |_| false), Some(3));
-    assert_eq!(staged_now(&[2, 3], None, None, |_| false), Some(3));
+    assert_eq!(version_to_stage(&[], Some(whole(2)), None, |_| true), None);
+    assert_eq!(version_to_stage(&[2], None, None, |_| false), Some(2));
+    assert_eq!(
+        version_to_stage(&[3], Some(whole(2)), None, |_| false),
+        Some(3)
+    );
+    assert_eq!(version_to_stage(&[2, 3], None, None, |_| false), Some(3));
 }
 
 /// How long an engine is out whose answers end at the times given, and how many break off.
@@ -212,11 +215,11 @@
 #[test]
 fn what_is_whole_does_not_give_way_to_an_older_version() {
     assert_eq!(
-        staged_now(&[2, 3], Some(whole(3)), None, |v| v == 2),
+        version_to_stage(&[2, 3], Some(whole(3)), None, |v| v == 2),
         Some(3)
     );
     assert_eq!(
-        staged_now(&[2, 3, 4], Some(whole(3)), None, |v| v != 3),
+        version_to_stage(&[2, 3, 4], Some(whole(3)), None, |v| v != 3),
         Some(4)
     );
 }
@@ -238,7 +241,7 @@
 /// would load some of each; so its pieces wait, also while some of the ordered ones are bad.
 #[test]
 fn a_version_that_an_engine_may_yet_load_gives_way_to_nothing() {
-    let held = |wanted: &[u64], staged| staged_now(wanted, staged, Some(2), |_| true);
+    let held = |wanted: &[u64], staged| version_to_stage(wanted, staged, Some(2), |_| true);
     assert_eq!(held(&[2, 3], Some(whole(2))), Some(2));
     assert_eq!(held(&[3, 4], Some(begun(2))), Some(2));
     assert_eq!(held(&[3], None), Some(2), "its list is fetched again");
