--- a/crates/filbertstack-gateway/src/agent/contents.rs
+++ b/crates/filbertstack-gateway/src/agent/contents.rs
@@ -4,8 +4,8 @@
 
 use filbertstack_control::document::Weights;
 use filbertstack_platform::engine::PieceList;
-use filbertstack_policy::inherited::Fit;
 use filbertstack_policy::inherited::Others;
+use filbertstack_policy::inherited::VersionMatch;
 use thiserror::Error;
 
 use crate::agent::Agent;
@@ -53,9 +53,9 @@
     }
 
     /// How the pieces of `list` fit.
-    pub fn fit(&self, list: &PieceList) -> Fit {
+    pub fn fit(&self, list: &PieceList) -> VersionMatch {
         let pieces = list.digests.len();
-        Fit {
+        VersionMatch {
             version: list.weights.version,
             pieces,
             fitting: (0..pieces).filter(|n| self.fits(list, *n)).count(),
--- a/crates/filbertstack-gateway/src/agent/inherited.rs
+++ b/crates/filbertstack-gateway/src/agent/inherited.rs
@@ -4,8 +4,8 @@
 
 use filbertstack_core::Millis;
 use filbertstack_platform::engine::PieceList;
-use filbertstack_policy::inherited::Fit;
 use filbertstack_policy::inherited::Inherited;
+use filbertstack_policy::inherited::VersionMatch;
 use filbertstack_policy::inherited::inherited;
 use filbertstack_policy::rollout::MAX_CALL_DELAY;
 use spdlog::info;
@@ -88,7 +88,7 @@
             None => None,
         };
     }
-    let fits: Vec<Fit> = lists.iter().map(|list| contents.fit(list)).collect();
+    let fits: Vec<VersionMatch> = lists.iter().map(|list| contents.fit(list)).collect();
     let judged = inherited(served, &fits, contents.others(&lists));
     if let Inherited::Order(version) = judged
         && let Some(list) = lists.iter().find(|list| list.weights.version == version)
--- a/crates/filbertstack-policy/src/inherited.rs
+++ b/crates/filbertstack-policy/src/inherited.rs
@@ -7,7 +7,7 @@
 
 /// How the pieces that lie at an engine fit a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fit {
+pub struct VersionMatch {
     /// The version.
     pub version: u64,
     /// How many pieces it has.
@@ -16,7 +16,7 @@
     pub fitting: usize,
 }
 
-impl Fit {
+impl VersionMatch {
     fn is_whole(&self) -> bool {
         self.fitting == self.pieces
     }
@@ -51,7 +51,7 @@
 /// - A piece that fits nothing may have turned bad: the others tell which version it belonged to. Fit
 ///   they none that is newer than what is served, the version may be one whose list is not kept any
 ///   more.
-pub fn inherited(served: u64, fits: &[Fit], others: Others) -> Inherited {
+pub fn inherited(served: u64, fits: &[VersionMatch], others: Others) -> Inherited {
     let whole = fits.iter().filter(|fit| fit.is_whole());
     if let Some(version) = whole.map(|fit| fit.version).max() {
         return ordered_if_newer(served, version).unwrap_or(Inherited::Nothing);
--- a/crates/filbertstack-policy/tests/inherited.rs
+++ b/crates/filbertstack-policy/tests/inherited.rs
@@ -1,14 +1,14 @@
 //! What an agent that starts takes for ordered, by what lies at its engine.
 
-use filbertstack_policy::inherited::Fit;
 use filbertstack_policy::inherited::Inherited;
 use filbertstack_policy::inherited::Others;
+use filbertstack_policy::inherited::VersionMatch;
 use filbertstack_policy::inherited::inherited;
 
 const PIECES: usize = 48;
 
-fn fit(version: u64, fitting: usize) -> Fit {
-    Fit {
+fn fit(version: u64, fitting: usize) -> VersionMatch {
+    VersionMatch {
         version,
         pieces: PIECES,
         fitting,
