--- a/crates/filbertstack-gateway/src/agent/contents.rs
+++ b/crates/filbertstack-gateway/src/agent/contents.rs
@@ -58,7 +58,7 @@
         VersionMatch {
             version: list.weights.version,
             pieces,
-            fitting: (0..pieces).filter(|n| self.fits(list, *n)).count(),
+            matching: (0..pieces).filter(|n| self.fits(list, *n)).count(),
         }
     }
 
--- a/crates/filbertstack-policy/src/inherited.rs
+++ b/crates/filbertstack-policy/src/inherited.rs
@@ -13,12 +13,12 @@
     /// How many pieces it has.
     pub pieces: usize,
     /// How many of them lie in their place.
-    pub fitting: usize,
+    pub matching: usize,
 }
 
 impl VersionMatch {
     fn is_whole(&self) -> bool {
-        self.fitting == self.pieces
+        self.matching == self.pieces
     }
 }
 
@@ -59,8 +59,8 @@
     if others.empty > 0 || others.unknown == 0 {
         return Inherited::Nothing;
     }
-    let begun = fits.iter().filter(|fit| fit.fitting > 0);
-    let likeliest = begun.max_by_key(|fit| (fit.fitting, fit.version));
+    let begun = fits.iter().filter(|fit| fit.matching > 0);
+    let likeliest = begun.max_by_key(|fit| (fit.matching, fit.version));
     likeliest
         .and_then(|fit| ordered_if_newer(served, fit.version))
         .unwrap_or(Inherited::Unknown)
--- a/crates/filbertstack-policy/tests/inherited.rs
+++ b/crates/filbertstack-policy/tests/inherited.rs
@@ -7,11 +7,11 @@
 
 const PIECES: usize = 48;
 
-fn fit(version: u64, fitting: usize) -> VersionMatch {
+fn fit(version: u64, matching: usize) -> VersionMatch {
     VersionMatch {
         version,
         pieces: PIECES,
-        fitting,
+        matching,
     }
 }
 
