--- a/crates/filbertstack-gateway/src/agent/contents.rs
+++ b/crates/filbertstack-gateway/src/agent/contents.rs
@@ -4,7 +4,7 @@
 
 use filbertstack_control::document::Weights;
 use filbertstack_platform::engine::PieceList;
-use filbertstack_policy::inherited::Others;
+use filbertstack_policy::inherited::Unmatched;
 use filbertstack_policy::inherited::VersionMatch;
 use thiserror::Error;
 
@@ -63,11 +63,11 @@
     }
 
     /// The places with no piece of any of `lists`.
-    pub fn others(&self, lists: &[Rc<PieceList>]) -> Others {
+    pub fn others(&self, lists: &[Rc<PieceList>]) -> Unmatched {
         let known = |number| lists.iter().any(|list| self.fits(list, number));
         let empty = self.0.iter().filter(|found| found.is_none()).count();
         let unknown = (0..self.0.len()).filter(|n| self.0[*n].is_some() && !known(*n));
-        Others {
+        Unmatched {
             empty,
             unknown: unknown.count(),
         }
--- a/crates/filbertstack-policy/src/inherited.rs
+++ b/crates/filbertstack-policy/src/inherited.rs
@@ -24,7 +24,7 @@
 
 /// The places at an engine in which no piece of a known version lies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Others {
+pub struct Unmatched {
     /// Places with nothing in them.
     pub empty: usize,
     /// Places with something that fits no known version.
@@ -51,7 +51,7 @@
 /// - A piece that fits nothing may have turned bad: the others tell which version it belonged to. Fit
 ///   they none that is newer than what is served, the version may be one whose list is not kept any
 ///   more.
-pub fn inherited(served: u64, fits: &[VersionMatch], others: Others) -> Inherited {
+pub fn inherited(served: u64, fits: &[VersionMatch], others: Unmatched) -> Inherited {
     let whole = fits.iter().filter(|fit| fit.is_whole());
     if let Some(version) = whole.map(|fit| fit.version).max() {
         return ordered_if_newer(served, version).unwrap_or(Inherited::Nothing);
--- a/crates/filbertstack-policy/tests/inherited.rs
+++ b/crates/filbertstack-policy/tests/inherited.rs
@@ -1,7 +1,7 @@
 //! What an agent that starts takes for ordered, by what lies at its engine.
 
 use filbertstack_policy::inherited::Inherited;
-use filbertstack_policy::inherited::Others;
+use filbertstack_policy::inherited::Unmatched;
 use filbertstack_policy::inherited::VersionMatch;
 use filbertstack_policy::inherited::inherited;
 
@@ -15,18 +15,24 @@
     }
 }
 
-fn unknown(unknown: usize) -> Others {
-    Others { empty: 0, unknown }
+fn unknown(unknown: usize) -> Unmatched {
+    Unmatched { empty: 0, unknown }
 }
 
 /// Guards against staging over an ordered version, whatever else is known.
 #[test]
 fn what_lies_whole_and_is_newer_may_be_ordered() {
     let known = [fit(2, 0), fit(3, PIECES), fit(9, 0)];
-    let judged = inherited(2, &known, Others::default());
+    let judged = inherited(2, &known, Unmatched::default());
     assert_eq!(judged, Inherited::Order(3));
-    assert_eq!(inherited(0, &known, Others::default()), Inherited::Order(3));
-    assert_eq!(inherited(3, &known, Others::default()), Inherited::Nothing);
+    assert_eq!(
+        inherited(0, &known, Unmatched::default()),
+        Inherited::Order(3)
+    );
+    assert_eq!(
+        inherited(3, &known, Unmatched::default()),
+        Inherited::Nothing
+    );
 }
 
 /// Guards against staging over a version of which nobody has the list any more.
@@ -41,8 +47,11 @@
 #[test]
 fn what_was_never_whole_is_not_ordered() {
     let over = [fit(2, PIECES / 2), fit(3, PIECES / 2)];
-    assert_eq!(inherited(2, &over, Others::default()), Inherited::Nothing);
-    let empty = Others {
+    assert_eq!(
+        inherited(2, &over, Unmatched::default()),
+        Inherited::Nothing
+    );
+    let empty = Unmatched {
         empty: 1,
         unknown: 0,
     };
@@ -50,7 +59,7 @@
         inherited(2, &[fit(3, PIECES - 1)], empty),
         Inherited::Nothing
     );
-    let nothing = Others {
+    let nothing = Unmatched {
         empty: PIECES,
         unknown: 0,
     };
@@ -70,6 +79,6 @@
 #[test]
 fn a_version_that_shares_pieces_with_a_newer_one_is_known() {
     let known = [fit(2, 10), fit(3, PIECES), fit(4, 30)];
-    let judged = inherited(2, &known, Others::default());
+    let judged = inherited(2, &known, Unmatched::default());
     assert_eq!(judged, Inherited::Order(3));
 }
