--- a/crates/filbertstack-gateway/src/agent/inherited.rs
+++ b/crates/filbertstack-gateway/src/agent/inherited.rs
@@ -4,7 +4,7 @@
 
 use filbertstack_core::Millis;
 use filbertstack_platform::engine::PieceList;
-use filbertstack_policy::inherited::Inherited;
+use filbertstack_policy::inherited::InheritedOrder;
 use filbertstack_policy::inherited::VersionMatch;
 use filbertstack_policy::inherited::inherited;
 use filbertstack_policy::rollout::MAX_CALL_DELAY;
@@ -57,12 +57,12 @@
             return;
         }
         match look(agent, model, served).await {
-            Ok(Inherited::Unknown) => {
+            Ok(InheritedOrder::Unknown) => {
                 info!("pieces of no known version found, may be ordered",
                     kv: { served = served, age_ms = now.since(self.began).0 });
                 self.unknown = Some(now);
             }
-            Ok(Inherited::Nothing | Inherited::Order(_)) => self.settled = true,
+            Ok(InheritedOrder::Nothing | InheritedOrder::Order(_)) => self.settled = true,
             Err(error) => info!("pieces not compared", kv: { error = error.to_string() }),
         }
         self.settled |= now.since(self.began) >= MAX_CALL_DELAY;
@@ -71,7 +71,7 @@
 
 /// Compares what lies at the engine with the lists that the voters keep, and counts the version that may
 /// be ordered as such. Older lists are asked for only while pieces are not known.
-async fn look(agent: &Agent, model: &str, served: u64) -> Result<Inherited, ContentsError> {
+async fn look(agent: &Agent, model: &str, served: u64) -> Result<InheritedOrder, ContentsError> {
     let mut next = list_upto(agent, model, u64::MAX).await?;
     let mut visit = Visit::begin(agent.engine.addr()).await?;
     let made = visit.progress();
@@ -90,7 +90,7 @@
     }
     let fits: Vec<VersionMatch> = lists.iter().map(|list| contents.fit(list)).collect();
     let judged = inherited(served, &fits, contents.others(&lists));
-    if let Inherited::Order(version) = judged
+    if let InheritedOrder::Order(version) = judged
         && let Some(list) = lists.iter().find(|list| list.weights.version == version)
     {
         count_as_ordered(agent, list, made, &contents);
--- a/crates/filbertstack-policy/src/inherited.rs
+++ b/crates/filbertstack-policy/src/inherited.rs
@@ -33,7 +33,7 @@
 
 /// What is known of the orders of an agent that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Inherited {
+pub enum InheritedOrder {
     /// No order may yet be begun.
     Nothing,
     /// An order to load this version may yet be begun.
@@ -51,21 +51,21 @@
 /// - A piece that fits nothing may have turned bad: the others tell which version it belonged to. Fit
 ///   they none that is newer than what is served, the version may be one whose list is not kept any
 ///   more.
-pub fn inherited(served: u64, fits: &[VersionMatch], others: Unmatched) -> Inherited {
+pub fn inherited(served: u64, fits: &[VersionMatch], others: Unmatched) -> InheritedOrder {
     let whole = fits.iter().filter(|fit| fit.is_whole());
     if let Some(version) = whole.map(|fit| fit.version).max() {
-        return ordered_if_newer(served, version).unwrap_or(Inherited::Nothing);
+        return ordered_if_newer(served, version).unwrap_or(InheritedOrder::Nothing);
     }
     if others.empty > 0 || others.unknown == 0 {
-        return Inherited::Nothing;
+        return InheritedOrder::Nothing;
     }
     let begun = fits.iter().filter(|fit| fit.matching > 0);
     let likeliest = begun.max_by_key(|fit| (fit.matching, fit.version));
     likeliest
         .and_then(|fit| ordered_if_newer(served, fit.version))
-        .unwrap_or(Inherited::Unknown)
+        .unwrap_or(InheritedOrder::Unknown)
 }
 
-fn ordered_if_newer(served: u64, version: u64) -> Option<Inherited> {
-    (version > served).then_some(Inherited::Order(version))
+fn ordered_if_newer(served: u64, version: u64) -> Option<InheritedOrder> {
+    (version > served).then_some(InheritedOrder::Order(version))
 }
