--- a/crates/filbertstack-gateway/src/agent/inherited.rs
+++ b/crates/filbertstack-gateway/src/agent/inherited.rs
@@ -6,7 +6,7 @@
 use filbertstack_platform::engine::PieceList;
 use filbertstack_policy::inherited::InheritedOrder;
 use filbertstack_policy::inherited::VersionMatch;
-use filbertstack_policy::inherited::inherited;
+use filbertstack_policy::inherited::inherited_order;
 use filbertstack_policy::rollout::MAX_CALL_DELAY;
 use spdlog::info;
 
@@ -89,7 +89,7 @@
         };
     }
     let fits: Vec<VersionMatch> = lists.iter().map(|list| contents.fit(list)).collect();
-    let judged = inherited(served, &fits, contents.others(&lists));
+    let judged = inherited_order(served, &fits, contents.others(&lists));
     if let InheritedOrder::Order(version) = judged
         && let Some(list) = lists.iter().find(|list| list.weights.version == version)
     {
--- a/crates/filbertstack-policy/src/inherited.rs
+++ b/crates/filbertstack-policy/src/inherited.rs
@@ -51,7 +51,7 @@
 /// - A piece that fits nothing may have turned bad: the others tell which version it belonged to. Fit
 ///   they none that is newer than what is served, the version may be one whose list is not kept any
 ///   more.
-pub fn inherited(served: u64, fits: &[VersionMatch], others: Unmatched) -> InheritedOrder {
+pub fn inherited_order(served: u64, fits: &[VersionMatch], others: Unmatched) -> InheritedOrder {
     let whole = fits.iter().filter(|fit| fit.is_whole());
     if let Some(version) = whole.map(|fit| fit.version).max() {
         return ordered_if_newer(served, version).unwrap_or(InheritedOrder::Nothing);
--- a/crates/filbertstack-policy/tests/inherited.rs
+++ b/crates/filbertstack-policy/tests/inherited.rs
@@ -3,7 +3,7 @@
 use filbertstack_policy::inherited::InheritedOrder;
 use filbertstack_policy::inherited::Unmatched;
 use filbertstack_policy::inherited::VersionMatch;
-use filbertstack_policy::inherited::inherited;
+use filbertstack_policy::inherited::inherited_order;
 
 const PIECES: usize = 48;
 
@@ -23,14 +23,14 @@
 #[test]
 fn what_lies_whole_and_is_newer_may_be_ordered() {
     let known = [fit(2, 0), fit(3, PIECES), fit(9, 0)];
-    let judged = inherited(2, &known, Unmatched::default());
+    let judged = inherited_order(2, &known, Unmatched::default());
     assert_eq!(judged, InheritedOrder::Order(3));
     assert_eq!(
-        inherited(0, &known, Unmatched::default()),
+        inherited_order(0, &known, Unmatched::default()),
         InheritedOrder::Order(3)
     );
     assert_eq!(
-        inherited(3, &known, Unmatched::default()),
+        inherited_order(3, &known, Unmatched::default()),
         InheritedOrder::Nothing
     );
 }
@@ -40,10 +40,13 @@
 fn what_fits_no_known_version_may_be_ordered() {
     let known = [fit(8, 0), fit(9, 0)];
     assert_eq!(
-        inherited(2, &known, unknown(PIECES)),
+        inherited_order(2, &known, unknown(PIECES)),
+        InheritedOrder::Unknown
+    );
+    assert_eq!(
+        inherited_order(2, &[], unknown(PIECES)),
         InheritedOrder::Unknown
     );
-    assert_eq!(inherited(2, &[], unknown(PIECES)), InheritedOrder::Unknown);
 }
 
 /// Guards against an engine kept out of use after a restart, though nothing may be ordered.
@@ -51,7 +54,7 @@
 fn what_was_never_whole_is_not_ordered() {
     let over = [fit(2, PIECES / 2), fit(3, PIECES / 2)];
     assert_eq!(
-        inherited(2, &over, Unmatched::default()),
+        inherited_order(2, &over, Unmatched::default()),
         InheritedOrder::Nothing
     );
     let empty = Unmatched {
@@ -59,29 +62,35 @@
         unknown: 0,
     };
     assert_eq!(
-        inherited(2, &[fit(3, PIECES - 1)], empty),
+        inherited_order(2, &[fit(3, PIECES - 1)], empty),
         InheritedOrder::Nothing
     );
     let nothing = Unmatched {
         empty: PIECES,
         unknown: 0,
     };
-    assert_eq!(inherited(0, &[], nothing), InheritedOrder::Nothing);
+    assert_eq!(inherited_order(0, &[], nothing), InheritedOrder::Nothing);
 }
 
 /// Guards against a piece that turned bad and hides which version is ordered.
 #[test]
 fn the_other_pieces_tell_which_version_is_ordered() {
     let known = [fit(2, 0), fit(3, PIECES - 1), fit(4, 1)];
-    assert_eq!(inherited(2, &known, unknown(1)), InheritedOrder::Order(3));
+    assert_eq!(
+        inherited_order(2, &known, unknown(1)),
+        InheritedOrder::Order(3)
+    );
     let served = [fit(2, PIECES - 1), fit(3, 0)];
-    assert_eq!(inherited(2, &served, unknown(1)), InheritedOrder::Unknown);
+    assert_eq!(
+        inherited_order(2, &served, unknown(1)),
+        InheritedOrder::Unknown
+    );
 }
 
 /// Guards against a version that shares pieces with a newer one and is taken for half of each.
 #[test]
 fn a_version_that_shares_pieces_with_a_newer_one_is_known() {
     let known = [fit(2, 10), fit(3, PIECES), fit(4, 30)];
-    let judged = inherited(2, &known, Unmatched::default());
+    let judged = inherited_order(2, &known, Unmatched::default());
     assert_eq!(judged, InheritedOrder::Order(3));
 }
