--- a/crates/filbertstack-gateway/src/weights/fetch.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch.rs
@@ -16,7 +16,7 @@
 use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
 use filbertstack_platform::engine::ask_piece;
-use filbertstack_policy::pieces::Layout;
+use filbertstack_policy::pieces::OwnerMap;
 use filbertstack_policy::pieces::Window;
 use filbertstack_policy::pieces::asks_origin;
 use spdlog::info;
@@ -80,7 +80,7 @@
     weights: Holding,
     /// Nodes that did not answer in time, and when.
     slow: RefCell<BTreeMap<Arc<str>, Instant>>,
-    layout: RefCell<Option<(Rc<Layout>, Instant)>>,
+    layout: RefCell<Option<(Rc<OwnerMap>, Instant)>>,
     origin_slots: Semaphore,
     /// Whether the origin is left to a newer version.
     yields: Cell<bool>,
@@ -147,7 +147,7 @@
     }
 
     /// The layout of the nodes that are there, worked out anew from time to time.
-    pub fn layout(&self, list: &PieceList) -> Rc<Layout> {
+    pub fn layout(&self, list: &PieceList) -> Rc<OwnerMap> {
         let kept = self.layout.borrow().clone();
         if let Some((layout, _)) = kept.filter(|(_, at)| at.elapsed() < LAYOUT) {
             return layout;
@@ -157,7 +157,7 @@
         layout
     }
 
-    fn layout_of(&self, pieces: u32) -> Rc<Layout> {
+    fn layout_of(&self, pieces: u32) -> Rc<OwnerMap> {
         Rc::new(weights::layout(
             &self.node,
             &self.own,
--- a/crates/filbertstack-gateway/src/weights/mod.rs
+++ b/crates/filbertstack-gateway/src/weights/mod.rs
@@ -16,7 +16,7 @@
 use filbertstack_control::document::Weights;
 use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
-use filbertstack_policy::pieces::Layout;
+use filbertstack_policy::pieces::OwnerMap;
 use filbertstack_policy::pieces::Peer;
 use sha2::Digest as _;
 use sha2::Sha256;
@@ -87,7 +87,7 @@
 }
 
 /// Who asks whom for the pieces of `weights`, as the node `own` sees it.
-fn layout(node: &Node, own: &str, weights: &Holding, pieces: u32) -> Layout {
+fn layout(node: &Node, own: &str, weights: &Holding, pieces: u32) -> OwnerMap {
     let peer = |id: Arc<str>, zone: &str| Peer {
         id,
         zone: zone.into(),
@@ -99,7 +99,7 @@
         .filter(|(_, row)| row.holds == weights.version && *row.model == *weights.model)
         .map(|(id, row)| peer(id, &row.zone));
     let holders: Vec<Peer> = holders.collect();
-    Layout::new(own, &node.settings.node.zone, &entries, &holders, pieces)
+    OwnerMap::new(own, &node.settings.node.zone, &entries, &holders, pieces)
 }
 
 /// Where a node is asked for pieces.
--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -84,7 +84,7 @@
 
 /// Who owns which of a version's pieces, worked out once for all of them.
 #[derive(Clone, Debug)]
-pub struct Layout {
+pub struct OwnerMap {
     own: Ranked,
     /// The owner of each piece among all entries, and who stands in for it.
     all: Vec<[Arc<str>; 2]>,
@@ -110,7 +110,7 @@
     }
 }
 
-impl Layout {
+impl OwnerMap {
     /// The layout of `pieces` pieces as the node `own` in `zone` sees it. `entries` may list it;
     /// `holders` are the agents whose engines hold the version.
     pub fn new(own: &str, zone: &str, entries: &[Peer], holders: &[Peer], pieces: u32) -> Self {
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use filbertstack_core::Millis;
-use filbertstack_policy::pieces::Layout;
+use filbertstack_policy::pieces::OwnerMap;
 use filbertstack_policy::pieces::Part;
 use filbertstack_policy::pieces::Peer;
 use filbertstack_policy::pieces::Window;
@@ -27,11 +27,11 @@
     peers("entry", zones, in_zone)
 }
 
-fn layout(own: &Peer, entries: &[Peer], holders: &[Peer]) -> Layout {
-    Layout::new(&own.id, &own.zone, entries, holders, PIECES)
+fn layout(own: &Peer, entries: &[Peer], holders: &[Peer]) -> OwnerMap {
+    OwnerMap::new(&own.id, &own.zone, entries, holders, PIECES)
 }
 
-fn layouts(entries: &[Peer]) -> Vec<(&Peer, Layout)> {
+fn layouts(entries: &[Peer]) -> Vec<(&Peer, OwnerMap)> {
     let layout = |p| (p, layout(p, entries, &[]));
     entries.iter().map(layout).collect()
 }
