--- a/crates/filbertstack-gateway/src/weights/fetch/list.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch/list.rs
@@ -56,7 +56,7 @@
         let began = Instant::now();
         loop {
             let layout = self.layout_of(1);
-            if layout.leads(0)
+            if layout.is_primary(0)
                 && let Some(list) = self.list_of_origin().await
             {
                 return self.kept(list).await;
@@ -86,7 +86,7 @@
 
     /// Whether this node is the one that asks the origin for the list.
     pub fn leads_list(&self) -> bool {
-        self.layout_of(1).leads(0)
+        self.layout_of(1).is_primary(0)
     }
 
     /// Has the voters keep the list, if the origin gives it. Tells whether they do.
--- a/crates/filbertstack-gateway/src/weights/stock.rs
+++ b/crates/filbertstack-gateway/src/weights/stock.rs
@@ -174,7 +174,7 @@
         };
         let layout = self.fetch.layout(&list);
         let pieces = self.pieces.borrow();
-        let mut led = (0..weights::count(&list)).filter(|number| layout.leads(*number));
+        let mut led = (0..weights::count(&list)).filter(|number| layout.is_primary(*number));
         led.all(|number| pieces.contains_key(&number))
     }
 
--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -141,7 +141,7 @@
     pub fn plan(&self, piece: u32) -> Plan {
         let owners = self.owners(piece);
         let holders = self.holders_of(piece);
-        if self.leads(piece) {
+        if self.is_primary(piece) {
             let held = !holders.is_empty();
             let keepers = self.keepers(piece).into_iter();
             let before = owners.into_iter().chain(keepers);
@@ -169,11 +169,11 @@
     /// Whether the node keeps a piece for others: for all, or for its zone.
     pub fn owns(&self, piece: u32) -> bool {
         let here = self.owner_here(piece);
-        self.leads(piece) || here.is_some_and(|id| id == self.own.id)
+        self.is_primary(piece) || here.is_some_and(|id| id == self.own.id)
     }
 
     /// Whether the node is the one that asks the origin for a piece.
-    pub fn leads(&self, piece: u32) -> bool {
+    pub fn is_primary(&self, piece: u32) -> bool {
         self.owners(piece)
             .first()
             .is_some_and(|id| *id == self.own.id)
@@ -237,7 +237,7 @@
         let start = self.own.rank % count;
         let rank = |piece: &u32| {
             let turn = (u64::from(*piece) + count - start) % count;
-            (!self.leads(*piece), !self.owns(*piece), turn)
+            (!self.is_primary(*piece), !self.owns(*piece), turn)
         };
         let mut order: Vec<u32> = (0..pieces).collect();
         order.sort_by_cached_key(rank);
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -40,7 +40,7 @@
 fn owners(entries: &[Peer]) -> Vec<Arc<str>> {
     let layouts = layouts(entries);
     let owner = |piece| {
-        let mut leading = layouts.iter().filter(|(_, l)| l.leads(piece));
+        let mut leading = layouts.iter().filter(|(_, l)| l.is_primary(piece));
         leading.next().map(|(p, _)| p.id.clone()).expect("an owner")
     };
     (0..PIECES).map(owner).collect()
@@ -142,7 +142,7 @@
 fn an_owner_asks_other_zones_before_the_origin() {
     let entries = entries(3, 4);
     for (own, layout) in layouts(&entries) {
-        for piece in (0..PIECES).filter(|piece| layout.leads(*piece)) {
+        for piece in (0..PIECES).filter(|piece| layout.is_primary(*piece)) {
             let before = layout.plan(piece).before;
             let zones = entries.iter().filter(|p| before.contains(&p.id));
             let elsewhere = zones.filter(|p| p.zone != own.zone).count();
@@ -163,11 +163,11 @@
             let here = layouts.iter().filter(|(p, _)| &*p.zone == zone);
             let outside = here.filter(|(_, l)| {
                 let plan = l.plan(piece);
-                plan.far_after == Millis::ZERO && !l.leads(piece)
+                plan.far_after == Millis::ZERO && !l.is_primary(piece)
             });
             let led = layouts
                 .iter()
-                .any(|(p, l)| &*p.zone == zone && l.leads(piece));
+                .any(|(p, l)| &*p.zone == zone && l.is_primary(piece));
             assert!(outside.count() <= 1, "piece {piece} in {zone}");
             let agents = agents.iter().filter(|a| &*a.zone == zone);
             for agent in agents {
@@ -192,7 +192,7 @@
     let mut asked: BTreeMap<Arc<str>, u32> = BTreeMap::new();
     for own in &entries {
         let layout = layout(own, &entries, &holders);
-        for piece in (0..PIECES).filter(|piece| layout.leads(*piece)) {
+        for piece in (0..PIECES).filter(|piece| layout.is_primary(*piece)) {
             let plan = layout.plan(piece);
             assert!(plan.origin_after > Millis::ZERO);
             *asked.entry(plan.near[0].clone()).or_default() += 1;
@@ -234,7 +234,7 @@
     let entries = entries(3, 4);
     for (_, layout) in layouts(&entries) {
         let order = layout.order(PIECES);
-        let own: Vec<bool> = order.iter().map(|n| layout.leads(*n)).collect();
+        let own: Vec<bool> = order.iter().map(|n| layout.is_primary(*n)).collect();
         let count = own.iter().filter(|own| **own).count();
         assert!(own[..count].iter().all(|own| *own), "{own:?}");
         let kept: Vec<bool> = order.iter().map(|n| layout.owns(*n)).collect();
