--- a/crates/filbertstack-gateway/src/weights/stock.rs
+++ b/crates/filbertstack-gateway/src/weights/stock.rs
@@ -109,7 +109,7 @@
         };
         let layout = self.fetch.layout(&list);
         let order = layout.order(weights::count(&list)).into_iter();
-        for number in order.take_while(|number| layout.owns(*number)) {
+        for number in order.take_while(|number| layout.is_owner(*number)) {
             self.want(&list, number);
         }
     }
--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -167,7 +167,7 @@
     }
 
     /// Whether the node keeps a piece for others: for all, or for its zone.
-    pub fn owns(&self, piece: u32) -> bool {
+    pub fn is_owner(&self, piece: u32) -> bool {
         let here = self.owner_here(piece);
         self.is_primary(piece) || here.is_some_and(|id| id == self.own.id)
     }
@@ -237,7 +237,7 @@
         let start = self.own.rank % count;
         let rank = |piece: &u32| {
             let turn = (u64::from(*piece) + count - start) % count;
-            (!self.is_primary(*piece), !self.owns(*piece), turn)
+            (!self.is_primary(*piece), !self.is_owner(*piece), turn)
         };
         let mut order: Vec<u32> = (0..pieces).collect();
         order.sort_by_cached_key(rank);
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -237,7 +237,7 @@
         let own: Vec<bool> = order.iter().map(|n| layout.is_primary(*n)).collect();
         let count = own.iter().filter(|own| **own).count();
         assert!(own[..count].iter().all(|own| *own), "{own:?}");
-        let kept: Vec<bool> = order.iter().map(|n| layout.owns(*n)).collect();
+        let kept: Vec<bool> = order.iter().map(|n| layout.is_owner(*n)).collect();
         let count = kept.iter().filter(|kept| **kept).count();
         assert!(kept[..count].iter().all(|kept| *kept), "{kept:?}");
         let mut sorted = order.clone();
