--- a/crates/filbertstack-gateway/src/weights/fetch/list.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch/list.rs
@@ -11,7 +11,7 @@
 use filbertstack_platform::engine::PieceList;
 use filbertstack_platform::engine::ask_manifest;
 use filbertstack_platform::engine::read_manifest;
-use filbertstack_policy::pieces::Part;
+use filbertstack_policy::pieces::PieceRole;
 use filbertstack_policy::pieces::asks_origin;
 use prost::Message as _;
 use spdlog::info;
@@ -71,7 +71,7 @@
                 }
             }
             let part = layout.part(0);
-            if part != Part::Leads
+            if part != PieceRole::Leads
                 && asks_origin(part, answered, Millis::from(began.elapsed()))
                 && let Some(list) = self.list_of_origin().await
             {
--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -180,12 +180,12 @@
     }
 
     /// What the node does for a piece.
-    pub fn part(&self, piece: u32) -> Part {
+    pub fn part(&self, piece: u32) -> PieceRole {
         let owners = self.owners(piece);
         match owners.iter().position(|id| *id == self.own.id) {
-            Some(0) => Part::Leads,
-            Some(_) => Part::StandsIn,
-            None => Part::Asks,
+            Some(0) => PieceRole::Leads,
+            Some(_) => PieceRole::StandsIn,
+            None => PieceRole::Asks,
         }
     }
 
@@ -267,7 +267,7 @@
 
 /// What a node does for a piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum PieceRole {
     /// It is the one that asks the origin.
     Leads,
     /// It asks the origin if the one that leads does not get on.
@@ -284,11 +284,11 @@
 /// of them come twice as late; did agents ask while the origin fails, dozens of copies would be on
 /// their way when it is back: 9 were sent for one, and none was whole for six seconds. An owner that
 /// answers is fetching its piece.
-pub fn asks_origin(part: Part, owner_answers: bool, spent: Millis) -> bool {
+pub fn asks_origin(part: PieceRole, owner_answers: bool, spent: Millis) -> bool {
     match part {
-        Part::Leads => true,
-        Part::StandsIn => !owner_answers || spent >= ANY_AFTER,
-        Part::Asks => !owner_answers,
+        PieceRole::Leads => true,
+        PieceRole::StandsIn => !owner_answers || spent >= ANY_AFTER,
+        PieceRole::Asks => !owner_answers,
     }
 }
 
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -5,8 +5,8 @@
 
 use filbertstack_core::Millis;
 use filbertstack_policy::pieces::OwnerMap;
-use filbertstack_policy::pieces::Part;
 use filbertstack_policy::pieces::Peer;
+use filbertstack_policy::pieces::PieceRole;
 use filbertstack_policy::pieces::Window;
 use filbertstack_policy::pieces::Yields;
 use filbertstack_policy::pieces::asks_origin;
@@ -349,12 +349,15 @@
 #[test]
 fn a_piece_is_asked_of_the_origin_once_while_its_owner_answers() {
     let asked = |part, spent: u64, answers: bool| asks_origin(part, answers, Millis(spent));
-    assert!(!asked(Part::StandsIn, 1_100, true) && !asked(Part::StandsIn, 3_400, true));
-    assert!(asked(Part::StandsIn, 1_100, false), "the owner is frozen");
+    assert!(!asked(PieceRole::StandsIn, 1_100, true) && !asked(PieceRole::StandsIn, 3_400, true));
     assert!(
-        asked(Part::StandsIn, 3_500, true),
+        asked(PieceRole::StandsIn, 1_100, false),
+        "the owner is frozen"
+    );
+    assert!(
+        asked(PieceRole::StandsIn, 3_500, true),
         "the owner does not get on"
     );
-    assert!(!asked(Part::Asks, 60_000, true) && asked(Part::Asks, 3_500, false));
-    assert!(asked(Part::Leads, 0, true), "its own piece");
+    assert!(!asked(PieceRole::Asks, 60_000, true) && asked(PieceRole::Asks, 3_500, false));
+    assert!(asked(PieceRole::Leads, 0, true), "its own piece");
 }
