--- a/crates/filbertstack-gateway/src/weights/fetch/list.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch/list.rs
@@ -71,7 +71,7 @@
                 }
             }
             let part = layout.part(0);
-            if part != PieceRole::Leads
+            if part != PieceRole::Primary
                 && asks_origin(part, answered, Millis::from(began.elapsed()))
                 && let Some(list) = self.list_of_origin().await
             {
--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -183,7 +183,7 @@
     pub fn part(&self, piece: u32) -> PieceRole {
         let owners = self.owners(piece);
         match owners.iter().position(|id| *id == self.own.id) {
-            Some(0) => PieceRole::Leads,
+            Some(0) => PieceRole::Primary,
             Some(_) => PieceRole::StandsIn,
             None => PieceRole::Asks,
         }
@@ -269,7 +269,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PieceRole {
     /// It is the one that asks the origin.
-    Leads,
+    Primary,
     /// It asks the origin if the one that leads does not get on.
     StandsIn,
     /// It asks others.
@@ -286,7 +286,7 @@
 /// answers is fetching its piece.
 pub fn asks_origin(part: PieceRole, owner_answers: bool, spent: Millis) -> bool {
     match part {
-        PieceRole::Leads => true,
+        PieceRole::Primary => true,
         PieceRole::StandsIn => !owner_answers || spent >= ANY_AFTER,
         PieceRole::Asks => !owner_answers,
     }
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -359,5 +359,5 @@
         "the owner does not get on"
     );
     assert!(!asked(PieceRole::Asks, 60_000, true) && asked(PieceRole::Asks, 3_500, false));
-    assert!(asked(PieceRole::Leads, 0, true), "its own piece");
+    assert!(asked(PieceRole::Primary, 0, true), "its own piece");
 }
