--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -184,7 +184,7 @@
         let owners = self.owners(piece);
         match owners.iter().position(|id| *id == self.own.id) {
             Some(0) => PieceRole::Primary,
-            Some(_) => PieceRole::StandsIn,
+            Some(_) => PieceRole::Backup,
             None => PieceRole::Asks,
         }
     }
@@ -271,7 +271,7 @@
     /// It is the one that asks the origin.
     Primary,
     /// It asks the origin if the one that leads does not get on.
-    StandsIn,
+    Backup,
     /// It asks others.
     Asks,
 }
@@ -287,7 +287,7 @@
 pub fn asks_origin(part: PieceRole, owner_answers: bool, spent: Millis) -> bool {
     match part {
         PieceRole::Primary => true,
-        PieceRole::StandsIn => !owner_answers || spent >= ANY_AFTER,
+        PieceRole::Backup => !owner_answers || spent >= ANY_AFTER,
         PieceRole::Asks => !owner_answers,
     }
 }
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -349,13 +349,13 @@
 #[test]
 fn a_piece_is_asked_of_the_origin_once_while_its_owner_answers() {
     let asked = |part, spent: u64, answers: bool| asks_origin(part, answers, Millis(spent));
-    assert!(!asked(PieceRole::StandsIn, 1_100, true) && !asked(PieceRole::StandsIn, 3_400, true));
+    assert!(!asked(PieceRole::Backup, 1_100, true) && !asked(PieceRole::Backup, 3_400, true));
     assert!(
-        asked(PieceRole::StandsIn, 1_100, false),
+        asked(PieceRole::Backup, 1_100, false),
         "the owner is frozen"
     );
     assert!(
-        asked(PieceRole::StandsIn, 3_500, true),
+        asked(PieceRole::Backup, 3_500, true),
         "the owner does not get on"
     );
     assert!(!asked(PieceRole::Asks, 60_000, true) && asked(PieceRole::Asks, 3_500, false));
