--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -185,7 +185,7 @@
         match owners.iter().position(|id| *id == self.own.id) {
             Some(0) => PieceRole::Primary,
             Some(_) => PieceRole::Backup,
-            None => PieceRole::Asks,
+            None => PieceRole::Reader,
         }
     }
 
@@ -273,7 +273,7 @@
     /// It asks the origin if the one that leads does not get on.
     Backup,
     /// It asks others.
-    Asks,
+    Reader,
 }
 
 /// Whether a node asks the origin for a piece that nobody asked has, `spent` after it began.
@@ -288,7 +288,7 @@
     match part {
         PieceRole::Primary => true,
         PieceRole::Backup => !owner_answers || spent >= ANY_AFTER,
-        PieceRole::Asks => !owner_answers,
+        PieceRole::Reader => !owner_answers,
     }
 }
 
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -358,6 +358,6 @@
         asked(PieceRole::Backup, 3_500, true),
         "the owner does not get on"
     );
-    assert!(!asked(PieceRole::Asks, 60_000, true) && asked(PieceRole::Asks, 3_500, false));
+    assert!(!asked(PieceRole::Reader, 60_000, true) && asked(PieceRole::Reader, 3_500, false));
     assert!(asked(PieceRole::Primary, 0, true), "its own piece");
 }
