--- a/crates/filbertstack-gateway/src/weights/fetch.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch.rs
@@ -297,7 +297,7 @@
                 sleep(HAS_AGAIN).await;
                 continue;
             }
-            let part = self.layout(list).part(number);
+            let part = self.layout(list).role(number);
             if !asks_origin(part, asked.answered, Millis::from(began.elapsed())) {
                 sleep(HAS_AGAIN).await;
                 continue;
--- a/crates/filbertstack-gateway/src/weights/fetch/list.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch/list.rs
@@ -70,7 +70,7 @@
                     Listed::Never => {}
                 }
             }
-            let part = layout.part(0);
+            let part = layout.role(0);
             if part != PieceRole::Primary
                 && asks_origin(part, answered, Millis::from(began.elapsed()))
                 && let Some(list) = self.list_of_origin().await
--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -180,7 +180,7 @@
     }
 
     /// What the node does for a piece.
-    pub fn part(&self, piece: u32) -> PieceRole {
+    pub fn role(&self, piece: u32) -> PieceRole {
         let owners = self.owners(piece);
         match owners.iter().position(|id| *id == self.own.id) {
             Some(0) => PieceRole::Primary,
