--- a/crates/filbertstack-gateway/src/weights/fetch.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch.rs
@@ -192,7 +192,7 @@
     fn asked(&self, list: &PieceList, number: u32, began: Instant) -> Vec<Arc<str>> {
         let plan = self.layout(list).plan(number);
         let spent = Millis::from(began.elapsed());
-        let mut asked = plan.near;
+        let mut asked = plan.first;
         asked.retain(|id| !self.is_slow(id));
         if asked.is_empty() || spent >= plan.far_after {
             asked.extend(plan.far.into_iter().filter(|id| !self.is_slow(id)));
--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
     /// Those to ask at once, best first.
-    pub near: Vec<Arc<str>>,
+    pub first: Vec<Arc<str>>,
     /// Those elsewhere, best first.
     pub far: Vec<Arc<str>>,
     /// How long after the fetch began those elsewhere are asked, unless nobody near answers.
@@ -146,7 +146,7 @@
             let keepers = self.keepers(piece).into_iter();
             let before = owners.into_iter().chain(keepers);
             return Plan {
-                near: holders,
+                first: holders,
                 origin_after: if held { HELD_AFTER } else { Millis::ZERO },
                 before: self.others(before, &[]),
                 ..Plan::default()
@@ -159,7 +159,7 @@
         let far = owners.iter().cloned().chain(holders);
         Plan {
             far: self.others(far, &near),
-            near,
+            first: near,
             far_after: if alone { Millis::ZERO } else { FAR_AFTER },
             origin_after: if stands_in { SECOND_AFTER } else { ANY_AFTER },
             before: self.others(owners.into_iter(), &[]),
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -64,9 +64,9 @@
                 1,
                 "{zones} zones of {in_zone}, piece {piece}"
             );
-            let lost = plans
-                .iter()
-                .filter(|p| p.origin_after > Millis::ZERO && p.near.is_empty() && p.far.is_empty());
+            let lost = plans.iter().filter(|p| {
+                p.origin_after > Millis::ZERO && p.first.is_empty() && p.far.is_empty()
+            });
             assert_eq!(lost.count(), 0, "everybody else has somebody to ask");
         }
     }
@@ -82,7 +82,7 @@
         let layout = layout(node, &entries, &[]);
         for piece in 0..PIECES {
             let plan = layout.plan(piece);
-            let asked = [plan.near, plan.far, plan.before].concat();
+            let asked = [plan.first, plan.far, plan.before].concat();
             assert!(asked.iter().all(|id| id.starts_with("entry")), "{asked:?}");
         }
     }
@@ -173,7 +173,7 @@
             for agent in agents {
                 let plan = layout(agent, &entries, &[]).plan(piece);
                 assert_eq!(
-                    plan.near.len(),
+                    plan.first.len(),
                     1,
                     "piece {piece} in {zone}, led here: {led}"
                 );
@@ -195,7 +195,7 @@
         for piece in (0..PIECES).filter(|piece| layout.is_primary(*piece)) {
             let plan = layout.plan(piece);
             assert!(plan.origin_after > Millis::ZERO);
-            *asked.entry(plan.near[0].clone()).or_default() += 1;
+            *asked.entry(plan.first[0].clone()).or_default() += 1;
         }
     }
     assert_eq!(asked.len(), 8);
@@ -206,7 +206,7 @@
     };
     let newcomer = layout(&newcomer, &entries, &holders);
     for piece in 0..PIECES {
-        let near = newcomer.plan(piece).near;
+        let near = newcomer.plan(piece).first;
         assert!(near.iter().all(|id| id.starts_with("entry")), "{near:?}");
     }
 }
