--- a/crates/filbertstack-gateway/src/weights/fetch.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch.rs
@@ -195,7 +195,7 @@
         let mut asked = plan.first;
         asked.retain(|id| !self.is_slow(id));
         if asked.is_empty() || spent >= plan.far_after {
-            asked.extend(plan.far.into_iter().filter(|id| !self.is_slow(id)));
+            asked.extend(plan.fallback.into_iter().filter(|id| !self.is_slow(id)));
         }
         asked
     }
--- a/crates/filbertstack-gateway/src/weights/fetch/list.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch/list.rs
@@ -63,7 +63,7 @@
             }
             let plan = layout.plan(0);
             let mut answered = false;
-            for id in plan.first.iter().chain(&plan.before).chain(&plan.far) {
+            for id in plan.first.iter().chain(&plan.before).chain(&plan.fallback) {
                 match self.list_of_peer(id).await {
                     Listed::Here(list) => return list,
                     Listed::NotHere => answered |= plan.before.contains(id),
--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -73,7 +73,7 @@
     /// Those to ask at once, best first.
     pub first: Vec<Arc<str>>,
     /// Those elsewhere, best first.
-    pub far: Vec<Arc<str>>,
+    pub fallback: Vec<Arc<str>>,
     /// How long after the fetch began those elsewhere are asked, unless nobody near answers.
     pub far_after: Millis,
     /// How long after the fetch began the origin may be asked.
@@ -158,7 +158,7 @@
         let near = self.others(owner_here.into_iter(), &[]);
         let far = owners.iter().cloned().chain(holders);
         Plan {
-            far: self.others(far, &near),
+            fallback: self.others(far, &near),
             first: near,
             far_after: if alone { Millis::ZERO } else { FAR_AFTER },
             origin_after: if stands_in { SECOND_AFTER } else { ANY_AFTER },
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -65,7 +65,7 @@
                 "{zones} zones of {in_zone}, piece {piece}"
             );
             let lost = plans.iter().filter(|p| {
-                p.origin_after > Millis::ZERO && p.first.is_empty() && p.far.is_empty()
+                p.origin_after > Millis::ZERO && p.first.is_empty() && p.fallback.is_empty()
             });
             assert_eq!(lost.count(), 0, "everybody else has somebody to ask");
         }
@@ -82,7 +82,7 @@
         let layout = layout(node, &entries, &[]);
         for piece in 0..PIECES {
             let plan = layout.plan(piece);
-            let asked = [plan.first, plan.far, plan.before].concat();
+            let asked = [plan.first, plan.fallback, plan.before].concat();
             assert!(asked.iter().all(|id| id.starts_with("entry")), "{asked:?}");
         }
     }
@@ -223,7 +223,7 @@
     };
     let layout = layout(&newcomer, &entries, &holders);
     for piece in 0..PIECES {
-        let far = layout.plan(piece).far;
+        let far = layout.plan(piece).fallback;
         let held = far.iter().filter(|id| id.starts_with("agent 1-")).count();
         assert_eq!(held, 2, "{far:?}");
     }
