--- a/crates/filbertstack-gateway/src/weights/fetch.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch.rs
@@ -194,7 +194,7 @@
         let spent = Millis::from(began.elapsed());
         let mut asked = plan.first;
         asked.retain(|id| !self.is_slow(id));
-        if asked.is_empty() || spent >= plan.far_after {
+        if asked.is_empty() || spent >= plan.fallback_after {
             asked.extend(plan.fallback.into_iter().filter(|id| !self.is_slow(id)));
         }
         asked
--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -75,7 +75,7 @@
     /// Those elsewhere, best first.
     pub fallback: Vec<Arc<str>>,
     /// How long after the fetch began those elsewhere are asked, unless nobody near answers.
-    pub far_after: Millis,
+    pub fallback_after: Millis,
     /// How long after the fetch began the origin may be asked.
     pub origin_after: Millis,
     /// Those that may have the piece; only if none has, the origin is asked.
@@ -160,7 +160,7 @@
         Plan {
             fallback: self.others(far, &near),
             first: near,
-            far_after: if alone { Millis::ZERO } else { FAR_AFTER },
+            fallback_after: if alone { Millis::ZERO } else { FAR_AFTER },
             origin_after: if stands_in { SECOND_AFTER } else { ANY_AFTER },
             before: self.others(owners.into_iter(), &[]),
         }
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -163,7 +163,7 @@
             let here = layouts.iter().filter(|(p, _)| &*p.zone == zone);
             let outside = here.filter(|(_, l)| {
                 let plan = l.plan(piece);
-                plan.far_after == Millis::ZERO && !l.is_primary(piece)
+                plan.fallback_after == Millis::ZERO && !l.is_primary(piece)
             });
             let led = layouts
                 .iter()
@@ -177,7 +177,7 @@
                     1,
                     "piece {piece} in {zone}, led here: {led}"
                 );
-                assert!(plan.far_after > Millis::ZERO);
+                assert!(plan.fallback_after > Millis::ZERO);
             }
         }
     }
