--- a/crates/filbertstack-gateway/src/weights/fetch.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch.rs
@@ -288,7 +288,7 @@
                 sleep(after.saturating_sub(spent).clamp(PAUSE / 2, PAUSE)).await;
                 continue;
             }
-            let asked = self.who_has(number, &plan.before).await;
+            let asked = self.who_has(number, &plan.likely_holders).await;
             if let Some((id, place)) = asked.has {
                 let bytes = self.take_piece(number, &id, place).await;
                 if let Some(bytes) = bytes.filter(|bytes| weights::fits(list, number, bytes)) {
--- a/crates/filbertstack-gateway/src/weights/fetch/list.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch/list.rs
@@ -63,10 +63,15 @@
             }
             let plan = layout.plan(0);
             let mut answered = false;
-            for id in plan.first.iter().chain(&plan.before).chain(&plan.fallback) {
+            for id in plan
+                .first
+                .iter()
+                .chain(&plan.likely_holders)
+                .chain(&plan.fallback)
+            {
                 match self.list_of_peer(id).await {
                     Listed::Here(list) => return list,
-                    Listed::NotHere => answered |= plan.before.contains(id),
+                    Listed::NotHere => answered |= plan.likely_holders.contains(id),
                     Listed::Never => {}
                 }
             }
--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -79,7 +79,7 @@
     /// How long after the fetch began the origin may be asked.
     pub origin_after: Millis,
     /// Those that may have the piece; only if none has, the origin is asked.
-    pub before: Vec<Arc<str>>,
+    pub likely_holders: Vec<Arc<str>>,
 }
 
 /// Who owns which of a version's pieces, worked out once for all of them.
@@ -148,7 +148,7 @@
             return Plan {
                 first: holders,
                 origin_after: if held { HELD_AFTER } else { Millis::ZERO },
-                before: self.others(before, &[]),
+                likely_holders: self.others(before, &[]),
                 ..Plan::default()
             };
         }
@@ -162,7 +162,7 @@
             first: near,
             fallback_after: if alone { Millis::ZERO } else { FAR_AFTER },
             origin_after: if stands_in { SECOND_AFTER } else { ANY_AFTER },
-            before: self.others(owners.into_iter(), &[]),
+            likely_holders: self.others(owners.into_iter(), &[]),
         }
     }
 
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -82,7 +82,7 @@
         let layout = layout(node, &entries, &[]);
         for piece in 0..PIECES {
             let plan = layout.plan(piece);
-            let asked = [plan.first, plan.fallback, plan.before].concat();
+            let asked = [plan.first, plan.fallback, plan.likely_holders].concat();
             assert!(asked.iter().all(|id| id.starts_with("entry")), "{asked:?}");
         }
     }
@@ -143,7 +143,7 @@
     let entries = entries(3, 4);
     for (own, layout) in layouts(&entries) {
         for piece in (0..PIECES).filter(|piece| layout.is_primary(*piece)) {
-            let before = layout.plan(piece).before;
+            let before = layout.plan(piece).likely_holders;
             let zones = entries.iter().filter(|p| before.contains(&p.id));
             let elsewhere = zones.filter(|p| p.zone != own.zone).count();
             assert!(elsewhere >= 2, "piece {piece} of {}: {before:?}", own.id);
