--- a/crates/filbertstack-gateway/src/weights/fetch.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch.rs
@@ -18,7 +18,7 @@
 use filbertstack_platform::engine::ask_piece;
 use filbertstack_policy::pieces::OwnerMap;
 use filbertstack_policy::pieces::Window;
-use filbertstack_policy::pieces::asks_origin;
+use filbertstack_policy::pieces::may_ask_origin;
 use spdlog::info;
 use tokio::sync::Notify;
 use tokio::sync::Semaphore;
@@ -298,7 +298,7 @@
                 continue;
             }
             let part = self.layout(list).role(number);
-            if !asks_origin(part, asked.answered, Millis::from(began.elapsed())) {
+            if !may_ask_origin(part, asked.answered, Millis::from(began.elapsed())) {
                 sleep(HAS_AGAIN).await;
                 continue;
             }
--- a/crates/filbertstack-gateway/src/weights/fetch/list.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch/list.rs
@@ -12,7 +12,7 @@
 use filbertstack_platform::engine::ask_manifest;
 use filbertstack_platform::engine::read_manifest;
 use filbertstack_policy::pieces::PieceRole;
-use filbertstack_policy::pieces::asks_origin;
+use filbertstack_policy::pieces::may_ask_origin;
 use prost::Message as _;
 use spdlog::info;
 use tokio::time::sleep;
@@ -77,7 +77,7 @@
             }
             let part = layout.role(0);
             if part != PieceRole::Primary
-                && asks_origin(part, answered, Millis::from(began.elapsed()))
+                && may_ask_origin(part, answered, Millis::from(began.elapsed()))
                 && let Some(list) = self.list_of_origin().await
             {
                 return self.kept(list).await;
--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -284,7 +284,7 @@
 /// of them come twice as late; did agents ask while the origin fails, dozens of copies would be on
 /// their way when it is back: 9 were sent for one, and none was whole for six seconds. An owner that
 /// answers is fetching its piece.
-pub fn asks_origin(part: PieceRole, owner_answers: bool, spent: Millis) -> bool {
+pub fn may_ask_origin(part: PieceRole, owner_answers: bool, spent: Millis) -> bool {
     match part {
         PieceRole::Primary => true,
         PieceRole::Backup => !owner_answers || spent >= ANY_AFTER,
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -9,7 +9,7 @@
 use filbertstack_policy::pieces::PieceRole;
 use filbertstack_policy::pieces::Window;
 use filbertstack_policy::pieces::Yields;
-use filbertstack_policy::pieces::asks_origin;
+use filbertstack_policy::pieces::may_ask_origin;
 use filbertstack_policy::pieces::yields;
 
 const PIECES: u32 = 48;
@@ -348,7 +348,7 @@
 /// ask only where no owner answers: dozens of them would keep the origin from everybody.
 #[test]
 fn a_piece_is_asked_of_the_origin_once_while_its_owner_answers() {
-    let asked = |part, spent: u64, answers: bool| asks_origin(part, answers, Millis(spent));
+    let asked = |part, spent: u64, answers: bool| may_ask_origin(part, answers, Millis(spent));
     assert!(!asked(PieceRole::Backup, 1_100, true) && !asked(PieceRole::Backup, 3_400, true));
     assert!(
         asked(PieceRole::Backup, 1_100, false),
