--- a/crates/filbertstack-gateway/src/weights/cache.rs
+++ b/crates/filbertstack-gateway/src/weights/cache.rs
@@ -145,7 +145,7 @@
                     continue;
                 }
                 let ages = (self.age(older.weights()), self.age(newer.weights()));
-                match pieces::yields(ages.0, ages.1, older.is_held(), newer.is_moving()) {
+                match pieces::which_yields(ages.0, ages.1, older.is_held(), newer.is_moving()) {
                     Yields::Older => waiting[o] = true,
                     Yields::Newer => waiting[n] = true,
                     Yields::None => {}
--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -319,7 +319,7 @@
 /// no version is whole until the origin is back: all engines were out of use for six seconds, as
 /// none could be brought to a version that may still answer. So what is more than half here is
 /// finished; what was begun a moment ago gives way, as its engines would load twice.
-pub fn yields(older: Millis, newer: Millis, held: bool, moving: bool) -> Yields {
+pub fn which_yields(older: Millis, newer: Millis, held: bool, moving: bool) -> Yields {
     if held {
         return Yields::None;
     }
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -10,7 +10,7 @@
 use filbertstack_policy::pieces::Window;
 use filbertstack_policy::pieces::Yields;
 use filbertstack_policy::pieces::may_ask_origin;
-use filbertstack_policy::pieces::yields;
+use filbertstack_policy::pieces::which_yields;
 
 const PIECES: u32 = 48;
 
@@ -318,7 +318,7 @@
 #[test]
 fn what_is_nearly_here_is_finished_before_the_origin_fails() {
     for gap in [1_700, 1_900, 2_000, 2_050] {
-        let ours = fetched(gap, yields);
+        let ours = fetched(gap, which_yields);
         assert!(ours[0] >= 1.0, "gap {gap}: {ours:?}");
         let newer_first = fetched(gap, |_, _, held, moving| {
             if moving && !held {
@@ -336,10 +336,16 @@
 #[test]
 fn what_was_begun_a_moment_ago_gives_way() {
     let secs = Millis::secs;
-    assert_eq!(yields(Millis(500), Millis(100), false, true), Yields::Older);
-    assert_eq!(yields(secs(5), secs(3), false, true), Yields::Older);
-    assert_eq!(yields(secs(5), secs(3), false, false), Yields::None);
-    assert_eq!(yields(Millis(2_100), Millis(100), true, true), Yields::None);
+    assert_eq!(
+        which_yields(Millis(500), Millis(100), false, true),
+        Yields::Older
+    );
+    assert_eq!(which_yields(secs(5), secs(3), false, true), Yields::Older);
+    assert_eq!(which_yields(secs(5), secs(3), false, false), Yields::None);
+    assert_eq!(
+        which_yields(Millis(2_100), Millis(100), true, true),
+        Yields::None
+    );
 }
 
 /// 48 pieces share the origin's link, and all come at the end of a copy's time. Who stands in for the
