--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -35,7 +35,7 @@
 use crate::units::millis;
 
 pub use self::engine::pass_ms;
-pub use self::engine::read_ms;
+pub use self::engine::prefill_ms;
 pub use self::engine::turn_ms;
 use self::share::Demand;
 use self::share::Rooms;
--- a/crates/filbertstack-policy/src/dispatch/engine.rs
+++ b/crates/filbertstack-policy/src/dispatch/engine.rs
@@ -14,7 +14,7 @@
 }
 
 /// Milliseconds that reading a prompt takes, the attention between its tokens included.
-pub fn read_ms(engine: &EngineModel, prompt: f64) -> f64 {
+pub fn prefill_ms(engine: &EngineModel, prompt: f64) -> f64 {
     let pairs = prompt * prompt / 2.0 / 1e6;
     prompt / engine.read_rate + pairs * engine.pairs_ms
 }
@@ -23,14 +23,14 @@
 pub(super) fn start_ms(engine: &EngineModel, ahead: f64, prompt: f64) -> f64 {
     let slots = f64::from(engine.slots.max(1));
     // The engine reads what others send in the same passes: at a full batch as much as it ends.
-    let reading = read_ms(engine, engine.prompt) / turn_ms(engine) * (ahead / slots).min(1.0);
+    let reading = prefill_ms(engine, engine.prompt) / turn_ms(engine) * (ahead / slots).min(1.0);
     let passes = PASSES * pass_ms(engine, ahead.min(slots));
-    passes / (1.0 - reading) + read_ms(engine, prompt)
+    passes / (1.0 - reading) + prefill_ms(engine, prompt)
 }
 
 /// Milliseconds between two requests' ends at a full batch: how long one place is waited for.
 pub fn turn_ms(engine: &EngineModel) -> f64 {
     let slots = f64::from(engine.slots.max(1));
     let passes = (engine.answer / f64::from(engine.stride)).max(1.0);
-    passes * pass_ms(engine, slots) / slots + read_ms(engine, engine.prompt)
+    passes * pass_ms(engine, slots) / slots + prefill_ms(engine, engine.prompt)
 }
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -7,7 +7,7 @@
 use filbertstack_core::serving::EngineModel;
 
 use super::Sharers;
-use super::engine::read_ms;
+use super::engine::prefill_ms;
 use super::engine::start_ms;
 use super::engine::turn_ms;
 use super::millis_f64;
@@ -270,7 +270,9 @@
     /// sent: one prompt that is read before. Little of it goes to a target beside this entry.
     pub(super) fn unseen_ms(&self) -> f64 {
         match &self.spec.engine {
-            Some(engine) if self.spec.sharers.preferred_by == 0 => read_ms(engine, engine.prompt),
+            Some(engine) if self.spec.sharers.preferred_by == 0 => {
+                prefill_ms(engine, engine.prompt)
+            }
             _ => 0.0,
         }
     }
--- a/crates/filbertstack-policy/tests/batch/mod.rs
+++ b/crates/filbertstack-policy/tests/batch/mod.rs
@@ -6,7 +6,7 @@
 
 use filbertstack_core::serving::EngineModel;
 use filbertstack_policy::dispatch::pass_ms;
-use filbertstack_policy::dispatch::read_ms;
+use filbertstack_policy::dispatch::prefill_ms;
 
 /// The users' engines of today.
 pub static MODEL: LazyLock<EngineModel> = LazyLock::new(|| EngineModel {
@@ -147,7 +147,7 @@
         while self.batch.len() < self.model.slots as usize
             && let Some(request) = self.queue.pop_front()
         {
-            reading += read_ms(self.model, f64::from(request.prompt));
+            reading += prefill_ms(self.model, f64::from(request.prompt));
             self.batch.push(request);
         }
         if self.batch.is_empty() {
