--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -36,7 +36,7 @@
 
 pub use self::engine::pass_ms;
 pub use self::engine::prefill_ms;
-pub use self::engine::turn_ms;
+pub use self::engine::slot_wait_ms;
 use self::share::Demand;
 use self::share::Rooms;
 pub use self::share::Sharers;
--- a/crates/filbertstack-policy/src/dispatch/engine.rs
+++ b/crates/filbertstack-policy/src/dispatch/engine.rs
@@ -23,13 +23,14 @@
 pub(super) fn start_ms(engine: &EngineModel, ahead: f64, prompt: f64) -> f64 {
     let slots = f64::from(engine.slots.max(1));
     // The engine reads what others send in the same passes: at a full batch as much as it ends.
-    let reading = prefill_ms(engine, engine.prompt) / turn_ms(engine) * (ahead / slots).min(1.0);
+    let reading =
+        prefill_ms(engine, engine.prompt) / slot_wait_ms(engine) * (ahead / slots).min(1.0);
     let passes = PASSES * pass_ms(engine, ahead.min(slots));
     passes / (1.0 - reading) + prefill_ms(engine, prompt)
 }
 
 /// Milliseconds between two requests' ends at a full batch: how long one place is waited for.
-pub fn turn_ms(engine: &EngineModel) -> f64 {
+pub fn slot_wait_ms(engine: &EngineModel) -> f64 {
     let slots = f64::from(engine.slots.max(1));
     let passes = (engine.answer / f64::from(engine.stride)).max(1.0);
     passes * pass_ms(engine, slots) / slots + prefill_ms(engine, engine.prompt)
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -8,8 +8,8 @@
 
 use super::Sharers;
 use super::engine::prefill_ms;
+use super::engine::slot_wait_ms;
 use super::engine::start_ms;
-use super::engine::turn_ms;
 use super::millis_f64;
 use crate::outlier::Health;
 use crate::outlier::Outlier;
@@ -261,7 +261,7 @@
             let rounds = ((ahead + 1.0) / self.slots()).max(1.0);
             return self.call_ms * rounds;
         };
-        let wait = (ahead + 1.0 - self.slots()).max(0.0) * turn_ms(engine);
+        let wait = (ahead + 1.0 - self.slots()).max(0.0) * slot_wait_ms(engine);
         let read = self.unread / engine.read_rate;
         (wait + start_ms(engine, ahead, prompt) + read) * self.pace(now)
     }
@@ -283,7 +283,7 @@
         let engine = self.spec.engine.as_deref()?;
         let (at, load) = self.fresh(now)?;
         let pace = load.pace.max(1.0);
-        let turn = turn_ms(engine) * pace;
+        let turn = slot_wait_ms(engine) * pace;
         let start = start_ms(engine, self.slots(), engine.prompt) * pace;
         let queue = ((limit - start) / turn).max(0.0);
         let there = f64::from(load.running + load.waiting);
