--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -209,7 +209,7 @@
             local: row.zone == self.node.settings.node.zone,
             sharers,
             engine,
-            open: serves && !row.draining,
+            accepts_work: serves && !row.draining,
         };
         let place = Place {
             addr,
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -60,7 +60,7 @@
     /// How its engine computes, if it is one.
     pub engine: Option<Arc<EngineModel>>,
     /// Whether it takes new work.
-    pub open: bool,
+    pub accepts_work: bool,
 }
 
 /// The load of an engine as its agent reports it.
@@ -131,7 +131,7 @@
             Health::Ejected { .. } => self.outlier.probe_due(now),
             Health::Probing => false,
         };
-        self.spec.open && well && now >= self.suspended_until
+        self.spec.accepts_work && well && now >= self.suspended_until
     }
 
     /// Takes in a load report; `lot`, of 0 to 1, is drawn for it.
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -74,7 +74,7 @@
     pub left: u32,
 }
 
-pub fn offered(n: usize, open: bool) -> TargetSpec {
+pub fn offered(n: usize, accepts_work: bool) -> TargetSpec {
     TargetSpec {
         id: format!("e{n}").into(),
         service: "llm".into(),
@@ -87,7 +87,7 @@
             preferred_by: 0,
         },
         engine: Some(MODEL.clone().into()),
-        open,
+        accepts_work,
     }
 }
 
