--- a/crates/filbertstack-policy/src/subset.rs
+++ b/crates/filbertstack-policy/src/subset.rs
@@ -12,7 +12,7 @@
 
 /// The places kept for the entry's own zone. The other third lies elsewhere, so that the loss of
 /// the zone's targets leaves links that are open and limits that are known.
-pub const HOME_SIZE: usize = 32;
+pub const LOCAL_SIZE: usize = 32;
 
 /// A target as the subset sees it.
 #[derive(Clone, Copy, Debug)]
@@ -37,7 +37,7 @@
         .partition(|(_, candidate)| candidate.zone == zone);
     let near = home
         .len()
-        .min(HOME_SIZE.max(SIZE.saturating_sub(away.len())));
+        .min(LOCAL_SIZE.max(SIZE.saturating_sub(away.len())));
     let far = away.len().min(SIZE - near.min(SIZE));
     let home = home.iter().take(near);
     let away = away.iter().take(far);
