--- a/crates/filbertstack-policy/src/retry.rs
+++ b/crates/filbertstack-policy/src/retry.rs
@@ -25,7 +25,7 @@
 
 /// The attempts of one request, the first included. With half of the targets lost at once, four
 /// attempts all meet lost ones for one request in thirty, three for one in ten.
-pub const MOST_ATTEMPTS: u32 = 4;
+pub const MAX_ATTEMPTS: u32 = 4;
 
 /// The mean wait before a second retry; each further one doubles it. The first goes to another
 /// target and has nothing to wait for.
@@ -122,7 +122,7 @@
 
 /// Decides after an attempt, and takes from the budget if it is to be repeated.
 pub fn decide(budget: &mut Budget, rng: &mut ChaCha8Rng, attempted: &FailedAttempt) -> Decision {
-    if !may_repeat(attempted) || attempted.attempts >= MOST_ATTEMPTS {
+    if !may_repeat(attempted) || attempted.attempts >= MAX_ATTEMPTS {
         return Decision::GiveUp;
     }
     let after = backoff(rng, attempted.attempts);
