--- a/crates/filbertstack-policy/src/dispatch/engine.rs
+++ b/crates/filbertstack-policy/src/dispatch/engine.rs
@@ -1,35 +1,38 @@
-//! How long an engine takes, from the figures that its operator publishes. All times are milliseconds.
+//! This module estimates how long an engine takes, from the figures that its operator publishes. All
+//! times are in milliseconds.
 
 use filbertstack_core::serving::EngineModel;
 
-/// How many passes a request lasts to its first event, its reading aside: the rest of the one that
-/// is under way, which is half of one in the mean, and one of its own.
-const PASSES: f64 = 1.5;
+/// The number of passes until a request's first event, without its prefill: the rest of the current
+/// pass, which is half of one on average, and one of its own.
+const PASSES_TO_FIRST_EVENT: f64 = 1.5;
 
-/// Milliseconds of one pass over a batch of `batch` writers.
+/// Returns the milliseconds of one pass over a batch of `batch` generating requests.
 pub fn pass_ms(engine: &EngineModel, batch: f64) -> f64 {
     let context = (engine.prompt + engine.answer) / 1_000.0 * engine.context_ms;
     let step = engine.step_ms + batch * (engine.request_ms + context);
     step * f64::from(engine.stride)
 }
 
-/// Milliseconds that reading a prompt takes, the attention between its tokens included.
+/// Returns the milliseconds of prefilling a prompt, including the attention between its tokens.
 pub fn prefill_ms(engine: &EngineModel, prompt: f64) -> f64 {
     let pairs = prompt * prompt / 2.0 / 1e6;
     prompt / engine.read_rate + pairs * engine.pairs_ms
 }
 
-/// Milliseconds from a request's turn to its first event, beside `ahead` others.
-pub(super) fn start_ms(engine: &EngineModel, ahead: f64, prompt: f64) -> f64 {
+/// Returns the milliseconds from the moment a request gets a slot to its first event, beside `ahead`
+/// others.
+pub(super) fn first_event_ms(engine: &EngineModel, ahead: f64, prompt: f64) -> f64 {
     let slots = f64::from(engine.slots.max(1));
-    // The engine reads what others send in the same passes: at a full batch as much as it ends.
-    let reading =
+    // The same passes prefill other requests' prompts: at a full batch, one for each request that ends.
+    let prefill_share =
         prefill_ms(engine, engine.prompt) / slot_wait_ms(engine) * (ahead / slots).min(1.0);
-    let passes = PASSES * pass_ms(engine, ahead.min(slots));
-    passes / (1.0 - reading) + prefill_ms(engine, prompt)
+    let passes = PASSES_TO_FIRST_EVENT * pass_ms(engine, ahead.min(slots));
+    passes / (1.0 - prefill_share) + prefill_ms(engine, prompt)
 }
 
-/// Milliseconds between two requests' ends at a full batch: how long one place is waited for.
+/// Returns the milliseconds between the ends of two requests at a full batch, which is the wait for one
+/// slot.
 pub fn slot_wait_ms(engine: &EngineModel) -> f64 {
     let slots = f64::from(engine.slots.max(1));
     let passes = (engine.answer / f64::from(engine.stride)).max(1.0);
--- a/crates/filbertstack-policy/tests/dispatch.rs
+++ b/crates/filbertstack-policy/tests/dispatch.rs
@@ -22,7 +22,7 @@
 use replay::replay;
 
 /// Demand is about three times what twelve engines can read and write. Taken in turn, every
-/// request waits in an engine's queue and nearly every first event is late. ChooseError at once where
+/// request waits in an engine's queue and nearly every first event is late. Refused at once where
 /// no engine can make it, five of six that are taken are on time, and the engines stay full.
 #[test]
 fn in_a_standing_overload_those_taken_are_on_time() {
