--- a/crates/filbertstack-policy/src/outlier.rs
+++ b/crates/filbertstack-policy/src/outlier.rs
@@ -1,41 +1,45 @@
-//! Which targets get no work for a while.
+//! This module ejects targets that fail or are slow, so that they get no work for a while.
 //!
-//! *Load pattern*: one target among many is slow or fails. Without ejection each request that
-//! lands there misses its deadline, and as the target answers late its own signals come late. An
-//! ejected target returns by one probe, so that a caller or two pay for the test and not all.
+//! *Load pattern*: one target among many is slow or fails. Without ejection, each request that goes
+//! there misses its deadline, and as the target answers late, its own signals are late too. An ejected
+//! target returns after one successful probe, so that one or two callers are affected by the test and
+//! not all.
 
 use filbertstack_core::Millis;
 
-/// Failures in a row that eject: one or two are a restarting process's usual loss.
-const FAILURES: u32 = 3;
+/// The number of consecutive failures that eject a target. One or two are common when a process
+/// restarts.
+const FAILURES_TO_EJECT: u32 = 3;
 
-/// The shortest ejection: about three times the longest answer that an engine gives to short
-/// requests, so that the probe meets another state than the one ejected.
-const FIRST_SPAN: Millis = Millis::secs(10);
+/// The shortest ejection: about three times the longest answer of an engine to short requests, so that
+/// the probe finds the target in another state than the one for which it was ejected.
+const FIRST_EJECTION: Millis = Millis::secs(10);
 
-/// The ejection of a target without a link: about the time of a process's restart. Gossip brings
-/// the news of a real end within seconds.
-const LOST_SPAN: Millis = Millis::secs(2);
+/// The ejection of a target without a link: about the time in which a process restarts. If the target
+/// has ended for good, gossip reports it within seconds.
+const LOST_EJECTION: Millis = Millis::secs(2);
 
-/// The longest ejection. Doubling stops here, or a target mended after hours would stay out.
-const LONGEST_SPAN: Millis = Millis::secs(160);
+/// The longest ejection. Without this limit to the doubling, a target that recovers after hours would
+/// stay ejected.
+const MAX_EJECTION: Millis = Millis::secs(160);
 
-/// At most this share of a group's targets is out: if more look bad, the cause is likely the load
-/// or the entry itself, and sending everything to the few left would fell those too.
+/// The greatest share of a group's targets that may be ejected. If more of them look bad, the likely
+/// cause is the load or the entry itself, and sending all requests to the remaining few would overload
+/// those too.
 pub const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// Whether a target gets work.
+/// The state that decides whether a target gets work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
-    /// It gets work.
+    /// The target gets work.
     #[default]
     Healthy,
-    /// It gets none until then, and one probe after that.
+    /// The target gets no work until the given time, and one probe after that.
     Ejected {
         /// The end of the ejection.
         until: Millis,
     },
-    /// One probe is on its way.
+    /// One probe is in progress.
     Probing,
 }
 
@@ -48,25 +52,25 @@
 }
 
 impl Outlier {
-    /// Whether the target gets work.
+    /// Returns the state that decides whether the target gets work.
     pub fn health(&self) -> Health {
         self.health
     }
 
-    /// Whether the target is out: ejected or awaiting its probe's answer.
+    /// Returns whether the target is ejected or awaiting its probe's answer.
     pub fn is_ejected(&self) -> bool {
         self.health != Health::Healthy
     }
 
-    /// Whether a probe is due.
+    /// Returns whether a probe is due.
     pub fn probe_due(&self, now: Millis) -> bool {
         matches!(self.health, Health::Ejected { until } if until <= now)
     }
 
-    /// Counts a failure; `true` if the target should be ejected for it.
+    /// Counts a failure. Returns `true` if the target should be ejected for it.
     pub fn record_failure(&mut self) -> bool {
         self.failures = self.failures.saturating_add(1);
-        self.failures >= FAILURES
+        self.failures >= FAILURES_TO_EJECT
     }
 
     /// Counts a good answer.
@@ -74,32 +78,33 @@
         self.failures = 0;
     }
 
-    /// Ejects the target, for twice as long as the last time.
+    /// Ejects the target for twice as long as the last time.
     pub fn eject(&mut self, now: Millis) {
-        let span = FIRST_SPAN.0 << self.ejections.min(8);
-        let until = now + Millis(span.min(LONGEST_SPAN.0));
+        let span = FIRST_EJECTION.0 << self.ejections.min(8);
+        let until = now + Millis(span.min(MAX_EJECTION.0));
         self.ejections = self.ejections.saturating_add(1);
         self.health = Health::Ejected { until };
     }
 
-    /// Ejects the target for having no link.
+    /// Ejects the target because it has no link.
     pub fn eject_lost(&mut self, now: Millis) {
         self.health = Health::Ejected {
-            until: now + LOST_SPAN,
+            until: now + LOST_EJECTION,
         };
     }
 
-    /// Notes that a probe was sent.
+    /// Records that a probe was sent.
     pub fn start_probe(&mut self) {
         self.health = Health::Probing;
     }
 
-    /// Notes that the probe was withdrawn before it told anything: another may go at once.
+    /// Records that the probe ended without a result. The next one may be sent at once.
     pub fn cancel_probe(&mut self, now: Millis) {
         self.health = Health::Ejected { until: now };
     }
 
-    /// Takes the target back after a good probe. The count of ejections stays for the next one.
+    /// Readmits the target after a successful probe. The number of ejections is kept for the next
+    /// ejection.
     pub fn readmit(&mut self) {
         self.health = Health::Healthy;
         self.failures = 0;
