--- a/crates/filbertstack-policy/src/recovery.rs
+++ b/crates/filbertstack-policy/src/recovery.rs
@@ -1,11 +1,12 @@
-//! Whether a request waits for a service that nobody serves for the moment.
+//! This module decides whether a request waits for a service that has no target for the moment.
 //!
-//! *Load pattern*: all instances lose power, or all engines load at once, and for some seconds no target
-//! takes work. Callers come back once. Refused at once they come back while still nobody serves, and
-//! are lost with most of their patience left. So a request waits at its entry, for a part of its time
-//! that leaves enough for another try. Little waits: an entry gets some requests a second.
+//! *Load pattern*: all instances lose power, or all engines load at once, and no target takes work for
+//! some seconds. Callers retry once. If they are refused at once, they retry while there is still no
+//! target, and are lost with most of their time unused. A request therefore waits at its entry for a
+//! part of its time that leaves enough for another attempt. Few requests wait, as an entry gets some
+//! requests a second.
 //!
-//! A service that has been without targets for longer is down. Who waits for it waits in vain, so its
+//! A service that has been without targets for longer is down. Waiting for it would be in vain, so its
 //! callers are refused at once.
 
 use std::collections::BTreeMap;
@@ -13,83 +14,89 @@
 
 use filbertstack_core::Millis;
 
-/// The longest a service is expected to come back: elections, and weights over the narrowest link.
-const OUTAGE: Millis = Millis::secs(5);
+/// The longest outage from which a service is expected to recover: the time of elections and of
+/// transferring weights over the narrowest link.
+const MAX_OUTAGE: Millis = Millis::secs(5);
 
-/// The part of a request's time that it waits: it may be refused then, come back and be served.
-const PART: u64 = 4;
+/// The divisor of a request's time that gives its wait. The request can still be refused after the
+/// wait, be retried and be served.
+const WAIT_DIVISOR: u64 = 4;
 
 /// The longest wait. Callers leave a stream that brings no event for two seconds.
-const LONGEST: Millis = Millis(1_500);
+const MAX_WAIT: Millis = Millis(1_500);
 
-/// The most requests that wait at an entry: their bodies are held in memory.
-const MOST: usize = 64;
+/// The greatest number of requests that wait at an entry, as their bodies are kept in memory.
+const MAX_WAITERS: usize = 64;
 
-/// How many that waited are sent for each request that is sent as it comes. They are late, and engines
-/// that return carry little more than what comes: all at once, those who waited would be read first,
-/// and new callers be late as well.
-const SPARE: f64 = 0.34;
+/// The number of waiting requests that are sent for each request that is sent on arrival. Waiting
+/// requests are late, and engines that recover have little capacity beyond the arriving requests. If
+/// all waiting requests were sent at once, they would be processed first and new requests would be late
+/// too.
+const WAITER_CREDIT: f64 = 0.34;
 
-/// After which pause in what is sent one that waits may be sent as well: there is nobody to hold up.
-const PAUSE: Millis = Millis(300);
+/// The pause without sent requests after which a waiting one may be sent too, as it delays no other
+/// request.
+const IDLE_PAUSE: Millis = Millis(300);
 
-/// When one entry could serve last, and how many of those that wait it may send.
+/// The times at which one entry last sent a request for each service, and the credit for waiting
+/// requests.
 #[derive(Clone, Debug)]
 pub struct Recovery {
-    began: Millis,
-    served: BTreeMap<Arc<str>, Millis>,
-    spare: f64,
-    /// When a request was sent last.
-    sent: Millis,
+    started: Millis,
+    last_served: BTreeMap<Arc<str>, Millis>,
+    credit: f64,
+    /// The time when the last request was sent.
+    last_sent: Millis,
 }
 
 impl Recovery {
-    /// Of an entry that begins now.
+    /// Returns the state of an entry that starts now.
     pub fn new(now: Millis) -> Self {
         Self {
-            began: now,
-            served: BTreeMap::new(),
-            spare: 0.0,
-            sent: now,
+            started: now,
+            last_served: BTreeMap::new(),
+            credit: 0.0,
+            last_sent: now,
         }
     }
 
-    /// Notes that a request for `service` was sent as it came.
+    /// Counts a request for `service` that was sent on arrival.
     pub fn count_sent(&mut self, now: Millis, service: &Arc<str>) {
-        self.spare = (self.spare + SPARE).min(1.0);
-        self.sent = now;
-        match self.served.get_mut(service) {
-            Some(served) => *served = now,
+        self.credit = (self.credit + WAITER_CREDIT).min(1.0);
+        self.last_sent = now;
+        match self.last_served.get_mut(service) {
+            Some(last_served) => *last_served = now,
             None => {
-                self.served.insert(service.clone(), now);
+                self.last_served.insert(service.clone(), now);
             }
         }
     }
 
-    /// Whether one that waits may be sent now.
+    /// Returns whether a waiting request may be sent now.
     pub fn may_send_waiter(&self, now: Millis) -> bool {
-        self.spare >= 1.0 || now.since(self.sent) >= PAUSE
+        self.credit >= 1.0 || now.since(self.last_sent) >= IDLE_PAUSE
     }
 
-    /// Notes that one that waited was sent.
+    /// Counts a waiting request that was sent.
     pub fn count_waiter_sent(&mut self, now: Millis) {
-        self.spare = 0.0;
-        self.sent = now;
+        self.credit = 0.0;
+        self.last_sent = now;
     }
 
-    /// How long after it came a request that has `time` in all waits for `service`, or for what is
-    /// declared if that is not known yet; `None` if it is refused at once. `waiting` others wait.
+    /// Returns how long after its arrival a request with a total time of `time` waits for `service`, or
+    /// for the declared state if `service` is `None`. Returns `None` if the request is refused at once.
+    /// `waiters` is the number of requests that wait already.
     pub fn wait_limit(
         &self,
         now: Millis,
         service: Option<&str>,
         time: Millis,
-        waiting: usize,
+        waiters: usize,
     ) -> Option<Millis> {
-        let served = service.and_then(|service| self.served.get(service));
-        let last = served.copied().unwrap_or(self.began);
-        let returns = now.since(last) < OUTAGE;
-        let wait = Millis(time.0 / PART).min(LONGEST);
-        (returns && waiting < MOST).then_some(wait)
+        let last_served = service.and_then(|service| self.last_served.get(service));
+        let last = last_served.copied().unwrap_or(self.started);
+        let may_return = now.since(last) < MAX_OUTAGE;
+        let wait = Millis(time.0 / WAIT_DIVISOR).min(MAX_WAIT);
+        (may_return && waiters < MAX_WAITERS).then_some(wait)
     }
 }
--- a/crates/filbertstack-policy/src/retry.rs
+++ b/crates/filbertstack-policy/src/retry.rs
@@ -1,9 +1,8 @@
-//! What may be tried again, and what may be tried twice at once.
+//! This module decides which requests may be retried and which may be hedged.
 //!
-//! *Load pattern*: targets are lost or refuse, and everything in flight there fails at once. With
-//! free retries each failure makes new load, and a partial outage becomes a full one that the
-//! retries themselves keep up. A budget bounds what retries and hedges add to a tenth of the
-//! requests.
+//! *Load pattern*: targets are lost or refuse work, and everything in flight there fails at once. With
+//! unlimited retries each failure adds load, and a partial outage becomes a full one that the retries
+//! themselves sustain. A budget limits the load that retries and hedges add to a tenth of the requests.
 
 use filbertstack_core::Millis;
 use rand::RngExt;
@@ -13,81 +12,82 @@
 use crate::units::millis;
 use crate::units::secs;
 
-/// What a request earns for the budget: retries and hedges add at most a tenth of the load.
-const EARNED: f64 = 0.1;
+/// The part of an attempt that a request adds to the budget: retries and hedges add at most a tenth of
+/// the load.
+const EARNED_PER_REQUEST: f64 = 0.1;
 
-/// The most that a budget saves up: the work that one engine of 32 slots may lose to an entry
-/// that has a third of it.
-const SAVED: f64 = 10.0;
+/// The greatest balance of a budget: the work of an entry with a third of the requests of a 32-slot
+/// engine, all of which fail at once.
+const MAX_SAVED: f64 = 10.0;
 
-/// What a budget begins with: an entry just started can repeat a few requests, no more.
-const BEGINS: f64 = 3.0;
+/// The initial balance of a budget: an entry that has just started can retry only a few requests.
+const INITIAL_SAVED: f64 = 3.0;
 
-/// The attempts of one request, the first included. With half of the targets lost at once, four
-/// attempts all meet lost ones for one request in thirty, three for one in ten.
+/// The greatest number of attempts of one request, including the first. When half of the targets are
+/// lost at once, four attempts all meet lost ones for one request in thirty, three for one in ten.
 pub const MAX_ATTEMPTS: u32 = 4;
 
-/// The mean wait before a second retry; each further one doubles it. The first goes to another
-/// target and has nothing to wait for.
+/// The mean delay before the second retry; it doubles with each further one. The first retry goes to
+/// another target at once.
 const BACKOFF: Millis = Millis(50);
 
-/// Why a request did not run at a target.
+/// The reason why a request did not run at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotRun {
     /// The target has no room.
     Full,
-    /// The target takes no new work, as it leaves.
+    /// The target takes no new work because it is leaving.
     Leaving,
     /// The target does not serve what was asked for.
     Absent,
-    /// The request never left the entry: no link to the target.
+    /// The request never left the entry because there is no link to the target.
     Unreachable,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The request certainly did not run.
     NotRun(NotRun),
-    /// It ran and the answer is whole.
+    /// The request ran and the answer is complete.
     Ran {
-        /// The tokens that it took.
+        /// The tokens that the request used.
         cost: Cost,
     },
-    /// Whether it ran cannot be known: the link was lost after it was sent.
+    /// It is unknown whether the request ran: the link was lost after it was sent.
     Unknown,
 }
 
-/// What is decided after an attempt that brought no answer.
+/// The decision after an attempt that brought no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Try again, not before this span has passed.
+    /// The request is retried after a delay.
     Retry {
-        /// The wait.
+        /// The delay before the retry.
         after: Millis,
     },
-    /// Give the caller the outcome now.
+    /// The caller gets the outcome now.
     GiveUp,
 }
 
-/// What a decision rests on.
+/// The facts about a failed attempt that a decision depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedAttempt {
-    /// How the last attempt ended.
+    /// The outcome of the last attempt.
     pub outcome: Outcome,
-    /// The attempts so far.
+    /// The number of attempts so far.
     pub attempts: u32,
     /// Whether the request may run twice.
     pub idempotent: bool,
-    /// Whether bytes of an answer have already gone to the caller.
+    /// Whether bytes of an answer have already been sent to the caller.
     pub answered: bool,
-    /// The time left to the deadline.
+    /// The time left until the deadline.
     pub time_left: Millis,
     /// The time that another attempt is expected to take.
     pub expected_time: Millis,
 }
 
-/// The budget of one entry's retries and hedges: a token bucket filled by first attempts.
+/// The budget of one entry's retries and hedges: a token bucket that first attempts fill.
 #[derive(Clone, Debug)]
 pub struct Budget {
     saved: f64,
@@ -95,17 +95,19 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { saved: BEGINS }
+        Self {
+            saved: INITIAL_SAVED,
+        }
     }
 }
 
 impl Budget {
-    /// Counts a first attempt.
+    /// Counts a first attempt, which adds to the budget.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED).min(SAVED);
+        self.saved = (self.saved + EARNED_PER_REQUEST).min(MAX_SAVED);
     }
 
-    /// Takes one attempt from the budget; `false` if there is none left.
+    /// Takes one attempt from the budget. Returns `false` if none is left.
     pub fn spend(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
@@ -116,11 +118,11 @@
 
     /// Takes one attempt for a hedge, which leaves half of the budget to retries.
     pub fn spend_hedge(&mut self) -> bool {
-        self.saved > SAVED / 2.0 && self.spend()
+        self.saved > MAX_SAVED / 2.0 && self.spend()
     }
 }
 
-/// Decides after an attempt, and takes from the budget if it is to be repeated.
+/// Decides what follows a failed attempt. A retry is taken from the budget.
 pub fn decide(budget: &mut Budget, rng: &mut ChaCha8Rng, attempted: &FailedAttempt) -> Decision {
     if !may_repeat(attempted) || attempted.attempts >= MAX_ATTEMPTS {
         return Decision::GiveUp;
@@ -132,8 +134,9 @@
     Decision::Retry { after }
 }
 
-/// A request of unknown outcome may have run: repeating it could run it twice. An answer of which
-/// the caller holds a part cannot be begun again without mixing two answers.
+/// Returns whether the request may be retried. A request with an unknown outcome may have run, so a
+/// retry could run it twice. An answer that the caller has received in part cannot be restarted without
+/// mixing two answers.
 fn may_repeat(attempted: &FailedAttempt) -> bool {
     match attempted.outcome {
         Outcome::NotRun(_) => true,
