--- a/crates/filbertstack-policy/src/registry.rs
+++ b/crates/filbertstack-policy/src/registry.rs
@@ -1,44 +1,44 @@
-//! Which of two statements about a process is the newer, and for how long one counts.
+//! This module decides which of two statements about a process is the newer, and how long one is valid.
 //!
-//! *Load pattern*: targets come, drain, crash and come back under the same id, and what they say
-//! of themselves arrives late, twice or crossed. Without an order of statements, one that was
-//! delayed by a partition makes a dead target look alive, or one that is draining look ready, and
-//! requests are sent there until they time out.
+//! *Load pattern*: targets start, drain, crash and restart under the same id, and their statements
+//! about themselves arrive late, twice or out of order. Without an order of statements, one that a
+//! partition delayed makes a dead target look alive or a draining one look ready, and requests are sent
+//! there until they time out.
 //!
-//! The order is `(born, sequence)`: a later start goes before an earlier one, and within a start
-//! a later statement before an earlier one. What has left stays known for a while, so that a late
-//! statement can't bring it back.
+//! Statements are ordered by `(born, sequence)`: a later start supersedes an earlier one, and within
+//! one start a later statement supersedes an earlier one. A removed process stays known for a while, so
+//! that a late statement cannot restore it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use filbertstack_core::Millis;
 
-/// For how long what has left stays known: longer than any statement is delayed, as links between
-/// instances give up after seconds.
+/// The time for which a removed process stays known. It is longer than any statement is delayed, as
+/// links between instances time out after seconds.
 pub const REMOVED_TTL: Millis = Millis::secs(60);
 
-/// For how long a row is kept that the present source does not list: a source that has just
-/// started knows nothing, and hears of every target within two of their heartbeats.
+/// The time for which a row is kept that the current source does not list. A source that has just
+/// started knows nothing, and learns of every target within two of the targets' heartbeats.
 pub const UNLISTED_TTL: Millis = Millis::secs(4);
 
-/// Where a statement stands among those about the same process.
+/// The position of a statement among those about the same process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Stamp {
-    /// The Unix millisecond of the process's start.
+    /// The start of the process in Unix milliseconds.
     pub born: u64,
-    /// Grows with each statement since that start.
+    /// The number of the statement, which grows with each one since that start.
     pub sequence: u64,
 }
 
-/// What became of a statement.
+/// The result of applying a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It is the newest, and says something new.
+    /// The statement is the newest and changes the known value.
     Changed,
-    /// It is the newest, and says what was known.
+    /// The statement is the newest and confirms the known value.
     Refreshed,
-    /// A newer one is known.
+    /// A newer statement is known.
     Stale,
 }
 
@@ -47,9 +47,9 @@
     stamp: Stamp,
     value: T,
     gone: bool,
-    heard: Millis,
-    /// Since when the present source has not listed it.
-    unlisted: Option<Millis>,
+    last_heard: Millis,
+    /// The time since which the current source has not listed the process.
+    unlisted_since: Option<Millis>,
 }
 
 /// The newest statement about each process.
@@ -67,7 +67,7 @@
 }
 
 impl<T: Clone + PartialEq> Registry<T> {
-    /// Takes a statement in.
+    /// Applies a statement unless a newer one is known.
     pub fn apply(
         &mut self,
         id: &Arc<str>,
@@ -84,7 +84,7 @@
         if stamp < known.stamp {
             return Applied::Stale;
         }
-        // What has left starts again only with a later birth.
+        // Only a later start restores a removed process.
         if known.gone && stamp.born == known.stamp.born && !gone {
             return Applied::Stale;
         }
@@ -102,58 +102,60 @@
             stamp,
             value,
             gone,
-            heard: now,
-            unlisted: None,
+            last_heard: now,
+            unlisted_since: None,
         };
         self.rows.insert(id.clone(), row);
     }
 
-    /// Marks a process as gone, whatever it says under its present birth; false if there is
-    /// nothing to mark.
+    /// Marks a process as removed, whatever it states under its current start. Returns `false` if the
+    /// process is unknown or already removed.
     pub fn remove(&mut self, id: &str, now: Millis) -> bool {
         let row = self.rows.get_mut(id);
         let Some(row) = row.filter(|row| !row.gone) else {
             return false;
         };
         row.gone = true;
-        row.heard = now;
+        row.last_heard = now;
         row.stamp.sequence = u64::MAX;
         true
     }
 
-    /// The present value and stamp of `id`, gone or not.
+    /// Returns the current value and stamp of `id`, and whether it was removed.
     pub fn get(&self, id: &str) -> Option<(&T, Stamp, bool)> {
         let row = self.rows.get(id);
         row.map(|row| (&row.value, row.stamp, row.gone))
     }
 
-    /// Those that have not left.
+    /// Returns the processes that were not removed.
     pub fn present(&self) -> impl Iterator<Item = (&Arc<str>, &T, Stamp)> {
         let rows = self.rows.iter().filter(|(_, row)| !row.gone);
         rows.map(|(id, row)| (id, &row.value, row.stamp))
     }
 
-    /// All rows, those that have left included.
+    /// Returns all processes, including removed ones.
     pub fn all(&self) -> impl Iterator<Item = (&Arc<str>, &T, Stamp, bool)> {
         let rows = self.rows.iter();
         rows.map(|(id, row)| (id, &row.value, row.stamp, row.gone))
     }
 
-    /// Marks every row as not listed by a source that begins to tell all that it knows.
+    /// Marks every row as not listed by a source that starts to send all that it knows.
     pub fn begin_listing(&mut self, now: Millis) {
         for row in self.rows.values_mut() {
-            row.unlisted.get_or_insert(now);
+            row.unlisted_since.get_or_insert(now);
         }
     }
 
-    /// Drops rows that the source does not list, and forgets what left long ago.
-    /// Returns whether one that had not left was dropped.
+    /// Drops rows that the source does not list, and removed ones that have expired. Returns whether a
+    /// row that was not removed was dropped.
     pub fn prune(&mut self, now: Millis) -> bool {
         let mut dropped = false;
         self.rows.retain(|_, row| {
-            let unlisted = row.unlisted.is_some_and(|at| now.since(at) > UNLISTED_TTL);
+            let unlisted = row
+                .unlisted_since
+                .is_some_and(|at| now.since(at) > UNLISTED_TTL);
             let keep = if row.gone {
-                now.since(row.heard) < REMOVED_TTL
+                now.since(row.last_heard) < REMOVED_TTL
             } else {
                 !unlisted
             };
@@ -163,17 +165,17 @@
         dropped
     }
 
-    /// Forgets those not heard of for longer than `patience`, and returns who they were.
-    /// One that was only silent comes back with its next statement.
+    /// Drops processes that have been silent for longer than `timeout`, and returns them. The next
+    /// statement of a process that was only silent restores it.
     pub fn expire(
         &mut self,
         now: Millis,
-        patience: impl Fn(&T) -> Millis,
+        timeout: impl Fn(&T) -> Millis,
     ) -> Vec<(Arc<str>, Stamp)> {
         let silent = self
             .rows
             .iter()
-            .filter(|(_, row)| !row.gone && now.since(row.heard) > patience(&row.value));
+            .filter(|(_, row)| !row.gone && now.since(row.last_heard) > timeout(&row.value));
         let silent: Vec<_> = silent.map(|(id, row)| (id.clone(), row.stamp)).collect();
         for (id, _) in &silent {
             self.rows.remove(id);
@@ -182,16 +184,17 @@
         silent
     }
 
-    /// Does not count a span in which nobody could be heard: the node itself was frozen or cut off.
-    /// Counted, it would take out every process there is, and refuse all requests, until each has
-    /// made its next statement.
+    /// Excludes a span from all timeouts in which no statement could be received, because the node
+    /// itself was frozen or cut off. Otherwise every process would be dropped and all requests refused
+    /// until each process has sent its next statement.
     pub fn extend_deadlines(&mut self, span: Millis) {
         for row in self.rows.values_mut() {
-            row.heard = row.heard + span;
+            row.last_heard = row.last_heard + span;
         }
     }
 
-    /// Forgets a process as if it had never been heard of; false if it wasn't known.
+    /// Drops a process as if it had never been known. Returns `false` if it was unknown or already
+    /// removed.
     pub fn forget(&mut self, id: &str) -> bool {
         self.rows.remove(id).is_some_and(|row| !row.gone)
     }
