--- a/crates/filbertstack-policy/src/inherited.rs
+++ b/crates/filbertstack-policy/src/inherited.rs
@@ -1,68 +1,73 @@
-//! Which version an engine may have been ordered to load by an agent that has ended.
+//! This module determines which version an earlier agent process may have ordered its engine to load.
 //!
-//! *Load pattern*: all processes are killed while versions follow each other, and an order of one of
-//! them has no answer. An engine loads what lies there when it begins an order, so that the agent that
-//! starts in the place of the one killed must stage nothing over what was ordered. Only what lies whole
-//! is ever ordered, and only after the list of its pieces was kept by the voters.
+//! *Load pattern*: all processes are killed while versions follow each other, and an order to load one
+//! of them is unanswered. An engine loads what is staged when it begins an order, so the agent that
+//! replaces the killed one must not stage anything over the ordered version. A version is ordered only
+//! when all of its pieces are staged, and only after the voters have stored its piece list.
 
-/// How the pieces that lie at an engine fit a version.
+/// The match between the pieces that are staged at an engine and one version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionMatch {
     /// The version.
     pub version: u64,
-    /// How many pieces it has.
+    /// The number of pieces of the version.
     pub pieces: usize,
-    /// How many of them lie in their place.
+    /// The number of these pieces that are staged in their place.
     pub matching: usize,
 }
 
 impl VersionMatch {
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.matching == self.pieces
     }
 }
 
-/// The places at an engine in which no piece of a known version lies.
+/// The places at an engine that contain no piece of a known version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Unmatched {
-    /// Places with nothing in them.
+    /// The number of empty places.
     pub empty: usize,
-    /// Places with something that fits no known version.
+    /// The number of places whose content matches no known version.
     pub unknown: usize,
 }
 
-/// What is known of the orders of an agent that has ended.
+/// The conclusion about the orders of an agent process that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InheritedOrder {
-    /// No order may yet be begun.
+    /// The engine can no longer begin an order.
     Nothing,
-    /// An order to load this version may yet be begun.
+    /// The engine may still begin an order to load this version.
     Order(u64),
-    /// An order of a version that is not known may yet be begun.
+    /// The engine may still begin an order to load an unknown version.
     Unknown,
 }
 
-/// Judges what lies at an engine that serves the version `served`, 0 if none.
+/// Returns the order that may be open, judging by what is staged at an engine that serves the version
+/// `served`, or 0 if it serves none.
 ///
-/// - What lies whole and is newer than what is served may be ordered.
-/// - Where a place is empty, nothing lies whole since the engine lost its power.
-/// - Where all places hold pieces of known versions, one was being staged over another, whose outcome
-///   was known.
-/// - A piece that fits nothing may have turned bad: the others tell which version it belonged to. Fit
-///   they none that is newer than what is served, the version may be one whose list is not kept any
-///   more.
-pub fn inherited_order(served: u64, fits: &[VersionMatch], others: Unmatched) -> InheritedOrder {
-    let whole = fits.iter().filter(|fit| fit.is_whole());
-    if let Some(version) = whole.map(|fit| fit.version).max() {
+/// - A complete version that is newer than the served one may be ordered.
+/// - If a place is empty, nothing has been complete since the engine lost its power.
+/// - If all places contain pieces of known versions, one version was being staged over another whose
+///   order had a known outcome.
+/// - A piece that matches no version may be corrupt: the other pieces show which version it belonged
+///   to. If they match none that is newer than the served one, it may be a version whose list is no
+///   longer kept.
+pub fn inherited_order(
+    served: u64,
+    matches: &[VersionMatch],
+    unmatched: Unmatched,
+) -> InheritedOrder {
+    let complete = matches.iter().filter(|found| found.is_complete());
+    if let Some(version) = complete.map(|found| found.version).max() {
         return ordered_if_newer(served, version).unwrap_or(InheritedOrder::Nothing);
     }
-    if others.empty > 0 || others.unknown == 0 {
+    if unmatched.empty > 0 || unmatched.unknown == 0 {
         return InheritedOrder::Nothing;
     }
-    let begun = fits.iter().filter(|fit| fit.matching > 0);
-    let likeliest = begun.max_by_key(|fit| (fit.matching, fit.version));
-    likeliest
-        .and_then(|fit| ordered_if_newer(served, fit.version))
+    let partial = matches.iter().filter(|found| found.matching > 0);
+    let best_match = partial.max_by_key(|found| (found.matching, found.version));
+    best_match
+        .and_then(|found| ordered_if_newer(served, found.version))
         .unwrap_or(InheritedOrder::Unknown)
 }
 
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -1,223 +1,238 @@
-//! When engines are brought from one version of the weights to the next.
+//! This module schedules when engines change from one version of the weights to the next.
 //!
-//! *Load pattern*: new weights are named while the engines are full. An engine that loads takes
-//! nothing new from the order until what it runs is done and the load is over: some seconds. Did
-//! all engines load as soon as they can, none would be left to serve. So they load one after the
-//! other over the whole time that there is, the last early enough that no request begins on the
-//! old version after the time that operators promise.
+//! *Load pattern*: a new version is named while the engines are full. An engine that loads takes no new
+//! work from the order until its running requests are done and the load is over, which takes some
+//! seconds. If all engines loaded as soon as they could, none would be left to serve. The engines
+//! therefore load one after the other over the whole time that is available, the last one early enough
+//! that no request begins on the old version after the time that operators promise.
 //!
-//! An engine that finishes all that it runs is out for as long as its longest answer takes, and a
-//! third of the engines at once over a rollout. Where answers can go on at another engine, those
-//! that have not ended after a while are broken off and resumed there.
+//! An engine that finishes all running requests is out of service for as long as its longest answer
+//! takes, and a third of the engines are out at the same time during a rollout. Where another engine
+//! can resume an answer, the answers that have not ended after a while are broken off and resumed
+//! there.
 
 use std::sync::Arc;
 
 use filbertstack_core::Millis;
 
-/// The part of the time for a rollout after which a target must hold the new version to be used.
-/// What is left covers a request's way and its wait in an engine that few share the load with:
-/// 1.6 s were seen, 0.7 s of it on the narrow link over which the engine's new weights came late.
-const BINDING: f64 = 0.8;
+/// The part of a rollout's time after which a target must hold the new version to be used. The rest
+/// covers a request's transfer and its wait in an engine that shares the load with few others. That
+/// took up to 1.6 s, 0.7 s of it on the narrow link over which the engine's new weights arrived late.
+const CUTOVER_PART: f64 = 0.8;
 
-/// The part after which the last engine is ordered: the order must have reached it, so that it
-/// begins nothing on the old version, before [`BINDING`].
-const LAST: f64 = 0.76;
+/// The part after which the last engine is ordered to load. The order must reach the engine before
+/// [`CUTOVER_PART`], so that it begins nothing more on the old version.
+const LAST_ORDER_PART: f64 = 0.76;
 
-/// The part at which the first engine is ordered, if its pieces are there by then.
-const FIRST: f64 = 0.28;
+/// The part after which the first engine is ordered to load, if its pieces are there by then.
+const FIRST_ORDER_PART: f64 = 0.28;
 
-/// The part at which the first engine is ordered to load a version that another has followed.
-const LAST_CALL: f64 = 0.63;
+/// The part after which the first engine is ordered to load a version that is already superseded.
+const LATEST_FIRST_ORDER_PART: f64 = 0.63;
 
-/// How long after it was sent a call that an engine left without an answer may be carried out. The
-/// latest order seen to be begun so was 12 s old.
+/// The time after which a call that an engine left unanswered is no longer carried out. Orders were
+/// begun up to 12 s after they were sent.
 pub const MAX_CALL_DELAY: Millis = Millis(15_000);
 
-/// When a version should be loaded.
+/// The time at which a version should be loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadTiming {
-    /// As evenly as there is time.
+    /// The engines load spread evenly over the available time.
     Usual,
-    /// As late as it may: a newer one is on its way, and an engine that waits for it loads once.
+    /// The engines load as late as allowed: a newer version is on its way, and an engine that waits for
+    /// it loads once.
     Latest,
 }
 
-/// How long entries may go on sending to an engine after its agent said that it takes nothing: the
-/// way of a row to all of them. What is sent later is refused by the engine as not run.
-const TOLD: Millis = Millis(80);
+/// The time for which entries may still send to an engine after its agent announced that it takes no
+/// new work, as a row takes that long to reach all of them. The engine refuses later requests as not
+/// run.
+const PROPAGATION: Millis = Millis(80);
 
-/// How long an engine that takes nothing new may finish what it runs before the rest is broken off.
-/// Three of four answers end within it. Sum of worth of twelve days of mixed trouble: 7.98 where all
-/// is finished, 8.10 with 0.4 or 0.8 s, 8.04 with 1.2 s; with 0.8 s the fewest answers break off.
-const FINISHING: Millis = Millis(880);
+/// The time for which an engine that takes no new work may finish its running requests before the rest
+/// is broken off. Three of four answers end within it. The total value of twelve simulated days with
+/// mixed faults was 7.98 if everything is finished, 8.10 with 0.4 or 0.8 s and 8.04 with 1.2 s; with
+/// 0.8 s the fewest answers are broken off.
+const MAX_FINISHING: Millis = Millis(880);
 
-/// What the agent of an engine that takes nothing new does next.
+/// The next step of an agent whose engine takes no new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainStep {
-    /// Waits: answers end.
+    /// The agent waits until more answers have ended.
     Await,
-    /// Orders the engine to load when it has finished what it runs.
+    /// The agent orders the engine to load when the running requests are finished.
     Finish,
-    /// Orders the engine to break off what it runs and load.
+    /// The agent orders the engine to break off the running requests and load.
     BreakOff,
 }
 
-/// What to do `spent` after entries were told that an engine takes nothing new, while it has `work`
-/// requests. `may_break` tells whether all of them can go on at another engine.
-pub fn drain_step(spent: Millis, work: u32, may_break: bool) -> DrainStep {
-    if spent < TOLD {
+/// Returns the next step, `elapsed` after entries were told that an engine takes no new work, while it
+/// has `in_flight` requests. `resumable` states whether another engine can resume all of them.
+pub fn drain_step(elapsed: Millis, in_flight: u32, resumable: bool) -> DrainStep {
+    if elapsed < PROPAGATION {
         DrainStep::Await
-    } else if work == 0 || !may_break {
+    } else if in_flight == 0 || !resumable {
         DrainStep::Finish
-    } else if spent < FINISHING {
+    } else if elapsed < MAX_FINISHING {
         DrainStep::Await
     } else {
         DrainStep::BreakOff
     }
 }
 
-/// A version of weights and when it was named, as far as a node knows.
+/// A version of weights and the time when it was named, as far as a node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NamedVersion {
     /// The version.
     pub version: u64,
-    /// When it was named.
+    /// The time when the version was named.
     pub at: Millis,
 }
 
-/// The most versions of a model that are remembered: one each eighth of a second for eight seconds.
-const REMEMBERED: usize = 64;
+/// The greatest number of versions of a model that are kept: one for each eighth of a second in eight
+/// seconds.
+const MAX_VERSIONS: usize = 64;
 
-/// Adds a version named now to those of its model, which are in their order, and forgets the oldest that
-/// decide nothing any more: all but the latest `least` whose follower has been named for as long as
-/// `bound`.
+/// Adds a version that is named now to those of its model, which are in their order. It drops the
+/// oldest versions that no longer affect a decision: all but the latest `min_kept` whose successor was
+/// named at least `bound` ago.
 ///
-/// *Load pattern*: a script names versions in a loop. Were the latest few remembered alone, none of
-/// them would ever be old enough to bind, and engines would begin requests on a version that was
-/// replaced long ago. Where too many follow each other, two count as one that was named with the
-/// earlier: it binds too early rather than too late.
+/// *Load pattern*: a script names versions in a loop. If only the latest few were kept, none of them
+/// would ever be old enough to bind, and engines would begin requests on a version that was replaced
+/// long ago. If too many versions follow each other, two of them count as one that was named at the
+/// time of the earlier: it binds too early rather than too late.
 pub fn record_version(
     named: &mut Vec<NamedVersion>,
     newest: NamedVersion,
-    least: usize,
+    min_kept: usize,
     now: Millis,
     bound: Millis,
 ) {
     named.push(newest);
-    while named.len() > least && now.since(named[1].at) >= bound {
+    while named.len() > min_kept && now.since(named[1].at) >= bound {
         named.remove(0);
     }
-    while named.len() > REMEMBERED {
+    while named.len() > MAX_VERSIONS {
         let oldest = named.remove(0);
         named[0].at = oldest.at;
     }
 }
 
-/// The oldest version that may still answer, given each version and how long ago it was named.
-/// 0 if any may.
+/// Returns the oldest version that may still answer, given each version and how long ago it was named.
+/// Returns 0 if any version may.
 pub fn floor(named: impl Iterator<Item = (u64, Millis)>, bound: Millis) -> u64 {
-    let binding = named.filter(|(_, since)| *since >= part(bound, BINDING));
-    binding.map(|(version, _)| version).max().unwrap_or(0)
+    let binding_versions = named.filter(|(_, since)| *since >= fraction(bound, CUTOVER_PART));
+    binding_versions
+        .map(|(version, _)| version)
+        .max()
+        .unwrap_or(0)
 }
 
-/// How long before an older version may no longer begin to answer the patience of requests for it
-/// ends: the way to the engine, over a link with a queue. More would break off streams that began in
-/// time, as an engine ends its work with the patience.
-const CLOSING: Millis = Millis(400);
+/// The margin between the end of a request's permitted wait and the time after which an older version
+/// must not begin to answer. It covers the transfer to the engine over a link with a queue. A larger
+/// margin would break off streams that began in time, as an engine ends its work when the permitted
+/// wait ends.
+const TRANSIT_MARGIN: Millis = Millis(400);
 
-/// How long a request may wait at an engine that serves `version`, given each version and how long
-/// ago it was named; `None` while there is no newer.
+/// Returns how long a request may wait at an engine that serves `version`, given each version and how
+/// long ago it was named. Returns `None` while there is no newer version.
 ///
-/// *Load pattern*: new weights come late over a narrow link, and the requests to the engine behind it
-/// wait in the link's queue and then in its own, though its load looks low. They were sent while the
-/// older version might answer, and began on it seconds later, when it must not. An engine refuses a
-/// request that has waited for longer than it is told as not run, and another serves it.
+/// *Load pattern*: new weights arrive late over a narrow link, and the requests to the engine behind it
+/// wait in the link's queue and then in the engine's, although its load looks low. They were sent while
+/// the older version was allowed to answer, and began on it seconds later, when it no longer was. An
+/// engine refuses a request that has waited for longer than permitted as not run, and another engine
+/// serves it.
 pub fn max_wait(
     named: impl Iterator<Item = (u64, Millis)>,
     version: u64,
     bound: Millis,
 ) -> Option<Millis> {
     let newer = named.filter(|(newer, _)| *newer > version);
-    let left = newer.map(|(_, since)| bound.since(since + CLOSING));
-    left.min()
+    let time_left = newer.map(|(_, since)| bound.since(since + TRANSIT_MARGIN));
+    time_left.min()
 }
 
-/// How long after a version was named the engine of `own` is ordered to load it. `agents` are
-/// those of all engines of the model, in one order everywhere.
-pub fn order_delay(own: &str, agents: &[Arc<str>], bound: Millis, haste: LoadTiming) -> Millis {
-    let place = agents.iter().position(|agent| &**agent == own).unwrap_or(0);
+/// Returns how long after a version was named the engine of the agent `own` is ordered to load it.
+/// `agents` are those of all engines of the model, in the same order on every node.
+pub fn order_delay(own: &str, agents: &[Arc<str>], bound: Millis, timing: LoadTiming) -> Millis {
+    let position = agents.iter().position(|agent| &**agent == own).unwrap_or(0);
     let steps = u64::try_from(agents.len().saturating_sub(1))
         .unwrap_or(1)
         .max(1);
-    let place = u64::try_from(place).unwrap_or(0);
-    let first = match haste {
-        LoadTiming::Usual => FIRST,
-        LoadTiming::Latest => LAST_CALL,
+    let position = u64::try_from(position).unwrap_or(0);
+    let first = match timing {
+        LoadTiming::Usual => FIRST_ORDER_PART,
+        LoadTiming::Latest => LATEST_FIRST_ORDER_PART,
     };
-    let (first, last) = (part(bound, first), part(bound, LAST));
-    Millis(first.0 + (last.0 - first.0) * place / steps)
+    let (first, last) = (fraction(bound, first), fraction(bound, LAST_ORDER_PART));
+    Millis(first.0 + (last.0 - first.0) * position / steps)
 }
 
-/// The first pause before an order that got no answer is sent again: an engine that lost one answer
-/// gives the next at once. It doubles each time.
-const REPEAT: Millis = Millis(200);
+/// The first delay before an unanswered order is sent again: an engine whose answer was lost answers
+/// the next order at once. The delay doubles each time.
+const FIRST_RESEND: Millis = Millis(200);
 
-/// The longest pause: an engine that is 12 s behind with its orders, as was seen, gets seven of them.
-const LONGEST_REPEAT: Millis = Millis(3_200);
+/// The longest delay: an engine that is 12 s behind with its orders, as was observed, gets seven of
+/// them.
+const MAX_RESEND: Millis = Millis(3_200);
 
-/// How long to wait for the outcome of an order that was sent `sent` times before it is sent again.
+/// Returns how long to wait for the outcome of an order that was sent `sent` times before it is sent
+/// again.
 pub fn resend_delay(sent: u32) -> Millis {
-    let doubled = REPEAT.0 << sent.saturating_sub(1).min(8);
-    Millis(doubled).min(LONGEST_REPEAT)
+    let doubled = FIRST_RESEND.0 << sent.saturating_sub(1).min(8);
+    Millis(doubled).min(MAX_RESEND)
 }
 
-/// What lies staged at an engine.
+/// The version that is staged at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Staged {
-    /// The version that is being staged, or was last.
+    /// The version that is being staged, or was staged last.
     pub version: u64,
-    /// Whether all of it lies there.
+    /// Whether all of the version's pieces are staged.
     pub whole: bool,
 }
 
-/// Which of the versions wanted, in their order, is staged at an engine that keeps the pieces of one
-/// only. `ordered` is one that the engine may yet be told to load by an order under way; `here` tells
-/// whether the entries hold all of a version.
+/// Returns which of the versions `wanted`, in their order, is staged at an engine that keeps the pieces
+/// of only one version. `ordered` is a version that the engine may still load because of an open order.
+/// `is_held` returns whether the entries hold all of a version.
 ///
-/// *Load pattern*: a second version is named while the first is on its way, and the origin fails
-/// right after. Did the agents begin on the second at once, its first pieces would overwrite the
-/// first, and no version would be whole in time. So they go on with what they have begun until all
-/// of a newer one can be had without the origin. What is whole never gives way to an older one: an
-/// entry that starts again has lost its share, so that nothing is all here for a moment.
+/// *Load pattern*: a second version is named while the first is being transferred, and the origin fails
+/// right after. If the agents began with the second version at once, its first pieces would overwrite
+/// the first version, and no version would be complete in time. The agents therefore continue with the
+/// version that they have begun until all of a newer one is available without the origin. A complete
+/// version is never replaced by an older one: an entry that restarts has lost its share, so that for a
+/// moment no version is fully held.
 ///
-/// What an engine may yet be loading gives way to nothing: an order that got no answer was seen to be
-/// begun 2 to 12 s later, and loads whatever lies there then. Callers got tokens from half of one
-/// version and half of the next.
+/// A version that the engine may still load is not replaced at all: an unanswered order was begun 2 to
+/// 12 s later, and an engine loads whatever is staged at that time. Callers received tokens from half
+/// of one version and half of the next.
 pub fn version_to_stage(
     wanted: &[u64],
     staged: Option<Staged>,
     ordered: Option<u64>,
-    here: impl Fn(u64) -> bool,
+    is_held: impl Fn(u64) -> bool,
 ) -> Option<u64> {
     if ordered.is_some() {
         return ordered;
     }
     let begun = staged.filter(|staged| wanted.contains(&staged.version));
-    let least = begun.filter(|staged| staged.whole);
-    let least = least.map_or(0, |staged| staged.version);
+    let oldest = begun.filter(|staged| staged.whole);
+    let oldest = oldest.map_or(0, |staged| staged.version);
     let newer = wanted.iter().rev().copied();
-    let newest_here = newer.filter(|version| *version >= least).find(|v| here(*v));
+    let newest_held = newer
+        .filter(|version| *version >= oldest)
+        .find(|v| is_held(*v));
     let begun = begun.map(|staged| staged.version);
-    newest_here.or(begun).or(wanted.last().copied())
+    newest_held.or(begun).or(wanted.last().copied())
 }
 
-fn part(span: Millis, share: f64) -> Millis {
+fn fraction(span: Millis, share: f64) -> Millis {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         clippy::cast_precision_loss,
         reason = "bounds are seconds: milliseconds are exact in a double, and shares are positive"
     )]
-    let part = (span.0 as f64 * share) as u64;
-    Millis(part)
+    let fraction = (span.0 as f64 * share) as u64;
+    Millis(fraction)
 }
