--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -1,23 +1,24 @@
-//! Whom a node asks for each piece of a version, in which order.
+//! This module decides which nodes a node asks for each piece of a version, and in which order.
 //!
-//! *Load pattern*: a version is named and every agent wants all its pieces at once, through an
-//! origin whose link carries a copy in a second or two. The agents' links are narrower still, and
-//! events of live streams share them: were each agent to ask the origin, N copies would go through
-//! that one link; were agents to pass pieces on to each other, each would carry one copy in and one
-//! out beside its callers' events. So the entries, whose links are wide, keep the pieces: each piece
-//! has one owner among all entries, who alone fetches it from the origin, and one in each zone, who
-//! fetches it from the owner and gives it to the agents there. An agent's link carries one copy in,
-//! one copy crosses each boundary between zones, and an entry keeps its share of a version only.
-//! Over twelve days of mixed trouble the worth of what callers got rose from 6.06 to 7.76 by it.
+//! *Load pattern*: a version is named, and every agent wants all its pieces at once, through an origin
+//! whose link carries a copy in one to two seconds. The agents' links are narrower still and also carry
+//! the events of live streams. If each agent asked the origin, N copies would pass through that one
+//! link. If agents passed pieces on to each other, each would carry one copy in and one out beside its
+//! callers' events. The entries have wide links and therefore keep the pieces. Each piece has one
+//! primary owner among all entries, which alone fetches it from the origin, and one owner in each zone,
+//! which fetches it from the primary owner and passes it to the agents there. An agent's link carries
+//! one copy in, one copy crosses each boundary between zones, and an entry keeps only its share of a
+//! version. Over twelve simulated days with mixed faults, this raised the total value of what callers
+//! received from 6.06 to 7.76.
 //!
-//! The owners follow from the list of entries alone; nobody assigns them. Each piece ranks the
-//! entries in an order of its own and goes to the first that has room for its share, so that an
-//! entry that ends or comes moves few pieces of the others: a cache that is asked for other pieces
-//! than before is an empty one.
+//! The owners follow from the list of entries alone, without coordination. Each piece ranks the entries
+//! in its own order and goes to the first one that has room for it, so that an entry that leaves or
+//! joins moves few pieces of the others. A cache that is asked for other pieces than before is an empty
+//! cache.
 //!
-//! The origin may fail soon after a version is named, so a piece whose owner is frozen or has just
-//! ended must not wait for it: a second entry fetches it from the origin when a copy has had time
-//! to pass.
+//! The origin may fail soon after a version is named, so a piece must not wait for an owner that is
+//! frozen or has just ended. A second entry, the backup owner, fetches it from the origin after the
+//! time that a copy takes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,71 +28,72 @@
 use crate::subset::hash;
 use crate::subset::mix;
 
-/// The most agents whose engines hold a version that are asked for one piece: one to ask, one more
-/// in case it has just ended.
-const HOLDERS: usize = 2;
+/// The greatest number of agents with engines that hold a version that are asked for one piece: one,
+/// and another in case the first has just ended.
+const MAX_HOLDERS: usize = 2;
 
-/// A node as the choice sees it.
+/// A node that may own or hold pieces.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its id.
+    /// The node's id.
     pub id: Arc<str>,
-    /// Its availability zone.
+    /// The node's availability zone.
     pub zone: Arc<str>,
 }
 
-/// How long after it began an entry may ask the origin for a piece that another owns first. A
-/// copy passes the origin's link in 1.3 s today; the pieces still missing by then have an owner
-/// that does not get on.
-const SECOND_AFTER: Millis = Millis(1_000);
+/// The time after the start of a fetch when the backup owner may ask the origin for a piece. A copy
+/// passes the origin's link in 1.3 s, so that the primary owner of a piece still missing then makes no
+/// progress.
+const BACKUP_ORIGIN_AFTER: Millis = Millis(1_000);
 
-/// How long after it began any node may ask the origin: by then neither owner has brought the
-/// piece, and other nodes have not passed it on.
-const ANY_AFTER: Millis = Millis(3_500);
+/// The time after the start of a fetch when any node may ask the origin: by then neither owner has
+/// obtained the piece, and other nodes have not passed it on.
+const READER_ORIGIN_AFTER: Millis = Millis(3_500);
 
-/// How long an owner tries agents whose engines hold the version before it asks the origin, whose
-/// every byte is paid for: two questions that time out.
-const HELD_AFTER: Millis = Millis(1_500);
+/// The time for which a primary owner asks agents whose engines hold the version before it asks the
+/// origin, whose every byte is paid for. It is enough for two requests that time out.
+const HELD_ORIGIN_AFTER: Millis = Millis(1_500);
 
-/// How long after it began a node asks other zones for a piece that an entry in its own zone owns.
-/// Sooner, all of a zone would fetch from outside what one of them is about to pass on, and the
-/// links between zones would carry a copy for each.
-const FAR_AFTER: Millis = Millis(2_000);
+/// The time after the start of a fetch when a node asks other zones for a piece that an entry in its
+/// own zone owns. With less, all nodes of a zone would fetch from outside what one of them is about to
+/// pass on, and the links between zones would carry a copy for each.
+const FALLBACK_AFTER: Millis = Millis(2_000);
 
-/// How many pieces more than an even share an entry owns at most. With none, an entry that ends
-/// moves many pieces of the others too; without a bound the busiest entry owns twice its share, and
-/// the links of small entries carry a share to dozens of agents.
-const SPARE_SHARE: usize = 1;
+/// The number of pieces above an even share that an entry may own. With none, an entry that ends also
+/// moves many pieces of the others. Without a limit, the busiest entry owns twice its share, and the
+/// links of small entries carry a share to dozens of agents.
+const MAX_EXTRA_PIECES: usize = 1;
 
-/// How many entries of other zones are asked whether they have a piece, before its owner asks the
-/// origin: an owner that has started again has lost it, and others have it still.
-const KEEPERS: usize = 2;
+/// The number of owners in other zones that are asked for a piece before its primary owner asks the
+/// origin: an owner that has restarted has lost the piece, while they still have it.
+const MAX_OTHER_ZONE_OWNERS: usize = 2;
 
-/// Where a node gets one piece.
+/// The sources from which a node gets one piece.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// Those to ask at once, best first.
+    /// The nodes to ask at once, best first.
     pub first: Vec<Arc<str>>,
-    /// Those elsewhere, best first.
+    /// The nodes to ask later, best first.
     pub fallback: Vec<Arc<str>>,
-    /// How long after the fetch began those elsewhere are asked, unless nobody near answers.
+    /// The time after the start of the fetch when the later nodes are asked, unless none of the first
+    /// answers.
     pub fallback_after: Millis,
-    /// How long after the fetch began the origin may be asked.
+    /// The time after the start of the fetch when the origin may be asked.
     pub origin_after: Millis,
-    /// Those that may have the piece; only if none has, the origin is asked.
+    /// The nodes that may have the piece. The origin is asked only if none of them has it.
     pub likely_holders: Vec<Arc<str>>,
 }
 
-/// Who owns which of a version's pieces, worked out once for all of them.
+/// The owners of a version's pieces, computed once for all of them.
 #[derive(Clone, Debug)]
 pub struct OwnerMap {
     own: Ranked,
-    /// The owner of each piece among all entries, and who stands in for it.
+    /// The primary and the backup owner of each piece.
     all: Vec<[Arc<str>; 2]>,
-    /// By zone, the owner of each piece there.
+    /// The owner of each piece in each zone.
     zones: BTreeMap<Arc<str>, Vec<[Arc<str>; 2]>>,
     zone: Arc<str>,
-    /// Agents whose engines hold the version: those of the zone, or else all.
+    /// The agents whose engines hold the version: those of the zone or, if it has none, all.
     holders: Vec<Ranked>,
 }
 
@@ -111,8 +113,8 @@
 }
 
 impl OwnerMap {
-    /// The layout of `pieces` pieces as the node `own` in `zone` sees it. `entries` may list it;
-    /// `holders` are the agents whose engines hold the version.
+    /// Returns the owners of `pieces` pieces as the node `own` in `zone` sees them. `entries` may
+    /// include the node; `holders` are the agents whose engines hold the version.
     pub fn new(own: &str, zone: &str, entries: &[Peer], holders: &[Peer], pieces: u32) -> Self {
         let mut zones: BTreeMap<Arc<str>, Vec<Ranked>> = BTreeMap::new();
         for entry in entries {
@@ -121,7 +123,7 @@
         }
         let all: Vec<Ranked> = entries.iter().map(|peer| Ranked::new(&peer.id)).collect();
         let zones = zones.into_iter();
-        let zones = zones.map(|(zone, there)| (zone, assign(&there, pieces)));
+        let zones = zones.map(|(zone, there)| (zone, assign_owners(&there, pieces)));
         let ranked = |peer: &Peer| Ranked::new(&peer.id);
         let here = holders.iter().filter(|peer| &*peer.zone == zone);
         let mut held: Vec<Ranked> = here.map(ranked).collect();
@@ -130,56 +132,64 @@
         }
         Self {
             own: Ranked::new(&own.into()),
-            all: assign(&all, pieces),
+            all: assign_owners(&all, pieces),
             zones: zones.collect(),
             zone: zone.into(),
             holders: held,
         }
     }
 
-    /// Where the node gets a piece.
+    /// Returns the sources from which the node gets a piece.
     pub fn plan(&self, piece: u32) -> Plan {
         let owners = self.owners(piece);
         let holders = self.holders_of(piece);
         if self.is_primary(piece) {
             let held = !holders.is_empty();
-            let keepers = self.keepers(piece).into_iter();
-            let before = owners.into_iter().chain(keepers);
+            let other_zone_owners = self.other_zone_owners(piece).into_iter();
+            let likely = owners.into_iter().chain(other_zone_owners);
             return Plan {
                 first: holders,
-                origin_after: if held { HELD_AFTER } else { Millis::ZERO },
-                likely_holders: self.others(before, &[]),
+                origin_after: if held {
+                    HELD_ORIGIN_AFTER
+                } else {
+                    Millis::ZERO
+                },
+                likely_holders: self.distinct_others(likely, &[]),
                 ..Plan::default()
             };
         }
-        let owner_here = self.owner_here(piece);
-        let alone = owner_here.as_ref().is_none_or(|id| *id == self.own.id);
-        let stands_in = owners.last().is_some_and(|id| *id == self.own.id);
-        let near = self.others(owner_here.into_iter(), &[]);
-        let far = owners.iter().cloned().chain(holders);
+        let zone_owner = self.zone_owner(piece);
+        let alone = zone_owner.as_ref().is_none_or(|id| *id == self.own.id);
+        let is_backup = owners.last().is_some_and(|id| *id == self.own.id);
+        let first = self.distinct_others(zone_owner.into_iter(), &[]);
+        let fallback = owners.iter().cloned().chain(holders);
         Plan {
-            fallback: self.others(far, &near),
-            first: near,
-            fallback_after: if alone { Millis::ZERO } else { FAR_AFTER },
-            origin_after: if stands_in { SECOND_AFTER } else { ANY_AFTER },
-            likely_holders: self.others(owners.into_iter(), &[]),
+            fallback: self.distinct_others(fallback, &first),
+            first,
+            fallback_after: if alone { Millis::ZERO } else { FALLBACK_AFTER },
+            origin_after: if is_backup {
+                BACKUP_ORIGIN_AFTER
+            } else {
+                READER_ORIGIN_AFTER
+            },
+            likely_holders: self.distinct_others(owners.into_iter(), &[]),
         }
     }
 
-    /// Whether the node keeps a piece for others: for all, or for its zone.
+    /// Returns whether the node keeps a piece for others, either for all entries or for its zone.
     pub fn is_owner(&self, piece: u32) -> bool {
-        let here = self.owner_here(piece);
-        self.is_primary(piece) || here.is_some_and(|id| id == self.own.id)
+        let zone_owner = self.zone_owner(piece);
+        self.is_primary(piece) || zone_owner.is_some_and(|id| id == self.own.id)
     }
 
-    /// Whether the node is the one that asks the origin for a piece.
+    /// Returns whether the node is the primary owner of a piece, which asks the origin for it.
     pub fn is_primary(&self, piece: u32) -> bool {
         self.owners(piece)
             .first()
             .is_some_and(|id| *id == self.own.id)
     }
 
-    /// What the node does for a piece.
+    /// Returns the node's role for a piece.
     pub fn role(&self, piece: u32) -> PieceRole {
         let owners = self.owners(piece);
         match owners.iter().position(|id| *id == self.own.id) {
@@ -189,55 +199,60 @@
         }
     }
 
-    /// The owner of a piece among all entries, and who stands in for it.
+    /// Returns the primary and the backup owner of a piece.
     fn owners(&self, piece: u32) -> Vec<Arc<str>> {
         let owners = self.all.get(piece as usize);
         owners.map(|owners| owners.to_vec()).unwrap_or_default()
     }
 
-    fn owner_here(&self, piece: u32) -> Option<Arc<str>> {
+    fn zone_owner(&self, piece: u32) -> Option<Arc<str>> {
         let here = self.zones.get(&self.zone)?;
         here.get(piece as usize).map(|[first, _]| first.clone())
     }
 
-    /// Entries that keep a piece for other zones.
-    fn keepers(&self, piece: u32) -> Vec<Arc<str>> {
+    /// Returns the owners of a piece in other zones.
+    fn other_zone_owners(&self, piece: u32) -> Vec<Arc<str>> {
         let elsewhere = self.zones.iter().filter(|(zone, _)| **zone != self.zone);
-        let keepers = elsewhere.filter_map(|(_, owners)| owners.get(piece as usize));
-        let keepers = keepers.map(|[first, _]| first.clone());
-        keepers.take(KEEPERS).collect()
+        let other_zone_owners = elsewhere.filter_map(|(_, owners)| owners.get(piece as usize));
+        let other_zone_owners = other_zone_owners.map(|[first, _]| first.clone());
+        other_zone_owners.take(MAX_OTHER_ZONE_OWNERS).collect()
     }
 
-    /// The ids given, each once, without the node itself and those `known`.
-    fn others(&self, ids: impl Iterator<Item = Arc<str>>, known: &[Arc<str>]) -> Vec<Arc<str>> {
-        let mut others: Vec<Arc<str>> = Vec::new();
+    /// Returns the given ids, each once, without the node itself and without those in `excluded`.
+    fn distinct_others(
+        &self,
+        ids: impl Iterator<Item = Arc<str>>,
+        excluded: &[Arc<str>],
+    ) -> Vec<Arc<str>> {
+        let mut distinct_others: Vec<Arc<str>> = Vec::new();
         for id in ids {
-            let new = !others.contains(&id) && !known.contains(&id);
+            let new = !distinct_others.contains(&id) && !excluded.contains(&id);
             if id != self.own.id && new {
-                others.push(id);
+                distinct_others.push(id);
             }
         }
-        others
+        distinct_others
     }
 
-    /// Some agents whose engines hold the version, spread so that pieces meet different ones.
+    /// Returns a few agents whose engines hold the version, in an order that differs between pieces and
+    /// nodes.
     fn holders_of(&self, piece: u32) -> Vec<Arc<str>> {
-        let turn = mix(self.own.rank ^ u64::from(piece));
+        let salt = mix(self.own.rank ^ u64::from(piece));
         let mut holders: Vec<&Ranked> = self.holders.iter().collect();
-        holders.sort_by_key(|p| mix(p.rank ^ turn));
-        holders.truncate(HOLDERS);
+        holders.sort_by_key(|p| mix(p.rank ^ salt));
+        holders.truncate(MAX_HOLDERS);
         holders.into_iter().map(|p| p.id.clone()).collect()
     }
 
-    /// The order in which the node asks for the pieces: those that it asks the origin for come
-    /// first, as others wait for them, then those that it keeps for its zone, then the rest from a
-    /// place of its own, so that agents do not all ask the same owner first.
+    /// Returns the order in which the node asks for the pieces. Those that it asks the origin for come
+    /// first, because other nodes wait for them, then those that it keeps for its zone. The rest begins
+    /// at a position that differs between nodes, so that agents do not all ask the same owner first.
     pub fn order(&self, pieces: u32) -> Vec<u32> {
         let count = u64::from(pieces.max(1));
         let start = self.own.rank % count;
         let rank = |piece: &u32| {
-            let turn = (u64::from(*piece) + count - start) % count;
-            (!self.is_primary(*piece), !self.is_owner(*piece), turn)
+            let distance = (u64::from(*piece) + count - start) % count;
+            (!self.is_primary(*piece), !self.is_owner(*piece), distance)
         };
         let mut order: Vec<u32> = (0..pieces).collect();
         order.sort_by_cached_key(rank);
@@ -245,19 +260,22 @@
     }
 }
 
-/// For each piece its owner and who stands in for it: the first of the piece's own order of the
-/// entries that has room, and the next after it. Nobody for no entries.
-fn assign(entries: &[Ranked], pieces: u32) -> Vec<[Arc<str>; 2]> {
+/// Returns the primary and the backup owner of each piece: the first entry in the piece's own order
+/// that has room, and the next one after it. Returns an empty list without entries.
+fn assign_owners(entries: &[Ranked], pieces: u32) -> Vec<[Arc<str>; 2]> {
     if entries.is_empty() {
         return Vec::new();
     }
-    let most = (pieces as usize).div_ceil(entries.len()) + SPARE_SHARE;
+    let max_pieces = (pieces as usize).div_ceil(entries.len()) + MAX_EXTRA_PIECES;
     let mut owned = vec![0; entries.len()];
     let assigned = (0..pieces).map(|piece| {
-        let turn = mix(u64::from(piece) + 1);
+        let salt = mix(u64::from(piece) + 1);
         let mut order: Vec<usize> = (0..entries.len()).collect();
-        order.sort_by_key(|n| mix(entries[*n].rank ^ turn));
-        let room = order.iter().position(|n| owned[*n] < most).unwrap_or(0);
+        order.sort_by_key(|n| mix(entries[*n].rank ^ salt));
+        let room = order
+            .iter()
+            .position(|n| owned[*n] < max_pieces)
+            .unwrap_or(0);
         owned[order[room]] += 1;
         let second = order[(room + 1) % order.len()];
         [entries[order[room]].id.clone(), entries[second].id.clone()]
@@ -265,119 +283,124 @@
     assigned.collect()
 }
 
-/// What a node does for a piece.
+/// The role of a node for a piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PieceRole {
-    /// It is the one that asks the origin.
+    /// The node asks the origin for the piece.
     Primary,
-    /// It asks the origin if the one that leads does not get on.
+    /// The node asks the origin if the primary owner makes no progress.
     Backup,
-    /// It asks others.
+    /// The node asks other nodes.
     Reader,
 }
 
-/// Whether a node asks the origin for a piece that nobody asked has, `spent` after it began.
-/// `owner_answers` tells whether an owner that was asked answered.
+/// Returns whether a node may ask the origin for a piece that none of the asked nodes has, `elapsed`
+/// after its fetch began. `owner_answers` states whether an owner that was asked has answered.
 ///
-/// *Load pattern*: the origin's link is narrow, and all pieces come at the end of a copy's time, as
-/// they share it. Did who stands in ask as soon as a piece is late, each would be sent twice, and all
-/// of them come twice as late; did agents ask while the origin fails, dozens of copies would be on
-/// their way when it is back: 9 were sent for one, and none was whole for six seconds. An owner that
-/// answers is fetching its piece.
-pub fn may_ask_origin(part: PieceRole, owner_answers: bool, spent: Millis) -> bool {
-    match part {
+/// *Load pattern*: the origin's link is narrow, and all pieces arrive towards the end of a copy's time,
+/// as they share the link. If the backup owners asked as soon as a piece is late, each piece would be
+/// sent twice and arrive twice as late. If agents asked while the origin fails, dozens of copies would
+/// be in transit when it returns: 9 copies were sent instead of one, and none was complete for six
+/// seconds. An owner that answers is fetching its piece.
+pub fn may_ask_origin(role: PieceRole, owner_answers: bool, elapsed: Millis) -> bool {
+    match role {
         PieceRole::Primary => true,
-        PieceRole::Backup => !owner_answers || spent >= ANY_AFTER,
+        PieceRole::Backup => !owner_answers || elapsed >= READER_ORIGIN_AFTER,
         PieceRole::Reader => !owner_answers,
     }
 }
 
-/// How long before a newer one a version must have been named to be finished first: about half of a
-/// copy's way through the origin's link, 1.3 to 2.1 s today.
-const BEGUN: Millis = Millis(1_000);
+/// The lead over a newer version that an older one needs to be finished first: about half of the time
+/// in which a copy passes the origin's link, which is 1.3 to 2.1 s.
+const MIN_HEAD_START: Millis = Millis(1_000);
 
-/// How long after it was named an older version may hold up a newer one. One that is not here by
-/// then has met an origin that fails.
-const FINISHED: Millis = Millis(3_000);
+/// The time after it was named during which an older version may delay a newer one. A version that is
+/// not complete by then has met a failing origin.
+const MAX_HOLD_UP: Millis = Millis(3_000);
 
-/// Which of two versions of a model leaves the origin's link to the other.
+/// The one of two versions of a model that leaves the origin's link to the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Yields {
-    /// Neither.
+    /// Neither version yields.
     None,
-    /// The older.
+    /// The older version yields.
     Older,
-    /// The newer.
+    /// The newer version yields.
     Newer,
 }
 
-/// Which of two versions waits for the other at the origin, given how long ago each was named,
-/// whether the older is `held` here already, and whether pieces of the newer come in (`moving`).
+/// Returns which of two versions yields the origin to the other, given how long ago each was named,
+/// whether the older is already `held` here, and whether pieces of the newer are `arriving`.
 ///
-/// *Load pattern*: a second version is named while the first is on its way, and the origin fails
-/// right after. Fetched side by side, or the newer first, the first lacks its last pieces then and
-/// no version is whole until the origin is back: all engines were out of use for six seconds, as
-/// none could be brought to a version that may still answer. So what is more than half here is
-/// finished; what was begun a moment ago gives way, as its engines would load twice.
-pub fn which_yields(older: Millis, newer: Millis, held: bool, moving: bool) -> Yields {
+/// *Load pattern*: a second version is named while the first is being transferred, and the origin fails
+/// right after. If both are fetched side by side, or the newer one first, the first version lacks its
+/// last pieces, and no version is complete until the origin returns. All engines were out of use for
+/// six seconds, as none could be brought to a version that was still allowed to answer. A version that
+/// is more than half transferred is therefore finished. One that was begun a moment ago yields, as its
+/// engines would load twice.
+pub fn which_yields(older: Millis, newer: Millis, held: bool, arriving: bool) -> Yields {
     if held {
         return Yields::None;
     }
-    if older.since(newer) >= BEGUN && older < FINISHED {
+    if older.since(newer) >= MIN_HEAD_START && older < MAX_HOLD_UP {
         return Yields::Newer;
     }
-    if moving { Yields::Older } else { Yields::None }
+    if arriving {
+        Yields::Older
+    } else {
+        Yields::None
+    }
 }
 
-/// A piece that came so soon after the one before, or after it was asked for, came over a link with
-/// room: today's link carries one in 42 ms, beside live requests.
-const QUICK: Millis = Millis(100);
+/// The time between two pieces, or between the request and the piece, up to which the link has room.
+/// The reference link carries a piece in 42 ms beside live requests.
+const QUICK_ARRIVAL: Millis = Millis(100);
 
-/// A piece that came so late keeps live requests to the engine on the same link waiting as long, and two
-/// at once twice as long. Callers' first events are due within 300 ms.
-const SLOW: Millis = Millis(150);
+/// The time from which a piece delays live requests on the same link for as long, and two pieces at
+/// once twice as long. Callers' first events are due within 300 ms.
+const SLOW_ARRIVAL: Millis = Millis(150);
 
-/// How many pieces may be under way to one node.
+/// The number of pieces that may be in transit to one node.
 ///
-/// *Load pattern*: a link turns narrow while weights come in. Every piece that is under way waits
-/// in the link's queue, and with four of them a request to the engine arrives a second or more
-/// after it was sent, when its caller has left or another version is due. So the window shrinks
-/// to one piece as soon as one is slow, and grows again by one for each that is quick.
+/// *Load pattern*: a link becomes narrow while weights arrive. Every piece in transit waits in the
+/// link's queue, and with four of them a request to the engine arrives a second or more after it was
+/// sent, when its caller has left or another version is due. The window therefore shrinks to one piece
+/// as soon as one is slow, and grows by one for each that is quick.
 #[derive(Clone, Debug)]
 pub struct Window {
     size: u32,
-    most: u32,
+    max_pieces: u32,
     last: Millis,
 }
 
 impl Window {
-    /// A window of at most `most` pieces, open as wide.
-    pub fn new(most: u32) -> Self {
+    /// Returns a window of at most `max_pieces` pieces, which starts at this size.
+    pub fn new(max_pieces: u32) -> Self {
         Self {
-            size: most,
-            most,
+            size: max_pieces,
+            max_pieces,
             last: Millis::ZERO,
         }
     }
 
-    /// How many may be under way.
+    /// Returns how many pieces may be in transit.
     pub fn size(&self) -> u32 {
         self.size
     }
 
-    /// Counts a piece that came at `now` and was asked for at `asked`. What counts is the time
-    /// since the one before it: with several under way each alone takes long on any link.
+    /// Counts a piece that arrived at `now` and was requested at `asked`. Only the time since the
+    /// previous piece counts, because with several in transit each one takes long on any link.
     pub fn arrived(&mut self, asked: Millis, now: Millis) {
         let took = now.since(asked.max(self.last));
         self.last = now;
-        if took > SLOW {
+        if took > SLOW_ARRIVAL {
             self.size = 1;
-        } else if took < QUICK {
-            self.size = (self.size + 1).min(self.most);
+        } else if took < QUICK_ARRIVAL {
+            self.size = (self.size + 1).min(self.max_pieces);
         }
     }
 
-    /// Counts a piece that did not come in time.
+    /// Counts a piece that did not arrive in time.
     pub fn stalled(&mut self) {
         self.size = 1;
     }
