--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -116,7 +116,7 @@
         let whole = agent.stage.whole().map(|list| list.weights.clone());
         let staged = agent.stage.weights().map(|weights| Staged {
             version: weights.version,
-            whole: whole.is_some(),
+            complete: whole.is_some(),
         });
         let ordered = agent.stage.open_order().map(|order| order.weights);
         let version = ordered.as_ref().map(|weights| weights.version);
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -189,7 +189,7 @@
     /// The version that is being staged, or was staged last.
     pub version: u64,
     /// Whether all of the version's pieces are staged.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// Returns which of the versions `wanted`, in their order, is staged at an engine that keeps the pieces
@@ -216,7 +216,7 @@
         return ordered;
     }
     let begun = staged.filter(|staged| wanted.contains(&staged.version));
-    let oldest = begun.filter(|staged| staged.whole);
+    let oldest = begun.filter(|staged| staged.complete);
     let oldest = oldest.map_or(0, |staged| staged.version);
     let newer = wanted.iter().rev().copied();
     let newest_held = newer
--- a/crates/filbertstack-policy/tests/rollout.rs
+++ b/crates/filbertstack-policy/tests/rollout.rs
@@ -24,13 +24,13 @@
 fn begun(version: u64) -> Staged {
     Staged {
         version,
-        whole: false,
+        complete: false,
     }
 }
 
 fn whole(version: u64) -> Staged {
     Staged {
-        whole: true,
+        complete: true,
         ..begun(version)
     }
 }
