--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -198,7 +198,7 @@
         let ages = engine.as_deref().map(|e| self.ages(e, now));
         let ages = ages.unwrap_or_default();
         let bound = Millis::from(self.node.settings.bounds.rollout);
-        let floor = rollout::floor(ages.iter().copied(), bound);
+        let floor = rollout::oldest_allowed(ages.iter().copied(), bound);
         let patience = rollout::max_wait(ages.into_iter(), version, bound);
         let loading = agent.is_some_and(|agent| agent.loading);
         let serves = engine.is_none() || (version > 0 && version >= floor && !loading);
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -120,7 +120,7 @@
 
 /// Returns the oldest version that may still answer, given each version and how long ago it was named.
 /// Returns 0 if any version may.
-pub fn floor(named: impl Iterator<Item = (u64, Millis)>, bound: Millis) -> u64 {
+pub fn oldest_allowed(named: impl Iterator<Item = (u64, Millis)>, bound: Millis) -> u64 {
     let binding_versions = named.filter(|(_, since)| *since >= fraction(bound, CUTOVER_PART));
     binding_versions
         .map(|(version, _)| version)
--- a/crates/filbertstack-policy/tests/rollout.rs
+++ b/crates/filbertstack-policy/tests/rollout.rs
@@ -8,8 +8,8 @@
 use filbertstack_policy::rollout::NamedVersion;
 use filbertstack_policy::rollout::Staged;
 use filbertstack_policy::rollout::drain_step;
-use filbertstack_policy::rollout::floor;
 use filbertstack_policy::rollout::max_wait;
+use filbertstack_policy::rollout::oldest_allowed;
 use filbertstack_policy::rollout::order_delay;
 use filbertstack_policy::rollout::record_version;
 use filbertstack_policy::rollout::resend_delay;
@@ -45,7 +45,8 @@
         .iter()
         .map(|own| order_delay(own, &agents, BOUND, LoadTiming::Usual))
         .collect();
-    let binding = (0..BOUND.0).find(|ms| floor([(2, Millis(*ms))].into_iter(), BOUND) == 2);
+    let binding =
+        (0..BOUND.0).find(|ms| oldest_allowed([(2, Millis(*ms))].into_iter(), BOUND) == 2);
     let binding = Millis(binding.expect("it binds before the bound"));
     assert!(turns.iter().all(|turn| *turn < binding), "{turns:?}");
     for now in (0..BOUND.0).step_by(100) {
@@ -70,10 +71,10 @@
 #[test]
 fn the_floor_is_the_newest_version_whose_time_is_near() {
     let named = [(2, Millis(7_900)), (3, Millis(3_000))];
-    assert_eq!(floor(named.into_iter(), BOUND), 2);
+    assert_eq!(oldest_allowed(named.into_iter(), BOUND), 2);
     let later = [(2, Millis(11_900)), (3, Millis(7_000))];
-    assert_eq!(floor(later.into_iter(), BOUND), 3);
-    assert_eq!(floor([(2, Millis(1_000))].into_iter(), BOUND), 0);
+    assert_eq!(oldest_allowed(later.into_iter(), BOUND), 3);
+    assert_eq!(oldest_allowed([(2, Millis(1_000))].into_iter(), BOUND), 0);
 }
 
 /// The floor after versions 2, 3 and so on were named each `gap`, for `span`, and the version that may
@@ -88,7 +89,7 @@
         record_version(&mut named, newest, 4, now, BOUND);
         let ages = named.iter().map(|n| (n.version, now.since(n.at)));
         let due = now.0.checked_sub(BOUND.0).map_or(0, |ms| 2 + ms / gap.0);
-        floors.push((floor(ages, BOUND), due));
+        floors.push((oldest_allowed(ages, BOUND), due));
     }
     floors
 }
@@ -231,7 +232,8 @@
 fn a_request_on_a_narrow_link_begins_before_the_time_is_over() {
     let bound = Millis(9_700);
     let wait = Millis(1_620);
-    let binding = (0..bound.0).find(|ms| floor([(2, Millis(*ms))].into_iter(), bound) == 2);
+    let binding =
+        (0..bound.0).find(|ms| oldest_allowed([(2, Millis(*ms))].into_iter(), bound) == 2);
     let began = Millis(binding.expect("it binds before the bound")) + wait;
     assert!(began < bound, "{began:?}");
 }
