--- a/crates/filbertstack-policy/tests/batch/mod.rs
+++ b/crates/filbertstack-policy/tests/batch/mod.rs
@@ -1,5 +1,5 @@
-//! A model engine in virtual time, by its published figures: passes over a batch, prompts read
-//! between them, a queue behind the slots.
+//! A simulated model engine in virtual time, from its published figures: passes over a batch, prompts
+//! that are prefilled between them, and a queue behind the slots.
 
 use std::collections::VecDeque;
 use std::sync::LazyLock;
@@ -8,8 +8,8 @@
 use filbertstack_policy::dispatch::pass_ms;
 use filbertstack_policy::dispatch::prefill_ms;
 
-/// The users' engines of today.
-pub static MODEL: LazyLock<EngineModel> = LazyLock::new(|| EngineModel {
+/// The reference engine with 16 slots.
+pub static SIXTEEN_SLOTS: LazyLock<EngineModel> = LazyLock::new(|| EngineModel {
     slots: 16,
     stride: 6,
     step_ms: 6.73,
@@ -24,8 +24,8 @@
     models: vec!["m".into()],
 });
 
-/// The engines of the users' largest deployment: fewer requests at once, each pass longer.
-pub static EIGHT: LazyLock<EngineModel> = LazyLock::new(|| EngineModel {
+/// An engine with fewer slots and longer passes, as used in the largest deployment.
+pub static EIGHT_SLOTS: LazyLock<EngineModel> = LazyLock::new(|| EngineModel {
     slots: 8,
     stride: 7,
     step_ms: 10.1,
@@ -34,7 +34,7 @@
     read_rate: 20.4,
     pairs_ms: 0.971,
     answer: 91.0,
-    ..MODEL.clone()
+    ..SIXTEEN_SLOTS.clone()
 });
 
 /// One request at the engine.
@@ -43,58 +43,58 @@
     sent: u64,
     entry: usize,
     prompt: u32,
-    left: u32,
+    passes_left: u32,
 }
 
-/// A first event or the end of a request.
+/// The first event or the end of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Done {
-    /// When it was sent.
+pub struct EngineEvent {
+    /// The time when the request was sent, in milliseconds.
     pub sent: u64,
-    /// By which entry.
+    /// The entry that sent it.
     pub entry: usize,
-    /// Its prompt, in tokens.
+    /// The number of its prompt tokens.
     pub prompt: u32,
-    /// Whether this is its first event.
+    /// Whether this is the request's first event.
     pub first: bool,
 }
 
-/// One engine.
+/// A simulated engine.
 pub struct Engine {
     model: &'static EngineModel,
-    /// How many times slower than usual it is.
+    /// The factor by which the engine is slower than usual.
     pub pace: f64,
     batch: Vec<Request>,
     queue: VecDeque<Request>,
-    pass_ends: u64,
-    /// Running and waiting requests, by millisecond.
+    pass_ends_at: u64,
+    /// The numbers of running and waiting requests, for each millisecond.
     history: Vec<(u32, u32)>,
 }
 
 impl Engine {
-    /// An engine without work.
+    /// Returns an engine without work.
     pub fn new(model: &'static EngineModel, pace: f64) -> Self {
         Self {
             model,
             pace,
             batch: Vec::new(),
             queue: VecDeque::new(),
-            pass_ends: 0,
+            pass_ends_at: 0,
             history: Vec::new(),
         }
     }
 
-    /// A request comes.
-    pub fn send(&mut self, now: u64, entry: usize, prompt: u32) {
+    /// Adds a request to the queue.
+    pub fn enqueue(&mut self, now: u64, entry: usize, prompt: u32) {
         self.queue.push_back(Request {
             sent: now,
             entry,
             prompt,
-            left: self.passes(),
+            passes_left: self.passes(),
         });
     }
 
-    /// The passes of an answer of the usual length.
+    /// Returns the number of passes for an answer of the usual length.
     fn passes(&self) -> u32 {
         let passes = self.model.answer / f64::from(self.model.stride);
         #[expect(
@@ -106,32 +106,32 @@
         passes
     }
 
-    /// The load that it had at a millisecond.
+    /// Returns the load at a millisecond.
     pub fn load_at(&self, at: u64) -> (u32, u32) {
         let at = usize::try_from(at).expect("short");
         self.history.get(at).copied().unwrap_or_default()
     }
 
-    /// Goes on by a millisecond.
-    pub fn advance(&mut self, now: u64) -> Vec<Done> {
-        let mut done = Vec::new();
-        if now >= self.pass_ends {
-            self.end_pass(&mut done);
+    /// Advances the engine by a millisecond and returns the events of that time.
+    pub fn advance(&mut self, now: u64) -> Vec<EngineEvent> {
+        let mut events = Vec::new();
+        if now >= self.pass_ends_at {
+            self.end_pass(&mut events);
             self.begin_pass(now);
         }
         let count = |n: usize| u32::try_from(n).expect("few");
         self.history
             .push((count(self.batch.len()), count(self.queue.len())));
-        done
+        events
     }
 
-    fn end_pass(&mut self, done: &mut Vec<Done>) {
+    fn end_pass(&mut self, events: &mut Vec<EngineEvent>) {
         let passes = self.passes();
         for request in &mut self.batch {
-            let first = request.left == passes;
-            request.left -= 1;
-            if first || request.left == 0 {
-                done.push(Done {
+            let first = request.passes_left == passes;
+            request.passes_left -= 1;
+            if first || request.passes_left == 0 {
+                events.push(EngineEvent {
                     sent: request.sent,
                     entry: request.entry,
                     prompt: request.prompt,
@@ -139,28 +139,28 @@
                 });
             }
         }
-        self.batch.retain(|request| request.left > 0);
+        self.batch.retain(|request| request.passes_left > 0);
     }
 
     fn begin_pass(&mut self, now: u64) {
-        let mut reading = 0.0;
+        let mut prefill = 0.0;
         while self.batch.len() < self.model.slots as usize
             && let Some(request) = self.queue.pop_front()
         {
-            reading += prefill_ms(self.model, f64::from(request.prompt));
+            prefill += prefill_ms(self.model, f64::from(request.prompt));
             self.batch.push(request);
         }
         if self.batch.is_empty() {
             return;
         }
-        let writers = u32::try_from(self.batch.len()).expect("few");
-        let span = (pass_ms(self.model, f64::from(writers)) + reading) * self.pace;
+        let batch_size = u32::try_from(self.batch.len()).expect("few");
+        let span = (pass_ms(self.model, f64::from(batch_size)) + prefill) * self.pace;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "some hundred milliseconds"
         )]
         let span = span.round() as u64;
-        self.pass_ends = now + span;
+        self.pass_ends_at = now + span;
     }
 }
--- a/crates/filbertstack-policy/tests/dispatch.rs
+++ b/crates/filbertstack-policy/tests/dispatch.rs
@@ -1,10 +1,10 @@
-//! Entries that do not talk to each other before engines that are full: replays in virtual time,
-//! judged by what callers receive.
+//! Tests of the dispatcher: replays in virtual time of entries that send to full engines without
+//! coordination, judged by the answers that callers receive.
 
 mod batch;
 mod replay;
 
-use batch::EIGHT;
+use batch::EIGHT_SLOTS;
 use filbertstack_core::Millis;
 use filbertstack_policy::dispatch::AttemptEnd;
 use filbertstack_policy::dispatch::ChooseError;
@@ -14,222 +14,251 @@
 use filbertstack_policy::dispatch::TargetSpec;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
-use replay::FULL;
+use replay::BASELINE;
 use replay::Replay;
-use replay::by_turns;
 use replay::choose;
-use replay::offered;
 use replay::replay;
+use replay::round_robin;
+use replay::spec;
 
-/// Demand is about three times what twelve engines can read and write. Taken in turn, every
-/// request waits in an engine's queue and nearly every first event is late. Refused at once where
-/// no engine can make it, five of six that are taken are on time, and the engines stay full.
+/// Guards against queues in the engines when demand is about three times the capacity of twelve
+/// engines. With round robin, every request waits in an engine's queue and nearly every first event is
+/// late. If requests that no engine can serve in time are refused at once, five of six accepted ones
+/// are on time, and the engines stay full.
 #[test]
-fn in_a_standing_overload_those_taken_are_on_time() {
-    let over = Replay {
-        per_second: 420.0,
-        ..FULL
+fn accepted_requests_are_on_time_in_a_lasting_overload() {
+    let overload = Replay {
+        requests_per_second: 420.0,
+        ..BASELINE
     };
     let full = replay(&Replay {
-        per_second: 130.0,
-        ..FULL
+        requests_per_second: 130.0,
+        ..BASELINE
     });
-    let ours = replay(&over);
-    let turns = replay(&by_turns(over));
+    let received = replay(&overload);
+    let in_turn = replay(&round_robin(overload));
     assert!(
-        ours.on_time > 5 * turns.on_time,
-        "{ours:?} against {turns:?}"
+        received.on_time > 5 * in_turn.on_time,
+        "{received:?} against {in_turn:?}"
     );
-    assert!(ours.late * 5 < ours.on_time, "{ours:?}");
+    assert!(received.late * 5 < received.on_time, "{received:?}");
     assert!(
-        ours.on_time * 100 > full.on_time * 85,
-        "{ours:?} against {full:?} at capacity"
+        received.on_time * 100 > full.on_time * 85,
+        "{received:?} against {full:?} at capacity"
     );
 }
 
-/// Load that the engines can carry. Whoever is refused then is refused for nothing.
+/// Guards against needless refusals under a load that the engines can serve.
 #[test]
-fn below_capacity_nobody_is_refused() {
-    let ours = replay(&FULL);
-    assert!(ours.refused * 200 < ours.asked, "{ours:?}");
-    assert!(ours.late * 50 < ours.asked, "{ours:?}");
+fn no_request_is_refused_below_capacity() {
+    let received = replay(&BASELINE);
+    assert!(received.refused * 200 < received.requests, "{received:?}");
+    assert!(received.late * 50 < received.requests, "{received:?}");
 }
 
-/// Guards against hundreds of entries that keep places free for each other below capacity.
+/// Guards against hundreds of entries that keep slots free for each other below capacity.
 #[test]
-fn hundreds_of_entries_refuse_nobody_below_capacity() {
+fn hundreds_of_entries_refuse_no_request_below_capacity() {
     let large = Replay {
         engines: 120,
         entries: 150,
         zones: 5,
-        per_second: 900.0,
+        requests_per_second: 900.0,
         seconds: 10,
-        ..FULL
+        ..BASELINE
     };
-    let ours = replay(&large);
-    assert!(ours.refused * 200 < ours.asked, "{ours:?}");
-    assert!(ours.crossed * 20 < ours.asked, "{ours:?}");
-    assert!(ours.late * 50 < ours.asked, "{ours:?}");
+    let received = replay(&large);
+    assert!(received.refused * 200 < received.requests, "{received:?}");
+    assert!(received.other_zone * 20 < received.requests, "{received:?}");
+    assert!(received.late * 50 < received.requests, "{received:?}");
 }
 
-/// Three zones, each with as many engines as callers need. Prompts and events that cross a boundary
-/// take longer and are paid for; taken in turn, two of three do. Callers get as many answers on
-/// time from their own zone.
+/// Guards against needless traffic between three zones that each have enough engines. Prompts and
+/// events that cross a boundary take longer and are paid for; with round robin, two of three do.
+/// Callers get as many answers on time from their own zone.
 #[test]
-fn work_stays_in_its_zone_while_there_is_room() {
-    let zones = Replay { zones: 3, ..FULL };
-    let ours = replay(&zones);
-    let turns = replay(&by_turns(zones));
-    assert!(turns.crossed * 2 > turns.asked, "{turns:?}");
-    assert!(ours.crossed * 4 < ours.asked, "{ours:?}");
-    assert!(ours.refused * 200 < ours.asked, "{ours:?}");
-    assert!(ours.late * 50 < ours.asked, "{ours:?}");
+fn requests_stay_in_their_zone_while_it_has_capacity() {
+    let zones = Replay {
+        zones: 3,
+        ..BASELINE
+    };
+    let received = replay(&zones);
+    let in_turn = replay(&round_robin(zones));
+    assert!(in_turn.other_zone * 2 > in_turn.requests, "{in_turn:?}");
+    assert!(received.other_zone * 4 < received.requests, "{received:?}");
+    assert!(received.refused * 200 < received.requests, "{received:?}");
+    assert!(received.late * 50 < received.requests, "{received:?}");
 }
 
-/// Half of the callers of two zones come to the third, whose engines can't carry them. Kept there,
-/// a third would be late or refused; engines elsewhere have room, and nearly all are on time.
+/// Guards against entries that stay within an overloaded zone. Half of the callers of two zones go to
+/// the third, whose engines cannot serve them all. Within the zone, a third would be late or refused;
+/// with the free engines of other zones, nearly all are on time.
 #[test]
-fn a_busy_zone_spills_over() {
+fn a_busy_zone_overflows_to_other_zones() {
     let busy = Replay {
         zones: 3,
-        busy: 0.5,
-        per_second: 90.0,
-        ..FULL
+        first_zone_share: 0.5,
+        requests_per_second: 90.0,
+        ..BASELINE
     };
-    let ours = replay(&busy);
-    assert!(ours.on_time * 100 > ours.asked * 93, "{ours:?}");
+    let received = replay(&busy);
+    assert!(
+        received.on_time * 100 > received.requests * 93,
+        "{received:?}"
+    );
 }
 
-/// Guards against entries that wait for each other's prompts at engines of few slots below capacity.
+/// Guards against entries that wait for each other's prompts below capacity, at engines with few slots.
 #[test]
 fn hundreds_of_small_engines_serve_in_time_below_capacity() {
     let large = Replay {
-        model: &EIGHT,
+        model: &EIGHT_SLOTS,
         goal: Millis(500),
         engines: 204,
         entries: 154,
         zones: 5,
-        per_second: 900.0,
+        requests_per_second: 900.0,
         seconds: 10,
-        ..FULL
+        ..BASELINE
     };
-    let ours = replay(&large);
-    assert!(ours.refused * 200 < ours.asked, "{ours:?}");
-    assert!(ours.late * 50 < ours.asked, "{ours:?}");
+    let received = replay(&large);
+    assert!(received.refused * 200 < received.requests, "{received:?}");
+    assert!(received.late * 50 < received.requests, "{received:?}");
 }
 
-/// Guards against subsets that leave the other zones' places to nobody: of hundreds of engines an entry
-/// uses a few elsewhere, and few entries use each of these.
+/// Guards against subsets that leave the slots of other zones unused: of hundreds of engines an entry
+/// uses a few in other zones, and few entries use each of these.
 #[test]
-fn a_busy_zone_of_hundreds_of_instances_spills_over() {
+fn a_busy_zone_of_hundreds_of_instances_overflows() {
     let busy = Replay {
         engines: 200,
         entries: 150,
         zones: 5,
-        busy: 0.3,
-        per_second: 1_300.0,
+        first_zone_share: 0.3,
+        requests_per_second: 1_300.0,
         seconds: 10,
-        ..FULL
+        ..BASELINE
     };
-    let ours = replay(&busy);
-    assert!(ours.on_time * 100 > ours.asked * 93, "{ours:?}");
+    let received = replay(&busy);
+    assert!(
+        received.on_time * 100 > received.requests * 93,
+        "{received:?}"
+    );
 }
 
-/// One engine is five times slower and says so. Taken in turn, a twelfth of the callers wait for
-/// it; avoided, nearly all are on time.
+/// Guards against requests to an engine that reports being five times slower. With round robin, a
+/// twelfth of the callers wait for it; if it is avoided, nearly all are on time.
 #[test]
 fn a_slow_engine_is_avoided() {
     let slow = Replay {
-        slow: 5.0,
-        per_second: 80.0,
-        ..FULL
+        slowdown: 5.0,
+        requests_per_second: 80.0,
+        ..BASELINE
     };
-    let ours = replay(&slow);
-    let turns = replay(&by_turns(slow));
-    assert!(ours.late < turns.late, "{ours:?} against {turns:?}");
-    assert!(ours.on_time * 100 > ours.asked * 93, "{ours:?}");
+    let received = replay(&slow);
+    let in_turn = replay(&round_robin(slow));
+    assert!(
+        received.late < in_turn.late,
+        "{received:?} against {in_turn:?}"
+    );
+    assert!(
+        received.on_time * 100 > received.requests * 93,
+        "{received:?}"
+    );
 }
 
-/// Half of the engines come in empty while the others are full. The last report of an empty one
-/// says that nothing runs there: if every entry took the freest, the queue there would be a second
-/// long before the next report. Most are on time, also in that moment.
+/// Guards against entries that all send to engines which join idle while the others are full. The last
+/// report of such an engine shows no load: if every entry took the freest engine, its queue would grow
+/// to a second before the next report. Most requests are on time even at that moment.
 #[test]
-fn engines_that_come_in_empty_are_not_flooded() {
+fn engines_that_join_idle_are_not_overloaded() {
     let joining = Replay {
-        there_from: |n| {
+        joins_at_ms: |n| {
             if n % 2 == 0 {
                 0
             } else {
                 5_000 + 100 * n as u64
             }
         },
-        per_second: 100.0,
+        requests_per_second: 100.0,
         seconds: 8,
-        ..FULL
+        ..BASELINE
     };
-    let ours = replay(&joining);
-    let served = ours.on_time + ours.late;
-    assert!(ours.late * 8 < served, "{ours:?}");
+    let received = replay(&joining);
+    let served = received.on_time + received.late;
+    assert!(received.late * 8 < served, "{received:?}");
 }
 
-/// Four of twelve engines stand still for three seconds, with their agents. What they were sent just
-/// before waits there; sent on as if they were idle, whatever comes afterwards waits as well, and
-/// those callers leave. Missed for some reports they get nothing but a probe, and the others serve.
+/// Guards against requests to frozen engines. Four of twelve engines freeze for three seconds together
+/// with their agents. Requests that were sent just before wait there. If the engines counted as idle,
+/// later requests would wait too, and their callers would leave. After some missed reports they get
+/// only probes, and the other engines serve.
 #[test]
-fn engines_that_fall_silent_get_no_more_work() {
+fn silent_engines_get_no_more_work() {
     let frozen = Replay {
         frozen: |n, now| n < 4 && (5_000..8_000).contains(&now),
-        per_second: 60.0,
-        ..FULL
+        requests_per_second: 60.0,
+        ..BASELINE
     };
-    let ours = replay(&frozen);
-    // Twenty a second go to the four until they are missed, and those left there wait.
-    assert!(ours.left < 30, "{ours:?}");
-    assert!(ours.on_time * 100 > ours.asked * 95, "{ours:?}");
+    let received = replay(&frozen);
+    // Twenty requests a second go to the four engines until they count as silent, and those wait.
+    assert!(received.callers_left < 30, "{received:?}");
+    assert!(
+        received.on_time * 100 > received.requests * 95,
+        "{received:?}"
+    );
 }
 
-/// Guards against probes that grow with the entries: an eighth of the engines stand still for four
-/// seconds in an overload, and each of hundreds of entries would try every one of them.
+/// Guards against a number of probes that grows with the number of entries. An eighth of the engines
+/// freeze for four seconds in an overload, and each of hundreds of entries would probe every one of
+/// them.
 #[test]
-fn hundreds_of_entries_probe_a_silent_engine_as_one() {
+fn hundreds_of_entries_share_the_probes_of_a_silent_engine() {
     const FROZEN: u32 = 25;
     const SECONDS: u32 = 4;
     let frozen = Replay {
-        model: &EIGHT,
+        model: &EIGHT_SLOTS,
         goal: Millis(500),
         engines: 200,
         entries: 150,
         zones: 5,
-        per_second: 1_400.0,
+        requests_per_second: 1_400.0,
         frozen: |n, now| n % 8 == 0 && (3_000..7_000).contains(&now),
         seconds: 10,
-        ..FULL
+        ..BASELINE
     };
-    let ours = replay(&frozen);
-    // Seven a second go to each until it is missed, within a second, and one a second afterwards.
-    assert!(ours.left < FROZEN * (7 + SECONDS), "{ours:?}");
+    let received = replay(&frozen);
+    // Each engine gets seven requests a second until it counts as silent, within a second, and one a
+    // second after.
+    assert!(
+        received.callers_left < FROZEN * (7 + SECONDS),
+        "{received:?}"
+    );
 }
 
-/// An entry's voter is lost, and nothing is heard of any engine for a second and a half. That says
-/// nothing of the engines: callers are served as before.
+/// Guards against an entry that takes its own loss of reports for the silence of all engines. Its voter
+/// is lost, and it hears of no engine for a second and a half. Callers are served as before.
 #[test]
-fn silence_of_all_engines_is_the_entry_s_own() {
-    let deaf = Replay {
-        deaf: |now| (5_000..6_500).contains(&now),
-        per_second: 60.0,
-        ..FULL
+fn silence_of_all_engines_is_attributed_to_the_entry() {
+    let isolated = Replay {
+        cut_off: |now| (5_000..6_500).contains(&now),
+        requests_per_second: 60.0,
+        ..BASELINE
     };
-    let ours = replay(&deaf);
-    assert!(ours.refused * 100 < ours.asked, "{ours:?}");
-    assert!(ours.on_time * 100 > ours.asked * 95, "{ours:?}");
+    let received = replay(&isolated);
+    assert!(received.refused * 100 < received.requests, "{received:?}");
+    assert!(
+        received.on_time * 100 > received.requests * 95,
+        "{received:?}"
+    );
 }
 
-/// An agent has ended for good, its engine serves on. It gets a request as a probe, and work while
-/// its answers come.
+/// Guards against an engine that gets no work because its agent has ended for good, although it serves.
+/// It gets a request as a probe, and further work while its answers arrive.
 #[test]
 fn a_silent_engine_that_answers_gets_work() {
     let mut entry = Dispatcher::new(ChaCha8Rng::seed_from_u64(1));
-    entry.set_targets((0..3).map(|n| offered(n, true)).collect());
+    entry.set_targets((0..3).map(|n| spec(n, true)).collect());
     let idle = Load {
         running: 0,
         waiting: 0,
@@ -247,7 +276,7 @@
     assert_eq!(
         choose(&mut entry, 3_000, 100),
         Ok(0),
-        "nobody else has room"
+        "no other engine has room"
     );
     entry.count_sent(Millis(3_000), "e0", 100);
     assert!(
@@ -258,10 +287,10 @@
     assert_eq!(choose(&mut entry, 3_101, 100), Ok(0), "it answers");
 }
 
-/// Guards against entries that all probe an engine in the moment it falls silent, as none has tried it
-/// lately.
+/// Guards against entries that all probe an engine at the moment it becomes silent, since none has sent
+/// to it recently.
 #[test]
-fn an_engine_that_has_just_fallen_silent_is_not_probed_by_all() {
+fn a_newly_silent_engine_is_not_probed_by_all_entries() {
     let mut entry = Dispatcher::new(ChaCha8Rng::seed_from_u64(1));
     let sharers = Sharers {
         entries: 20,
@@ -271,7 +300,7 @@
     };
     let shared = |n| TargetSpec {
         sharers,
-        ..offered(n, true)
+        ..spec(n, true)
     };
     entry.set_targets((0..3).map(shared).collect());
     let load = |running| Load {
@@ -294,18 +323,19 @@
     assert_eq!(
         choose(&mut entry, 131_000, 100),
         Ok(0),
-        "later by one entry"
+        "one entry probes it later"
     );
 }
 
-/// A service without targets, and one whose targets are all too full: both are refused at once,
-/// the first with a later return, as engines take seconds to come back.
+/// Guards against refusals without a useful retry delay. A service without targets and one whose
+/// targets are all full are both refused at once, the first with a longer delay, as engines take
+/// seconds to return.
 #[test]
-fn a_refusal_says_when_to_come_back() {
+fn a_refusal_has_a_retry_delay() {
     let mut entry = Dispatcher::new(ChaCha8Rng::seed_from_u64(1));
     let none = choose(&mut entry, 0, 100).expect_err("there is no target");
     assert!(matches!(none, ChooseError::NoTarget { retry_after } if retry_after >= Millis(500)));
-    entry.set_targets(vec![offered(0, true)]);
+    entry.set_targets(vec![spec(0, true)]);
     let load = Load {
         running: 16,
         waiting: 20,
@@ -316,12 +346,12 @@
     assert!(matches!(full, ChooseError::Full { retry_after } if retry_after <= Millis(600)));
 }
 
-/// A target does not answer, three times in a row. It gets nothing for two seconds, then one
-/// request as a probe, and work again when that is answered.
+/// Guards against further requests to a target that fails three times in a row. It gets nothing for two
+/// seconds, then one request as a probe, and work again when that is answered.
 #[test]
-fn a_target_that_fails_is_left_out_and_probed() {
+fn a_failing_target_is_ejected_and_probed() {
     let mut entry = Dispatcher::new(ChaCha8Rng::seed_from_u64(1));
-    entry.set_targets(vec![offered(0, true)]);
+    entry.set_targets(vec![spec(0, true)]);
     for _ in 0..3 {
         assert_eq!(choose(&mut entry, 0, 100), Ok(0));
         entry.count_sent(Millis(0), "e0", 100);
@@ -338,15 +368,16 @@
     assert_eq!(choose(&mut entry, 2_101, 100), Ok(0));
 }
 
-/// A plain service reports no load. A hundred short calls one after the other are no load either:
-/// counted as if they were all still there, the last of them would be refused at an idle target.
+/// Guards against a plain service that is refused for calls that have ended. It reports no load, and a
+/// hundred short calls one after another leave it idle: if all of them still counted, the last would be
+/// refused.
 #[test]
-fn calls_that_have_ended_do_not_count() {
+fn ended_calls_do_not_count_as_load() {
     let mut entry = Dispatcher::new(ChaCha8Rng::seed_from_u64(1));
     entry.set_targets(vec![TargetSpec {
         engine: None,
         slots: 6,
-        ..offered(0, true)
+        ..spec(0, true)
     }]);
     for n in 0..100 {
         let now = 50 * n;
--- a/crates/filbertstack-policy/tests/replay/mod.rs
+++ b/crates/filbertstack-policy/tests/replay/mod.rs
@@ -1,4 +1,4 @@
-//! Entries that do not talk to each other before engines, in virtual time.
+//! A replay in virtual time of entries that send to engines without coordination.
 
 use std::collections::BTreeMap;
 use std::sync::LazyLock;
@@ -20,65 +20,65 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::batch::Engine;
-use crate::batch::MODEL;
+use crate::batch::SIXTEEN_SLOTS;
 
-/// How long callers wait for a first event.
-const PATIENCE: u64 = 2_000;
+/// The time for which callers wait for a first event.
+const PATIENCE_MS: u64 = 2_000;
 
-/// How old a report is when it arrives, and how often one comes.
-const LAG: u64 = 70;
-const PERIOD: u64 = 100;
+/// The age of a report when it arrives, and the interval between two reports.
+const REPORT_LAG_MS: u64 = 70;
+const REPORT_INTERVAL_MS: u64 = 100;
 
-/// Who chooses the engine of a request.
+/// The way in which the engine of a request is chosen.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Way {
-    /// Each entry takes the engines in turn and refuses nobody.
-    Turns,
-    /// The dispatcher.
+pub enum Strategy {
+    /// Each entry takes the engines in turn and refuses no request.
+    RoundRobin,
+    /// The dispatcher chooses the engine.
     Dispatcher,
 }
 
 #[derive(Clone, Copy)]
 pub struct Replay {
-    pub way: Way,
+    pub strategy: Strategy,
     pub model: &'static LazyLock<EngineModel>,
-    /// In which time a first event is on time.
+    /// The time within which a first event is on time.
     pub goal: Millis,
     pub engines: usize,
     pub entries: usize,
-    /// Availability zones, over which entries and engines are spread in turn.
+    /// The number of availability zones, to which entries and engines are assigned in turn.
     pub zones: usize,
-    /// The share of the requests that come to the entries of the first zone, beside an even one.
-    pub busy: f64,
-    pub per_second: f64,
-    /// How many times slower the first engine is.
-    pub slow: f64,
-    /// From when on each engine is there.
-    pub there_from: fn(usize) -> u64,
-    /// Whether an engine stands still at a millisecond, and its agent with it.
+    /// The share of the requests that go to entries of the first zone in addition to an even share.
+    pub first_zone_share: f64,
+    pub requests_per_second: f64,
+    /// The factor by which the first engine is slower.
+    pub slowdown: f64,
+    /// The time when each engine joins.
+    pub joins_at_ms: fn(usize) -> u64,
+    /// Whether an engine and its agent are frozen at a millisecond.
     pub frozen: fn(usize, u64) -> bool,
-    /// Whether the entries hear nothing of any engine's load at a millisecond.
-    pub deaf: fn(u64) -> bool,
+    /// Whether the entries receive no load reports at a millisecond.
+    pub cut_off: fn(u64) -> bool,
     pub seconds: u64,
 }
 
 #[derive(Debug, Default, PartialEq)]
 pub struct Received {
-    pub asked: u32,
+    pub requests: u32,
     pub on_time: u32,
     pub late: u32,
     pub refused: u32,
-    /// Sent to an engine of another zone.
-    pub crossed: u32,
-    /// Answers whose first event came after [`PATIENCE`]: callers have left by then.
-    pub left: u32,
+    /// The number of requests sent to an engine of another zone.
+    pub other_zone: u32,
+    /// The number of answers whose first event came after [`PATIENCE_MS`], when the callers have left.
+    pub callers_left: u32,
 }
 
-pub fn offered(n: usize, accepts_work: bool) -> TargetSpec {
+pub fn spec(n: usize, accepts_work: bool) -> TargetSpec {
     TargetSpec {
         id: format!("e{n}").into(),
         service: "llm".into(),
-        slots: MODEL.slots,
+        slots: SIXTEEN_SLOTS.slots,
         local: true,
         sharers: Sharers {
             entries: 1,
@@ -86,7 +86,7 @@
             used: 1,
             preferred_by: 0,
         },
-        engine: Some(MODEL.clone().into()),
+        engine: Some(SIXTEEN_SLOTS.clone().into()),
         accepts_work,
     }
 }
@@ -97,10 +97,10 @@
         .map(|_| Dispatcher::new(ChaCha8Rng::from_rng(&mut rng)))
         .collect();
     let mut engines: Vec<Engine> = (0..replay.engines)
-        .map(|n| Engine::new(replay.model, if n == 0 { replay.slow } else { 1.0 }))
+        .map(|n| Engine::new(replay.model, if n == 0 { replay.slowdown } else { 1.0 }))
         .collect();
     let mut received = Received::default();
-    let mut turns = vec![0_usize; replay.entries];
+    let mut next_engine = vec![0_usize; replay.entries];
     for now in 0..replay.seconds * 1_000 {
         for (n, engine) in engines.iter_mut().enumerate() {
             if (replay.frozen)(n, now) {
@@ -111,7 +111,7 @@
                 let id = format!("e{n}");
                 if done.first {
                     entry.count_first_event(Millis(now), &id, done.prompt);
-                    received.left += u32::from(now - done.sent > PATIENCE);
+                    received.callers_left += u32::from(now - done.sent > PATIENCE_MS);
                     let on_time = now - done.sent <= replay.goal.0;
                     received.on_time += u32::from(on_time);
                     received.late += u32::from(!on_time);
@@ -121,35 +121,35 @@
                 }
             }
         }
-        if now % PERIOD == 0 && !(replay.deaf)(now) {
-            tell(replay, now, &engines, &mut entries);
+        if now % REPORT_INTERVAL_MS == 0 && !(replay.cut_off)(now) {
+            report_loads(replay, now, &engines, &mut entries);
         }
-        let mut due = replay.per_second / 1_000.0;
+        let mut due = replay.requests_per_second / 1_000.0;
         while due > 0.0 {
-            let comes = rng.random_bool(due.min(1.0));
+            let arrives = rng.random_bool(due.min(1.0));
             due -= 1.0;
-            if !comes {
+            if !arrives {
                 continue;
             }
-            received.asked += 1;
+            received.requests += 1;
             let mut from = rng.random_range(0..replay.entries);
-            if rng.random_bool(replay.busy) {
+            if rng.random_bool(replay.first_zone_share) {
                 from -= from % replay.zones;
             }
             let prompt = rng.random_range(100..1_800);
-            let there = |n: usize| (replay.there_from)(n) <= now;
-            let chosen = if replay.way == Way::Turns {
-                turns[from] += 1;
-                let open: Vec<usize> = (0..replay.engines).filter(|n| there(*n)).collect();
-                Ok(open[(turns[from] + from) % open.len()])
+            let joined = |n: usize| (replay.joins_at_ms)(n) <= now;
+            let chosen = if replay.strategy == Strategy::RoundRobin {
+                next_engine[from] += 1;
+                let open: Vec<usize> = (0..replay.engines).filter(|n| joined(*n)).collect();
+                Ok(open[(next_engine[from] + from) % open.len()])
             } else {
                 choose_within(&mut entries[from], now, prompt, replay.goal)
             };
             match chosen {
                 Ok(n) => {
-                    received.crossed += u32::from(n % replay.zones != from % replay.zones);
+                    received.other_zone += u32::from(n % replay.zones != from % replay.zones);
                     entries[from].count_sent(Millis(now), &format!("e{n}"), prompt);
-                    engines[n].send(now, from, prompt);
+                    engines[n].enqueue(now, from, prompt);
                 }
                 Err(_) => received.refused += 1,
             }
@@ -158,38 +158,38 @@
     received
 }
 
-/// Every entry is told the load that each engine of its subset had a while ago.
-fn tell(replay: &Replay, now: u64, engines: &[Engine], entries: &mut [Dispatcher]) {
-    let there: Vec<usize> = (0..engines.len())
-        .filter(|n| (replay.there_from)(*n) <= now)
+/// Reports to every entry the earlier load of each engine that it uses.
+fn report_loads(replay: &Replay, now: u64, engines: &[Engine], entries: &mut [Dispatcher]) {
+    let present: Vec<usize> = (0..engines.len())
+        .filter(|n| (replay.joins_at_ms)(*n) <= now)
         .collect();
     for (e, entry) in entries.iter_mut().enumerate() {
-        let beside = beside(replay, e, &there);
-        let used = used(replay, e, &there, &beside);
-        let near = |n: usize| n % replay.zones == e % replay.zones;
-        let counted = |of: &[usize], is: bool| {
-            let count = of.iter().filter(|n| !is || near(**n)).count();
+        let preferred = preferred_engines(replay, e, &present);
+        let selected = selected(replay, e, &present, &preferred);
+        let in_zone = |n: usize| n % replay.zones == e % replay.zones;
+        let counted = |indices: &[usize], is_local: bool| {
+            let count = indices.iter().filter(|n| !is_local || in_zone(**n)).count();
             u32::try_from(count).expect("few")
         };
         let all: Vec<usize> = (0..replay.entries).collect();
-        let offered = |n: &usize| {
-            let is = near(*n);
+        let spec = |n: &usize| {
+            let is_local = in_zone(*n);
             TargetSpec {
-                local: is,
+                local: is_local,
                 sharers: Sharers {
-                    entries: counted(&all, is),
-                    targets: counted(&there, is),
-                    used: counted(&used, is),
-                    preferred_by: beside.get(n).copied().unwrap_or(0),
+                    entries: counted(&all, is_local),
+                    targets: counted(&present, is_local),
+                    used: counted(&selected, is_local),
+                    preferred_by: preferred.get(n).copied().unwrap_or(0),
                 },
                 slots: replay.model.slots,
                 engine: Some((*replay.model).clone().into()),
-                ..offered(*n, true)
+                ..spec(*n, true)
             }
         };
-        entry.set_targets(used.iter().map(offered).collect());
-        for n in used.into_iter().filter(|n| !(replay.frozen)(*n, now)) {
-            let (running, waiting) = engines[n].load_at(now.saturating_sub(LAG));
+        entry.set_targets(selected.iter().map(spec).collect());
+        for n in selected.into_iter().filter(|n| !(replay.frozen)(*n, now)) {
+            let (running, waiting) = engines[n].load_at(now.saturating_sub(REPORT_LAG_MS));
             let pace = engines[n].pace;
             let load = Load {
                 running,
@@ -201,33 +201,33 @@
     }
 }
 
-/// The engines beside an entry, and for each how many entries are.
-fn beside(replay: &Replay, entry: usize, there: &[usize]) -> BTreeMap<usize, u32> {
-    let near = |n: &usize| n % replay.zones == entry % replay.zones;
+/// Returns the engines that an entry prefers, and for each the number of entries that prefer it.
+fn preferred_engines(replay: &Replay, entry: usize, present: &[usize]) -> BTreeMap<usize, u32> {
+    let in_zone = |n: &usize| n % replay.zones == entry % replay.zones;
     let entries: Vec<String> = (0..replay.entries)
-        .filter(near)
+        .filter(in_zone)
         .map(|n| format!("entry-{n}"))
         .collect();
-    let engines: Vec<usize> = there.iter().copied().filter(near).collect();
+    let engines: Vec<usize> = present.iter().copied().filter(in_zone).collect();
     let targets: Vec<String> = engines.iter().map(|n| format!("engine-{n}")).collect();
     let entries: Vec<&str> = entries.iter().map(String::as_str).collect();
     let targets: Vec<&str> = targets.iter().map(String::as_str).collect();
-    let met = subset::preferred(&format!("entry-{entry}"), &entries, &targets);
-    let met = met
+    let preferred = subset::preferred(&format!("entry-{entry}"), &entries, &targets);
+    let preferred = preferred
         .into_iter()
-        .map(|met| (engines[met.target], met.entries));
-    met.collect()
+        .map(|preferred| (engines[preferred.target], preferred.entries));
+    preferred.collect()
 }
 
-/// The engines that an entry uses.
-fn used(
+/// Returns the engines that an entry uses.
+fn selected(
     replay: &Replay,
     entry: usize,
-    there: &[usize],
-    beside: &BTreeMap<usize, u32>,
+    present: &[usize],
+    preferred: &BTreeMap<usize, u32>,
 ) -> Vec<usize> {
     let zone = |n: usize| format!("zone-{}", n % replay.zones);
-    let named: Vec<_> = there
+    let named: Vec<_> = present
         .iter()
         .map(|n| (*n, format!("engine-{n}"), zone(*n)))
         .collect();
@@ -240,12 +240,12 @@
         })
         .collect();
     subset::select(&format!("entry-{entry}"), &zone(entry), &candidates, |n| {
-        beside.contains_key(&n)
+        preferred.contains_key(&n)
     })
 }
 
 pub fn choose(entry: &mut Dispatcher, now: u64, prompt: u32) -> Result<usize, ChooseError> {
-    choose_within(entry, now, prompt, FULL.goal)
+    choose_within(entry, now, prompt, BASELINE.goal)
 }
 
 fn choose_within(
@@ -265,25 +265,25 @@
     Ok(id[1..].parse().expect("a number"))
 }
 
-pub const FULL: Replay = Replay {
-    way: Way::Dispatcher,
-    model: &MODEL,
+pub const BASELINE: Replay = Replay {
+    strategy: Strategy::Dispatcher,
+    model: &SIXTEEN_SLOTS,
     goal: Millis(400),
     engines: 12,
     entries: 11,
     zones: 1,
-    busy: 0.0,
-    per_second: 100.0,
-    slow: 1.0,
-    there_from: |_| 0,
+    first_zone_share: 0.0,
+    requests_per_second: 100.0,
+    slowdown: 1.0,
+    joins_at_ms: |_| 0,
     frozen: |_, _| false,
-    deaf: |_| false,
+    cut_off: |_| false,
     seconds: 20,
 };
 
-pub fn by_turns(replay: Replay) -> Replay {
+pub fn round_robin(replay: Replay) -> Replay {
     Replay {
-        way: Way::Turns,
+        strategy: Strategy::RoundRobin,
         ..replay
     }
 }
