--- a/crates/filbertstack-policy/tests/inherited.rs
+++ b/crates/filbertstack-policy/tests/inherited.rs
@@ -1,4 +1,4 @@
-//! What an agent that starts takes for ordered, by what lies at its engine.
+//! Tests of the order that a starting agent inherits, judged by the pieces at its engine.
 
 use filbertstack_policy::inherited::InheritedOrder;
 use filbertstack_policy::inherited::Unmatched;
@@ -7,7 +7,7 @@
 
 const PIECES: usize = 48;
 
-fn fit(version: u64, matching: usize) -> VersionMatch {
+fn matched(version: u64, matching: usize) -> VersionMatch {
     VersionMatch {
         version,
         pieces: PIECES,
@@ -19,12 +19,12 @@
     Unmatched { empty: 0, unknown }
 }
 
-/// Guards against staging over an ordered version, whatever else is known.
+/// Guards against staging over an ordered version, whatever other versions are known.
 #[test]
-fn what_lies_whole_and_is_newer_may_be_ordered() {
-    let known = [fit(2, 0), fit(3, PIECES), fit(9, 0)];
-    let judged = inherited_order(2, &known, Unmatched::default());
-    assert_eq!(judged, InheritedOrder::Order(3));
+fn a_complete_newer_version_may_be_ordered() {
+    let known = [matched(2, 0), matched(3, PIECES), matched(9, 0)];
+    let order = inherited_order(2, &known, Unmatched::default());
+    assert_eq!(order, InheritedOrder::Order(3));
     assert_eq!(
         inherited_order(0, &known, Unmatched::default()),
         InheritedOrder::Order(3)
@@ -35,10 +35,10 @@
     );
 }
 
-/// Guards against staging over a version of which nobody has the list any more.
+/// Guards against staging over a version whose list is no longer kept.
 #[test]
-fn what_fits_no_known_version_may_be_ordered() {
-    let known = [fit(8, 0), fit(9, 0)];
+fn pieces_of_no_known_version_may_be_ordered() {
+    let known = [matched(8, 0), matched(9, 0)];
     assert_eq!(
         inherited_order(2, &known, unknown(PIECES)),
         InheritedOrder::Unknown
@@ -49,12 +49,12 @@
     );
 }
 
-/// Guards against an engine kept out of use after a restart, though nothing may be ordered.
+/// Guards against an engine that is kept out of use after a restart although nothing can be ordered.
 #[test]
-fn what_was_never_whole_is_not_ordered() {
-    let over = [fit(2, PIECES / 2), fit(3, PIECES / 2)];
+fn an_incomplete_version_is_not_ordered() {
+    let mixed = [matched(2, PIECES / 2), matched(3, PIECES / 2)];
     assert_eq!(
-        inherited_order(2, &over, Unmatched::default()),
+        inherited_order(2, &mixed, Unmatched::default()),
         InheritedOrder::Nothing
     );
     let empty = Unmatched {
@@ -62,7 +62,7 @@
         unknown: 0,
     };
     assert_eq!(
-        inherited_order(2, &[fit(3, PIECES - 1)], empty),
+        inherited_order(2, &[matched(3, PIECES - 1)], empty),
         InheritedOrder::Nothing
     );
     let nothing = Unmatched {
@@ -72,25 +72,25 @@
     assert_eq!(inherited_order(0, &[], nothing), InheritedOrder::Nothing);
 }
 
-/// Guards against a piece that turned bad and hides which version is ordered.
+/// Guards against a corrupt piece that hides which version is ordered.
 #[test]
-fn the_other_pieces_tell_which_version_is_ordered() {
-    let known = [fit(2, 0), fit(3, PIECES - 1), fit(4, 1)];
+fn a_corrupt_piece_does_not_hide_the_ordered_version() {
+    let known = [matched(2, 0), matched(3, PIECES - 1), matched(4, 1)];
     assert_eq!(
         inherited_order(2, &known, unknown(1)),
         InheritedOrder::Order(3)
     );
-    let served = [fit(2, PIECES - 1), fit(3, 0)];
+    let served_pieces = [matched(2, PIECES - 1), matched(3, 0)];
     assert_eq!(
-        inherited_order(2, &served, unknown(1)),
+        inherited_order(2, &served_pieces, unknown(1)),
         InheritedOrder::Unknown
     );
 }
 
 /// Guards against a version that shares pieces with a newer one and is taken for half of each.
 #[test]
-fn a_version_that_shares_pieces_with_a_newer_one_is_known() {
-    let known = [fit(2, 10), fit(3, PIECES), fit(4, 30)];
-    let judged = inherited_order(2, &known, Unmatched::default());
-    assert_eq!(judged, InheritedOrder::Order(3));
+fn a_version_that_shares_pieces_with_a_newer_one_is_recognised() {
+    let known = [matched(2, 10), matched(3, PIECES), matched(4, 30)];
+    let order = inherited_order(2, &known, Unmatched::default());
+    assert_eq!(order, InheritedOrder::Order(3));
 }
