--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -1,4 +1,4 @@
-//! Who asks whom for which piece.
+//! Tests of the owners of pieces and the order in which nodes ask for them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -36,7 +36,7 @@
     entries.iter().map(layout).collect()
 }
 
-/// The owner of each piece among all entries.
+/// Returns the primary owner of each piece.
 fn owners(entries: &[Peer]) -> Vec<Arc<str>> {
     let layouts = layouts(entries);
     let owner = |piece| {
@@ -46,11 +46,11 @@
     (0..PIECES).map(owner).collect()
 }
 
-/// A version is named to 20 agents in three zones. Without owners each pulls a copy through the
-/// origin's link, 20 copies one after the other. With them one entry asks for each piece at once,
-/// and every agent knows an entry that will have it.
+/// Guards against agents that each pull a copy through the origin's link. For 20 agents in three zones
+/// that would be 20 copies one after another. With owners, one entry asks for each piece at once, and
+/// every agent knows an entry that will have it.
 #[test]
-fn one_entry_asks_the_origin_for_each_piece_at_once() {
+fn only_the_primary_owner_asks_the_origin_at_once() {
     for (zones, in_zone) in [(1, 1), (1, 2), (3, 4), (3, 7), (4, 15)] {
         let entries = entries(zones, in_zone);
         let agents = peers("agent", zones, 7);
@@ -67,15 +67,15 @@
             let lost = plans.iter().filter(|p| {
                 p.origin_after > Millis::ZERO && p.first.is_empty() && p.fallback.is_empty()
             });
-            assert_eq!(lost.count(), 0, "everybody else has somebody to ask");
+            assert_eq!(lost.count(), 0, "every other node has a node to ask");
         }
     }
 }
 
-/// An agent that is told to pass pieces on sends a copy over the narrow link that its callers'
-/// events share. While no engine holds the version, nobody asks an agent for anything.
+/// Guards against agents that pass pieces on over the narrow link which they need for their callers'
+/// events. While no engine holds the version, no node asks an agent for a piece.
 #[test]
-fn agents_are_not_asked_for_what_is_new() {
+fn agents_are_not_asked_for_a_new_version() {
     let entries = entries(3, 4);
     let agents = peers("agent", 3, 7);
     for node in entries.iter().chain(&agents) {
@@ -88,8 +88,8 @@
     }
 }
 
-/// An entry that owned many pieces would hold back all agents of its zone behind its link. Nobody
-/// owns more than one piece above an even share.
+/// Guards against an entry that owns too many pieces, as all agents of its zone would wait for its
+/// link. An entry owns at most one piece above an even share.
 #[test]
 fn owners_share_the_pieces_evenly() {
     for (zones, in_zone, most) in [(3, 7, 4), (3, 4, 5), (1, 3, 17), (4, 15, 2)] {
@@ -101,9 +101,10 @@
     }
 }
 
-/// An entry ends while a version is on its way. Were the owners numbered through, nearly all pieces
-/// would change theirs, and the new ones would ask the origin for what the old ones have. Its own
-/// pieces move, and a quarter of all at most.
+/// Guards against many pieces changing their owner when an entry ends during a transfer. If pieces were
+/// assigned by the entries' index, nearly all would change theirs, and the new owners would ask the
+/// origin for what the old ones have. Here the entry's own pieces move, and at most a quarter of all
+/// pieces.
 #[test]
 fn an_entry_that_ends_moves_few_pieces_of_others() {
     let entries = entries(3, 4);
@@ -121,11 +122,11 @@
     }
 }
 
-/// The owner of a piece is frozen just after the version was named, and the origin fails 2.5 s
-/// later. Nobody would have the piece; the second owner asks the origin after a second. The pieces
-/// of one lost owner go to different second owners.
+/// Guards against a piece that is lost because its owner freezes just after the version was named, and
+/// the origin fails 2.5 s later. The backup owner asks the origin after a second. The pieces of one
+/// lost owner have different backup owners.
 #[test]
-fn a_second_entry_stands_in_for_a_lost_owner() {
+fn a_backup_owner_replaces_a_lost_primary_owner() {
     let entries = entries(3, 7);
     let layouts = layouts(&entries);
     for piece in 0..PIECES {
@@ -135,9 +136,9 @@
     }
 }
 
-/// An owner starts again in the middle of a rollout and has lost its pieces, which the entries that
-/// keep them for other zones still have. It asks those before the origin, whose bytes are paid for
-/// and which may be gone.
+/// Guards against needless requests to the origin, whose bytes are paid for and which may have failed.
+/// An owner that restarts during a rollout has lost its pieces, but the owners in other zones still
+/// have them. It asks those first.
 #[test]
 fn an_owner_asks_other_zones_before_the_origin() {
     let entries = entries(3, 4);
@@ -151,10 +152,10 @@
     }
 }
 
-/// Seven agents of a zone want the same piece from another zone. Only the entry that keeps it for
-/// the zone asks there at once, or the link between regions carries seven copies.
+/// Guards against all agents of a zone asking other zones for the same piece, so that the link between
+/// regions carries seven copies. Only the zone's owner asks there at once.
 #[test]
-fn one_entry_a_zone_asks_outside_it() {
+fn one_entry_per_zone_asks_other_zones() {
     let entries = entries(3, 7);
     let agents = peers("agent", 3, 7);
     let layouts = layouts(&entries);
@@ -183,10 +184,10 @@
     }
 }
 
-/// Engines are added while others serve the version. The owners ask those that hold it before the
-/// origin, each piece once and spread over all holders; the newcomers ask the entries.
+/// Guards against a copy from the origin when engines are added while others hold the version. The
+/// owners ask those first, each piece once and spread over all holders; the new agents ask the entries.
 #[test]
-fn owners_spread_over_the_holders_before_they_ask_the_origin() {
+fn owners_ask_all_holders_evenly_before_the_origin() {
     let entries = entries(1, 3);
     let holders = peers("agent", 1, 8);
     let mut asked: BTreeMap<Arc<str>, u32> = BTreeMap::new();
@@ -211,10 +212,10 @@
     }
 }
 
-/// All entries have just started again and have nothing; an agent still finds those whose engines
-/// hold the version.
+/// Guards against agents without a source when all entries have just restarted: they ask the agents
+/// whose engines hold the version.
 #[test]
-fn holders_are_the_last_resort_of_agents() {
+fn agents_fall_back_to_holders() {
     let entries = entries(3, 4);
     let holders = peers("agent", 3, 2);
     let newcomer = Peer {
@@ -230,7 +231,7 @@
 }
 
 #[test]
-fn own_pieces_come_first() {
+fn owned_pieces_are_fetched_first() {
     let entries = entries(3, 4);
     for (_, layout) in layouts(&entries) {
         let order = layout.order(PIECES);
@@ -246,8 +247,9 @@
     }
 }
 
-/// A link turns from 9.4 to 1.2 Mbit/s: a piece takes 330 ms alone and 1.3 s with four under way,
-/// and requests to the engine wait behind them. The window shrinks to one, and grows again later.
+/// Guards against requests to the engine that wait behind pieces on a link that slows from 9.4 to 1.2
+/// Mbit/s. A piece then takes 330 ms alone and 1.3 s with four in transit. The window shrinks to one
+/// and grows again later.
 #[test]
 fn a_narrow_link_gets_one_piece_at_a_time() {
     let mut window = Window::new(2);
@@ -269,8 +271,8 @@
     assert_eq!(window.size(), 1);
 }
 
-/// Guards against two pieces at once on a link that takes a third of a second for each: a request behind
-/// both reaches the engine after its caller's goal, and after an older version's end.
+/// Guards against two pieces in transit on a link that takes a third of a second for each: a request
+/// behind both reaches the engine after its caller's goal, and after an older version's end.
 #[test]
 fn a_link_that_takes_a_third_of_a_second_gets_one_piece_at_a_time() {
     let mut window = Window::new(2);
@@ -280,13 +282,13 @@
     assert_eq!(window.size(), 1);
 }
 
-/// What the origin's link carries in a millisecond, in parts of a copy: 2.1 s for all of it.
-const RATE: f64 = 1.0 / 2_100.0;
+/// The part of a copy that the origin's link carries in a millisecond: a whole copy takes 2.1 s.
+const COPIES_PER_MS: f64 = 1.0 / 2_100.0;
 
-/// Two versions are named `gap` apart, and the origin fails half a second after the second. Returns
-/// how much of each has come by then, with `yields` deciding which waits.
+/// Simulates two versions that are named `gap` apart and an origin that fails half a second after the
+/// second. Returns how much of each has arrived by then, with `decide` choosing which yields.
 fn fetched(gap: u64, decide: impl Fn(Millis, Millis, bool, bool) -> Yields) -> [f64; 2] {
-    let mut came = [0.0_f64; 2];
+    let mut arrived = [0.0_f64; 2];
     for now in 0..gap + 500 {
         let second = now >= gap;
         let newer = Millis(now.saturating_sub(gap));
@@ -294,32 +296,33 @@
             decide(
                 Millis(now),
                 newer,
-                came[0] >= 1.0,
-                came[1] > 0.0 || newer > Millis(100),
+                arrived[0] >= 1.0,
+                arrived[1] > 0.0 || newer > Millis(100),
             )
         } else {
             Yields::None
         };
-        let wants = [
-            came[0] < 1.0 && yields != Yields::Older,
+        let fetching = [
+            arrived[0] < 1.0 && yields != Yields::Older,
             second && yields != Yields::Newer,
         ];
-        let share = RATE / f64::from(u8::from(wants[0]) + u8::from(wants[1])).max(1.0);
-        for (came, wants) in came.iter_mut().zip(wants) {
-            *came += if wants { share } else { 0.0 };
+        let share =
+            COPIES_PER_MS / f64::from(u8::from(fetching[0]) + u8::from(fetching[1])).max(1.0);
+        for (arrived, fetching) in arrived.iter_mut().zip(fetching) {
+            *arrived += if fetching { share } else { 0.0 };
         }
     }
-    came
+    arrived
 }
 
-/// A second version is named before all of the first is here, and the origin fails half a second
-/// later. Engines on the version before both are soon out of use: one of the two must be whole. With
-/// the newer first, the older lacks its last pieces.
+/// Guards against two incomplete versions when the second is named before the first is complete, and
+/// the origin fails half a second later. Engines on an earlier version are soon out of use, so one of
+/// the two must be complete. With the newer one first, the older lacks its last pieces.
 #[test]
-fn what_is_nearly_here_is_finished_before_the_origin_fails() {
+fn a_nearly_complete_version_is_finished_before_the_origin_fails() {
     for gap in [1_700, 1_900, 2_000, 2_050] {
-        let ours = fetched(gap, which_yields);
-        assert!(ours[0] >= 1.0, "gap {gap}: {ours:?}");
+        let finished = fetched(gap, which_yields);
+        assert!(finished[0] >= 1.0, "gap {gap}: {finished:?}");
         let newer_first = fetched(gap, |_, _, held, moving| {
             if moving && !held {
                 Yields::Older
@@ -331,10 +334,10 @@
     }
 }
 
-/// Two versions are named shortly one after the other: the older gives way. One whose origin fails
-/// does not hold up the newer for long, and one that is here not at all.
+/// Guards against fetching two versions that are named in quick succession: the older yields. One whose
+/// origin fails does not delay the newer for long, and one that is complete does not delay it at all.
 #[test]
-fn what_was_begun_a_moment_ago_gives_way() {
+fn a_version_begun_a_moment_ago_yields() {
     let secs = Millis::secs;
     assert_eq!(
         which_yields(Millis(500), Millis(100), false, true),
@@ -348,12 +351,12 @@
     );
 }
 
-/// 48 pieces share the origin's link, and all come at the end of a copy's time. Who stands in for the
-/// owners asks for them as well from the second on: left to that, each piece is sent twice. An owner
-/// that is frozen is stood in for at once, and one that does not get on after some seconds. Agents
-/// ask only where no owner answers: dozens of them would keep the origin from everybody.
+/// Guards against pieces that the origin sends twice. 48 pieces share its link, and all arrive towards
+/// the end of a copy's time, while the backup owners would ask for them from one second on. A frozen
+/// owner is replaced at once, and one that makes no progress after some seconds. Agents ask only where
+/// no owner answers, as dozens of them would take up the origin's link.
 #[test]
-fn a_piece_is_asked_of_the_origin_once_while_its_owner_answers() {
+fn other_nodes_do_not_ask_the_origin_while_the_owner_answers() {
     let asked = |part, spent: u64, answers: bool| may_ask_origin(part, answers, Millis(spent));
     assert!(!asked(PieceRole::Backup, 1_100, true) && !asked(PieceRole::Backup, 3_400, true));
     assert!(
@@ -362,7 +365,7 @@
     );
     assert!(
         asked(PieceRole::Backup, 3_500, true),
-        "the owner does not get on"
+        "the owner makes no progress"
     );
     assert!(!asked(PieceRole::Reader, 60_000, true) && asked(PieceRole::Reader, 3_500, false));
     assert!(asked(PieceRole::Primary, 0, true), "its own piece");
