--- a/crates/filbertstack-policy/tests/recovery.rs
+++ b/crates/filbertstack-policy/tests/recovery.rs
@@ -1,31 +1,34 @@
-//! Requests that come while nobody serves: replays in virtual time, judged by what callers receive.
+//! Tests of requests that arrive while no target serves: replays in virtual time, judged by the answers
+//! that callers receive.
 
 use std::sync::Arc;
 
 use filbertstack_core::Millis;
 use filbertstack_policy::recovery::Recovery;
 
-/// What a caller's time is in all, and after how long one that was refused comes back, once.
-const TIME: u64 = 6_000;
-const RETURN: u64 = 1_000;
+/// The total time of a caller, and the delay after which a refused caller retries once.
+const CALLER_TIME_MS: u64 = 6_000;
+const RETRY_MS: u64 = 1_000;
 
-/// When engines take work again after all instances were lost at 0, and entries answer again.
-const ENTRIES: u64 = 1_400;
-const ENGINES: u64 = 3_800;
+/// The times when entries answer and engines take work again, after all instances were lost at 0.
+const ENTRIES_BACK_MS: u64 = 1_400;
+const ENGINES_BACK_MS: u64 = 3_800;
 
-/// How many of the callers of the outage are served, one each 10 ms.
+/// Returns how many callers of the outage are served, with one arriving every 10 ms.
 fn served(waits: bool) -> usize {
-    let recovery = Recovery::new(Millis(ENTRIES));
-    let serves = |came: u64| {
-        let wait = recovery.wait_limit(Millis(came), Some("llm"), Millis(TIME), 0);
+    let recovery = Recovery::new(Millis(ENTRIES_BACK_MS));
+    let attempt = |arrival: u64| {
+        let wait = recovery.wait_limit(Millis(arrival), Some("llm"), Millis(CALLER_TIME_MS), 0);
         let wait = wait.filter(|_| waits).map_or(0, |wait| wait.0);
-        (came + wait >= ENGINES).then_some(()).ok_or(came + wait)
+        (arrival + wait >= ENGINES_BACK_MS)
+            .then_some(())
+            .ok_or(arrival + wait)
     };
-    let callers = (ENTRIES..ENGINES).step_by(10);
+    let callers = (ENTRIES_BACK_MS..ENGINES_BACK_MS).step_by(10);
     callers
-        .filter(|came| {
-            serves(*came).is_ok_and(|()| true)
-                || serves(*came).is_err_and(|refused| serves(refused + RETURN).is_ok())
+        .filter(|arrival| {
+            attempt(*arrival).is_ok_and(|()| true)
+                || attempt(*arrival).is_err_and(|refused| attempt(refused + RETRY_MS).is_ok())
         })
         .count()
 }
@@ -33,16 +36,16 @@
 /// Guards against callers that are refused twice while all engines load, with most of their time left.
 #[test]
 fn callers_of_a_short_outage_are_served() {
-    let all = usize::try_from((ENGINES - ENTRIES) / 10).expect("few");
+    let all = usize::try_from((ENGINES_BACK_MS - ENTRIES_BACK_MS) / 10).expect("few");
     assert!(served(true) * 10 >= all * 9, "{} of {all}", served(true));
     assert!(served(false) * 2 < all, "{} of {all}", served(false));
 }
 
-/// Guards against callers that wait in vain for a service that has no targets at all.
+/// Guards against callers that wait in vain for a service without targets.
 #[test]
-fn a_service_that_stays_away_is_refused_at_once() {
+fn requests_are_refused_at_once_in_a_lasting_outage() {
     let mut recovery = Recovery::new(Millis(0));
-    let time = Millis(TIME);
+    let time = Millis(CALLER_TIME_MS);
     let service: Arc<str> = "llm".into();
     assert_eq!(
         recovery.wait_limit(Millis(60_000), Some("llm"), time, 0),
@@ -58,18 +61,18 @@
     );
 }
 
-/// Guards against an entry whose memory fills up with requests that wait.
+/// Guards against waiting requests that fill an entry's memory.
 #[test]
-fn no_more_wait_than_an_entry_holds() {
+fn the_number_of_waiting_requests_is_bounded() {
     let recovery = Recovery::new(Millis(0));
-    let with = |waiting| recovery.wait_limit(Millis(100), None, Millis(TIME), waiting);
+    let with = |waiting| recovery.wait_limit(Millis(100), None, Millis(CALLER_TIME_MS), waiting);
     assert!(with(63).is_some());
     assert_eq!(with(64), None);
 }
 
-/// Guards against those who waited being sent all at once, before new callers who could be in time.
+/// Guards against waiting requests that are all sent at once, before new ones that could be on time.
 #[test]
-fn those_who_waited_take_a_part_of_what_is_sent() {
+fn waiting_requests_are_a_limited_part_of_sent_requests() {
     let service: Arc<str> = "llm".into();
     let mut recovery = Recovery::new(Millis(0));
     let mut sent = 0;
@@ -83,10 +86,10 @@
     assert!((75..=100).contains(&sent), "{sent} beside 300");
 }
 
-/// Guards against a lone caller who waits on although its service is back, and against all who wait
-/// being sent in the moment it is.
+/// Guards against a single request that keeps waiting although its service has recovered, and against
+/// all waiting requests being sent at the moment it does.
 #[test]
-fn those_who_wait_alone_are_sent_one_after_the_other() {
+fn waiting_requests_are_sent_one_at_a_time_without_new_ones() {
     let mut recovery = Recovery::new(Millis(0));
     let times: Vec<u64> = (0..1_000)
         .filter(|now| {
--- a/crates/filbertstack-policy/tests/registry.rs
+++ b/crates/filbertstack-policy/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Late, crossed and lost statements about processes.
+//! Tests of late, reordered and lost statements about processes.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use filbertstack_policy::registry::Stamp;
 use filbertstack_policy::registry::UNLISTED_TTL;
 
-fn at(born: u64, sequence: u64) -> Stamp {
+fn stamp(born: u64, sequence: u64) -> Stamp {
     Stamp { born, sequence }
 }
 
@@ -16,15 +16,15 @@
     text.into()
 }
 
-/// A target drains; a statement from before, delayed by a partition, arrives after that and says
-/// "ready". Taken, requests would be sent to a target that ends, and be lost with it.
+/// Guards against an earlier "ready" statement, delayed by a partition, that arrives after the target
+/// began to drain. Requests would be sent to a target that ends, and be lost.
 #[test]
 fn a_late_statement_does_not_undo_a_drain() {
     let mut registry = Registry::default();
     let now = Millis(0);
-    registry.apply(&id("i"), at(1, 4), "ready", false, now);
-    registry.apply(&id("i"), at(1, 6), "draining", false, now);
-    let late = registry.apply(&id("i"), at(1, 5), "ready", false, now);
+    registry.apply(&id("i"), stamp(1, 4), "ready", false, now);
+    registry.apply(&id("i"), stamp(1, 6), "draining", false, now);
+    let late = registry.apply(&id("i"), stamp(1, 5), "ready", false, now);
     assert_eq!(late, Applied::Stale);
     assert_eq!(
         registry.get("i").map(|(value, _, _)| *value),
@@ -32,60 +32,60 @@
     );
 }
 
-/// A target crashes and starts again under its id; its counts start anew. A statement of its
-/// first life arrives last. The second life's must win though its sequence is lower.
+/// Guards against a late statement from before a crash. The target restarts under its id with a new
+/// count, so that its statements supersede earlier ones with a higher sequence.
 #[test]
-fn a_second_start_goes_before_the_first() {
+fn a_second_start_supersedes_the_first() {
     let mut registry = Registry::default();
-    registry.apply(&id("i"), at(1, 90), "first", false, Millis(0));
-    let second = registry.apply(&id("i"), at(2, 1), "second", false, Millis(1));
+    registry.apply(&id("i"), stamp(1, 90), "first", false, Millis(0));
+    let second = registry.apply(&id("i"), stamp(2, 1), "second", false, Millis(1));
     assert_eq!(second, Applied::Changed);
-    let crossed = registry.apply(&id("i"), at(1, 91), "first", false, Millis(2));
-    assert_eq!(crossed, Applied::Stale);
+    let late = registry.apply(&id("i"), stamp(1, 91), "first", false, Millis(2));
+    assert_eq!(late, Applied::Stale);
 }
 
-/// A target says goodbye, and a statement that it sent before arrives after that. It must not
-/// come back by it; a new start under the same id must.
+/// Guards against an earlier statement that restores a removed target. Only a new start under the same
+/// id restores it.
 #[test]
-fn what_has_left_comes_back_only_by_a_new_start() {
+fn a_removed_process_returns_only_with_a_new_start() {
     let mut registry = Registry::default();
-    registry.apply(&id("i"), at(1, 1), "a", false, Millis(0));
+    registry.apply(&id("i"), stamp(1, 1), "a", false, Millis(0));
     assert!(registry.remove("i", Millis(1)));
     assert!(!registry.remove("i", Millis(1)), "it has left already");
     assert_eq!(
-        registry.apply(&id("i"), at(1, 2), "a", false, Millis(2)),
+        registry.apply(&id("i"), stamp(1, 2), "a", false, Millis(2)),
         Applied::Stale
     );
     assert_eq!(registry.present().count(), 0);
-    let again = registry.apply(&id("i"), at(2, 1), "a", false, Millis(3));
+    let again = registry.apply(&id("i"), stamp(2, 1), "a", false, Millis(3));
     assert_eq!(again, Applied::Changed);
     assert_eq!(registry.present().count(), 1);
 }
 
-/// A target is silent for longer than its patience and then goes on, under the same start: a
-/// freeze. It is taken out, and must come back with its next statement.
+/// Guards against a target that stays removed after a freeze. It is dropped after its timeout and
+/// returns with its next statement, under the same start.
 #[test]
-fn a_silent_process_comes_back_with_its_next_statement() {
+fn a_silent_process_returns_with_its_next_statement() {
     let mut registry = Registry::default();
-    registry.apply(&id("i"), at(1, 1), "a", false, Millis(0));
-    let patience = |_: &&str| Millis(100);
-    assert_eq!(registry.expire(Millis(100), patience).len(), 0);
-    assert_eq!(registry.expire(Millis(101), patience).len(), 1);
+    registry.apply(&id("i"), stamp(1, 1), "a", false, Millis(0));
+    let timeout = |_: &&str| Millis(100);
+    assert_eq!(registry.expire(Millis(100), timeout).len(), 0);
+    assert_eq!(registry.expire(Millis(101), timeout).len(), 1);
     assert_eq!(registry.present().count(), 0);
-    let back = registry.apply(&id("i"), at(1, 2), "a", false, Millis(150));
+    let back = registry.apply(&id("i"), stamp(1, 2), "a", false, Millis(150));
     assert_eq!(back, Applied::Changed);
 }
 
-/// All voters have just started and list nobody. A follower that took their list as the truth
+/// Guards against the empty list of voters that have just started. A follower that applied it at once
 /// would refuse every request until all targets have reported again.
 #[test]
 fn an_empty_list_does_not_empty_the_registry_at_once() {
     let mut registry = Registry::default();
-    registry.apply(&id("i"), at(1, 1), "a", false, Millis(0));
+    registry.apply(&id("i"), stamp(1, 1), "a", false, Millis(0));
     registry.begin_listing(Millis(10));
     assert!(!registry.prune(Millis(10) + UNLISTED_TTL));
     assert_eq!(registry.present().count(), 1);
-    registry.apply(&id("i"), at(1, 2), "a", false, Millis(20));
+    registry.apply(&id("i"), stamp(1, 2), "a", false, Millis(20));
     assert!(!registry.prune(Millis(60_000)), "it was listed since");
     registry.begin_listing(Millis(60_000));
     assert!(
@@ -95,23 +95,23 @@
 }
 
 #[test]
-fn the_same_again_is_no_change() {
+fn a_repeated_value_is_no_change() {
     let mut registry = Registry::default();
-    registry.apply(&id("i"), at(1, 1), "a", false, Millis(0));
-    let again = registry.apply(&id("i"), at(1, 2), "a", false, Millis(1));
+    registry.apply(&id("i"), stamp(1, 1), "a", false, Millis(0));
+    let again = registry.apply(&id("i"), stamp(1, 2), "a", false, Millis(1));
     assert_eq!(again, Applied::Refreshed);
 }
 
-/// A voter is frozen for five seconds, with all that it knows. When it wakes, the last statement of
-/// every process is five seconds old: taken for silence, callers would be refused until each target
-/// has reported again. Who is silent from then on is taken out as before.
+/// Guards against a voter that drops all processes after it was frozen for five seconds. The last
+/// statement of every process is then five seconds old, and callers would be refused until each target
+/// has reported again. Processes that are silent from then on are dropped as usual.
 #[test]
-fn a_node_that_could_hear_nobody_takes_nobody_out() {
+fn a_node_that_was_cut_off_drops_no_process() {
     let mut registry = Registry::default();
-    registry.apply(&id("i"), at(1, 1), "a", false, Millis(0));
-    let patience = |_: &&str| Millis(100);
+    registry.apply(&id("i"), stamp(1, 1), "a", false, Millis(0));
+    let timeout = |_: &&str| Millis(100);
     registry.extend_deadlines(Millis(5_000));
-    assert_eq!(registry.expire(Millis(5_100), patience).len(), 0);
+    assert_eq!(registry.expire(Millis(5_100), timeout).len(), 0);
     assert_eq!(registry.present().count(), 1);
-    assert_eq!(registry.expire(Millis(5_101), patience).len(), 1);
+    assert_eq!(registry.expire(Millis(5_101), timeout).len(), 1);
 }
--- a/crates/filbertstack-policy/tests/repeats.rs
+++ b/crates/filbertstack-policy/tests/repeats.rs
@@ -1,4 +1,4 @@
-//! The budget of repeated sends that entries share without talking to each other.
+//! Tests of the budget of repeated sends, which entries share without coordination.
 
 use std::sync::Arc;
 
@@ -10,9 +10,9 @@
     fixed: 110.0,
 };
 
-/// An engine fails and every request in flight fails at every entry, again and again. Each entry
-/// wants to repeat each of them. Over any ten seconds all entries together must stay within the
-/// share of requests and the fixed allowance, or the repeats fell the engines that are left.
+/// Guards against repeats that overload the remaining engines. An engine fails again and again, and
+/// each entry wants to repeat every request in flight. Over any ten seconds, all entries together must
+/// stay within the ratio to requests and the fixed allowance.
 #[test]
 fn all_entries_together_stay_within_the_allowance() {
     let service: Arc<str> = "llm".into();
@@ -30,7 +30,8 @@
             }
         }
         let most = ALLOWANCE.ratio * f64::from(requests) + ALLOWANCE.fixed;
-        // An entry always has one: below that many entries share the fixed part exactly.
+        // Each entry always has at least one repeat; with fewer entries, they share the fixed part
+        // exactly.
         let most = most.max(f64::from(entries) + ALLOWANCE.ratio * f64::from(requests));
         assert!(
             f64::from(repeats) <= most,
