--- a/crates/filbertstack-policy/src/dispatch.rs
+++ b/crates/filbertstack-policy/src/dispatch.rs
@@ -63,8 +63,8 @@
 /// and only one request in a thousand still goes to a full target.
 const SAMPLED_TARGETS: usize = 3;
 
-/// The least and the greatest retry delay of a refused caller, in milliseconds. The least lets a slot
-/// become free; the greatest leaves the caller time to receive the answer within its goal.
+/// The minimum and maximum retry delay of a refused caller, in milliseconds. The minimum lets a slot
+/// become free; the maximum leaves the caller time to receive the answer within its goal.
 const RETRY_AFTER_MS: [f64; 2] = [60.0, 400.0];
 
 /// The mean retry delay, in milliseconds, when no target takes work. Engines that lost their weights
@@ -310,7 +310,7 @@
     pub fn count_first_event(&mut self, now: Millis, id: &str, prompt: u32) {
         if let Some(target) = self.targets.get_mut(id) {
             target.record_activity(now);
-            target.count_read(prompt);
+            target.count_prefilled(prompt);
         }
     }
 
--- a/crates/filbertstack-policy/src/dispatch/target.rs
+++ b/crates/filbertstack-policy/src/dispatch/target.rs
@@ -17,7 +17,7 @@
 use crate::units::millis;
 use crate::units::secs;
 
-/// The greatest number of own requests that are remembered as not yet reported, at a target without
+/// The maximum number of own requests that are remembered as not yet reported, at a target without
 /// reports.
 const MAX_UNREPORTED: usize = 64;
 
@@ -94,7 +94,7 @@
     pub(super) spec: TargetSpec,
     in_flight: u32,
     /// The prompt tokens of requests that had no first event yet.
-    unread_tokens: f64,
+    pending_tokens: f64,
     load: Option<(Millis, Load)>,
     /// The time when the last report or the last bytes of an answer arrived.
     last_heard: Millis,
@@ -116,7 +116,7 @@
         Self {
             spec,
             in_flight: 0,
-            unread_tokens: 0.0,
+            pending_tokens: 0.0,
             load: None,
             last_heard: Millis::ZERO,
             last_sent: Millis::ZERO,
@@ -167,18 +167,18 @@
         if self.unreported_sends.len() > MAX_UNREPORTED {
             self.unreported_sends.pop_front();
         }
-        self.unread_tokens += f64::from(prompt);
+        self.pending_tokens += f64::from(prompt);
     }
 
     /// Counts a prompt as prefilled or abandoned.
-    pub(super) fn count_read(&mut self, prompt: u32) {
-        self.unread_tokens = (self.unread_tokens - f64::from(prompt)).max(0.0);
+    pub(super) fn count_prefilled(&mut self, prompt: u32) {
+        self.pending_tokens = (self.pending_tokens - f64::from(prompt)).max(0.0);
     }
 
     /// Counts the end of a request. `unread` is its prompt length if no event arrived, else 0.
     pub(super) fn count_end(&mut self, now: Millis, unread: u32, ended: AttemptEnd) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.count_read(unread);
+        self.count_prefilled(unread);
         match ended {
             AttemptEnd::Answered(took) => self.record_success(took),
             AttemptEnd::Failed => {
@@ -270,8 +270,8 @@
             return self.mean_call_ms * rounds;
         };
         let wait = (ahead + 1.0 - self.slots()).max(0.0) * slot_wait_ms(engine);
-        let read = self.unread_tokens / engine.read_rate;
-        (wait + first_event_ms(engine, ahead, prompt) + read) * self.pace(now)
+        let backlog = self.pending_tokens / engine.read_rate;
+        (wait + first_event_ms(engine, ahead, prompt) + backlog) * self.pace(now)
     }
 
     /// Returns the mean milliseconds by which other entries' unreported requests delay a first event:
--- a/crates/filbertstack-policy/src/outlier.rs
+++ b/crates/filbertstack-policy/src/outlier.rs
@@ -23,7 +23,7 @@
 /// stay ejected.
 const MAX_EJECTION: Millis = Millis::secs(160);
 
-/// The greatest share of a group's targets that may be ejected. If more of them look bad, the likely
+/// The maximum share of a group's targets that may be ejected. If more of them look bad, the likely
 /// cause is the load or the entry itself, and sending all requests to the remaining few would overload
 /// those too.
 pub const MAX_EJECTED_SHARE: f64 = 0.5;
--- a/crates/filbertstack-policy/src/pieces.rs
+++ b/crates/filbertstack-policy/src/pieces.rs
@@ -8,7 +8,7 @@
 //! primary owner among all entries, which alone fetches it from the origin, and one owner in each zone,
 //! which fetches it from the primary owner and passes it to the agents there. An agent's link carries
 //! one copy in, one copy crosses each boundary between zones, and an entry keeps only its share of a
-//! version. Over twelve simulated days with mixed faults, this raised the total value of what callers
+//! version. Over twelve days with mixed faults, this raised the total value of what callers
 //! received from 6.06 to 7.76.
 //!
 //! The owners follow from the list of entries alone, without coordination. Each piece ranks the entries
@@ -28,7 +28,7 @@
 use crate::subset::hash;
 use crate::subset::mix;
 
-/// The greatest number of agents with engines that hold a version that are asked for one piece: one,
+/// The maximum number of agents with engines that hold a version that are asked for one piece: one,
 /// and another in case the first has just ended.
 const MAX_HOLDERS: usize = 2;
 
@@ -272,13 +272,16 @@
         let salt = mix(u64::from(piece) + 1);
         let mut order: Vec<usize> = (0..entries.len()).collect();
         order.sort_by_key(|n| mix(entries[*n].rank ^ salt));
-        let room = order
+        let chosen = order
             .iter()
             .position(|n| owned[*n] < max_pieces)
             .unwrap_or(0);
-        owned[order[room]] += 1;
-        let second = order[(room + 1) % order.len()];
-        [entries[order[room]].id.clone(), entries[second].id.clone()]
+        owned[order[chosen]] += 1;
+        let second = order[(chosen + 1) % order.len()];
+        [
+            entries[order[chosen]].id.clone(),
+            entries[second].id.clone(),
+        ]
     });
     assigned.collect()
 }
@@ -370,7 +373,7 @@
 pub struct Window {
     size: u32,
     max_pieces: u32,
-    last: Millis,
+    last_arrival: Millis,
 }
 
 impl Window {
@@ -379,7 +382,7 @@
         Self {
             size: max_pieces,
             max_pieces,
-            last: Millis::ZERO,
+            last_arrival: Millis::ZERO,
         }
     }
 
@@ -391,8 +394,8 @@
     /// Counts a piece that arrived at `now` and was requested at `asked`. Only the time since the
     /// previous piece counts, because with several in transit each one takes long on any link.
     pub fn arrived(&mut self, asked: Millis, now: Millis) {
-        let took = now.since(asked.max(self.last));
-        self.last = now;
+        let took = now.since(asked.max(self.last_arrival));
+        self.last_arrival = now;
         if took > SLOW_ARRIVAL {
             self.size = 1;
         } else if took < QUICK_ARRIVAL {
--- a/crates/filbertstack-policy/src/recovery.rs
+++ b/crates/filbertstack-policy/src/recovery.rs
@@ -25,7 +25,7 @@
 /// The longest wait. Callers leave a stream that brings no event for two seconds.
 const MAX_WAIT: Millis = Millis(1_500);
 
-/// The greatest number of requests that wait at an entry, as their bodies are kept in memory.
+/// The maximum number of requests that wait at an entry, as their bodies are kept in memory.
 const MAX_WAITERS: usize = 64;
 
 /// The number of waiting requests that are sent for each request that is sent on arrival. Waiting
--- a/crates/filbertstack-policy/src/retry.rs
+++ b/crates/filbertstack-policy/src/retry.rs
@@ -16,14 +16,14 @@
 /// the load.
 const EARNED_PER_REQUEST: f64 = 0.1;
 
-/// The greatest balance of a budget: the work of an entry with a third of the requests of a 32-slot
+/// The maximum balance of a budget: the work of an entry with a third of the requests of a 32-slot
 /// engine, all of which fail at once.
 const MAX_SAVED: f64 = 10.0;
 
 /// The initial balance of a budget: an entry that has just started can retry only a few requests.
 const INITIAL_SAVED: f64 = 3.0;
 
-/// The greatest number of attempts of one request, including the first. When half of the targets are
+/// The maximum number of attempts of one request, including the first. When half of the targets are
 /// lost at once, four attempts all meet lost ones for one request in thirty, three for one in ten.
 pub const MAX_ATTEMPTS: u32 = 4;
 
@@ -124,7 +124,7 @@
 
 /// Decides what follows a failed attempt. A retry is taken from the budget.
 pub fn decide(budget: &mut Budget, rng: &mut ChaCha8Rng, attempted: &FailedAttempt) -> Decision {
-    if !may_repeat(attempted) || attempted.attempts >= MAX_ATTEMPTS {
+    if !may_retry(attempted) || attempted.attempts >= MAX_ATTEMPTS {
         return Decision::GiveUp;
     }
     let after = backoff(rng, attempted.attempts);
@@ -137,7 +137,7 @@
 /// Returns whether the request may be retried. A request with an unknown outcome may have run, so a
 /// retry could run it twice. An answer that the caller has received in part cannot be restarted without
 /// mixing two answers.
-fn may_repeat(attempted: &FailedAttempt) -> bool {
+fn may_retry(attempted: &FailedAttempt) -> bool {
     match attempted.outcome {
         Outcome::NotRun(_) => true,
         Outcome::Ran { .. } => false,
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -50,7 +50,7 @@
 const PROPAGATION: Millis = Millis(80);
 
 /// The time for which an engine that takes no new work may finish its running requests before the rest
-/// is broken off. Three of four answers end within it. The total value of twelve simulated days with
+/// is broken off. Three of four answers end within it. The total value of twelve days with
 /// mixed faults was 7.98 if everything is finished, 8.10 with 0.4 or 0.8 s and 8.04 with 1.2 s; with
 /// 0.8 s the fewest answers are broken off.
 const MAX_FINISHING: Millis = Millis(880);
@@ -89,7 +89,7 @@
     pub at: Millis,
 }
 
-/// The greatest number of versions of a model that are kept: one for each eighth of a second in eight
+/// The maximum number of versions of a model that are kept: one for each eighth of a second in eight
 /// seconds.
 const MAX_VERSIONS: usize = 64;
 
@@ -216,11 +216,11 @@
         return ordered;
     }
     let begun = staged.filter(|staged| wanted.contains(&staged.version));
-    let oldest = begun.filter(|staged| staged.complete);
-    let oldest = oldest.map_or(0, |staged| staged.version);
+    let min_version = begun.filter(|staged| staged.complete);
+    let min_version = min_version.map_or(0, |staged| staged.version);
     let newer = wanted.iter().rev().copied();
     let newest_held = newer
-        .filter(|version| *version >= oldest)
+        .filter(|version| *version >= min_version)
         .find(|v| is_held(*v));
     let begun = begun.map(|staged| staged.version);
     newest_held.or(begun).or(wanted.last().copied())
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -323,8 +323,8 @@
     for gap in [1_700, 1_900, 2_000, 2_050] {
         let finished = fetched(gap, which_yields);
         assert!(finished[0] >= 1.0, "gap {gap}: {finished:?}");
-        let newer_first = fetched(gap, |_, _, held, moving| {
-            if moving && !held {
+        let newer_first = fetched(gap, |_, _, held, arriving| {
+            if arriving && !held {
                 Yields::Older
             } else {
                 Yields::None
@@ -357,7 +357,7 @@
 /// no owner answers, as dozens of them would take up the origin's link.
 #[test]
 fn other_nodes_do_not_ask_the_origin_while_the_owner_answers() {
-    let asked = |part, spent: u64, answers: bool| may_ask_origin(part, answers, Millis(spent));
+    let asked = |role, elapsed: u64, answers: bool| may_ask_origin(role, answers, Millis(elapsed));
     assert!(!asked(PieceRole::Backup, 1_100, true) && !asked(PieceRole::Backup, 3_400, true));
     assert!(
         asked(PieceRole::Backup, 1_100, false),
--- a/crates/filbertstack-policy/tests/repeats.rs
+++ b/crates/filbertstack-policy/tests/repeats.rs
@@ -30,7 +30,7 @@
             }
         }
         let most = ALLOWANCE.ratio * f64::from(requests) + ALLOWANCE.fixed;
-        // Each entry always has at least one repeat; with fewer entries, they share the fixed part
+        // Each entry always has at least one repeat. Up to `fixed` entries share the fixed part
         // exactly.
         let most = most.max(f64::from(entries) + ALLOWANCE.ratio * f64::from(requests));
         assert!(
