--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -162,7 +162,7 @@
     let newer = |weights: &&Holding| weights.version > list.weights.version;
     let haste = match needed.iter().find(newer) {
         Some(newer) if is_on_its_way(agent, newer) => LoadTiming::Latest,
-        _ => LoadTiming::Usual,
+        _ => LoadTiming::Even,
     };
     needed.contains(&list.weights) && time_to_order(agent, &list.weights, haste) == Millis::ZERO
 }
--- a/crates/filbertstack-policy/src/rollout.rs
+++ b/crates/filbertstack-policy/src/rollout.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadTiming {
     /// The engines load spread evenly over the available time.
-    Usual,
+    Even,
     /// The engines load as late as allowed: a newer version is on its way, and an engine that waits for
     /// it loads once.
     Latest,
@@ -161,7 +161,7 @@
         .max(1);
     let position = u64::try_from(position).unwrap_or(0);
     let first = match timing {
-        LoadTiming::Usual => FIRST_ORDER_PART,
+        LoadTiming::Even => FIRST_ORDER_PART,
         LoadTiming::Latest => LATEST_FIRST_ORDER_PART,
     };
     let (first, last) = (fraction(bound, first), fraction(bound, LAST_ORDER_PART));
--- a/crates/filbertstack-policy/tests/rollout.rs
+++ b/crates/filbertstack-policy/tests/rollout.rs
@@ -43,7 +43,7 @@
     let agents = agents(20);
     let delays: Vec<Millis> = agents
         .iter()
-        .map(|own| order_delay(own, &agents, BOUND, LoadTiming::Usual))
+        .map(|own| order_delay(own, &agents, BOUND, LoadTiming::Even))
         .collect();
     let cutover =
         (0..BOUND.0).find(|ms| oldest_allowed([(2, Millis(*ms))].into_iter(), BOUND) == 2);
@@ -61,7 +61,7 @@
 fn a_superseded_version_is_loaded_as_late_as_possible() {
     let agents = agents(20);
     for own in &agents {
-        let usual = order_delay(own, &agents, BOUND, LoadTiming::Usual);
+        let usual = order_delay(own, &agents, BOUND, LoadTiming::Even);
         let late = order_delay(own, &agents, BOUND, LoadTiming::Latest);
         assert!(late >= usual && late >= Millis(5_000));
         assert!(late < BOUND);
@@ -125,7 +125,7 @@
 #[test]
 fn a_single_engine_loads_early() {
     let agents = agents(1);
-    let delay = order_delay(&agents[0], &agents, BOUND, LoadTiming::Usual);
+    let delay = order_delay(&agents[0], &agents, BOUND, LoadTiming::Even);
     assert!(delay <= Millis(2_400));
 }
 
