--- a/crates/filbertstack-gateway/src/agent/contents.rs
+++ b/crates/filbertstack-gateway/src/agent/contents.rs
@@ -4,8 +4,8 @@
 
 use filbertstack_control::document::Weights;
 use filbertstack_platform::engine::PieceList;
-use filbertstack_policy::inherited::Fit;
-use filbertstack_policy::inherited::Others;
+use filbertstack_policy::inherited::Unmatched;
+use filbertstack_policy::inherited::VersionMatch;
 use thiserror::Error;
 
 use crate::agent::Agent;
@@ -53,21 +53,21 @@
     }
 
     /// How the pieces of `list` fit.
-    pub fn fit(&self, list: &PieceList) -> Fit {
+    pub fn fit(&self, list: &PieceList) -> VersionMatch {
         let pieces = list.digests.len();
-        Fit {
+        VersionMatch {
             version: list.weights.version,
             pieces,
-            fitting: (0..pieces).filter(|n| self.fits(list, *n)).count(),
+            matching: (0..pieces).filter(|n| self.fits(list, *n)).count(),
         }
     }
 
     /// The places with no piece of any of `lists`.
-    pub fn others(&self, lists: &[Rc<PieceList>]) -> Others {
+    pub fn others(&self, lists: &[Rc<PieceList>]) -> Unmatched {
         let known = |number| lists.iter().any(|list| self.fits(list, number));
         let empty = self.0.iter().filter(|found| found.is_none()).count();
         let unknown = (0..self.0.len()).filter(|n| self.0[*n].is_some() && !known(*n));
-        Others {
+        Unmatched {
             empty,
             unknown: unknown.count(),
         }
--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -8,13 +8,13 @@
 use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
 use filbertstack_platform::engine::Running;
-use filbertstack_policy::rollout::Drain;
-use filbertstack_policy::rollout::Haste;
+use filbertstack_policy::rollout::DrainStep;
+use filbertstack_policy::rollout::LoadTiming;
 use filbertstack_policy::rollout::Staged;
-use filbertstack_policy::rollout::drain;
-use filbertstack_policy::rollout::order_after;
-use filbertstack_policy::rollout::repeat_after;
-use filbertstack_policy::rollout::staged_now;
+use filbertstack_policy::rollout::drain_step;
+use filbertstack_policy::rollout::order_delay;
+use filbertstack_policy::rollout::resend_delay;
+use filbertstack_policy::rollout::version_to_stage;
 use filbertstack_policy::subset::hash;
 use spdlog::info;
 use spdlog::warn;
@@ -116,11 +116,11 @@
         let whole = agent.stage.whole().map(|list| list.weights.clone());
         let staged = agent.stage.weights().map(|weights| Staged {
             version: weights.version,
-            whole: whole.is_some(),
+            complete: whole.is_some(),
         });
         let ordered = agent.stage.open_order().map(|order| order.weights);
         let version = ordered.as_ref().map(|weights| weights.version);
-        let chosen = staged_now(&versions, staged, version, here);
+        let chosen = version_to_stage(&versions, staged, version, here);
         let chosen = needed
             .iter()
             .chain(&ordered)
@@ -161,8 +161,8 @@
     }
     let newer = |weights: &&Holding| weights.version > list.weights.version;
     let haste = match needed.iter().find(newer) {
-        Some(newer) if is_on_its_way(agent, newer) => Haste::LastCall,
-        _ => Haste::Usual,
+        Some(newer) if is_on_its_way(agent, newer) => LoadTiming::Latest,
+        _ => LoadTiming::Even,
     };
     needed.contains(&list.weights) && time_to_order(agent, &list.weights, haste) == Millis::ZERO
 }
@@ -185,13 +185,13 @@
     }
     agent.engine.set_loading(false);
     match agent.stage.open_order() {
-        Some(order) => orders::await_outcome(agent, repeat_after(order.sent)).await,
+        Some(order) => orders::await_outcome(agent, resend_delay(order.sent)).await,
         None => sleep(AGAIN).await,
     }
 }
 
 /// How long until it is this engine's turn; none for an engine that serves nothing.
-fn time_to_order(agent: &Agent, wanted: &Holding, haste: Haste) -> Millis {
+fn time_to_order(agent: &Agent, wanted: &Holding, haste: LoadTiming) -> Millis {
     let Some(served) = agent.engine.holding() else {
         return Millis::ZERO;
     };
@@ -206,7 +206,7 @@
         .collect();
     ids.sort_by_key(|id| hash(id));
     let bound = Millis::from(agent.node.settings.bounds.rollout);
-    let turn = first.at + order_after(&agent.id(), &ids, bound, haste);
+    let turn = first.at + order_delay(&agent.id(), &ids, bound, haste);
     turn.since(agent.node.clock.now())
 }
 
@@ -242,10 +242,10 @@
         let report = agent.engine.report();
         let work = report.map_or(0, |report| report.running + report.waiting);
         let may_break = agent.node.declared.may_break_off(&wanted.model);
-        match drain(spent, work, may_break) {
-            Drain::Await => sleep(DRAINING).await,
-            Drain::Finish => break,
-            Drain::BreakOff => return Running::BreakOff,
+        match drain_step(spent, work, may_break) {
+            DrainStep::Await => sleep(DRAINING).await,
+            DrainStep::Finish => break,
+            DrainStep::BreakOff => return Running::BreakOff,
         }
     }
     Running::Finish
--- a/crates/filbertstack-gateway/src/control/people.rs
+++ b/crates/filbertstack-gateway/src/control/people.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use filbertstack_core::Millis;
-use filbertstack_policy::registry::Offer;
+use filbertstack_policy::registry::Applied;
 use filbertstack_policy::registry::Registry;
 use filbertstack_policy::registry::Stamp;
 use tokio::sync::watch;
@@ -113,12 +113,12 @@
             let silent = known.get(&id).is_some_and(|(_, s, _)| s <= stamp);
             return silent && known.forget(&id);
         };
-        let offer = known.offer(&id, stamp, Rc::new(kind), row.gone, now);
+        let offer = known.apply(&id, stamp, Rc::new(kind), row.gone, now);
         drop(known);
-        if offer == Offer::Late {
+        if offer == Applied::Stale {
             return false;
         }
-        let changed = offer == Offer::Changed;
+        let changed = offer == Applied::Changed;
         if own || changed {
             self.pending
                 .borrow_mut()
@@ -204,7 +204,7 @@
 
     /// Does not count a span in which this node could hear nobody.
     pub fn defer(&self, span: Millis) {
-        self.rows.borrow_mut().defer(span);
+        self.rows.borrow_mut().extend_deadlines(span);
     }
 
     /// Drops those that have been silent for too long, and tells followers. For voters, who hear
--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -10,14 +10,14 @@
 
 use filbertstack_core::Millis;
 use filbertstack_core::serving::EngineModel;
+use filbertstack_policy::dispatch::AttemptEnd;
+use filbertstack_policy::dispatch::ChooseError;
 use filbertstack_policy::dispatch::Dispatcher;
-use filbertstack_policy::dispatch::Ended;
 use filbertstack_policy::dispatch::Load;
-use filbertstack_policy::dispatch::Offered;
-use filbertstack_policy::dispatch::Refused;
 use filbertstack_policy::dispatch::Sharers;
 use filbertstack_policy::dispatch::TargetId;
-use filbertstack_policy::dispatch::Wanted;
+use filbertstack_policy::dispatch::TargetRequest;
+use filbertstack_policy::dispatch::TargetSpec;
 use filbertstack_policy::registry::Stamp;
 use filbertstack_policy::rollout;
 use filbertstack_policy::subset;
@@ -99,7 +99,7 @@
         for (id, row, addr) in latest {
             let agent = agents.get(row.addr.as_str()).copied();
             let sharers = Sharers {
-                beside: beside.get(&addr).copied().unwrap_or(0),
+                preferred_by: beside.get(&addr).copied().unwrap_or(0),
                 ..census.sharers(row)
             };
             let (target, place) = self.offered((id, row, addr), agent, sharers, now);
@@ -113,7 +113,7 @@
             places.insert(id.clone(), place);
         }
         self.node.loads.want(engines.keys().copied().collect());
-        self.dispatcher.borrow_mut().offer(offered);
+        self.dispatcher.borrow_mut().set_targets(offered);
         *self.places.borrow_mut() = places;
         *self.engines.borrow_mut() = engines;
     }
@@ -139,7 +139,7 @@
         let mut beside = BTreeMap::new();
         for targets in services.values() {
             let names: Vec<&str> = targets.iter().map(|(name, _)| *name).collect();
-            for met in subset::beside(&own, &entries, &names) {
+            for met in subset::preferred(&own, &entries, &names) {
                 beside.insert(targets[met.target].1, met.entries);
             }
         }
@@ -163,7 +163,7 @@
         }
         let node = &self.node.settings.node;
         let used = services.values().flat_map(|candidates| {
-            subset::used(&node.name, &node.zone, candidates, |addr| {
+            subset::select(&node.name, &node.zone, candidates, |addr| {
                 beside.contains_key(&addr)
             })
         });
@@ -177,7 +177,7 @@
         let mut dispatcher = self.dispatcher.borrow_mut();
         for row in rows {
             if let Some(id) = engines.get(&row.engine) {
-                dispatcher.report(now, id, load(row));
+                dispatcher.record_load(now, id, load(row));
             }
         }
     }
@@ -189,7 +189,7 @@
         agent: Option<&AgentRow>,
         sharers: Sharers,
         now: Millis,
-    ) -> (Offered, Place) {
+    ) -> (TargetSpec, Place) {
         let catalogue = self.node.declared.catalogue();
         let service = catalogue.service(&row.service);
         let engine = service.and_then(|s| s.engine.clone()).map(Arc::new);
@@ -198,18 +198,18 @@
         let ages = engine.as_deref().map(|e| self.ages(e, now));
         let ages = ages.unwrap_or_default();
         let bound = Millis::from(self.node.settings.bounds.rollout);
-        let floor = rollout::floor(ages.iter().copied(), bound);
-        let patience = rollout::patience(ages.into_iter(), version, bound);
+        let floor = rollout::oldest_allowed(ages.iter().copied(), bound);
+        let patience = rollout::max_wait(ages.into_iter(), version, bound);
         let loading = agent.is_some_and(|agent| agent.loading);
         let serves = engine.is_none() || (version > 0 && version >= floor && !loading);
-        let offered = Offered {
+        let offered = TargetSpec {
             id: id.clone(),
             service: row.service.as_str().into(),
             slots: row.slots,
-            near: row.zone == self.node.settings.node.zone,
+            local: row.zone == self.node.settings.node.zone,
             sharers,
             engine,
-            open: serves && !row.draining,
+            accepts_work: serves && !row.draining,
         };
         let place = Place {
             addr,
@@ -230,22 +230,22 @@
     /// Counts a request for `service` that comes.
     pub fn come(&self, service: &Arc<str>) {
         let now = self.node.clock.now();
-        self.dispatcher.borrow_mut().come(now, service);
+        self.dispatcher.borrow_mut().count_request(now, service);
     }
 
     /// Chooses a target for a request.
     ///
     /// # Errors
-    /// [`Refused`] if none can serve it in time.
-    pub fn choose(&self, wanted: &Wanted<'_>) -> Result<Chosen, Refused> {
+    /// [`ChooseError`] if none can serve it in time.
+    pub fn choose(&self, wanted: &TargetRequest<'_>) -> Result<Chosen, ChooseError> {
         let now = self.node.clock.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
         let id = dispatcher.choose(now, wanted)?;
-        let (predicted, report_age) = dispatcher.grounds(now, &id, wanted.prompt);
+        let (predicted, report_age) = dispatcher.prediction(now, &id, wanted.prompt);
         let place = self.places.borrow().get(&id).copied();
         // Both are replaced together, so a target that is offered has a place.
-        let place = place.ok_or(Refused::NoTarget {
-            after: Millis::secs(1),
+        let place = place.ok_or(ChooseError::NoTarget {
+            retry_after: Millis::secs(1),
         })?;
         Ok(Chosen {
             id,
@@ -260,19 +260,21 @@
     /// Counts a request that is sent.
     pub fn sent(&self, id: &str, prompt: u32) {
         let now = self.node.clock.now();
-        self.dispatcher.borrow_mut().sent(now, id, prompt);
+        self.dispatcher.borrow_mut().count_sent(now, id, prompt);
     }
 
     /// Counts a first event.
     pub fn began(&self, id: &str, prompt: u32) {
         let now = self.node.clock.now();
-        self.dispatcher.borrow_mut().began(now, id, prompt);
+        self.dispatcher
+            .borrow_mut()
+            .count_first_event(now, id, prompt);
     }
 
     /// Notes that bytes of an answer came.
     pub fn heard(&self, id: &str) {
         let now = self.node.clock.now();
-        self.dispatcher.borrow_mut().hear(now, id);
+        self.dispatcher.borrow_mut().record_activity(now, id);
     }
 
     /// Whether a target is silent though others are heard, or gone.
@@ -282,15 +284,17 @@
     }
 
     /// Counts the end of a request; `unread` is its prompt if no event had come.
-    pub fn ended(&self, id: &str, unread: u32, ended: Ended) {
+    pub fn ended(&self, id: &str, unread: u32, ended: AttemptEnd) {
         let now = self.node.clock.now();
-        self.dispatcher.borrow_mut().ended(now, id, unread, ended);
+        self.dispatcher
+            .borrow_mut()
+            .count_end(now, id, unread, ended);
     }
 
     /// Takes a target out for a while.
     pub fn shut(&self, id: &str, span: Millis) {
         let now = self.node.clock.now();
-        self.dispatcher.borrow_mut().shut(now, id, span);
+        self.dispatcher.borrow_mut().suspend(now, id, span);
     }
 }
 
@@ -343,7 +347,7 @@
             entries: self.entries[part],
             targets: counted(&self.targets),
             used: counted(&self.used),
-            beside: 0,
+            preferred_by: 0,
         }
     }
 }
--- a/crates/filbertstack-gateway/src/weights/fetch.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch.rs
@@ -16,9 +16,9 @@
 use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
 use filbertstack_platform::engine::ask_piece;
-use filbertstack_policy::pieces::Layout;
+use filbertstack_policy::pieces::OwnerMap;
 use filbertstack_policy::pieces::Window;
-use filbertstack_policy::pieces::asks_origin;
+use filbertstack_policy::pieces::may_ask_origin;
 use spdlog::info;
 use tokio::sync::Notify;
 use tokio::sync::Semaphore;
@@ -80,7 +80,7 @@
     weights: Holding,
     /// Nodes that did not answer in time, and when.
     slow: RefCell<BTreeMap<Arc<str>, Instant>>,
-    layout: RefCell<Option<(Rc<Layout>, Instant)>>,
+    layout: RefCell<Option<(Rc<OwnerMap>, Instant)>>,
     origin_slots: Semaphore,
     /// Whether the origin is left to a newer version.
     yields: Cell<bool>,
@@ -147,7 +147,7 @@
     }
 
     /// The layout of the nodes that are there, worked out anew from time to time.
-    pub fn layout(&self, list: &PieceList) -> Rc<Layout> {
+    pub fn layout(&self, list: &PieceList) -> Rc<OwnerMap> {
         let kept = self.layout.borrow().clone();
         if let Some((layout, _)) = kept.filter(|(_, at)| at.elapsed() < LAYOUT) {
             return layout;
@@ -157,7 +157,7 @@
         layout
     }
 
-    fn layout_of(&self, pieces: u32) -> Rc<Layout> {
+    fn layout_of(&self, pieces: u32) -> Rc<OwnerMap> {
         Rc::new(weights::layout(
             &self.node,
             &self.own,
@@ -192,10 +192,10 @@
     fn asked(&self, list: &PieceList, number: u32, began: Instant) -> Vec<Arc<str>> {
         let plan = self.layout(list).plan(number);
         let spent = Millis::from(began.elapsed());
-        let mut asked = plan.near;
+        let mut asked = plan.first;
         asked.retain(|id| !self.is_slow(id));
-        if asked.is_empty() || spent >= plan.far_after {
-            asked.extend(plan.far.into_iter().filter(|id| !self.is_slow(id)));
+        if asked.is_empty() || spent >= plan.fallback_after {
+            asked.extend(plan.fallback.into_iter().filter(|id| !self.is_slow(id)));
         }
         asked
     }
@@ -288,7 +288,7 @@
                 sleep(after.saturating_sub(spent).clamp(PAUSE / 2, PAUSE)).await;
                 continue;
             }
-            let asked = self.who_has(number, &plan.before).await;
+            let asked = self.who_has(number, &plan.likely_holders).await;
             if let Some((id, place)) = asked.has {
                 let bytes = self.take_piece(number, &id, place).await;
                 if let Some(bytes) = bytes.filter(|bytes| weights::fits(list, number, bytes)) {
@@ -297,8 +297,8 @@
                 sleep(HAS_AGAIN).await;
                 continue;
             }
-            let part = self.layout(list).part(number);
-            if !asks_origin(part, asked.answered, Millis::from(began.elapsed())) {
+            let part = self.layout(list).role(number);
+            if !may_ask_origin(part, asked.answered, Millis::from(began.elapsed())) {
                 sleep(HAS_AGAIN).await;
                 continue;
             }
--- a/crates/filbertstack-gateway/src/weights/fetch/list.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch/list.rs
@@ -11,8 +11,8 @@
 use filbertstack_platform::engine::PieceList;
 use filbertstack_platform::engine::ask_manifest;
 use filbertstack_platform::engine::read_manifest;
-use filbertstack_policy::pieces::Part;
-use filbertstack_policy::pieces::asks_origin;
+use filbertstack_policy::pieces::PieceRole;
+use filbertstack_policy::pieces::may_ask_origin;
 use prost::Message as _;
 use spdlog::info;
 use tokio::time::sleep;
@@ -56,23 +56,28 @@
         let began = Instant::now();
         loop {
             let layout = self.layout_of(1);
-            if layout.leads(0)
+            if layout.is_primary(0)
                 && let Some(list) = self.list_of_origin().await
             {
                 return self.kept(list).await;
             }
             let plan = layout.plan(0);
             let mut answered = false;
-            for id in plan.near.iter().chain(&plan.before).chain(&plan.far) {
+            for id in plan
+                .first
+                .iter()
+                .chain(&plan.likely_holders)
+                .chain(&plan.fallback)
+            {
                 match self.list_of_peer(id).await {
                     Listed::Here(list) => return list,
-                    Listed::NotHere => answered |= plan.before.contains(id),
+                    Listed::NotHere => answered |= plan.likely_holders.contains(id),
                     Listed::Never => {}
                 }
             }
-            let part = layout.part(0);
-            if part != Part::Leads
-                && asks_origin(part, answered, Millis::from(began.elapsed()))
+            let part = layout.role(0);
+            if part != PieceRole::Primary
+                && may_ask_origin(part, answered, Millis::from(began.elapsed()))
                 && let Some(list) = self.list_of_origin().await
             {
                 return self.kept(list).await;
@@ -86,7 +91,7 @@
 
     /// Whether this node is the one that asks the origin for the list.
     pub fn leads_list(&self) -> bool {
-        self.layout_of(1).leads(0)
+        self.layout_of(1).is_primary(0)
     }
 
     /// Has the voters keep the list, if the origin gives it. Tells whether they do.
--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -64,9 +64,9 @@
 use crate::admission::Supply;
 use crate::admission::TicketKey;
 use crate::fair::Item;
-use crate::retry::Attempted;
 use crate::retry::Budget;
 use crate::retry::Decision;
+use crate::retry::FailedAttempt;
 use crate::retry::Outcome;
 use crate::retry::decide;
 use crate::route::AttemptKey;
@@ -440,7 +440,7 @@
             let target = self.router.choose(now, ticket.group, &ticket.need);
             let fresh = target.filter(|target| !ticket.need.tried.contains(target));
             if let Some(target) = fresh
-                && self.budget.spend_spare()
+                && self.budget.spend_hedge()
             {
                 self.tickets[key].hedged = true;
                 self.send(now, key, target);
@@ -527,16 +527,16 @@
             return Ended::Open;
         }
         let supply = self.supply(now, ticket.group);
-        let attempted = Attempted {
+        let attempted = FailedAttempt {
             outcome,
             attempts: ticket.attempts,
             idempotent: ticket.need.idempotent,
             answered: ticket.answered,
-            left: ticket.deadline.since(now),
-            takes: supply.takes(ticket.need.cost.work()),
+            time_left: ticket.deadline.since(now),
+            expected_time: supply.takes(ticket.need.cost.work()),
         };
         match decide(&mut self.budget, &mut self.rng, &attempted) {
-            Decision::Again { after } => self.again(now, key, after, outcome),
+            Decision::Retry { after } => self.again(now, key, after, outcome),
             Decision::GiveUp => self.give_up(now, key, &supply),
         }
     }
--- a/crates/filbertstack-policy/src/route.rs
+++ b/crates/filbertstack-policy/src/route.rs
@@ -469,9 +469,9 @@
         };
         if let Some(target) = self.targets.get_mut(key) {
             target.in_flight += 1;
-            if target.outlier.is_out() {
+            if target.outlier.is_ejected() {
                 attempt.role = Role::Probe;
-                target.outlier.probe();
+                target.outlier.start_probe();
             }
         }
         if let Some(group) = self.groups.get_mut(group) {
@@ -542,9 +542,9 @@
         };
         if let Some(target) = self.targets.get_mut(attempt.target)
             && attempt.is_probe()
-            && target.outlier.is_out()
+            && target.outlier.is_ejected()
         {
-            target.outlier.withdraw(now);
+            target.outlier.cancel_probe(now);
         }
     }
 
--- a/crates/filbertstack-policy/src/route/learn.rs
+++ b/crates/filbertstack-policy/src/route/learn.rs
@@ -15,7 +15,7 @@
 use crate::cost::Cost;
 use crate::limit::Sample;
 use crate::outlier::Health;
-use crate::outlier::MOST_OUT;
+use crate::outlier::MAX_EJECTED_SHARE;
 use crate::retry::NotRun;
 use crate::target::Target;
 use crate::units::count;
@@ -106,7 +106,7 @@
         let Some(target) = self.targets.get_mut(attempt.target) else {
             return;
         };
-        target.outlier.succeed();
+        target.outlier.record_success();
         let streamed = secs(now.since(attempt.first.unwrap_or(now)));
         if cost.output > 1 {
             target.note_between(streamed / f64::from(cost.output - 1));
@@ -133,7 +133,7 @@
     fn reopen(&mut self, now: Millis, attempt: &Attempt) {
         if let Some(target) = self.targets.get_mut(attempt.target)
             && attempt.is_probe()
-            && target.outlier.health() == Health::Probed
+            && target.outlier.health() == Health::Probing
         {
             target.outlier.eject(now);
         }
@@ -145,10 +145,10 @@
         let can_eject = self.can_eject(attempt.group);
         if let Some(target) = self.targets.get_mut(attempt.target)
             && can_eject
-            && !target.outlier.is_out()
+            && !target.outlier.is_ejected()
         {
             target.limit.fail(now, attempt.sent);
-            target.outlier.lose(now);
+            target.outlier.eject_lost(now);
         }
     }
 
@@ -158,8 +158,8 @@
             return;
         };
         target.limit.fail(now, attempt.sent);
-        let bad = target.outlier.fail();
-        if attempt.is_probe() || (bad && can_eject && !target.outlier.is_out()) {
+        let bad = target.outlier.record_failure();
+        if attempt.is_probe() || (bad && can_eject && !target.outlier.is_ejected()) {
             target.outlier.eject(now);
         }
     }
@@ -191,7 +191,7 @@
         let Some(target) = self.targets.get_mut(attempt.target) else {
             return;
         };
-        let out = target.outlier.is_out();
+        let out = target.outlier.is_ejected();
         match (attempt.is_probe() && out, slow) {
             (true, false) if !attempt.overdue => target.readmit(now),
             (true, _) => target.outlier.eject(now),
@@ -239,7 +239,7 @@
         let members = self.members(group);
         let is_out = |key: &&TargetKey| self.targets.get(**key).is_some_and(Target::is_out);
         let out = members.iter().filter(is_out).count() + 1;
-        count(out) <= count(members.len()) * MOST_OUT
+        count(out) <= count(members.len()) * MAX_EJECTED_SHARE
     }
 }
 
--- a/crates/filbertstack-policy/tests/pieces.rs
+++ b/crates/filbertstack-policy/tests/pieces.rs
@@ -1,16 +1,16 @@
-//! Who asks whom for which piece.
+//! Tests of the owners of pieces and the order in which nodes ask for them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use filbertstack_core::Millis;
-use filbertstack_policy::pieces::Layout;
-use filbertstack_policy::pieces::Part;
+use filbertstack_policy::pieces::OwnerMap;
 use filbertstack_policy::pieces::Peer;
+use filbertstack_policy::pieces::PieceRole;
 use filbertstack_policy::pieces::Window;
 use filbertstack_policy::pieces::Yields;
-use filbertstack_policy::pieces::asks_origin;
-use filbertstack_policy::pieces::yields;
+use filbertstack_policy::pieces::may_ask_origin;
+use filbertstack_policy::pieces::which_yields;
 
 const PIECES: u32 = 48;
 
@@ -27,30 +27,30 @@
     peers("entry", zones, in_zone)
 }
 
-fn layout(own: &Peer, entries: &[Peer], holders: &[Peer]) -> Layout {
-    Layout::new(&own.id, &own.zone, entries, holders, PIECES)
+fn layout(own: &Peer, entries: &[Peer], holders: &[Peer]) -> OwnerMap {
+    OwnerMap::new(&own.id, &own.zone, entries, holders, PIECES)
 }
 
-fn layouts(entries: &[Peer]) -> Vec<(&Peer, Layout)> {
+fn layouts(entries: &[Peer]) -> Vec<(&Peer, OwnerMap)> {
     let layout = |p| (p, layout(p, entries, &[]));
     entries.iter().map(layout).collect()
 }
 
-/// The owner of each piece among all entries.
+/// Returns the primary owner of each piece.
 fn owners(entries: &[Peer]) -> Vec<Arc<str>> {
     let layouts = layouts(entries);
     let owner = |piece| {
-        let mut leading = layouts.iter().filter(|(_, l)| l.leads(piece));
+        let mut leading = layouts.iter().filter(|(_, l)| l.is_primary(piece));
         leading.next().map(|(p, _)| p.id.clone()).expect("an owner")
     };
     (0..PIECES).map(owner).collect()
 }
 
-/// A version is named to 20 agents in three zones. Without owners each pulls a copy through the
-/// origin's link, 20 copies one after the other. With them one entry asks for each piece at once,
-/// and every agent knows an entry that will have it.
+/// Guards against agents that each pull a copy through the origin's link. For 20 agents in three zones
+/// that would be 20 copies one after another. With owners, one entry asks for each piece at once, and
+/// every agent knows an entry that will have it.
 #[test]
-fn one_entry_asks_the_origin_for_each_piece_at_once() {
+fn only_the_primary_owner_asks_the_origin_at_once() {
     for (zones, in_zone) in [(1, 1), (1, 2), (3, 4), (3, 7), (4, 15)] {
         let entries = entries(zones, in_zone);
         let agents = peers("agent", zones, 7);
@@ -64,32 +64,32 @@
                 1,
                 "{zones} zones of {in_zone}, piece {piece}"
             );
-            let lost = plans
-                .iter()
-                .filter(|p| p.origin_after > Millis::ZERO && p.near.is_empty() && p.far.is_empty());
-            assert_eq!(lost.count(), 0, "everybody else has somebody to ask");
+            let lost = plans.iter().filter(|p| {
+                p.origin_after > Millis::ZERO && p.first.is_empty() && p.fallback.is_empty()
+            });
+            assert_eq!(lost.count(), 0, "every other node has a node to ask");
         }
     }
 }
 
-/// An agent that is told to pass pieces on sends a copy over the narrow link that its callers'
-/// events share. While no engine holds the version, nobody asks an agent for anything.
+/// Guards against agents that pass pieces on over the narrow link which they need for their callers'
+/// events. While no engine holds the version, no node asks an agent for a piece.
 #[test]
-fn agents_are_not_asked_for_what_is_new() {
+fn agents_are_not_asked_for_a_new_version() {
     let entries = entries(3, 4);
     let agents = peers("agent", 3, 7);
     for node in entries.iter().chain(&agents) {
         let layout = layout(node, &entries, &[]);
         for piece in 0..PIECES {
             let plan = layout.plan(piece);
-            let asked = [plan.near, plan.far, plan.before].concat();
+            let asked = [plan.first, plan.fallback, plan.likely_holders].concat();
             assert!(asked.iter().all(|id| id.starts_with("entry")), "{asked:?}");
         }
     }
 }
 
-/// An entry that owned many pieces would hold back all agents of its zone behind its link. Nobody
-/// owns more than one piece above an even share.
+/// Guards against an entry that owns too many pieces, as all agents of its zone would wait for its
+/// link. An entry owns at most one piece above an even share.
 #[test]
 fn owners_share_the_pieces_evenly() {
     for (zones, in_zone, most) in [(3, 7, 4), (3, 4, 5), (1, 3, 17), (4, 15, 2)] {
@@ -101,9 +101,10 @@
     }
 }
 
-/// An entry ends while a version is on its way. Were the owners numbered through, nearly all pieces
-/// would change theirs, and the new ones would ask the origin for what the old ones have. Its own
-/// pieces move, and a quarter of all at most.
+/// Guards against many pieces changing their owner when an entry ends during a transfer. If pieces were
+/// assigned by the entries' index, nearly all would change theirs, and the new owners would ask the
+/// origin for what the old ones have. Here the entry's own pieces move, and at most a quarter of all
+/// pieces.
 #[test]
 fn an_entry_that_ends_moves_few_pieces_of_others() {
     let entries = entries(3, 4);
@@ -121,11 +122,11 @@
     }
 }
 
-/// The owner of a piece is frozen just after the version was named, and the origin fails 2.5 s
-/// later. Nobody would have the piece; the second owner asks the origin after a second. The pieces
-/// of one lost owner go to different second owners.
+/// Guards against a piece that is lost because its owner freezes just after the version was named, and
+/// the origin fails 2.5 s later. The backup owner asks the origin after a second. The pieces of one
+/// lost owner have different backup owners.
 #[test]
-fn a_second_entry_stands_in_for_a_lost_owner() {
+fn a_backup_owner_replaces_a_lost_primary_owner() {
     let entries = entries(3, 7);
     let layouts = layouts(&entries);
     for piece in 0..PIECES {
@@ -135,15 +136,15 @@
     }
 }
 
-/// An owner starts again in the middle of a rollout and has lost its pieces, which the entries that
-/// keep them for other zones still have. It asks those before the origin, whose bytes are paid for
-/// and which may be gone.
+/// Guards against needless requests to the origin, whose bytes are paid for and which may have failed.
+/// An owner that restarts during a rollout has lost its pieces, but the owners in other zones still
+/// have them. It asks those first.
 #[test]
 fn an_owner_asks_other_zones_before_the_origin() {
     let entries = entries(3, 4);
     for (own, layout) in layouts(&entries) {
-        for piece in (0..PIECES).filter(|piece| layout.leads(*piece)) {
-            let before = layout.plan(piece).before;
+        for piece in (0..PIECES).filter(|piece| layout.is_primary(*piece)) {
+            let before = layout.plan(piece).likely_holders;
             let zones = entries.iter().filter(|p| before.contains(&p.id));
             let elsewhere = zones.filter(|p| p.zone != own.zone).count();
             assert!(elsewhere >= 2, "piece {piece} of {}: {before:?}", own.id);
@@ -151,10 +152,10 @@
     }
 }
 
-/// Seven agents of a zone want the same piece from another zone. Only the entry that keeps it for
-/// the zone asks there at once, or the link between regions carries seven copies.
+/// Guards against all agents of a zone asking other zones for the same piece, so that the link between
+/// regions carries seven copies. Only the zone's owner asks there at once.
 #[test]
-fn one_entry_a_zone_asks_outside_it() {
+fn one_entry_per_zone_asks_other_zones() {
     let entries = entries(3, 7);
     let agents = peers("agent", 3, 7);
     let layouts = layouts(&entries);
@@ -163,39 +164,39 @@
             let here = layouts.iter().filter(|(p, _)| &*p.zone == zone);
             let outside = here.filter(|(_, l)| {
                 let plan = l.plan(piece);
-                plan.far_after == Millis::ZERO && !l.leads(piece)
+                plan.fallback_after == Millis::ZERO && !l.is_primary(piece)
             });
             let led = layouts
                 .iter()
-                .any(|(p, l)| &*p.zone == zone && l.leads(piece));
+                .any(|(p, l)| &*p.zone == zone && l.is_primary(piece));
             assert!(outside.count() <= 1, "piece {piece} in {zone}");
             let agents = agents.iter().filter(|a| &*a.zone == zone);
             for agent in agents {
                 let plan = layout(agent, &entries, &[]).plan(piece);
                 assert_eq!(
-                    plan.near.len(),
+                    plan.first.len(),
                     1,
                     "piece {piece} in {zone}, led here: {led}"
                 );
-                assert!(plan.far_after > Millis::ZERO);
+                assert!(plan.fallback_after > Millis::ZERO);
             }
         }
     }
 }
 
-/// Engines are added while others serve the version. The owners ask those that hold it before the
-/// origin, each piece once and spread over all holders; the newcomers ask the entries.
+/// Guards against a copy from the origin when engines are added while others hold the version. The
+/// owners ask those first, each piece once and spread over all holders; the new agents ask the entries.
 #[test]
-fn owners_spread_over_the_holders_before_they_ask_the_origin() {
+fn owners_ask_all_holders_evenly_before_the_origin() {
     let entries = entries(1, 3);
     let holders = peers("agent", 1, 8);
     let mut asked: BTreeMap<Arc<str>, u32> = BTreeMap::new();
     for own in &entries {
         let layout = layout(own, &entries, &holders);
-        for piece in (0..PIECES).filter(|piece| layout.leads(*piece)) {
+        for piece in (0..PIECES).filter(|piece| layout.is_primary(*piece)) {
             let plan = layout.plan(piece);
             assert!(plan.origin_after > Millis::ZERO);
-            *asked.entry(plan.near[0].clone()).or_default() += 1;
+            *asked.entry(plan.first[0].clone()).or_default() += 1;
         }
     }
     assert_eq!(asked.len(), 8);
@@ -206,15 +207,15 @@
     };
     let newcomer = layout(&newcomer, &entries, &holders);
     for piece in 0..PIECES {
-        let near = newcomer.plan(piece).near;
+        let near = newcomer.plan(piece).first;
         assert!(near.iter().all(|id| id.starts_with("entry")), "{near:?}");
     }
 }
 
-/// All entries have just started again and have nothing; an agent still finds those whose engines
-/// hold the version.
+/// Guards against agents without a source when all entries have just restarted: they ask the agents
+/// whose engines hold the version.
 #[test]
-fn holders_are_the_last_resort_of_agents() {
+fn agents_fall_back_to_holders() {
     let entries = entries(3, 4);
     let holders = peers("agent", 3, 2);
     let newcomer = Peer {
@@ -223,21 +224,21 @@
     };
     let layout = layout(&newcomer, &entries, &holders);
     for piece in 0..PIECES {
-        let far = layout.plan(piece).far;
+        let far = layout.plan(piece).fallback;
         let held = far.iter().filter(|id| id.starts_with("agent 1-")).count();
         assert_eq!(held, 2, "{far:?}");
     }
 }
 
 #[test]
-fn own_pieces_come_first() {
+fn owned_pieces_are_fetched_first() {
     let entries = entries(3, 4);
     for (_, layout) in layouts(&entries) {
         let order = layout.order(PIECES);
-        let own: Vec<bool> = order.iter().map(|n| layout.leads(*n)).collect();
+        let own: Vec<bool> = order.iter().map(|n| layout.is_primary(*n)).collect();
         let count = own.iter().filter(|own| **own).count();
         assert!(own[..count].iter().all(|own| *own), "{own:?}");
-        let kept: Vec<bool> = order.iter().map(|n| layout.owns(*n)).collect();
+        let kept: Vec<bool> = order.iter().map(|n| layout.is_owner(*n)).collect();
         let count = kept.iter().filter(|kept| **kept).count();
         assert!(kept[..count].iter().all(|kept| *kept), "{kept:?}");
         let mut sorted = order.clone();
@@ -246,8 +247,9 @@
     }
 }
 
-/// A link turns from 9.4 to 1.2 Mbit/s: a piece takes 330 ms alone and 1.3 s with four under way,
-/// and requests to the engine wait behind them. The window shrinks to one, and grows again later.
+/// Guards against requests to the engine that wait behind pieces on a link that slows from 9.4 to 1.2
+/// Mbit/s. A piece then takes 330 ms alone and 1.3 s with four in transit. The window shrinks to one
+/// and grows again later.
 #[test]
 fn a_narrow_link_gets_one_piece_at_a_time() {
     let mut window = Window::new(2);
@@ -269,8 +271,8 @@
     assert_eq!(window.size(), 1);
 }
 
-/// Guards against two pieces at once on a link that takes a third of a second for each: a request behind
-/// both reaches the engine after its caller's goal, and after an older version's end.
+/// Guards against two pieces in transit on a link that takes a third of a second for each: a request
+/// behind both reaches the engine after its caller's goal, and after an older version's end.
 #[test]
 fn a_link_that_takes_a_third_of_a_second_gets_one_piece_at_a_time() {
     let mut window = Window::new(2);
@@ -280,13 +282,13 @@
     assert_eq!(window.size(), 1);
 }
 
-/// What the origin's link carries in a millisecond, in parts of a copy: 2.1 s for all of it.
-const RATE: f64 = 1.0 / 2_100.0;
+/// The part of a copy that the origin's link carries in a millisecond: a whole copy takes 2.1 s.
+const COPIES_PER_MS: f64 = 1.0 / 2_100.0;
 
-/// Two versions are named `gap` apart, and the origin fails half a second after the second. Returns
-/// how much of each has come by then, with `yields` deciding which waits.
+/// Simulates two versions that are named `gap` apart and an origin that fails half a second after the
+/// second. Returns how much of each has arrived by then, with `decide` choosing which yields.
 fn fetched(gap: u64, decide: impl Fn(Millis, Millis, bool, bool) -> Yields) -> [f64; 2] {
-    let mut came = [0.0_f64; 2];
+    let mut arrived = [0.0_f64; 2];
     for now in 0..gap + 500 {
         let second = now >= gap;
         let newer = Millis(now.saturating_sub(gap));
@@ -294,34 +296,35 @@
             decide(
                 Millis(now),
                 newer,
-                came[0] >= 1.0,
-                came[1] > 0.0 || newer > Millis(100),
+                arrived[0] >= 1.0,
+                arrived[1] > 0.0 || newer > Millis(100),
             )
         } else {
             Yields::None
         };
-        let wants = [
-            came[0] < 1.0 && yields != Yields::Older,
+        let fetching = [
+            arrived[0] < 1.0 && yields != Yields::Older,
             second && yields != Yields::Newer,
         ];
-        let share = RATE / f64::from(u8::from(wants[0]) + u8::from(wants[1])).max(1.0);
-        for (came, wants) in came.iter_mut().zip(wants) {
-            *came += if wants { share } else { 0.0 };
+        let share =
+            COPIES_PER_MS / f64::from(u8::from(fetching[0]) + u8::from(fetching[1])).max(1.0);
+        for (arrived, fetching) in arrived.iter_mut().zip(fetching) {
+            *arrived += if fetching { share } else { 0.0 };
         }
     }
-    came
+    arrived
 }
 
-/// A second version is named before all of the first is here, and the origin fails half a second
-/// later. Engines on the version before both are soon out of use: one of the two must be whole. With
-/// the newer first, the older lacks its last pieces.
+/// Guards against two incomplete versions when the second is named before the first is complete, and
+/// the origin fails half a second later. Engines on an earlier version are soon out of use, so one of
+/// the two must be complete. With the newer one first, the older lacks its last pieces.
 #[test]
-fn what_is_nearly_here_is_finished_before_the_origin_fails() {
+fn a_nearly_complete_version_is_finished_before_the_origin_fails() {
     for gap in [1_700, 1_900, 2_000, 2_050] {
-        let ours = fetched(gap, yields);
-        assert!(ours[0] >= 1.0, "gap {gap}: {ours:?}");
-        let newer_first = fetched(gap, |_, _, held, moving| {
-            if moving && !held {
+        let finished = fetched(gap, which_yields);
+        assert!(finished[0] >= 1.0, "gap {gap}: {finished:?}");
+        let newer_first = fetched(gap, |_, _, held, arriving| {
+            if arriving && !held {
                 Yields::Older
             } else {
                 Yields::None
@@ -331,30 +334,39 @@
     }
 }
 
-/// Two versions are named shortly one after the other: the older gives way. One whose origin fails
-/// does not hold up the newer for long, and one that is here not at all.
+/// Guards against fetching two versions that are named in quick succession: the older yields. One whose
+/// origin fails does not delay the newer for long, and one that is complete does not delay it at all.
 #[test]
-fn what_was_begun_a_moment_ago_gives_way() {
+fn a_version_begun_a_moment_ago_yields() {
     let secs = Millis::secs;
-    assert_eq!(yields(Millis(500), Millis(100), false, true), Yields::Older);
-    assert_eq!(yields(secs(5), secs(3), false, true), Yields::Older);
-    assert_eq!(yields(secs(5), secs(3), false, false), Yields::None);
-    assert_eq!(yields(Millis(2_100), Millis(100), true, true), Yields::None);
+    assert_eq!(
+        which_yields(Millis(500), Millis(100), false, true),
+        Yields::Older
+    );
+    assert_eq!(which_yields(secs(5), secs(3), false, true), Yields::Older);
+    assert_eq!(which_yields(secs(5), secs(3), false, false), Yields::None);
+    assert_eq!(
+        which_yields(Millis(2_100), Millis(100), true, true),
+        Yields::None
+    );
 }
 
-/// 48 pieces share the origin's link, and all come at the end of a copy's time. Who stands in for the
-/// owners asks for them as well from the second on: left to that, each piece is sent twice. An owner
-/// that is frozen is stood in for at once, and one that does not get on after some seconds. Agents
-/// ask only where no owner answers: dozens of them would keep the origin from everybody.
+/// Guards against pieces that the origin sends twice. 48 pieces share its link, and all arrive towards
+/// the end of a copy's time, while the backup owners would ask for them from one second on. A frozen
+/// owner is replaced at once, and one that makes no progress after some seconds. Agents ask only where
+/// no owner answers, as dozens of them would take up the origin's link.
 #[test]
-fn a_piece_is_asked_of_the_origin_once_while_its_owner_answers() {
-    let asked = |part, spent: u64, answers: bool| asks_origin(part, answers, Millis(spent));
-    assert!(!asked(Part::StandsIn, 1_100, true) && !asked(Part::StandsIn, 3_400, true));
-    assert!(asked(Part::StandsIn, 1_100, false), "the owner is frozen");
+fn other_nodes_do_not_ask_the_origin_while_the_owner_answers() {
+    let asked = |role, elapsed: u64, answers: bool| may_ask_origin(role, answers, Millis(elapsed));
+    assert!(!asked(PieceRole::Backup, 1_100, true) && !asked(PieceRole::Backup, 3_400, true));
+    assert!(
+        asked(PieceRole::Backup, 1_100, false),
+        "the owner is frozen"
+    );
     assert!(
-        asked(Part::StandsIn, 3_500, true),
-        "the owner does not get on"
+        asked(PieceRole::Backup, 3_500, true),
+        "the owner makes no progress"
     );
-    assert!(!asked(Part::Asks, 60_000, true) && asked(Part::Asks, 3_500, false));
-    assert!(asked(Part::Leads, 0, true), "its own piece");
+    assert!(!asked(PieceRole::Reader, 60_000, true) && asked(PieceRole::Reader, 3_500, false));
+    assert!(asked(PieceRole::Primary, 0, true), "its own piece");
 }
