--- a/crates/filbertstack-entry/src/traffic.rs
+++ b/crates/filbertstack-entry/src/traffic.rs
@@ -20,8 +20,8 @@
 use filbertstack_policy::flow::Event;
 use filbertstack_policy::flow::Flow;
 use filbertstack_policy::flow::Offer;
+use filbertstack_policy::flow::POLL_INTERVAL;
 use filbertstack_policy::flow::Settings;
-use filbertstack_policy::flow::TICK;
 use filbertstack_policy::retry::Outcome;
 use filbertstack_policy::route::AttemptKey;
 use filbertstack_policy::route::TargetKey;
@@ -128,7 +128,7 @@
                 }
                 shared.poll();
                 drop(shared);
-                thread::sleep(Duration::from(TICK));
+                thread::sleep(Duration::from(POLL_INTERVAL));
             }
         });
         Self { shared }
--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -1,7 +1,7 @@
 //! The requests of one entry: admission, the choice of a target and retries as one.
 //!
 //! The owner keeps a `Flow` under a mutex and passes in the time. After every command, and at
-//! the latest every [`TICK`] while requests are open, it calls [`Flow::poll`] and hands each
+//! the latest every [`POLL_INTERVAL`] while requests are open, it calls [`Flow::poll`] and hands each
 //! [`Event`] to the thread that waits for its ticket. Every offer that is not refused gets
 //! exactly one end: [`Ended`] other than [`Ended::Again`] and [`Ended::Late`] from
 //! [`Flow::finish`], an [`Event::Refuse`] or [`Event::Unknown`], or the owner's own [`Flow::cancel`].
@@ -78,7 +78,7 @@
 
 /// How often [`Flow::poll`] is called at least while requests are open: three engine steps, so
 /// that hopeless requests, hedges and overdue tokens are seen at once for any caller.
-pub const TICK: Millis = Millis(20);
+pub const POLL_INTERVAL: Millis = Millis(20);
 
 /// The percentile of first tokens after which an idempotent request is hedged: one in twenty
 /// would be, half of what the budget of retries can pay.
@@ -325,7 +325,7 @@
     /// What is to be done now: requests to send and requests that are refused.
     pub fn poll(&mut self, now: Millis) -> Vec<Event> {
         self.wake_delayed(now);
-        if now.since(self.swept) >= TICK {
+        if now.since(self.swept) >= POLL_INTERVAL {
             self.swept = now;
             self.router.sweep(now);
             self.expire(now);
@@ -340,7 +340,7 @@
 
     /// When [`Self::poll`] has to be called again at the latest; `None` while nothing is open.
     pub fn wake(&self) -> Option<Millis> {
-        (!self.tickets.is_empty()).then_some(self.swept + TICK)
+        (!self.tickets.is_empty()).then_some(self.swept + POLL_INTERVAL)
     }
 
     fn pump(&mut self, now: Millis, group: GroupKey) {
