--- a/crates/filbertstack-entry/src/traffic.rs
+++ b/crates/filbertstack-entry/src/traffic.rs
@@ -167,7 +167,7 @@
 
     /// The requests that have not ended.
     pub fn open(&self) -> usize {
-        self.shared.lock().flow.open()
+        self.shared.lock().flow.open_count()
     }
 
     /// Takes a request in, or refuses it at once.
--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -232,7 +232,7 @@
     }
 
     /// The requests that have not ended.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.tickets.len()
     }
 
--- a/crates/filbertstack-policy/tests/properties.rs
+++ b/crates/filbertstack-policy/tests/properties.rs
@@ -267,7 +267,7 @@
     fn check(&self) {
         let queue = self.flow.queue(self.group).unwrap();
         assert!(queue.len() <= BOUNDS.total);
-        assert_eq!(self.flow.open(), self.open.len());
+        assert_eq!(self.flow.open_count(), self.open.len());
         let members = self.flow.router().members(self.group);
         let target = |key: &&TargetKey| self.flow.router().target(**key).unwrap();
         let out = members.iter().filter(|key| target(key).is_out()).count();
