--- a/crates/filbertstack-entry/src/run.rs
+++ b/crates/filbertstack-entry/src/run.rs
@@ -304,7 +304,7 @@
                 Next::Go
             }
             Ended::Refused(refusal) => Next::Refused(refusal),
-            Ended::Unknown | Ended::Whole => Next::Unknown(text.into()),
+            Ended::Unknown | Ended::Complete => Next::Unknown(text.into()),
         }
     }
 
--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -40,7 +40,7 @@
 //! let Event::Send { attempt, .. } = events[0] else { panic!("there is room") };
 //! flow.first_token(now + Millis(40), attempt);
 //! let ended = flow.finish(now + Millis(900), attempt, Outcome::Ran { cost });
-//! assert_eq!(ended, Ended::Whole);
+//! assert_eq!(ended, Ended::Complete);
 //! # let _ = ticket;
 //! # Ok(())
 //! # }
@@ -155,7 +155,7 @@
 pub enum Ended {
     /// The answer is whole: the request's end. Attempts still open elsewhere are to be withdrawn;
     /// they are given by [`Flow::first_token`].
-    Whole,
+    Complete,
     /// It waits to be sent again; an event follows.
     Again,
     /// Another attempt is still open: nothing to do.
@@ -518,7 +518,7 @@
         if let Some(queue) = self.queues.get_mut(ticket.group) {
             queue.settle(&ticket.org, ticket.charged, work);
         }
-        Ended::Whole
+        Ended::Complete
     }
 
     fn end_without(&mut self, now: Millis, key: TicketKey, outcome: Outcome) -> Ended {
--- a/crates/filbertstack-policy/tests/properties.rs
+++ b/crates/filbertstack-policy/tests/properties.rs
@@ -234,7 +234,7 @@
             self.unsure.insert(ticket);
         }
         match self.flow.finish(self.now, key, outcome) {
-            Ended::Whole | Ended::Unknown => self.end(ticket),
+            Ended::Complete | Ended::Unknown => self.end(ticket),
             Ended::Refused(refusal) => {
                 assert!(
                     !self.unsure.contains(&ticket),
--- a/crates/filbertstack-policy/tests/sim/brain.rs
+++ b/crates/filbertstack-policy/tests/sim/brain.rs
@@ -177,7 +177,7 @@
             return acts;
         };
         match ended {
-            Ended::Whole => acts.push(Act::Whole { call }),
+            Ended::Complete => acts.push(Act::Whole { call }),
             Ended::Refused(refusal) => acts.push(Act::Refuse {
                 call,
                 after: refusal.retry_after,
