--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -3,7 +3,7 @@
 //! The owner keeps a `Flow` under a mutex and passes in the time. After every command, and at
 //! the latest every [`POLL_INTERVAL`] while requests are open, it calls [`Flow::poll`] and hands each
 //! [`Event`] to the thread that waits for its ticket. Every offer that is not refused gets
-//! exactly one end: [`Ended`] other than [`Ended::Again`] and [`Ended::Late`] from
+//! exactly one end: [`Ended`] other than [`Ended::Retry`] and [`Ended::Late`] from
 //! [`Flow::finish`], an [`Event::Refuse`] or [`Event::Unknown`], or the owner's own [`Flow::cancel`].
 //!
 //! ```
@@ -157,7 +157,7 @@
     /// they are given by [`Flow::first_token`].
     Complete,
     /// It waits to be sent again; an event follows.
-    Again,
+    Retry,
     /// Another attempt is still open: nothing to do.
     Open,
     /// It did not run: the request's end.
@@ -549,7 +549,7 @@
         if let Some(queue) = self.queues.get_mut(ticket.group) {
             queue.settle(&ticket.org, ticket.charged, actual);
         }
-        Ended::Again
+        Ended::Retry
     }
 
     fn give_up(&mut self, now: Millis, key: TicketKey, supply: &Supply) -> Ended {
--- a/crates/filbertstack-policy/tests/sim/brain.rs
+++ b/crates/filbertstack-policy/tests/sim/brain.rs
@@ -183,7 +183,7 @@
                 after: refusal.retry_after,
             }),
             Ended::Unknown => acts.push(Act::Fail { call }),
-            Ended::Again | Ended::Open | Ended::Late => {}
+            Ended::Retry | Ended::Open | Ended::Late => {}
         }
         acts
     }
