--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -159,7 +159,7 @@
     /// It waits to be sent again; an event follows.
     Retry,
     /// Another attempt is still open: nothing to do.
-    Open,
+    Pending,
     /// It did not run: the request's end.
     Refused(Refusal),
     /// Whether it ran is not known: the request's end.
@@ -524,7 +524,7 @@
     fn end_without(&mut self, now: Millis, key: TicketKey, outcome: Outcome) -> Ended {
         let ticket = &self.tickets[key];
         if !ticket.open.is_empty() {
-            return Ended::Open;
+            return Ended::Pending;
         }
         let supply = self.supply(now, ticket.group);
         let attempted = Attempted {
--- a/crates/filbertstack-policy/tests/properties.rs
+++ b/crates/filbertstack-policy/tests/properties.rs
@@ -243,7 +243,7 @@
                 assert!(refusal.retry_after > Millis::ZERO);
                 self.end(ticket);
             }
-            Ended::Retry | Ended::Open => assert!(self.open.contains_key(&ticket)),
+            Ended::Retry | Ended::Pending => assert!(self.open.contains_key(&ticket)),
             Ended::Late => assert!(!self.open.contains_key(&ticket)),
         }
     }
