--- a/crates/filbertstack-entry/src/run.rs
+++ b/crates/filbertstack-entry/src/run.rs
@@ -297,7 +297,7 @@
         self.race.leave(key);
         match self.ticket.finish(key, outcome) {
             _ if answered && self.answer.has_begun() => Next::Cut,
-            Ended::Retry | Ended::Pending | Ended::Late => {
+            Ended::Retry | Ended::Pending | Ended::Stale => {
                 if answered {
                     self.answer.reset();
                 }
--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -3,7 +3,7 @@
 //! The owner keeps a `Flow` under a mutex and passes in the time. After every command, and at
 //! the latest every [`POLL_INTERVAL`] while requests are open, it calls [`Flow::poll`] and hands each
 //! [`Event`] to the thread that waits for its ticket. Every offer that is not refused gets
-//! exactly one end: [`Ended`] other than [`Ended::Retry`] and [`Ended::Late`] from
+//! exactly one end: [`Ended`] other than [`Ended::Retry`] and [`Ended::Stale`] from
 //! [`Flow::finish`], an [`Event::Refuse`] or [`Event::Unknown`], or the owner's own [`Flow::cancel`].
 //!
 //! ```
@@ -165,7 +165,7 @@
     /// Whether it ran is not known: the request's end.
     Unknown,
     /// The request had ended before: the attempt's answer must not reach the caller.
-    Late,
+    Stale,
 }
 
 #[derive(Debug)]
@@ -492,10 +492,10 @@
     pub fn finish(&mut self, now: Millis, attempt: AttemptKey, outcome: Outcome) -> Ended {
         self.router.finished(now, attempt, outcome);
         let Some(key) = self.owners.remove(attempt) else {
-            return Ended::Late;
+            return Ended::Stale;
         };
         let Some(ticket) = self.tickets.get_mut(key) else {
-            return Ended::Late;
+            return Ended::Stale;
         };
         ticket.open.retain(|open| *open != attempt);
         match outcome {
@@ -510,7 +510,7 @@
 
     fn end_whole(&mut self, now: Millis, key: TicketKey, work: f64) -> Ended {
         let Some(ticket) = self.tickets.remove(key) else {
-            return Ended::Late;
+            return Ended::Stale;
         };
         for attempt in &ticket.open {
             self.withdraw(now, *attempt);
@@ -555,7 +555,7 @@
     fn give_up(&mut self, now: Millis, key: TicketKey, supply: &Supply) -> Ended {
         let item = self.item(key);
         let Some(ticket) = self.tickets.remove(key) else {
-            return Ended::Late;
+            return Ended::Stale;
         };
         let Some(queue) = self.queues.get_mut(ticket.group) else {
             return Ended::Refused(no_group());
--- a/crates/filbertstack-policy/tests/properties.rs
+++ b/crates/filbertstack-policy/tests/properties.rs
@@ -244,7 +244,7 @@
                 self.end(ticket);
             }
             Ended::Retry | Ended::Pending => assert!(self.open.contains_key(&ticket)),
-            Ended::Late => assert!(!self.open.contains_key(&ticket)),
+            Ended::Stale => assert!(!self.open.contains_key(&ticket)),
         }
     }
 
--- a/crates/filbertstack-policy/tests/sim/brain.rs
+++ b/crates/filbertstack-policy/tests/sim/brain.rs
@@ -183,7 +183,7 @@
                 after: refusal.retry_after,
             }),
             Ended::Unknown => acts.push(Act::Fail { call }),
-            Ended::Retry | Ended::Pending | Ended::Late => {}
+            Ended::Retry | Ended::Pending | Ended::Stale => {}
         }
         acts
     }
