--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -15,7 +15,7 @@
 use filbertstack_policy::admission;
 use filbertstack_policy::cost::Cost;
 use filbertstack_policy::flow::Offer;
-use filbertstack_policy::route::Kind;
+use filbertstack_policy::route::GroupKind;
 use filbertstack_policy::route::Need;
 use filbertstack_telemetry::Span;
 use filbertstack_telemetry::Telemetry;
@@ -300,7 +300,7 @@
 
 fn need_of(chosen: &Chosen, prompt: Option<Prompt>) -> Need {
     let (cost, prefix) = match prompt {
-        Some(prompt) if chosen.kind == Kind::Engines => (prompt.cost, prompt.prefix),
+        Some(prompt) if chosen.kind == GroupKind::Engines => (prompt.cost, prompt.prefix),
         _ => (Cost::CALL, Vec::new()),
     };
     Need {
--- a/crates/filbertstack-entry/src/run.rs
+++ b/crates/filbertstack-entry/src/run.rs
@@ -12,7 +12,7 @@
 use filbertstack_policy::retry::NotRun;
 use filbertstack_policy::retry::Outcome;
 use filbertstack_policy::route::AttemptKey;
-use filbertstack_policy::route::Kind;
+use filbertstack_policy::route::GroupKind;
 use filbertstack_policy::route::TargetKey;
 use filbertstack_policy::target::LoadReport;
 use filbertstack_telemetry::Span;
@@ -269,7 +269,7 @@
 
     /// An engine that says 429 or 503 has not begun; a plain service may mean anything by it.
     fn is_full(&self, head: &Head) -> bool {
-        self.job.chosen.kind == Kind::Engines && matches!(head.status, 429 | 503)
+        self.job.chosen.kind == GroupKind::Engines && matches!(head.status, 429 | 503)
     }
 
     fn piece(&mut self, key: AttemptKey, body: &[u8], last: bool) -> Next {
--- a/crates/filbertstack-entry/src/table.rs
+++ b/crates/filbertstack-entry/src/table.rs
@@ -21,7 +21,7 @@
 use filbertstack_core::names::RuleName;
 use filbertstack_policy::flow::Flow;
 use filbertstack_policy::route::GroupKey;
-use filbertstack_policy::route::Kind;
+use filbertstack_policy::route::GroupKind;
 use filbertstack_policy::route::TargetKey;
 use filbertstack_policy::target::TargetInfo;
 
@@ -47,7 +47,7 @@
     /// The targets' group.
     pub group: GroupKey,
     /// What the targets are.
-    pub kind: Kind,
+    pub kind: GroupKind,
     /// Whether a request may run twice.
     pub idempotent: bool,
     /// The longest a caller waits for the end of the answer.
@@ -111,12 +111,12 @@
                 continue;
             }
             let kind = kind_of(rule);
-            let model = if kind == Kind::Engines {
+            let model = if kind == GroupKind::Engines {
                 asked.model.cloned()
             } else {
                 None
             };
-            if kind == Kind::Engines && model.is_none() {
+            if kind == GroupKind::Engines && model.is_none() {
                 continue;
             }
             let Some(group) = groups.get(&model) else {
@@ -151,10 +151,10 @@
     }
 }
 
-fn kind_of(rule: &Rule) -> Kind {
+fn kind_of(rule: &Rule) -> GroupKind {
     match rule.route {
-        Route::Models { .. } => Kind::Engines,
-        Route::Service { .. } => Kind::Service,
+        Route::Models { .. } => GroupKind::Engines,
+        Route::Service { .. } => GroupKind::Service,
     }
 }
 
--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -16,7 +16,7 @@
 //! use filbertstack_policy::flow::Offer;
 //! use filbertstack_policy::flow::Settings;
 //! use filbertstack_policy::retry::Outcome;
-//! use filbertstack_policy::route::Kind;
+//! use filbertstack_policy::route::GroupKind;
 //! use filbertstack_policy::route::Need;
 //! use filbertstack_policy::target::TargetInfo;
 //!
@@ -25,7 +25,7 @@
 //! let now = Millis::ZERO;
 //! let info = TargetInfo { name: "engine-1".parse()?, zone: "van-a".parse()?, slots: Some(32) };
 //! let target = flow.router_mut().target_up(now, info, false);
-//! let group = flow.add_group(Kind::Engines);
+//! let group = flow.add_group(GroupKind::Engines);
 //! flow.router_mut().set_candidates(group, &[target]);
 //!
 //! let cost = Cost { prompt: 400, output: 100 };
@@ -71,7 +71,7 @@
 use crate::retry::decide;
 use crate::route::AttemptKey;
 use crate::route::GroupKey;
-use crate::route::Kind;
+use crate::route::GroupKind;
 use crate::route::Need;
 use crate::route::Router;
 use crate::route::TargetKey;
@@ -242,7 +242,7 @@
     }
 
     /// Adds a group of targets with an empty queue before it.
-    pub fn add_group(&mut self, kind: Kind) -> GroupKey {
+    pub fn add_group(&mut self, kind: GroupKind) -> GroupKey {
         let group = self.router.add_group(kind);
         let queue = Admission::new(self.settings.bounds, self.settings.seed);
         self.queues.insert(group, queue);
--- a/crates/filbertstack-policy/src/route.rs
+++ b/crates/filbertstack-policy/src/route.rs
@@ -84,7 +84,7 @@
 
 /// What a group's targets are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum GroupKind {
     /// Model engines: the first token's time tells of the queue.
     Engines,
     /// Plain services, whose answers take unequal time of themselves: a target's recent mean
@@ -107,7 +107,7 @@
 
 #[derive(Debug)]
 struct Group {
-    kind: Kind,
+    kind: GroupKind,
     members: Vec<TargetKey>,
     floor: Floor,
     firsts: Window,
@@ -119,7 +119,7 @@
 }
 
 impl Group {
-    fn new(kind: Kind) -> Self {
+    fn new(kind: GroupKind) -> Self {
         Self {
             kind,
             members: Vec::new(),
@@ -135,8 +135,8 @@
 
     fn goal(&self) -> Millis {
         match self.kind {
-            Kind::Engines => QUEUE_GOAL,
-            Kind::Service => {
+            GroupKind::Engines => QUEUE_GOAL,
+            GroupKind::Service => {
                 let mean = self.latency.get(1).unwrap_or_default();
                 QUEUE_GOAL.max(millis(mean * SERVICE_QUEUE))
             }
@@ -237,7 +237,7 @@
     }
 
     /// Adds a group without targets.
-    pub fn add_group(&mut self, kind: Kind) -> GroupKey {
+    pub fn add_group(&mut self, kind: GroupKind) -> GroupKey {
         self.groups.insert(Group::new(kind))
     }
 
--- a/crates/filbertstack-policy/src/route/learn.rs
+++ b/crates/filbertstack-policy/src/route/learn.rs
@@ -7,7 +7,7 @@
 use super::Fill;
 use super::Group;
 use super::GroupKey;
-use super::Kind;
+use super::GroupKind;
 use super::LASTING;
 use super::QUEUE_GOAL;
 use super::Router;
@@ -75,11 +75,11 @@
         };
         target.note_first(first);
         let queued = match group.kind {
-            Kind::Engines => {
+            GroupKind::Engines => {
                 let least = group.floor.least().unwrap_or(first);
                 first.since(least + prefill(attempt.cost))
             }
-            Kind::Service => {
+            GroupKind::Service => {
                 let recent = target.first.get(1).unwrap_or_default();
                 millis(recent - group.latency.get(1).unwrap_or(recent))
             }
--- a/crates/filbertstack-policy/tests/properties.rs
+++ b/crates/filbertstack-policy/tests/properties.rs
@@ -18,7 +18,7 @@
 use filbertstack_policy::retry::Outcome;
 use filbertstack_policy::route::AttemptKey;
 use filbertstack_policy::route::GroupKey;
-use filbertstack_policy::route::Kind;
+use filbertstack_policy::route::GroupKind;
 use filbertstack_policy::route::Need;
 use filbertstack_policy::route::TargetKey;
 use filbertstack_policy::target::LoadReport;
@@ -103,7 +103,7 @@
                     .target_up(Millis::ZERO, info(i), i % 2 == 0)
             })
             .collect();
-        let group = flow.add_group(Kind::Engines);
+        let group = flow.add_group(GroupKind::Engines);
         flow.router_mut().set_candidates(group, &targets);
         Self {
             flow,
@@ -333,7 +333,7 @@
     let mut one = info(0);
     one.slots = Some(1);
     let target = flow.router_mut().target_up(Millis::ZERO, one, false);
-    let group = flow.add_group(Kind::Engines);
+    let group = flow.add_group(GroupKind::Engines);
     flow.router_mut().set_candidates(group, &[target]);
     let mut work = BTreeMap::new();
     let mut owners = BTreeMap::new();
--- a/crates/filbertstack-policy/tests/service.rs
+++ b/crates/filbertstack-policy/tests/service.rs
@@ -10,7 +10,7 @@
 use filbertstack_policy::retry::Outcome;
 use filbertstack_policy::route::AttemptKey;
 use filbertstack_policy::route::GroupKey;
-use filbertstack_policy::route::Kind;
+use filbertstack_policy::route::GroupKind;
 use filbertstack_policy::route::Need;
 use filbertstack_policy::target::TargetInfo;
 use rand::RngExt;
@@ -36,7 +36,7 @@
             slots: None,
         };
         let target = flow.router_mut().target_up(Millis::ZERO, info, false);
-        let group = flow.add_group(Kind::Service);
+        let group = flow.add_group(GroupKind::Service);
         flow.router_mut().set_candidates(group, &[target]);
         Self {
             flow,
--- a/crates/filbertstack-policy/tests/sim/brain.rs
+++ b/crates/filbertstack-policy/tests/sim/brain.rs
@@ -15,7 +15,7 @@
 use filbertstack_policy::retry::Outcome;
 use filbertstack_policy::route::AttemptKey;
 use filbertstack_policy::route::GroupKey;
-use filbertstack_policy::route::Kind;
+use filbertstack_policy::route::GroupKind;
 use filbertstack_policy::route::Need;
 use filbertstack_policy::route::TargetKey;
 use filbertstack_policy::target::LoadReport;
@@ -89,7 +89,7 @@
         };
         let up = |i| flow.router_mut().target_up(now, info(i), false);
         let targets: Vec<_> = (0..engines).map(up).collect();
-        let group = flow.add_group(Kind::Engines);
+        let group = flow.add_group(GroupKind::Engines);
         flow.router_mut().set_candidates(group, &targets);
         Self {
             flow,
