--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -15,8 +15,8 @@
 use filbertstack_policy::admission;
 use filbertstack_policy::cost::Cost;
 use filbertstack_policy::flow::Offer;
+use filbertstack_policy::route::Criteria;
 use filbertstack_policy::route::GroupKind;
-use filbertstack_policy::route::Need;
 use filbertstack_telemetry::Span;
 use filbertstack_telemetry::Telemetry;
 use filbertstack_telemetry::traces as trace;
@@ -82,7 +82,7 @@
     pub(crate) org: OrgName,
     pub(crate) chosen: Chosen,
     pub(crate) table: SharedTable,
-    pub(crate) need: Need,
+    pub(crate) need: Criteria,
     pub(crate) dispatch: Dispatch,
     pub(crate) deadline: Instant,
     pub(crate) timeout: Millis,
@@ -298,12 +298,12 @@
     asked.map_or(rule, |asked| rule.min(Millis(asked)))
 }
 
-fn need_of(chosen: &Chosen, prompt: Option<Prompt>) -> Need {
+fn need_of(chosen: &Chosen, prompt: Option<Prompt>) -> Criteria {
     let (cost, prefix) = match prompt {
         Some(prompt) if chosen.kind == GroupKind::Engines => (prompt.cost, prompt.prefix),
         _ => (Cost::CALL, Vec::new()),
     };
-    Need {
+    Criteria {
         cost,
         prefix,
         idempotent: chosen.idempotent,
--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -17,7 +17,7 @@
 //! use filbertstack_policy::flow::Settings;
 //! use filbertstack_policy::retry::Outcome;
 //! use filbertstack_policy::route::GroupKind;
-//! use filbertstack_policy::route::Need;
+//! use filbertstack_policy::route::Criteria;
 //! use filbertstack_policy::target::TargetInfo;
 //!
 //! # fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -34,7 +34,7 @@
 //!     org: "brewery".parse()?,
 //!     priority: Priority::Normal,
 //!     deadline: now + Millis::secs(30),
-//!     need: Need { cost, ..Need::default() },
+//!     need: Criteria { cost, ..Criteria::default() },
 //! })?;
 //! let events = flow.poll(now);
 //! let Event::Send { attempt, .. } = events[0] else { panic!("there is room") };
@@ -70,9 +70,9 @@
 use crate::retry::Outcome;
 use crate::retry::decide;
 use crate::route::AttemptKey;
+use crate::route::Criteria;
 use crate::route::GroupKey;
 use crate::route::GroupKind;
-use crate::route::Need;
 use crate::route::Router;
 use crate::route::TargetKey;
 
@@ -121,7 +121,7 @@
     /// When its answer has to be whole.
     pub deadline: Millis,
     /// What the choice of a target rests on.
-    pub need: Need,
+    pub need: Criteria,
 }
 
 /// What happens to a request that waits.
@@ -175,7 +175,7 @@
     priority: Priority,
     came: Millis,
     deadline: Millis,
-    need: Need,
+    need: Criteria,
     attempts: u32,
     open: Vec<AttemptKey>,
     answered: bool,
--- a/crates/filbertstack-policy/src/route.rs
+++ b/crates/filbertstack-policy/src/route.rs
@@ -94,7 +94,7 @@
 
 /// What a choice of target rests on.
 #[derive(Clone, Debug, Default)]
-pub struct Need {
+pub struct Criteria {
     /// What the request is expected to cost.
     pub cost: Cost,
     /// Hashes of the prompt's leading blocks, each covering all before it.
@@ -343,7 +343,7 @@
     }
 
     /// Chooses a target with room; `None` if there is none now.
-    pub fn choose(&mut self, now: Millis, group: GroupKey, need: &Need) -> Option<TargetKey> {
+    pub fn choose(&mut self, now: Millis, group: GroupKey, need: &Criteria) -> Option<TargetKey> {
         if let Some(due) = self.probe_due(now, group, need) {
             return Some(due);
         }
@@ -357,7 +357,7 @@
     }
 
     /// The targets with room. One that had the request before is taken only if no other works.
-    fn free(&self, now: Millis, group: GroupKey, need: &Need) -> Vec<TargetKey> {
+    fn free(&self, now: Millis, group: GroupKey, need: &Criteria) -> Vec<TargetKey> {
         let works = |key: &TargetKey| self.targets.get(*key).is_some_and(Target::takes_work);
         let untried = |key: &TargetKey| !need.tried.contains(key);
         let members = self.members(group);
@@ -388,7 +388,7 @@
     }
 
     /// Two at random, and those thought to hold some of the prefix.
-    fn picks(&mut self, now: Millis, free: &[TargetKey], need: &Need) -> Vec<TargetKey> {
+    fn picks(&mut self, now: Millis, free: &[TargetKey], need: &Criteria) -> Vec<TargetKey> {
         if free.is_empty() {
             return Vec::new();
         }
@@ -400,7 +400,7 @@
         picks
     }
 
-    fn probe_due(&self, now: Millis, group: GroupKey, need: &Need) -> Option<TargetKey> {
+    fn probe_due(&self, now: Millis, group: GroupKey, need: &Criteria) -> Option<TargetKey> {
         if self.is_long(group, need.cost) {
             return None;
         }
@@ -423,13 +423,13 @@
         target.is_some_and(|target| target.takes_work() && target.has_room(now))
     }
 
-    fn held(&self, now: Millis, key: TargetKey, need: &Need) -> usize {
+    fn held(&self, now: Millis, key: TargetKey, need: &Criteria) -> usize {
         let target = self.targets.get(key);
         target.map_or(0, |target| target.hints.held(now, &need.prefix))
     }
 
     /// How bad a choice the target is.
-    fn score(&self, now: Millis, key: TargetKey, need: &Need) -> f64 {
+    fn score(&self, now: Millis, key: TargetKey, need: &Criteria) -> f64 {
         let Some(target) = self.targets.get(key) else {
             return f64::INFINITY;
         };
@@ -452,7 +452,7 @@
         now: Millis,
         group: GroupKey,
         key: TargetKey,
-        need: &Need,
+        need: &Criteria,
     ) -> AttemptKey {
         let long = self.is_long(group, need.cost);
         let mut attempt = Attempt {
--- a/crates/filbertstack-policy/tests/properties.rs
+++ b/crates/filbertstack-policy/tests/properties.rs
@@ -17,9 +17,9 @@
 use filbertstack_policy::retry::NotRun;
 use filbertstack_policy::retry::Outcome;
 use filbertstack_policy::route::AttemptKey;
+use filbertstack_policy::route::Criteria;
 use filbertstack_policy::route::GroupKey;
 use filbertstack_policy::route::GroupKind;
-use filbertstack_policy::route::Need;
 use filbertstack_policy::route::TargetKey;
 use filbertstack_policy::target::LoadReport;
 use filbertstack_policy::target::TargetInfo;
@@ -157,10 +157,10 @@
             org: format!("org-{org}").parse().unwrap(),
             priority: priorities[priority],
             deadline: self.now + PATIENCE,
-            need: Need {
+            need: Criteria {
                 cost: Cost { prompt: 0, output },
                 idempotent,
-                ..Need::default()
+                ..Criteria::default()
             },
         };
         match self.flow.offer(self.now, offer) {
@@ -352,9 +352,9 @@
                     org: org.clone(),
                     priority: *priority,
                     deadline: now + Millis::secs(3600),
-                    need: Need {
+                    need: Criteria {
                         cost,
-                        ..Need::default()
+                        ..Criteria::default()
                     },
                 };
                 owners.insert(flow.offer(now, offer).unwrap(), (*name, cost));
@@ -416,12 +416,12 @@
             org: "org-1".parse().unwrap(),
             priority: Priority::Normal,
             deadline: Millis::secs(60),
-            need: Need {
+            need: Criteria {
                 cost: Cost {
                     prompt: 0,
                     output: 100,
                 },
-                ..Need::default()
+                ..Criteria::default()
             },
         };
         if let Err(refusal) = owner.flow.offer(owner.now, offer) {
--- a/crates/filbertstack-policy/tests/service.rs
+++ b/crates/filbertstack-policy/tests/service.rs
@@ -9,9 +9,9 @@
 use filbertstack_policy::flow::Settings;
 use filbertstack_policy::retry::Outcome;
 use filbertstack_policy::route::AttemptKey;
+use filbertstack_policy::route::Criteria;
 use filbertstack_policy::route::GroupKey;
 use filbertstack_policy::route::GroupKind;
-use filbertstack_policy::route::Need;
 use filbertstack_policy::target::TargetInfo;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -55,9 +55,9 @@
                 org: "clerks".parse().unwrap(),
                 priority: Priority::Normal,
                 deadline: now + Millis::secs(3600),
-                need: Need {
+                need: Criteria {
                     cost: Cost::CALL,
-                    ..Need::default()
+                    ..Criteria::default()
                 },
             };
             self.flow.offer(now, offer).unwrap();
--- a/crates/filbertstack-policy/tests/sim/brain.rs
+++ b/crates/filbertstack-policy/tests/sim/brain.rs
@@ -14,9 +14,9 @@
 use filbertstack_policy::retry::NotRun;
 use filbertstack_policy::retry::Outcome;
 use filbertstack_policy::route::AttemptKey;
+use filbertstack_policy::route::Criteria;
 use filbertstack_policy::route::GroupKey;
 use filbertstack_policy::route::GroupKind;
-use filbertstack_policy::route::Need;
 use filbertstack_policy::route::TargetKey;
 use filbertstack_policy::target::LoadReport;
 use filbertstack_policy::target::TargetInfo;
@@ -140,7 +140,7 @@
             org: what.org.clone(),
             priority: Priority::Normal,
             deadline: now + what.patience,
-            need: Need {
+            need: Criteria {
                 cost: what.expected,
                 prefix: what.prefix.iter().map(|(prefix, _)| *prefix).collect(),
                 idempotent: what.idempotent,
