--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -218,7 +218,7 @@
             org: job.org.clone(),
             priority: job.chosen.priority,
             deadline: self.traffic.now() + left.into(),
-            need: job.need.clone(),
+            criteria: job.need.clone(),
         };
         let end = match self.traffic.offer(offer) {
             Ok(ticket) => Run::new(self, job, ticket, request, span).follow(),
--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -34,7 +34,7 @@
 //!     org: "brewery".parse()?,
 //!     priority: Priority::Normal,
 //!     deadline: now + Millis::secs(30),
-//!     need: Criteria { cost, ..Criteria::default() },
+//!     criteria: Criteria { cost, ..Criteria::default() },
 //! })?;
 //! let events = flow.poll(now);
 //! let Event::Send { attempt, .. } = events[0] else { panic!("there is room") };
@@ -121,7 +121,7 @@
     /// When its answer has to be whole.
     pub deadline: Millis,
     /// What the choice of a target rests on.
-    pub need: Criteria,
+    pub criteria: Criteria,
 }
 
 /// What happens to a request that waits.
@@ -267,7 +267,7 @@
             priority: offer.priority,
             came: now,
             deadline: offer.deadline,
-            need: offer.need,
+            need: offer.criteria,
             attempts: 0,
             open: Vec::new(),
             answered: false,
--- a/crates/filbertstack-policy/tests/properties.rs
+++ b/crates/filbertstack-policy/tests/properties.rs
@@ -157,7 +157,7 @@
             org: format!("org-{org}").parse().unwrap(),
             priority: priorities[priority],
             deadline: self.now + PATIENCE,
-            need: Criteria {
+            criteria: Criteria {
                 cost: Cost { prompt: 0, output },
                 idempotent,
                 ..Criteria::default()
@@ -352,7 +352,7 @@
                     org: org.clone(),
                     priority: *priority,
                     deadline: now + Millis::secs(3600),
-                    need: Criteria {
+                    criteria: Criteria {
                         cost,
                         ..Criteria::default()
                     },
@@ -416,7 +416,7 @@
             org: "org-1".parse().unwrap(),
             priority: Priority::Normal,
             deadline: Millis::secs(60),
-            need: Criteria {
+            criteria: Criteria {
                 cost: Cost {
                     prompt: 0,
                     output: 100,
--- a/crates/filbertstack-policy/tests/service.rs
+++ b/crates/filbertstack-policy/tests/service.rs
@@ -55,7 +55,7 @@
                 org: "clerks".parse().unwrap(),
                 priority: Priority::Normal,
                 deadline: now + Millis::secs(3600),
-                need: Criteria {
+                criteria: Criteria {
                     cost: Cost::CALL,
                     ..Criteria::default()
                 },
--- a/crates/filbertstack-policy/tests/sim/brain.rs
+++ b/crates/filbertstack-policy/tests/sim/brain.rs
@@ -140,7 +140,7 @@
             org: what.org.clone(),
             priority: Priority::Normal,
             deadline: now + what.patience,
-            need: Criteria {
+            criteria: Criteria {
                 cost: what.expected,
                 prefix: what.prefix.iter().map(|(prefix, _)| *prefix).collect(),
                 idempotent: what.idempotent,
