--- a/crates/filbertstack-entry/src/table.rs
+++ b/crates/filbertstack-entry/src/table.rs
@@ -246,7 +246,7 @@
                 zone: member.zone.clone(),
                 slots: Some(member.slots),
             };
-            let key = router.target_up(now, info, !first);
+            let key = router.add_target(now, info, !first);
             let known = Known {
                 key,
                 incarnation: member.incarnation,
--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -24,7 +24,7 @@
 //! let mut flow = Flow::new(Settings::new("entry-1".parse()?, "van-a".parse()?, 7));
 //! let now = Millis::ZERO;
 //! let info = TargetInfo { name: "engine-1".parse()?, zone: "van-a".parse()?, slots: Some(32) };
-//! let target = flow.router_mut().target_up(now, info, false);
+//! let target = flow.router_mut().add_target(now, info, false);
 //! let group = flow.add_group(GroupKind::Engines);
 //! flow.router_mut().set_candidates(group, &[target]);
 //!
--- a/crates/filbertstack-policy/src/route.rs
+++ b/crates/filbertstack-policy/src/route.rs
@@ -216,7 +216,7 @@
     }
 
     /// Adds a target; `new` if it came up just now and must start slowly.
-    pub fn target_up(&mut self, now: Millis, info: TargetInfo, new: bool) -> TargetKey {
+    pub fn add_target(&mut self, now: Millis, info: TargetInfo, new: bool) -> TargetKey {
         let target = Target::new(now, info, self.sharers, new);
         self.targets.insert(target)
     }
--- a/crates/filbertstack-policy/tests/properties.rs
+++ b/crates/filbertstack-policy/tests/properties.rs
@@ -100,7 +100,7 @@
         let targets: Vec<_> = (0..TARGETS)
             .map(|i| {
                 flow.router_mut()
-                    .target_up(Millis::ZERO, info(i), i % 2 == 0)
+                    .add_target(Millis::ZERO, info(i), i % 2 == 0)
             })
             .collect();
         let group = flow.add_group(GroupKind::Engines);
@@ -332,7 +332,7 @@
     ));
     let mut one = info(0);
     one.slots = Some(1);
-    let target = flow.router_mut().target_up(Millis::ZERO, one, false);
+    let target = flow.router_mut().add_target(Millis::ZERO, one, false);
     let group = flow.add_group(GroupKind::Engines);
     flow.router_mut().set_candidates(group, &[target]);
     let mut work = BTreeMap::new();
--- a/crates/filbertstack-policy/tests/service.rs
+++ b/crates/filbertstack-policy/tests/service.rs
@@ -35,7 +35,7 @@
             zone: "zone-1".parse().unwrap(),
             slots: None,
         };
-        let target = flow.router_mut().target_up(Millis::ZERO, info, false);
+        let target = flow.router_mut().add_target(Millis::ZERO, info, false);
         let group = flow.add_group(GroupKind::Service);
         flow.router_mut().set_candidates(group, &[target]);
         Self {
--- a/crates/filbertstack-policy/tests/sim/brain.rs
+++ b/crates/filbertstack-policy/tests/sim/brain.rs
@@ -87,7 +87,7 @@
             zone: zone(i),
             slots: tells.then_some(u32::try_from(SLOTS).unwrap()),
         };
-        let up = |i| flow.router_mut().target_up(now, info(i), false);
+        let up = |i| flow.router_mut().add_target(now, info(i), false);
         let targets: Vec<_> = (0..engines).map(up).collect();
         let group = flow.add_group(GroupKind::Engines);
         flow.router_mut().set_candidates(group, &targets);
