--- a/crates/filbertstack-entry/src/table.rs
+++ b/crates/filbertstack-entry/src/table.rs
@@ -234,7 +234,7 @@
         for member in members {
             if let Some(known) = self.targets.get(&member.name) {
                 if member.leaving {
-                    router.target_leaving(known.key);
+                    router.mark_leaving(known.key);
                 }
                 continue;
             }
--- a/crates/filbertstack-policy/src/route.rs
+++ b/crates/filbertstack-policy/src/route.rs
@@ -222,7 +222,7 @@
     }
 
     /// Gives the target no new work from now on.
-    pub fn target_leaving(&mut self, key: TargetKey) {
+    pub fn mark_leaving(&mut self, key: TargetKey) {
         if let Some(target) = self.targets.get_mut(key) {
             target.leaving = true;
         }
--- a/crates/filbertstack-policy/src/route/learn.rs
+++ b/crates/filbertstack-policy/src/route/learn.rs
@@ -117,7 +117,7 @@
     pub(super) fn learn_refusal(&mut self, now: Millis, attempt: &Attempt, reason: NotRun) {
         match reason {
             NotRun::Unreachable => self.learn_loss(now, attempt),
-            NotRun::Leaving => self.target_leaving(attempt.target),
+            NotRun::Leaving => self.mark_leaving(attempt.target),
             // Its candidates are out of date: that tells nothing of its load.
             NotRun::Absent => {}
             NotRun::Full => {
--- a/crates/filbertstack-policy/tests/properties.rs
+++ b/crates/filbertstack-policy/tests/properties.rs
@@ -142,7 +142,7 @@
             }
             Command::Leave(i) => {
                 self.leaving.insert(self.targets[i]);
-                self.flow.router_mut().target_leaving(self.targets[i]);
+                self.flow.router_mut().mark_leaving(self.targets[i]);
             }
             Command::Gone(i) => self.flow.router_mut().target_gone(self.targets[i]),
         }
