--- a/crates/filbertstack-entry/src/table.rs
+++ b/crates/filbertstack-entry/src/table.rs
@@ -227,7 +227,7 @@
                 .iter()
                 .any(|member| member.name == *name && member.incarnation == known.incarnation);
             if !stays {
-                router.target_gone(known.key);
+                router.remove_target(known.key);
             }
             stays
         });
--- a/crates/filbertstack-policy/src/route.rs
+++ b/crates/filbertstack-policy/src/route.rs
@@ -229,7 +229,7 @@
     }
 
     /// Forgets the target; attempts there still have to be finished.
-    pub fn target_gone(&mut self, key: TargetKey) {
+    pub fn remove_target(&mut self, key: TargetKey) {
         self.targets.remove(key);
         for (_, group) in &mut self.groups {
             group.members.retain(|member| *member != key);
--- a/crates/filbertstack-policy/tests/properties.rs
+++ b/crates/filbertstack-policy/tests/properties.rs
@@ -144,7 +144,7 @@
                 self.leaving.insert(self.targets[i]);
                 self.flow.router_mut().mark_leaving(self.targets[i]);
             }
-            Command::Gone(i) => self.flow.router_mut().target_gone(self.targets[i]),
+            Command::Gone(i) => self.flow.router_mut().remove_target(self.targets[i]),
         }
         self.poll();
         self.check();
--- a/crates/filbertstack-policy/tests/sim/brain.rs
+++ b/crates/filbertstack-policy/tests/sim/brain.rs
@@ -207,7 +207,7 @@
 
     fn gone(&mut self, target: usize) {
         let key = self.targets[target];
-        self.flow.router_mut().target_gone(key);
+        self.flow.router_mut().remove_target(key);
     }
 }
 
