--- a/crates/filbertstack-policy/src/admission.rs
+++ b/crates/filbertstack-policy/src/admission.rs
@@ -140,7 +140,7 @@
 pub enum Reason {
     /// The organisation's queue is full.
     #[error("the organisation's queue is full: send less at once, or come back when told")]
-    OrgQueue,
+    OrgQueueFull,
     /// The queue is full.
     #[error("the queue is full: come back when told")]
     Queue,
@@ -212,7 +212,7 @@
     /// The refusal, if the queue is full or the deadline out of reach.
     pub fn offer(&mut self, now: Millis, item: Item, supply: &Supply) -> Result<(), Refusal> {
         if self.fair.queued(&item.org) >= self.bounds.org {
-            return Err(self.refuse(now, &item, supply, Reason::OrgQueue));
+            return Err(self.refuse(now, &item, supply, Reason::OrgQueueFull));
         }
         if supply.is_measured() && !self.is_reachable(now, &item, supply) {
             return Err(self.refuse(now, &item, supply, Reason::Deadline));
