--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -248,7 +248,7 @@
 
 pub(crate) fn refusal_of(refusal: &admission::Refusal) -> Refusal {
     let status = match refusal.reason {
-        admission::Reason::OrgQueueFull | admission::Reason::Queue => 429,
+        admission::Reason::OrgQueueFull | admission::Reason::QueueFull => 429,
         _ => 503,
     };
     Refusal::not_run(status, refusal.reason.to_string()).after_ms(refusal.retry_after.0)
--- a/crates/filbertstack-policy/src/admission.rs
+++ b/crates/filbertstack-policy/src/admission.rs
@@ -143,7 +143,7 @@
     OrgQueueFull,
     /// The queue is full.
     #[error("the queue is full: come back when told")]
-    Queue,
+    QueueFull,
     /// The answer could not be whole by the deadline.
     #[error("the answer would miss its deadline: come back when told, or allow more time")]
     Deadline,
@@ -252,7 +252,7 @@
         }
         let last = self.fair.last_of_longest()?.clone();
         self.fair.remove(now, &last.org, last.ticket);
-        let refusal = self.refuse(now, &last, supply, Reason::Queue);
+        let refusal = self.refuse(now, &last, supply, Reason::QueueFull);
         Some((last.ticket, refusal))
     }
 
