--- a/crates/filbertstack-policy/src/fair.rs
+++ b/crates/filbertstack-policy/src/fair.rs
@@ -17,45 +17,45 @@
 use filbertstack_core::names::OrgName;
 
 use crate::admission::TicketKey;
-use crate::units::count;
+use crate::units::len_f64;
 
 const CLASSES: usize = 3;
 
 /// The shares of low, normal and high requests when all three wait: 1/21, 4/21 and 16/21. High
 /// requests wait for next to nothing until they are three quarters of the load, and low ones
 /// move on at 5% of the capacity in any flood.
-const SHARES: [f64; CLASSES] = [1.0, 4.0, 16.0];
+const CLASS_SHARES: [f64; CLASSES] = [1.0, 4.0, 16.0];
 
 /// How the next long request stands to short ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LongTurn {
+pub enum LongPriority {
     /// In the order they came.
     Equal,
     /// After its organisation's short ones.
-    Behind,
+    Lower,
     /// Not now: long requests hold all that they may.
-    Never,
+    Blocked,
 }
 
 /// Who may be served now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Turn {
+pub struct Eligibility {
     /// Long requests.
-    pub long: LongTurn,
+    pub long: LongPriority,
     /// The places a unit of weight beyond which an organisation with a standing queue gets no
     /// more now.
-    pub most: f64,
+    pub slot_cap: f64,
     /// The time.
     pub now: Millis,
 }
 
 /// How long a queue may last until its organisation counts as sending more than its share. Within
 /// its share it waits for a place or two, some 50 ms each.
-const STANDING: Millis = Millis(500);
+const STANDING_AFTER: Millis = Millis(500);
 
 /// The break that ends a standing queue. A short queue is empty now and then by chance alone, at
 /// three requests a second some times a second.
-const BREAK: Millis = Millis::secs(1);
+const QUEUE_GAP: Millis = Millis::secs(1);
 
 /// A request that waits.
 #[derive(Clone, Debug, PartialEq)]
@@ -71,7 +71,7 @@
     /// Whether it is long, and only gets the places that long requests may hold.
     pub long: bool,
     /// When it came.
-    pub came: Millis,
+    pub arrived: Millis,
     /// When its answer has to be whole.
     pub deadline: Millis,
 }
@@ -97,77 +97,81 @@
 struct Org {
     weight: f64,
     /// The work had so far, over the weight.
-    pass: f64,
+    start_tag: f64,
     classes: [Lanes; CLASSES],
     queued: usize,
     /// Since when it has had a queue.
-    since: Millis,
+    queued_since: Millis,
     /// Since when it has had a queue, short breaks aside.
-    busy: Millis,
+    busy_since: Millis,
     /// When its queue last came to an end.
-    emptied: Millis,
+    last_removal: Millis,
     /// What was taken and not yet settled.
     in_flight: u32,
 }
 
 impl Org {
-    fn new(pass: f64, weight: f64) -> Self {
+    fn new(start_tag: f64, weight: f64) -> Self {
         Self {
             weight,
-            pass,
+            start_tag,
             classes: Default::default(),
             queued: 0,
-            since: Millis::ZERO,
-            busy: Millis::ZERO,
-            emptied: Millis::ZERO,
+            queued_since: Millis::ZERO,
+            busy_since: Millis::ZERO,
+            last_removal: Millis::ZERO,
             in_flight: 0,
         }
     }
 
-    /// The request of the class that is next under `turn`.
-    fn next(&self, class: usize, turn: Turn) -> Option<&Item> {
-        let has_most = f64::from(self.in_flight) >= turn.most * self.weight;
-        if has_most && self.stands(turn.now) {
+    /// The request of the class that is next under `eligibility`.
+    fn head(&self, class: usize, eligibility: Eligibility) -> Option<&Item> {
+        let at_cap = f64::from(self.in_flight) >= eligibility.slot_cap * self.weight;
+        if at_cap && self.is_standing(eligibility.now) {
             return None;
         }
         let [short, long] = &self.classes[class];
-        match (short.front(), long.front(), turn.long) {
-            (short, None, _) | (short, _, LongTurn::Never) => short,
+        match (short.front(), long.front(), eligibility.long) {
+            (short, None, _) | (short, _, LongPriority::Blocked) => short,
             (None, long, _) => long,
-            (Some(short), _, LongTurn::Behind) => Some(short),
-            (Some(short), Some(long), LongTurn::Equal) => {
-                Some(if long.came < short.came { long } else { short })
+            (Some(short), _, LongPriority::Lower) => Some(short),
+            (Some(short), Some(long), LongPriority::Equal) => {
+                Some(if long.arrived < short.arrived {
+                    long
+                } else {
+                    short
+                })
             }
         }
     }
 
-    fn has(&self, class: usize) -> bool {
+    fn has_waiting(&self, class: usize) -> bool {
         self.classes[class].iter().any(|lane| !lane.is_empty())
     }
 
     /// The places that it holds or asks for.
-    fn holds(&self) -> f64 {
-        count(self.queued) + f64::from(self.in_flight)
+    fn demand(&self) -> f64 {
+        len_f64(self.queued) + f64::from(self.in_flight)
     }
 
     /// How long it has had a queue, short breaks aside.
-    fn standing(&self, now: Millis) -> Millis {
-        if self.queued == 0 && now.since(self.emptied) > BREAK {
+    fn standing_time(&self, now: Millis) -> Millis {
+        if self.queued == 0 && now.since(self.last_removal) > QUEUE_GAP {
             return Millis::ZERO;
         }
-        now.since(self.busy)
+        now.since(self.busy_since)
     }
 
     /// Whether it sends more than its share: it has had a queue without a break.
-    fn stands(&self, now: Millis) -> bool {
-        self.queued > 0 && now.since(self.since) > STANDING
+    fn is_standing(&self, now: Millis) -> bool {
+        self.queued > 0 && now.since(self.queued_since) > STANDING_AFTER
     }
 
-    fn begin(&mut self, now: Millis) {
-        if self.standing(now) == Millis::ZERO {
-            self.busy = now;
+    fn start_queue(&mut self, now: Millis) {
+        if self.standing_time(now) == Millis::ZERO {
+            self.busy_since = now;
         }
-        self.since = now;
+        self.queued_since = now;
     }
 
     fn lane(&mut self, item: &Item) -> &mut VecDeque<Item> {
@@ -181,16 +185,16 @@
 
 /// The requests that wait for one group of targets.
 #[derive(Debug, Default)]
-pub struct Fair {
+pub struct FairQueue {
     orgs: BTreeMap<OrgName, Org>,
     weights: BTreeMap<OrgName, f64>,
-    passes: [f64; CLASSES],
-    clock: f64,
-    class_clock: f64,
+    class_tags: [f64; CLASSES],
+    virtual_time: f64,
+    class_time: f64,
     queued: usize,
 }
 
-impl Fair {
+impl FairQueue {
     /// Sets an organisation's weight; one is the usual.
     pub fn set_weight(&mut self, org: &OrgName, weight: f64) {
         let weight = weight.clamp(0.01, 100.0);
@@ -237,97 +241,98 @@
     /// night would be served alone until it had caught up.
     fn activate(&mut self, now: Millis, item: &Item) {
         let class = item.class();
-        if !self.orgs.values().any(|org| org.has(class)) {
-            self.passes[class] = self.passes[class].max(self.class_clock);
+        if !self.orgs.values().any(|org| org.has_waiting(class)) {
+            self.class_tags[class] = self.class_tags[class].max(self.class_time);
         }
-        let clock = self.clock;
+        let virtual_time = self.virtual_time;
         let org = self.org(&item.org);
         if org.queued == 0 {
-            org.pass = org.pass.max(clock);
-            org.begin(now);
+            org.start_tag = org.start_tag.max(virtual_time);
+            org.start_queue(now);
         }
     }
 
     fn org(&mut self, name: &OrgName) -> &mut Org {
-        let clock = self.clock;
+        let virtual_time = self.virtual_time;
         let weight = self.weights.get(name).copied().unwrap_or(1.0);
         self.orgs
             .entry(name.clone())
-            .or_insert_with(|| Org::new(clock, weight))
+            .or_insert_with(|| Org::new(virtual_time, weight))
     }
 
     /// The request to be served next.
-    pub fn peek(&self, turn: Turn) -> Option<&Item> {
-        let class = self.next_class(turn)?;
+    pub fn peek(&self, eligibility: Eligibility) -> Option<&Item> {
+        let class = self.next_class(eligibility)?;
         let heads = self.orgs.values();
-        let heads = heads.filter_map(|org| Some((org.pass, org.next(class, turn)?)));
+        let heads = heads.filter_map(|org| Some((org.start_tag, org.head(class, eligibility)?)));
         heads
             .min_by(|(a, _), (b, _)| a.total_cmp(b))
             .map(|(_, item)| item)
     }
 
-    fn next_class(&self, turn: Turn) -> Option<usize> {
+    fn next_class(&self, eligibility: Eligibility) -> Option<usize> {
         let waits = |class: &usize| {
             let mut orgs = self.orgs.values();
-            orgs.any(|org| org.next(*class, turn).is_some())
+            orgs.any(|org| org.head(*class, eligibility).is_some())
         };
         let classes = (0..CLASSES).rev().filter(waits);
-        classes.min_by(|a, b| self.passes[*a].total_cmp(&self.passes[*b]))
+        classes.min_by(|a, b| self.class_tags[*a].total_cmp(&self.class_tags[*b]))
     }
 
     /// Takes the request that [`Self::peek`] shows and charges its organisation for it.
-    pub fn take(&mut self, turn: Turn) -> Option<Item> {
-        let item = self.peek(turn)?.clone();
-        self.remove(turn.now, &item.org, item.ticket)?;
+    pub fn take(&mut self, eligibility: Eligibility) -> Option<Item> {
+        let item = self.peek(eligibility)?.clone();
+        self.remove(eligibility.now, &item.org, item.ticket)?;
         let class = item.class();
-        self.class_clock = self.class_clock.max(self.passes[class]);
-        self.passes[class] += item.work / SHARES[class];
+        self.class_time = self.class_time.max(self.class_tags[class]);
+        self.class_tags[class] += item.work / CLASS_SHARES[class];
         let org = self.org(&item.org);
-        let start = org.pass;
-        org.pass += item.work / org.weight;
+        let start = org.start_tag;
+        org.start_tag += item.work / org.weight;
         org.in_flight += 1;
-        self.clock = self.clock.max(start);
+        self.virtual_time = self.virtual_time.max(start);
         Some(item)
     }
 
     /// Settles what was taken: corrects the charge, once the work is known.
     pub fn settle(&mut self, org: &OrgName, charged: f64, actual: f64) {
-        let Some(entry) = self.orgs.get_mut(org) else {
+        let Some(account) = self.orgs.get_mut(org) else {
             return;
         };
-        entry.pass += (actual - charged) / entry.weight;
-        entry.in_flight = entry.in_flight.saturating_sub(1);
+        account.start_tag += (actual - charged) / account.weight;
+        account.in_flight = account.in_flight.saturating_sub(1);
     }
 
     /// Forgets organisations that are idle and owe nothing.
     pub fn prune(&mut self, now: Millis) {
-        let clock = self.clock;
+        let virtual_time = self.virtual_time;
         self.orgs.retain(|_, org| {
-            let idle = org.in_flight == 0 && org.queued == 0 && org.standing(now) == Millis::ZERO;
-            !idle || org.pass > clock
+            let idle =
+                org.in_flight == 0 && org.queued == 0 && org.standing_time(now) == Millis::ZERO;
+            !idle || org.start_tag > virtual_time
         });
     }
 
     /// The requests in flight of organisations that hold and ask for less than their share of
-    /// `room`.
-    pub fn light_in_flight(&self, room: f64) -> u32 {
-        let fair = self.fair_places(room);
-        let active = self.orgs.values().filter(|org| org.holds() > 0.0);
-        let light = active.filter(|org| org.holds() <= fair * org.weight);
+    /// `limit`.
+    pub fn light_in_flight(&self, limit: f64) -> u32 {
+        let per_weight = self.slots_per_weight(limit);
+        let active = self.orgs.values().filter(|org| org.demand() > 0.0);
+        let light = active.filter(|org| org.demand() <= per_weight * org.weight);
         light.map(|org| org.in_flight).sum()
     }
 
-    /// The places of `room` that a unit of weight has a right to.
-    pub fn fair_places(&self, room: f64) -> f64 {
-        let active = self.orgs.values().filter(|org| org.holds() > 0.0);
+    /// The places of `limit` that a unit of weight has a right to.
+    pub fn slots_per_weight(&self, limit: f64) -> f64 {
+        let active = self.orgs.values().filter(|org| org.demand() > 0.0);
         let weights: f64 = active.map(|org| org.weight).sum();
-        room / weights.max(0.01)
+        limit / weights.max(0.01)
     }
 
     /// How long the organisation has had a queue.
-    pub fn standing(&self, now: Millis, org: &OrgName) -> Millis {
+    pub fn standing_time(&self, now: Millis, org: &OrgName) -> Millis {
         let org = self.orgs.get(org);
-        org.map_or(Millis::ZERO, |org| org.standing(now))
+        org.map_or(Millis::ZERO, |org| org.standing_time(now))
     }
 
     /// Takes a request out, wherever it stands.
@@ -335,11 +340,11 @@
         let org = self.orgs.get_mut(org)?;
         let lanes = org.classes.iter_mut().flatten();
         for lane in lanes {
-            if let Some(place) = lane.iter().position(|item| item.ticket == ticket) {
+            if let Some(index) = lane.iter().position(|item| item.ticket == ticket) {
                 org.queued -= 1;
-                org.emptied = now;
+                org.last_removal = now;
                 self.queued -= 1;
-                return lane.remove(place);
+                return lane.remove(index);
             }
         }
         None
@@ -358,7 +363,7 @@
     }
 
     /// The work of the organisation that is served before a new request like `item`.
-    pub fn ahead(&self, item: &Item) -> f64 {
+    pub fn work_ahead(&self, item: &Item) -> f64 {
         let Some(org) = self.orgs.get(&item.org) else {
             return 0.0;
         };
@@ -375,23 +380,23 @@
         let weights: f64 = own + others.map(|(_, org)| org.weight).sum::<f64>();
         let class = class(priority);
         let shares: f64 = (0..CLASSES)
-            .filter(|c| *c == class || self.orgs.values().any(|org| org.has(*c)))
-            .map(|c| SHARES[c])
+            .filter(|c| *c == class || self.orgs.values().any(|org| org.has_waiting(*c)))
+            .map(|c| CLASS_SHARES[c])
             .sum();
-        own / weights * SHARES[class] / shares
+        own / weights * CLASS_SHARES[class] / shares
     }
 
     /// The organisation's fair share among all that have requests waiting or in flight.
-    pub fn due(&self, org: &OrgName) -> f64 {
+    pub fn fair_share(&self, org: &OrgName) -> f64 {
         let own = self.weights.get(org).copied().unwrap_or(1.0);
         let others = self.orgs.iter().filter(|(name, _)| *name != org);
-        let active = others.filter(|(_, org)| org.holds() > 0.0);
+        let active = others.filter(|(_, org)| org.demand() > 0.0);
         own / (own + active.map(|(_, org)| org.weight).sum::<f64>())
     }
 
     /// The requests in flight of other organisations without a queue: places that are not
     /// divided, as these are served before.
-    pub fn undivided(&self, org: &OrgName) -> u32 {
+    pub fn unqueued_in_flight(&self, org: &OrgName) -> u32 {
         let others = self.orgs.iter().filter(|(name, _)| *name != org);
         let idle = others.filter(|(_, org)| org.queued == 0);
         idle.map(|(_, org)| org.in_flight).sum()
--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -59,9 +59,9 @@
 
 use crate::admission::Admission;
 use crate::admission::Bounds;
+use crate::admission::GroupLoad;
 use crate::admission::Reason;
 use crate::admission::Refusal;
-use crate::admission::Supply;
 use crate::admission::TicketKey;
 use crate::fair::Item;
 use crate::retry::Attempted;
@@ -82,7 +82,7 @@
 
 /// The percentile of first tokens after which an idempotent request is hedged: one in twenty
 /// would be, half of what the budget of retries can pay.
-const HEDGE_AT: usize = 95;
+const HEDGE_PERCENTILE: usize = 95;
 
 /// What a flow is built with.
 #[derive(Clone, Debug)]
@@ -173,16 +173,16 @@
     group: GroupKey,
     org: OrgName,
     priority: Priority,
-    came: Millis,
+    arrived: Millis,
     deadline: Millis,
-    need: Criteria,
+    criteria: Criteria,
     attempts: u32,
     open: Vec<AttemptKey>,
     answered: bool,
     hedged: bool,
-    unsure: bool,
+    may_have_run: bool,
     charged: f64,
-    due: Option<Millis>,
+    retry_at: Option<Millis>,
 }
 
 /// The requests of one entry.
@@ -196,7 +196,7 @@
     budget: Budget,
     rng: ChaCha8Rng,
     events: Vec<Event>,
-    swept: Millis,
+    last_sweep: Millis,
 }
 
 impl Flow {
@@ -212,7 +212,7 @@
             owners: SecondaryMap::new(),
             budget: Budget::default(),
             events: Vec::new(),
-            swept: Millis::ZERO,
+            last_sweep: Millis::ZERO,
         }
     }
 
@@ -265,16 +265,16 @@
             group: offer.group,
             org: offer.org,
             priority: offer.priority,
-            came: now,
+            arrived: now,
             deadline: offer.deadline,
-            need: offer.criteria,
+            criteria: offer.criteria,
             attempts: 0,
             open: Vec::new(),
             answered: false,
             hedged: false,
-            unsure: false,
+            may_have_run: false,
             charged: 0.0,
-            due: None,
+            retry_at: None,
         });
         let admitted = self.admit(now, ticket);
         if admitted.is_err() {
@@ -286,15 +286,15 @@
     fn admit(&mut self, now: Millis, ticket: TicketKey) -> Result<(), Refusal> {
         let group = self.tickets[ticket].group;
         let item = self.item(ticket);
-        let supply = self.supply(now, group);
+        let load = self.group_load(now, group);
         let Some(queue) = self.queues.get_mut(group) else {
-            return Err(no_group());
+            return Err(group_removed());
         };
         if !self.router.has_target(now, group) {
-            return Err(queue.refuse(now, &item, &supply, Reason::NoTarget));
+            return Err(queue.refuse(now, &item, &load, Reason::NoTarget));
         }
-        queue.offer(now, item, &supply)?;
-        if let Some((ticket, refusal)) = queue.trim(now, &supply) {
+        queue.offer(now, item, &load)?;
+        if let Some((ticket, refusal)) = queue.trim(now, &load) {
             self.end_refused(ticket, refusal);
         }
         Ok(())
@@ -306,58 +306,58 @@
             ticket: key,
             org: ticket.org.clone(),
             priority: ticket.priority,
-            work: ticket.need.cost.work(),
-            long: self.router.is_long(ticket.group, ticket.need.cost),
-            came: ticket.came,
+            work: ticket.criteria.cost.work(),
+            long: self.router.is_long(ticket.group, ticket.criteria.cost),
+            arrived: ticket.arrived,
             deadline: ticket.deadline,
         }
     }
 
-    fn supply(&self, now: Millis, group: GroupKey) -> Supply {
-        Supply {
-            room: self.router.room(now, group),
+    fn group_load(&self, now: Millis, group: GroupKey) -> GroupLoad {
+        GroupLoad {
+            limit: self.router.group_limit(now, group),
             in_flight: self.router.in_flight(group),
-            pace: self.router.pace(group),
-            long: self.router.long_in_flight(group),
+            slot_rate: self.router.slot_rate(group),
+            long_in_flight: self.router.long_in_flight(group),
         }
     }
 
     /// What is to be done now: requests to send and requests that are refused.
     pub fn poll(&mut self, now: Millis) -> Vec<Event> {
-        self.wake_delayed(now);
-        if now.since(self.swept) >= POLL_INTERVAL {
-            self.swept = now;
-            self.router.sweep(now);
+        self.requeue_due(now);
+        if now.since(self.last_sweep) >= POLL_INTERVAL {
+            self.last_sweep = now;
+            self.router.mark_overdue(now);
             self.expire(now);
             self.hedge(now);
         }
         let groups: Vec<_> = self.queues.keys().collect();
         for group in groups {
-            self.pump(now, group);
+            self.send_waiting(now, group);
         }
         std::mem::take(&mut self.events)
     }
 
     /// When [`Self::poll`] has to be called again at the latest; `None` while nothing is open.
-    pub fn wake(&self) -> Option<Millis> {
-        (!self.tickets.is_empty()).then_some(self.swept + POLL_INTERVAL)
+    pub fn next_poll(&self) -> Option<Millis> {
+        (!self.tickets.is_empty()).then_some(self.last_sweep + POLL_INTERVAL)
     }
 
-    fn pump(&mut self, now: Millis, group: GroupKey) {
+    fn send_waiting(&mut self, now: Millis, group: GroupKey) {
         loop {
             let Some(queue) = self.queues.get(group).filter(|queue| !queue.is_empty()) else {
                 return;
             };
-            let long = self.router.long_turn(now, group);
-            let turn = queue.turn(now, long, &self.supply(now, group));
-            let Some(ticket) = queue.peek(turn).map(|item| item.ticket) else {
+            let long = self.router.long_priority(now, group);
+            let eligibility = queue.eligibility(now, long, &self.group_load(now, group));
+            let Some(ticket) = queue.peek(eligibility).map(|item| item.ticket) else {
                 return;
             };
-            let need = &self.tickets[ticket].need;
-            let Some(target) = self.router.choose(now, group, need) else {
+            let criteria = &self.tickets[ticket].criteria;
+            let Some(target) = self.router.choose(now, group, criteria) else {
                 return;
             };
-            let taken = self.queues[group].take(turn);
+            let taken = self.queues[group].take(eligibility);
             self.tickets[ticket].charged = taken.map_or(0.0, |item| item.work);
             self.send(now, ticket, target);
         }
@@ -369,8 +369,10 @@
             self.budget.earn();
         }
         ticket.attempts += 1;
-        let attempt = self.router.started(now, ticket.group, target, &ticket.need);
-        ticket.need.tried.push(target);
+        let attempt = self
+            .router
+            .start_attempt(now, ticket.group, target, &ticket.criteria);
+        ticket.criteria.tried.push(target);
         ticket.open.push(attempt);
         self.owners.insert(attempt, key);
         self.events.push(Event::Send {
@@ -383,9 +385,9 @@
     fn expire(&mut self, now: Millis) {
         let groups: Vec<_> = self.queues.keys().collect();
         for group in groups {
-            let supply = self.supply(now, group);
-            let lost = self.queues[group].expire(now, &supply);
-            for (ticket, refusal) in lost {
+            let load = self.group_load(now, group);
+            let expired = self.queues[group].expire(now, &load);
+            for (ticket, refusal) in expired {
                 self.end_refused(ticket, refusal);
             }
         }
@@ -394,31 +396,31 @@
     /// A refusal says for certain that the request did not run. One that waits for another
     /// attempt, after a first of unknown outcome, must not get it.
     fn end_refused(&mut self, ticket: TicketKey, refusal: Refusal) {
-        let unsure = self.tickets.remove(ticket).is_some_and(|t| t.unsure);
-        self.events.push(if unsure {
+        let may_have_run = self.tickets.remove(ticket).is_some_and(|t| t.may_have_run);
+        self.events.push(if may_have_run {
             Event::Unknown { ticket }
         } else {
             Event::Refuse { ticket, refusal }
         });
     }
 
-    fn wake_delayed(&mut self, now: Millis) {
+    fn requeue_due(&mut self, now: Millis) {
         let due: Vec<_> = self
             .tickets
             .iter()
-            .filter(|(_, ticket)| ticket.due.is_some_and(|due| due <= now))
+            .filter(|(_, ticket)| ticket.retry_at.is_some_and(|due| due <= now))
             .map(|(key, _)| key)
             .collect();
         for key in due {
-            self.tickets[key].due = None;
+            self.tickets[key].retry_at = None;
             let item = self.item(key);
             let group = self.tickets[key].group;
-            let supply = self.supply(now, group);
+            let load = self.group_load(now, group);
             let Some(queue) = self.queues.get_mut(group) else {
                 continue;
             };
             queue.put_back(now, item);
-            if let Some((ticket, refusal)) = queue.trim(now, &supply) {
+            if let Some((ticket, refusal)) = queue.trim(now, &load) {
                 self.end_refused(ticket, refusal);
             }
         }
@@ -437,8 +439,8 @@
             .collect();
         for key in late {
             let ticket = &self.tickets[key];
-            let target = self.router.choose(now, ticket.group, &ticket.need);
-            let fresh = target.filter(|target| !ticket.need.tried.contains(target));
+            let target = self.router.choose(now, ticket.group, &ticket.criteria);
+            let fresh = target.filter(|target| !ticket.criteria.tried.contains(target));
             if let Some(target) = fresh
                 && self.budget.spend_spare()
             {
@@ -456,12 +458,12 @@
             .queues
             .get(ticket.group)
             .is_some_and(Admission::is_empty);
-        if !ticket.need.idempotent || ticket.hedged || ticket.answered || !idle {
+        if !ticket.criteria.idempotent || ticket.hedged || ticket.answered || !idle {
             return false;
         }
-        let usual = self.router.first_quantile(ticket.group, HEDGE_AT);
-        let waited = self.router.unanswered(now, attempt);
-        matches!((waited, usual), (Some(waited), Some(usual)) if waited > usual)
+        let threshold = self.router.ttft_quantile(ticket.group, HEDGE_PERCENTILE);
+        let waited = self.router.unanswered_for(now, attempt);
+        matches!((waited, threshold), (Some(waited), Some(threshold)) if waited > threshold)
     }
 
     /// Notes an attempt's first token or byte. The attempts returned lost the race: they are to
@@ -485,12 +487,12 @@
 
     fn withdraw(&mut self, now: Millis, attempt: AttemptKey) {
         self.owners.remove(attempt);
-        self.router.cancelled(now, attempt);
+        self.router.cancel_attempt(now, attempt);
     }
 
     /// Ends an attempt and says what that means for its request.
     pub fn finish(&mut self, now: Millis, attempt: AttemptKey, outcome: Outcome) -> Ended {
-        self.router.finished(now, attempt, outcome);
+        self.router.finish_attempt(now, attempt, outcome);
         let Some(key) = self.owners.remove(attempt) else {
             return Ended::Stale;
         };
@@ -499,16 +501,16 @@
         };
         ticket.open.retain(|open| *open != attempt);
         match outcome {
-            Outcome::Ran { cost } => self.end_whole(now, key, cost.work()),
+            Outcome::Ran { cost } => self.complete(now, key, cost.work()),
             Outcome::Unknown => {
-                ticket.unsure = true;
-                self.end_without(now, key, outcome)
+                ticket.may_have_run = true;
+                self.end_unanswered(now, key, outcome)
             }
-            Outcome::NotRun(_) => self.end_without(now, key, outcome),
+            Outcome::NotRun(_) => self.end_unanswered(now, key, outcome),
         }
     }
 
-    fn end_whole(&mut self, now: Millis, key: TicketKey, work: f64) -> Ended {
+    fn complete(&mut self, now: Millis, key: TicketKey, work: f64) -> Ended {
         let Some(ticket) = self.tickets.remove(key) else {
             return Ended::Stale;
         };
@@ -521,29 +523,35 @@
         Ended::Complete
     }
 
-    fn end_without(&mut self, now: Millis, key: TicketKey, outcome: Outcome) -> Ended {
+    fn end_unanswered(&mut self, now: Millis, key: TicketKey, outcome: Outcome) -> Ended {
         let ticket = &self.tickets[key];
         if !ticket.open.is_empty() {
             return Ended::Pending;
         }
-        let supply = self.supply(now, ticket.group);
+        let load = self.group_load(now, ticket.group);
         let attempted = Attempted {
             outcome,
             attempts: ticket.attempts,
-            idempotent: ticket.need.idempotent,
+            idempotent: ticket.criteria.idempotent,
             answered: ticket.answered,
             left: ticket.deadline.since(now),
-            takes: supply.takes(ticket.need.cost.work()),
+            takes: load.run_time(ticket.criteria.cost.work()),
         };
         match decide(&mut self.budget, &mut self.rng, &attempted) {
-            Decision::Again { after } => self.again(now, key, after, outcome),
-            Decision::GiveUp => self.give_up(now, key, &supply),
+            Decision::Again { after } => self.schedule_retry(now, key, after, outcome),
+            Decision::GiveUp => self.give_up(now, key, &load),
         }
     }
 
-    fn again(&mut self, now: Millis, key: TicketKey, after: Millis, outcome: Outcome) -> Ended {
+    fn schedule_retry(
+        &mut self,
+        now: Millis,
+        key: TicketKey,
+        after: Millis,
+        outcome: Outcome,
+    ) -> Ended {
         let ticket = &mut self.tickets[key];
-        ticket.due = Some(now + after);
+        ticket.retry_at = Some(now + after);
         let ran = matches!(outcome, Outcome::Unknown);
         let actual = if ran { ticket.charged } else { 0.0 };
         if let Some(queue) = self.queues.get_mut(ticket.group) {
@@ -552,20 +560,24 @@
         Ended::Retry
     }
 
-    fn give_up(&mut self, now: Millis, key: TicketKey, supply: &Supply) -> Ended {
+    fn give_up(&mut self, now: Millis, key: TicketKey, load: &GroupLoad) -> Ended {
         let item = self.item(key);
         let Some(ticket) = self.tickets.remove(key) else {
             return Ended::Stale;
         };
         let Some(queue) = self.queues.get_mut(ticket.group) else {
-            return Ended::Refused(no_group());
+            return Ended::Refused(group_removed());
+        };
+        let actual = if ticket.may_have_run {
+            ticket.charged
+        } else {
+            0.0
         };
-        let actual = if ticket.unsure { ticket.charged } else { 0.0 };
         queue.settle(&ticket.org, ticket.charged, actual);
-        if ticket.unsure {
+        if ticket.may_have_run {
             return Ended::Unknown;
         }
-        Ended::Refused(queue.refuse(now, &item, supply, Reason::NotRun))
+        Ended::Refused(queue.refuse(now, &item, load, Reason::NotRun))
     }
 
     /// Ends a request whose caller left; the attempts returned are to be withdrawn.
@@ -587,7 +599,7 @@
 }
 
 /// The caller's rule was withdrawn between the choice of its group and the offer.
-fn no_group() -> Refusal {
+fn group_removed() -> Refusal {
     Refusal {
         reason: Reason::NoTarget,
         retry_after: Millis::secs(1),
--- a/crates/filbertstack-policy/src/limit.rs
+++ b/crates/filbertstack-policy/src/limit.rs
@@ -21,7 +21,7 @@
 
 /// The most that one cut takes away. A halving by all of eleven entries at once would leave half
 /// of a batch empty for several rounds.
-const DEEPEST_CUT: f64 = 0.3;
+const MAX_CUT: f64 = 0.3;
 
 /// What a failure takes away: a target that fails may be gone, and half of the work risked there
 /// is enough to find out.
@@ -29,7 +29,7 @@
 
 /// A limit without any knowledge of the target: two, so that a second request need not wait for
 /// the first to tell how the target fares.
-pub const FIRST_LIMIT: f64 = 2.0;
+pub const INITIAL_LIMIT: f64 = 2.0;
 
 /// How an answer's first token came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,11 +37,11 @@
     /// When the request was sent.
     pub sent: Millis,
     /// The time in the target's queue: to the first token, less an unloaded target's time.
-    pub queued: Millis,
+    pub queue_delay: Millis,
     /// The queueing that is accepted for the sake of a full batch.
-    pub goal: Millis,
+    pub accepted_delay: Millis,
     /// The mean time from sending to the end of an answer.
-    pub service: Millis,
+    pub service_time: Millis,
     /// Whether the limit was all used when the request was sent.
     pub full: bool,
 }
@@ -51,19 +51,19 @@
 pub struct Limit {
     value: f64,
     ceiling: f64,
-    starting: bool,
-    cut: Option<Millis>,
+    slow_start: bool,
+    last_cut: Option<Millis>,
 }
 
 impl Limit {
-    /// A limit that begins at `first` and never exceeds `ceiling`.
-    pub fn new(first: f64, ceiling: f64) -> Self {
+    /// A limit that begins at `initial` and never exceeds `ceiling`.
+    pub fn new(initial: f64, ceiling: f64) -> Self {
         let ceiling = ceiling.max(1.0);
         Self {
-            value: first.clamp(1.0, ceiling),
+            value: initial.clamp(1.0, ceiling),
             ceiling,
-            starting: true,
-            cut: None,
+            slow_start: true,
+            last_cut: None,
         }
     }
 
@@ -78,20 +78,20 @@
         self.value = self.value.min(self.ceiling);
     }
 
-    /// Begins again at `first`, with fast growth.
-    pub fn restart(&mut self, first: f64) {
-        *self = Self::new(first, self.ceiling);
+    /// Begins again at `initial`, with fast growth.
+    pub fn restart(&mut self, initial: f64) {
+        *self = Self::new(initial, self.ceiling);
     }
 
     /// Learns from an answer's first token.
     pub fn observe(&mut self, now: Millis, sample: Sample) {
-        if sample.queued <= sample.goal {
+        if sample.queue_delay <= sample.accepted_delay {
             self.grow(sample.full);
             return;
         }
-        let over = secs(sample.queued.since(sample.goal));
-        let all = secs(sample.queued + sample.service);
-        self.shrink(now, sample.sent, (over / all).min(DEEPEST_CUT));
+        let excess = secs(sample.queue_delay.since(sample.accepted_delay));
+        let total = secs(sample.queue_delay + sample.service_time);
+        self.shrink(now, sample.sent, (excess / total).min(MAX_CUT));
     }
 
     /// Learns that the request sent at `sent` failed.
@@ -105,7 +105,7 @@
         if !full {
             return;
         }
-        let step = if self.starting {
+        let step = if self.slow_start {
             1.0
         } else {
             INCREASE / self.value
@@ -116,11 +116,11 @@
     /// One cut a round: answers to requests sent before the last cut tell of the queue that this
     /// cut already answers, and counting them again would collapse the limit to one.
     fn shrink(&mut self, now: Millis, sent: Millis, share: f64) {
-        if self.cut.is_some_and(|cut| sent <= cut) {
+        if self.last_cut.is_some_and(|cut| sent <= cut) {
             return;
         }
-        self.cut = Some(now);
-        self.starting = false;
+        self.last_cut = Some(now);
+        self.slow_start = false;
         self.value = (self.value * (1.0 - share)).max(1.0);
     }
 }
--- a/crates/filbertstack-policy/src/prefix.rs
+++ b/crates/filbertstack-policy/src/prefix.rs
@@ -12,13 +12,13 @@
 
 /// How long a hint counts without news: an engine with limited memory under load has replaced
 /// its cache in about a minute.
-const LIFE: Millis = Millis::secs(60);
+const HINT_TTL: Millis = Millis::secs(60);
 
 /// How long a hint still counts after a gap in the events, in which its removal may have been.
-const DOUBTED: Millis = Millis::secs(5);
+const GAP_TTL: Millis = Millis::secs(5);
 
 /// The hints kept a generation, two generations a target: 48 targets then take about 3 MB.
-const KEPT: usize = 1024;
+const GENERATION_SIZE: usize = 1024;
 
 /// One event of an engine's prefix cache; prefixes are named by the hash of their blocks.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,10 +43,10 @@
 /// The hints of one target.
 #[derive(Clone, Debug, Default)]
 pub struct Hints {
-    fresh: HashMap<u64, Millis>,
-    aged: HashMap<u64, Millis>,
+    current: HashMap<u64, Millis>,
+    previous: HashMap<u64, Millis>,
     seq: Option<u64>,
-    gap: Option<Millis>,
+    last_gap: Option<Millis>,
 }
 
 impl Hints {
@@ -56,7 +56,7 @@
             return;
         }
         if self.seq.is_some_and(|seq| event.seq > seq + 1) {
-            self.gap = Some(now);
+            self.last_gap = Some(now);
         }
         self.seq = Some(event.seq);
         match &event.change {
@@ -68,37 +68,41 @@
 
     /// Notes that the target holds `prefix`, as after a request with it ran there.
     pub fn store(&mut self, now: Millis, prefix: u64) {
-        if self.fresh.len() >= KEPT {
-            self.aged = std::mem::take(&mut self.fresh);
+        if self.current.len() >= GENERATION_SIZE {
+            self.previous = std::mem::take(&mut self.current);
         }
-        self.fresh.insert(prefix, now);
+        self.current.insert(prefix, now);
     }
 
     /// How many leading blocks of `prefix` the target is thought to hold.
-    pub fn held(&self, now: Millis, prefix: &[u64]) -> usize {
+    pub fn cached_blocks(&self, now: Millis, prefix: &[u64]) -> usize {
         prefix
             .iter()
-            .rposition(|block| self.holds(now, *block))
+            .rposition(|block| self.is_cached(now, *block))
             .map_or(0, |last| last + 1)
     }
 
-    fn holds(&self, now: Millis, block: u64) -> bool {
-        let Some(stored) = self.fresh.get(&block).or_else(|| self.aged.get(&block)) else {
+    fn is_cached(&self, now: Millis, block: u64) -> bool {
+        let Some(stored) = self
+            .current
+            .get(&block)
+            .or_else(|| self.previous.get(&block))
+        else {
             return false;
         };
         let doubted = self
-            .gap
-            .is_some_and(|gap| *stored <= gap && now.since(gap) > DOUBTED);
-        !doubted && now.since(*stored) <= LIFE
+            .last_gap
+            .is_some_and(|gap| *stored <= gap && now.since(gap) > GAP_TTL);
+        !doubted && now.since(*stored) <= HINT_TTL
     }
 
     fn forget(&mut self, block: u64) {
-        self.fresh.remove(&block);
-        self.aged.remove(&block);
+        self.current.remove(&block);
+        self.previous.remove(&block);
     }
 
     fn clear(&mut self) {
-        self.fresh.clear();
-        self.aged.clear();
+        self.current.clear();
+        self.previous.clear();
     }
 }
--- a/crates/filbertstack-policy/src/route.rs
+++ b/crates/filbertstack-policy/src/route.rs
@@ -19,7 +19,7 @@
 use filbertstack_core::names::ZoneName;
 
 use crate::cost::Cost;
-use crate::fair::LongTurn;
+use crate::fair::LongPriority;
 use crate::prefix::CacheEvent;
 use crate::retry::Outcome;
 use crate::subset;
@@ -27,11 +27,11 @@
 use crate::target::LoadReport;
 use crate::target::Target;
 use crate::target::TargetInfo;
-use crate::units::count;
+use crate::units::len_f64;
 use crate::units::millis;
 use crate::units::secs;
-use crate::window::Floor;
 use crate::window::Mean;
+use crate::window::SlidingMin;
 use crate::window::Window;
 
 new_key_type! {
@@ -45,42 +45,42 @@
 
 /// What the zone weighs: a target in another zone is taken if it is a tenth less full. The way
 /// there costs 1 to 3 ms, which a tenth less of a batch brings back.
-const AWAY: f64 = 0.1;
+const ZONE_PENALTY: f64 = 0.1;
 
 /// What a wholly cached prompt weighs: a quarter of a target's room. A hot prefix fills its
 /// targets by a quarter more than the others and then goes to further ones, which cache it too.
-const CACHED: f64 = 0.25;
+const CACHE_BONUS: f64 = 0.25;
 
 /// A request is long beyond this many times the mean. In a mix with one in twenty 50 times longer
 /// the mean is 3.5 short requests, so that the 50 are long and the usual spread is not.
-const LONG: f64 = 4.0;
+const LONG_FACTOR: f64 = 4.0;
 
 /// The share of a group's room that long requests may hold. They keep a place fifty times as
 /// long: once they hold all, short ones wait for seconds. A quarter for the short alone suffices,
 /// as a place that short requests use is free again within a second.
-pub const LONG_SHARE: f64 = 0.75;
+pub const LONG_MAX_SHARE: f64 = 0.75;
 
 /// Up to this share of a group's room long requests take their turn like short ones; beyond it
 /// an organisation's short requests go first. So a mix that asks for more than there is cuts the
 /// long ones, which can wait, down to half of the room before a short one waits.
-pub const LONG_FLOOR: f64 = 0.5;
+pub const LONG_EQUAL_SHARE: f64 = 0.5;
 
 /// The queueing at an engine that is accepted for a full batch: about two requests waiting at an
 /// engine with 32 places of one second each.
-const QUEUE_GOAL: Millis = Millis(60);
+const ACCEPTED_DELAY: Millis = Millis(60);
 
 /// The queueing accepted at a plain service, in mean answers of an unloaded one: with as much
 /// again in its queue a service that works on many calls at once is never idle.
-const SERVICE_QUEUE: f64 = 1.0;
+const DELAY_FACTOR: f64 = 1.0;
 
 /// The first answers of a service all count as unloaded, as the limit begins at two.
-const FIRST_ANSWERS: u32 = 20;
+const WARMUP_ANSWERS: u32 = 20;
 
 /// How long a due probe waits for an idempotent request, before any request may be the probe.
-const PROBE_PATIENCE: Millis = Millis::secs(5);
+const PROBE_WAIT: Millis = Millis::secs(5);
 
 /// The weight of an answer in a group's long-term means.
-const LASTING: f64 = 1.0 / 64.0;
+const LASTING_WEIGHT: f64 = 1.0 / 64.0;
 
 /// What a group's targets are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -109,12 +109,12 @@
 struct Group {
     kind: GroupKind,
     members: Vec<TargetKey>,
-    floor: Floor,
-    firsts: Window,
-    latency: Mean,
-    work: Mean,
-    elapsed: Mean,
-    long: u32,
+    min_ttft: SlidingMin,
+    ttft: Window,
+    unloaded_ttft: Mean,
+    mean_work: Mean,
+    mean_elapsed: Mean,
+    long_in_flight: u32,
     in_flight: u32,
 }
 
@@ -123,22 +123,22 @@
         Self {
             kind,
             members: Vec::new(),
-            floor: Floor::default(),
-            firsts: Window::default(),
-            latency: Mean::default(),
-            work: Mean::default(),
-            elapsed: Mean::default(),
-            long: 0,
+            min_ttft: SlidingMin::default(),
+            ttft: Window::default(),
+            unloaded_ttft: Mean::default(),
+            mean_work: Mean::default(),
+            mean_elapsed: Mean::default(),
+            long_in_flight: 0,
             in_flight: 0,
         }
     }
 
-    fn goal(&self) -> Millis {
+    fn accepted_delay(&self) -> Millis {
         match self.kind {
-            GroupKind::Engines => QUEUE_GOAL,
+            GroupKind::Engines => ACCEPTED_DELAY,
             GroupKind::Service => {
-                let mean = self.latency.get(1).unwrap_or_default();
-                QUEUE_GOAL.max(millis(mean * SERVICE_QUEUE))
+                let mean = self.unloaded_ttft.get(1).unwrap_or_default();
+                ACCEPTED_DELAY.max(millis(mean * DELAY_FACTOR))
             }
         }
     }
@@ -147,7 +147,7 @@
 /// What an attempt is for, beside its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
-    Usual,
+    Regular,
     /// Its answer decides whether the target comes back.
     Probe,
 }
@@ -157,7 +157,7 @@
 enum Fill {
     /// At most half: what the answer took is the target's own time.
     Low,
-    Usual,
+    Medium,
     /// No room was left: the limits may be too low.
     Full,
 }
@@ -169,7 +169,7 @@
     cost: Cost,
     prefix: Vec<u64>,
     sent: Millis,
-    first: Option<Millis>,
+    first_token: Option<Millis>,
     role: Role,
     fill: Fill,
     long: bool,
@@ -289,7 +289,7 @@
     }
 
     /// What may be in flight in the group: the sum of the limits of targets that take work.
-    pub fn room(&self, now: Millis, group: GroupKey) -> f64 {
+    pub fn group_limit(&self, now: Millis, group: GroupKey) -> f64 {
         let takes = |target: &&Target| target.takes_work();
         let members = self.members(group).iter();
         let targets = members.filter_map(|key| self.targets.get(*key));
@@ -300,41 +300,46 @@
     }
 
     /// The work that one place of the group's targets does in a second; `None` until measured.
-    pub fn pace(&self, group: GroupKey) -> Option<f64> {
+    pub fn slot_rate(&self, group: GroupKey) -> Option<f64> {
         let group = self.groups.get(group)?;
-        let elapsed = group.elapsed.get(1)?;
-        Some(group.work.get(1)? / elapsed.max(0.001))
+        let elapsed = group.mean_elapsed.get(1)?;
+        Some(group.mean_work.get(1)? / elapsed.max(0.001))
     }
 
     /// The time below which `percent` of the group's first tokens came.
-    pub fn first_quantile(&self, group: GroupKey, percent: usize) -> Option<Millis> {
-        self.groups.get(group)?.firsts.quantile(percent)
+    pub fn ttft_quantile(&self, group: GroupKey, percent: usize) -> Option<Millis> {
+        self.groups.get(group)?.ttft.quantile(percent)
     }
 
     /// Whether a request of this cost is long in its group.
     pub fn is_long(&self, group: GroupKey, cost: Cost) -> bool {
-        let mean = self.groups.get(group).and_then(|group| group.work.get(1));
-        mean.is_some_and(|mean| cost.work() > mean * LONG)
+        let mean = self
+            .groups
+            .get(group)
+            .and_then(|group| group.mean_work.get(1));
+        mean.is_some_and(|mean| cost.work() > mean * LONG_FACTOR)
     }
 
     /// How another long request stands to short ones. One may always be sent, so that none
     /// starves.
-    pub fn long_turn(&self, now: Millis, group: GroupKey) -> LongTurn {
-        let held = self.long_in_flight(group);
-        let room = self.room(now, group);
-        let next = f64::from(held) + 1.0;
-        if held == 0 || next <= room * LONG_FLOOR {
-            LongTurn::Equal
-        } else if next <= room * LONG_SHARE {
-            LongTurn::Behind
+    pub fn long_priority(&self, now: Millis, group: GroupKey) -> LongPriority {
+        let in_flight = self.long_in_flight(group);
+        let limit = self.group_limit(now, group);
+        let next = f64::from(in_flight) + 1.0;
+        if in_flight == 0 || next <= limit * LONG_EQUAL_SHARE {
+            LongPriority::Equal
+        } else if next <= limit * LONG_MAX_SHARE {
+            LongPriority::Lower
         } else {
-            LongTurn::Never
+            LongPriority::Blocked
         }
     }
 
     /// The long requests in flight in the group.
     pub fn long_in_flight(&self, group: GroupKey) -> u32 {
-        self.groups.get(group).map_or(0, |group| group.long)
+        self.groups
+            .get(group)
+            .map_or(0, |group| group.long_in_flight)
     }
 
     /// The requests in flight in the group.
@@ -343,23 +348,28 @@
     }
 
     /// Chooses a target with room; `None` if there is none now.
-    pub fn choose(&mut self, now: Millis, group: GroupKey, need: &Criteria) -> Option<TargetKey> {
-        if let Some(due) = self.probe_due(now, group, need) {
+    pub fn choose(
+        &mut self,
+        now: Millis,
+        group: GroupKey,
+        criteria: &Criteria,
+    ) -> Option<TargetKey> {
+        if let Some(due) = self.probe_target(now, group, criteria) {
             return Some(due);
         }
-        let free = self.free(now, group, need);
-        let picks = self.picks(now, &free, need);
-        picks
+        let free = self.free_targets(now, group, criteria);
+        let shortlist = self.shortlist(now, &free, criteria);
+        shortlist
             .into_iter()
-            .map(|key| (self.score(now, key, need), key))
+            .map(|key| (self.score(now, key, criteria), key))
             .min_by(|(a, _), (b, _)| a.total_cmp(b))
             .map(|(_, key)| key)
     }
 
     /// The targets with room. One that had the request before is taken only if no other works.
-    fn free(&self, now: Millis, group: GroupKey, need: &Criteria) -> Vec<TargetKey> {
+    fn free_targets(&self, now: Millis, group: GroupKey, criteria: &Criteria) -> Vec<TargetKey> {
         let works = |key: &TargetKey| self.targets.get(*key).is_some_and(Target::takes_work);
-        let untried = |key: &TargetKey| !need.tried.contains(key);
+        let untried = |key: &TargetKey| !criteria.tried.contains(key);
         let members = self.members(group);
         let other = members.iter().any(|key| works(key) && untried(key));
         let members = members.iter().copied();
@@ -382,40 +392,50 @@
     }
 
     /// How long an attempt has waited for its first token; `None` once that came.
-    pub fn unanswered(&self, now: Millis, attempt: AttemptKey) -> Option<Millis> {
+    pub fn unanswered_for(&self, now: Millis, attempt: AttemptKey) -> Option<Millis> {
         let attempt = self.attempts.get(attempt)?;
-        attempt.first.is_none().then_some(now.since(attempt.sent))
+        attempt
+            .first_token
+            .is_none()
+            .then_some(now.since(attempt.sent))
     }
 
     /// Two at random, and those thought to hold some of the prefix.
-    fn picks(&mut self, now: Millis, free: &[TargetKey], need: &Criteria) -> Vec<TargetKey> {
+    fn shortlist(
+        &mut self,
+        now: Millis,
+        free: &[TargetKey],
+        criteria: &Criteria,
+    ) -> Vec<TargetKey> {
         if free.is_empty() {
             return Vec::new();
         }
-        let mut picks: Vec<_> = (0..2)
+        let mut shortlist: Vec<_> = (0..2)
             .map(|_| free[self.rng.random_range(0..free.len())])
             .collect();
-        let holders = free.iter().filter(|key| self.held(now, **key, need) > 0);
-        picks.extend(holders);
-        picks
+        let holders = free
+            .iter()
+            .filter(|key| self.cached_blocks(now, **key, criteria) > 0);
+        shortlist.extend(holders);
+        shortlist
     }
 
-    fn probe_due(&self, now: Millis, group: GroupKey, need: &Criteria) -> Option<TargetKey> {
-        if self.is_long(group, need.cost) {
+    fn probe_target(&self, now: Millis, group: GroupKey, criteria: &Criteria) -> Option<TargetKey> {
+        if self.is_long(group, criteria.cost) {
             return None;
         }
-        let patience = if need.idempotent {
+        let wait = if criteria.idempotent {
             Millis::ZERO
         } else {
-            PROBE_PATIENCE
+            PROBE_WAIT
         };
-        let then = now.since(patience);
+        let cutoff = now.since(wait);
         let due = |key: &TargetKey| {
             let target = self.targets.get(*key);
-            target.is_some_and(|target| !target.leaving && target.outlier.probe_due(then))
+            target.is_some_and(|target| !target.leaving && target.outlier.probe_due(cutoff))
         };
         let mut members = self.members(group).iter().copied();
-        members.find(|key| due(key) && !need.tried.contains(key))
+        members.find(|key| due(key) && !criteria.tried.contains(key))
     }
 
     fn is_free(&self, now: Millis, key: TargetKey) -> bool {
@@ -423,48 +443,51 @@
         target.is_some_and(|target| target.takes_work() && target.has_room(now))
     }
 
-    fn held(&self, now: Millis, key: TargetKey, need: &Criteria) -> usize {
+    fn cached_blocks(&self, now: Millis, key: TargetKey, criteria: &Criteria) -> usize {
         let target = self.targets.get(key);
-        target.map_or(0, |target| target.hints.held(now, &need.prefix))
+        target.map_or(0, |target| {
+            target.hints.cached_blocks(now, &criteria.prefix)
+        })
     }
 
     /// How bad a choice the target is.
-    fn score(&self, now: Millis, key: TargetKey, need: &Criteria) -> f64 {
+    fn score(&self, now: Millis, key: TargetKey, criteria: &Criteria) -> f64 {
         let Some(target) = self.targets.get(key) else {
             return f64::INFINITY;
         };
-        let away = if target.info.zone == self.zone {
+        let penalty = if target.info.zone == self.zone {
             0.0
         } else {
-            AWAY
+            ZONE_PENALTY
         };
-        let cached = if need.prefix.is_empty() {
+        let bonus = if criteria.prefix.is_empty() {
             0.0
         } else {
-            CACHED * count(self.held(now, key, need)) / count(need.prefix.len())
+            CACHE_BONUS * len_f64(self.cached_blocks(now, key, criteria))
+                / len_f64(criteria.prefix.len())
         };
-        target.fullness(now) + away - cached
+        target.fullness(now) + penalty - bonus
     }
 
     /// Notes that the request was sent to `key`, which [`Self::choose`] gave.
-    pub fn started(
+    pub fn start_attempt(
         &mut self,
         now: Millis,
         group: GroupKey,
         key: TargetKey,
-        need: &Criteria,
+        criteria: &Criteria,
     ) -> AttemptKey {
-        let long = self.is_long(group, need.cost);
+        let long = self.is_long(group, criteria.cost);
         let mut attempt = Attempt {
             target: key,
             group,
-            cost: need.cost,
-            prefix: need.prefix.clone(),
+            cost: criteria.cost,
+            prefix: criteria.prefix.clone(),
             sent: now,
-            first: None,
-            fill: Fill::Usual,
+            first_token: None,
+            fill: Fill::Medium,
             long,
-            role: Role::Usual,
+            role: Role::Regular,
             overdue: false,
         };
         if let Some(target) = self.targets.get_mut(key) {
@@ -475,7 +498,7 @@
             }
         }
         if let Some(group) = self.groups.get_mut(group) {
-            group.long += u32::from(long);
+            group.long_in_flight += u32::from(long);
             group.in_flight += 1;
         }
         attempt.fill = self.fill(now, group);
@@ -485,14 +508,14 @@
     /// Limits grow for want of room in the group: growth of a single full target, while others have
     /// room, would only move the queue into that one.
     fn fill(&self, now: Millis, group: GroupKey) -> Fill {
-        let held = f64::from(self.in_flight(group));
-        let room = self.room(now, group);
-        if held + 1.5 > room {
+        let in_flight = f64::from(self.in_flight(group));
+        let limit = self.group_limit(now, group);
+        if in_flight + 1.5 > limit {
             Fill::Full
-        } else if held * 2.0 <= room {
+        } else if in_flight * 2.0 <= limit {
             Fill::Low
         } else {
-            Fill::Usual
+            Fill::Medium
         }
     }
 
@@ -501,43 +524,43 @@
         let Some(attempt) = self.attempts.get_mut(key) else {
             return;
         };
-        if attempt.first.is_some() {
+        if attempt.first_token.is_some() {
             return;
         }
-        attempt.first = Some(now);
-        let first = now.since(attempt.sent);
+        attempt.first_token = Some(now);
+        let ttft = now.since(attempt.sent);
         let (target, group, fill) = (attempt.target, attempt.group, attempt.fill);
         if let Some(group) = self.groups.get_mut(group) {
-            group.firsts.add(first);
-            group.floor.add(now, first);
+            group.ttft.add(ttft);
+            group.min_ttft.add(now, ttft);
             // A lasting overload must not pass for the usual latency: the goal would follow the
             // queue up, and the limit with it to its ceiling.
-            if fill == Fill::Low || group.latency.get(FIRST_ANSWERS).is_none() {
-                group.latency.add(secs(first), LASTING);
+            if fill == Fill::Low || group.unloaded_ttft.get(WARMUP_ANSWERS).is_none() {
+                group.unloaded_ttft.add(secs(ttft), LASTING_WEIGHT);
             }
         }
-        self.learn_first(now, key, first);
-        self.judge(now, group, target, key);
+        self.learn_ttft(now, key, ttft);
+        self.judge_ttft(now, group, target, key);
     }
 
     /// Ends an attempt with its outcome.
-    pub fn finished(&mut self, now: Millis, key: AttemptKey, outcome: Outcome) {
+    pub fn finish_attempt(&mut self, now: Millis, key: AttemptKey, outcome: Outcome) {
         if matches!(outcome, Outcome::Ran { .. }) {
             self.first_token(now, key);
         }
-        let Some(attempt) = self.end(key) else {
+        let Some(attempt) = self.remove_attempt(key) else {
             return;
         };
         match outcome {
-            Outcome::Ran { cost } => self.learn_end(now, &attempt, cost),
+            Outcome::Ran { cost } => self.learn_completion(now, &attempt, cost),
             Outcome::NotRun(reason) => self.learn_refusal(now, &attempt, reason),
             Outcome::Unknown => self.learn_failure(now, &attempt),
         }
     }
 
     /// Ends an attempt that was withdrawn and tells nothing of its target.
-    pub fn cancelled(&mut self, now: Millis, key: AttemptKey) {
-        let Some(attempt) = self.end(key) else {
+    pub fn cancel_attempt(&mut self, now: Millis, key: AttemptKey) {
+        let Some(attempt) = self.remove_attempt(key) else {
             return;
         };
         if let Some(target) = self.targets.get_mut(attempt.target)
@@ -548,13 +571,13 @@
         }
     }
 
-    fn end(&mut self, key: AttemptKey) -> Option<Attempt> {
+    fn remove_attempt(&mut self, key: AttemptKey) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
         if let Some(target) = self.targets.get_mut(attempt.target) {
             target.in_flight -= 1;
         }
         if let Some(group) = self.groups.get_mut(attempt.group) {
-            group.long -= u32::from(attempt.long);
+            group.long_in_flight -= u32::from(attempt.long);
             group.in_flight -= 1;
         }
         Some(attempt)
--- a/crates/filbertstack-policy/src/route/learn.rs
+++ b/crates/filbertstack-policy/src/route/learn.rs
@@ -2,14 +2,14 @@
 
 use filbertstack_core::Millis;
 
+use super::ACCEPTED_DELAY;
 use super::Attempt;
 use super::AttemptKey;
 use super::Fill;
 use super::Group;
 use super::GroupKey;
 use super::GroupKind;
-use super::LASTING;
-use super::QUEUE_GOAL;
+use super::LASTING_WEIGHT;
 use super::Router;
 use super::TargetKey;
 use crate::cost::Cost;
@@ -18,54 +18,54 @@
 use crate::outlier::MOST_OUT;
 use crate::retry::NotRun;
 use crate::target::Target;
-use crate::units::count;
+use crate::units::len_f64;
 use crate::units::millis;
 use crate::units::secs;
 use crate::window::Mean;
 
 /// A target this many times slower than the median of its group is an outlier. Prompts cached
 /// or not and batches full or not make up to three times.
-const SLOW: f64 = 4.0;
+const SLOW_FACTOR: f64 = 4.0;
 
 /// The fewest answers that a target is judged slow by.
-const JUDGED: u32 = 3;
+const MIN_ANSWERS: u32 = 3;
 
 /// The fewest judged targets that make a median.
-const MEDIAN_OF: usize = 3;
+const MIN_PEERS: usize = 3;
 
 /// Prompt tokens that an engine reads in a second at least; what longer prompts take is no
 /// queueing.
-const PREFILL: f64 = 10_000.0;
+const PREFILL_RATE: f64 = 10_000.0;
 
 impl Router {
     /// Takes attempts whose first token is overdue as slow ones, without waiting for their end.
     ///
     /// A target that is twenty times slower tells so twenty times later: what it holds is
     /// evidence as soon as the usual time has passed.
-    pub fn sweep(&mut self, now: Millis) {
+    pub fn mark_overdue(&mut self, now: Millis) {
         let late: Vec<_> = self
             .attempts
             .iter()
-            .filter(|(_, attempt)| attempt.first.is_none() && !attempt.overdue)
+            .filter(|(_, attempt)| attempt.first_token.is_none() && !attempt.overdue)
             .filter(|(_, attempt)| now.since(attempt.sent) > self.overdue_after(attempt))
             .map(|(key, attempt)| (key, attempt.target, attempt.group, attempt.sent))
             .collect();
         for (key, target, group, sent) in late {
             self.attempts[key].overdue = true;
-            self.learn_first(now, key, now.since(sent));
-            self.judge(now, group, target, key);
+            self.learn_ttft(now, key, now.since(sent));
+            self.judge_ttft(now, group, target, key);
         }
     }
 
     fn overdue_after(&self, attempt: &Attempt) -> Millis {
         let group = self.groups.get(attempt.group);
-        let goal = group.map_or(QUEUE_GOAL, Group::goal);
-        let median = group.and_then(|group| group.firsts.quantile(50));
-        let usual = median.unwrap_or(Millis::secs(1));
-        goal + millis(secs(usual) * SLOW) + prefill(attempt.cost)
+        let accepted = group.map_or(ACCEPTED_DELAY, Group::accepted_delay);
+        let median = group.and_then(|group| group.ttft.quantile(50));
+        let typical = median.unwrap_or(Millis::secs(1));
+        accepted + millis(secs(typical) * SLOW_FACTOR) + prefill_time(attempt.cost)
     }
 
-    pub(super) fn learn_first(&mut self, now: Millis, key: AttemptKey, first: Millis) {
+    pub(super) fn learn_ttft(&mut self, now: Millis, key: AttemptKey, ttft: Millis) {
         let attempt = &self.attempts[key];
         let Some(group) = self.groups.get(attempt.group) else {
             return;
@@ -73,22 +73,22 @@
         let Some(target) = self.targets.get_mut(attempt.target) else {
             return;
         };
-        target.note_first(first);
-        let queued = match group.kind {
+        target.record_ttft(ttft);
+        let queue_delay = match group.kind {
             GroupKind::Engines => {
-                let least = group.floor.least().unwrap_or(first);
-                first.since(least + prefill(attempt.cost))
+                let unloaded = group.min_ttft.get().unwrap_or(ttft);
+                ttft.since(unloaded + prefill_time(attempt.cost))
             }
             GroupKind::Service => {
-                let recent = target.first.get(1).unwrap_or_default();
-                millis(recent - group.latency.get(1).unwrap_or(recent))
+                let recent = target.ttft.get(1).unwrap_or_default();
+                millis(recent - group.unloaded_ttft.get(1).unwrap_or(recent))
             }
         };
         let sample = Sample {
             sent: attempt.sent,
-            queued,
-            goal: group.goal(),
-            service: millis(group.elapsed.get(1).unwrap_or_default()),
+            queue_delay,
+            accepted_delay: group.accepted_delay(),
+            service_time: millis(group.mean_elapsed.get(1).unwrap_or_default()),
             full: attempt.fill == Fill::Full,
         };
         target.limit.observe(now, sample);
@@ -97,26 +97,26 @@
         }
     }
 
-    pub(super) fn learn_end(&mut self, now: Millis, attempt: &Attempt, cost: Cost) {
+    pub(super) fn learn_completion(&mut self, now: Millis, attempt: &Attempt, cost: Cost) {
         let elapsed = secs(now.since(attempt.sent));
         if let Some(group) = self.groups.get_mut(attempt.group) {
-            group.work.add(cost.work(), LASTING);
-            group.elapsed.add(elapsed, LASTING);
+            group.mean_work.add(cost.work(), LASTING_WEIGHT);
+            group.mean_elapsed.add(elapsed, LASTING_WEIGHT);
         }
         let Some(target) = self.targets.get_mut(attempt.target) else {
             return;
         };
         target.outlier.succeed();
-        let streamed = secs(now.since(attempt.first.unwrap_or(now)));
+        let streamed = secs(now.since(attempt.first_token.unwrap_or(now)));
         if cost.output > 1 {
-            target.note_between(streamed / f64::from(cost.output - 1));
+            target.record_gap(streamed / f64::from(cost.output - 1));
         }
-        self.judge_end(now, attempt);
+        self.judge_gap(now, attempt);
     }
 
     pub(super) fn learn_refusal(&mut self, now: Millis, attempt: &Attempt, reason: NotRun) {
         match reason {
-            NotRun::Unreachable => self.learn_loss(now, attempt),
+            NotRun::Unreachable => self.learn_unreachable(now, attempt),
             NotRun::Leaving => self.mark_leaving(attempt.target),
             // Its candidates are out of date: that tells nothing of its load.
             NotRun::Absent => {}
@@ -126,11 +126,11 @@
                 }
             }
         }
-        self.reopen(now, attempt);
+        self.reopen_probe(now, attempt);
     }
 
     /// A refusal tells nothing of a probed target's speed: the next request probes again.
-    fn reopen(&mut self, now: Millis, attempt: &Attempt) {
+    fn reopen_probe(&mut self, now: Millis, attempt: &Attempt) {
         if let Some(target) = self.targets.get_mut(attempt.target)
             && attempt.is_probe()
             && target.outlier.health() == Health::Probed
@@ -141,7 +141,7 @@
 
     /// A target without a link is out at once: unlike an answer that fails, there is no doubt, and
     /// every further request sent there would need a retry.
-    fn learn_loss(&mut self, now: Millis, attempt: &Attempt) {
+    fn learn_unreachable(&mut self, now: Millis, attempt: &Attempt) {
         let can_eject = self.can_eject(attempt.group);
         if let Some(target) = self.targets.get_mut(attempt.target)
             && can_eject
@@ -165,7 +165,7 @@
     }
 
     /// Ejects the target if its first tokens come too late, or takes it back after its probe.
-    pub(super) fn judge(
+    pub(super) fn judge_ttft(
         &mut self,
         now: Millis,
         group: GroupKey,
@@ -177,16 +177,21 @@
             self.eject(now, key);
             return;
         }
-        let slack = self.groups.get(group).map_or(QUEUE_GOAL, Group::goal);
-        let slow = self.is_slow(group, key, secs(slack), |target| &target.first);
+        let slack = self
+            .groups
+            .get(group)
+            .map_or(ACCEPTED_DELAY, Group::accepted_delay);
+        let slow = self.is_slow(group, key, secs(slack), |target| &target.ttft);
         if !probe && slow && self.can_eject(group) {
-            self.eject_once(now, key);
+            self.eject_if_active(now, key);
         }
     }
 
     /// Judges by the pace of the stream, which shows a slow target whose queue is empty.
-    fn judge_end(&mut self, now: Millis, attempt: &Attempt) {
-        let slow = self.is_slow(attempt.group, attempt.target, 0.0, |target| &target.between);
+    fn judge_gap(&mut self, now: Millis, attempt: &Attempt) {
+        let slow = self.is_slow(attempt.group, attempt.target, 0.0, |target| {
+            &target.token_gap
+        });
         let can_eject = self.can_eject(attempt.group);
         let Some(target) = self.targets.get_mut(attempt.target) else {
             return;
@@ -206,7 +211,7 @@
         }
     }
 
-    fn eject_once(&mut self, now: Millis, key: TargetKey) {
+    fn eject_if_active(&mut self, now: Millis, key: TargetKey) {
         let out = self.targets.get(key).is_some_and(Target::is_out);
         if !out {
             self.eject(now, key);
@@ -221,17 +226,17 @@
         slack: f64,
         mean: fn(&Target) -> &Mean,
     ) -> bool {
-        let Some(own) = self.targets.get(key).and_then(|t| mean(t).get(JUDGED)) else {
+        let Some(own) = self.targets.get(key).and_then(|t| mean(t).get(MIN_ANSWERS)) else {
             return false;
         };
         let others = self.members(group).iter().filter(|member| **member != key);
         let targets = others.filter_map(|member| self.targets.get(*member));
-        let mut means: Vec<f64> = targets.filter_map(|t| mean(t).get(JUDGED)).collect();
-        if means.len() < MEDIAN_OF {
+        let mut means: Vec<f64> = targets.filter_map(|t| mean(t).get(MIN_ANSWERS)).collect();
+        if means.len() < MIN_PEERS {
             return false;
         }
         means.sort_by(f64::total_cmp);
-        own > means[means.len() / 2] * SLOW + slack
+        own > means[means.len() / 2] * SLOW_FACTOR + slack
     }
 
     /// Whether one more of the group's targets may be out.
@@ -239,10 +244,10 @@
         let members = self.members(group);
         let is_out = |key: &&TargetKey| self.targets.get(**key).is_some_and(Target::is_out);
         let out = members.iter().filter(is_out).count() + 1;
-        count(out) <= count(members.len()) * MOST_OUT
+        len_f64(out) <= len_f64(members.len()) * MOST_OUT
     }
 }
 
-fn prefill(cost: Cost) -> Millis {
-    millis(f64::from(cost.prompt) / PREFILL)
+fn prefill_time(cost: Cost) -> Millis {
+    millis(f64::from(cost.prompt) / PREFILL_RATE)
 }
--- a/crates/filbertstack-policy/src/target.rs
+++ b/crates/filbertstack-policy/src/target.rs
@@ -4,7 +4,7 @@
 use filbertstack_core::names::InstanceName;
 use filbertstack_core::names::ZoneName;
 
-use crate::limit::FIRST_LIMIT;
+use crate::limit::INITIAL_LIMIT;
 use crate::limit::Limit;
 use crate::outlier::Outlier;
 use crate::prefix::Hints;
@@ -13,25 +13,25 @@
 
 /// How long a new target takes to its full share. Its caches are empty and every entry sees it
 /// idle at once: without a ramp the first second's choices of all entries would land there.
-const RAMP: Millis = Millis::secs(5);
+const RAMP_SPAN: Millis = Millis::secs(5);
 
 /// The share that a new target begins with.
-const RAMP_FROM: f64 = 0.2;
+const RAMP_START: f64 = 0.2;
 
 /// The ceiling of a limit at a target that does not tell its slots.
-const UNKNOWN_CEILING: f64 = 64.0;
+const DEFAULT_CEILING: f64 = 64.0;
 
 /// What a limit may exceed the slots by: a short queue in the engine keeps its batch full while
 /// the next request is on its way.
-const OVER_SLOTS: f64 = 1.25;
+const CEILING_FACTOR: f64 = 1.25;
 
 /// The time after which what a report tells of others' work counts for a third. Requests of
 /// about a second have mostly ended two seconds after.
-const REPORT_LIFE: f64 = 2.0;
+const REPORT_DECAY_SECS: f64 = 2.0;
 
 /// The weight of a new latency in a target's means: five answers make most of the mean, so that
 /// a slowdown shows within a few requests and one slow answer does not eject.
-const RECENT: f64 = 0.3;
+const RECENT_WEIGHT: f64 = 0.3;
 
 /// What is known of a target when it is announced.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -71,9 +71,9 @@
     pub(crate) hints: Hints,
     pub(crate) in_flight: u32,
     pub(crate) leaving: bool,
-    pub(crate) first: Mean,
-    pub(crate) between: Mean,
-    up: Option<Millis>,
+    pub(crate) ttft: Mean,
+    pub(crate) token_gap: Mean,
+    ramp_start: Option<Millis>,
     reported: Option<Reported>,
 }
 
@@ -81,18 +81,18 @@
     /// A target; `new` if it came up just now, so that it starts slowly.
     pub(crate) fn new(now: Millis, info: TargetInfo, sharers: f64, new: bool) -> Self {
         let slots = info.slots.map(f64::from);
-        let first = slots.map_or(FIRST_LIMIT, |slots| slots / sharers.max(1.0));
-        let ceiling = slots.map_or(UNKNOWN_CEILING, |slots| slots * OVER_SLOTS);
+        let initial = slots.map_or(INITIAL_LIMIT, |slots| slots / sharers.max(1.0));
+        let ceiling = slots.map_or(DEFAULT_CEILING, |slots| slots * CEILING_FACTOR);
         Self {
             info,
-            limit: Limit::new(first, ceiling),
+            limit: Limit::new(initial, ceiling),
             outlier: Outlier::default(),
             hints: Hints::default(),
             in_flight: 0,
             leaving: false,
-            first: Mean::default(),
-            between: Mean::default(),
-            up: new.then_some(now),
+            ttft: Mean::default(),
+            token_gap: Mean::default(),
+            ramp_start: new.then_some(now),
             reported: None,
         }
     }
@@ -125,7 +125,7 @@
     pub(crate) fn observe_load(&mut self, now: Millis, report: LoadReport) {
         let total = f64::from(report.running) + f64::from(report.waiting);
         let slots = f64::from(report.slots.max(1));
-        self.limit.set_ceiling(slots * OVER_SLOTS);
+        self.limit.set_ceiling(slots * CEILING_FACTOR);
         self.reported = Some(Reported {
             others: (total - f64::from(self.in_flight)).max(0.0),
             slots,
@@ -142,31 +142,31 @@
             return share;
         };
         let age = secs(now.since(reported.at));
-        let others = reported.others * (-age / REPORT_LIFE).exp();
+        let others = reported.others * (-age / REPORT_DECAY_SECS).exp();
         f64::midpoint(share, (own + others) / reported.slots)
     }
 
-    pub(crate) fn note_first(&mut self, first: Millis) {
-        self.first.add(secs(first), RECENT);
+    pub(crate) fn record_ttft(&mut self, ttft: Millis) {
+        self.ttft.add(secs(ttft), RECENT_WEIGHT);
     }
 
-    pub(crate) fn note_between(&mut self, between: f64) {
-        self.between.add(between, RECENT);
+    pub(crate) fn record_gap(&mut self, gap: f64) {
+        self.token_gap.add(gap, RECENT_WEIGHT);
     }
 
     /// Takes the target back: slowly, and with its latencies forgotten.
     pub(crate) fn readmit(&mut self, now: Millis) {
         self.outlier.readmit();
-        self.first = Mean::default();
-        self.between = Mean::default();
-        self.limit.restart(FIRST_LIMIT);
-        self.up = Some(now);
+        self.ttft = Mean::default();
+        self.token_gap = Mean::default();
+        self.limit.restart(INITIAL_LIMIT);
+        self.ramp_start = Some(now);
     }
 
     fn ramp(&self, now: Millis) -> f64 {
-        let Some(up) = self.up else {
+        let Some(start) = self.ramp_start else {
             return 1.0;
         };
-        (secs(now.since(up)) / secs(RAMP)).clamp(RAMP_FROM, 1.0)
+        (secs(now.since(start)) / secs(RAMP_SPAN)).clamp(RAMP_START, 1.0)
     }
 }
--- a/crates/filbertstack-policy/src/units.rs
+++ b/crates/filbertstack-policy/src/units.rs
@@ -18,6 +18,6 @@
 }
 
 /// The length of a collection as a number to divide by.
-pub fn count(len: usize) -> f64 {
+pub fn len_f64(len: usize) -> f64 {
     f64::from(u32::try_from(len).unwrap_or(u32::MAX))
 }
--- a/crates/filbertstack-policy/src/window.rs
+++ b/crates/filbertstack-policy/src/window.rs
@@ -4,10 +4,10 @@
 
 /// How many samples are kept: enough for a p95 that rests on six samples, few enough that one
 /// second of an entry's traffic replaces them.
-const KEPT: usize = 128;
+const CAPACITY: usize = 128;
 
 /// The fewest samples that a quantile is read from.
-const ENOUGH: usize = 20;
+const MIN_SAMPLES: usize = 20;
 
 /// The most recent latencies of one kind.
 #[derive(Clone, Debug, Default)]
@@ -19,17 +19,17 @@
 impl Window {
     /// Adds a sample; the oldest makes room.
     pub fn add(&mut self, sample: Millis) {
-        if self.samples.len() < KEPT {
+        if self.samples.len() < CAPACITY {
             self.samples.push(sample);
             return;
         }
         self.samples[self.next] = sample;
-        self.next = (self.next + 1) % KEPT;
+        self.next = (self.next + 1) % CAPACITY;
     }
 
     /// The sample below which `percent` of the samples lie; `None` while they are too few.
     pub fn quantile(&self, percent: usize) -> Option<Millis> {
-        if self.samples.len() < ENOUGH {
+        if self.samples.len() < MIN_SAMPLES {
             return None;
         }
         let mut sorted = self.samples.clone();
@@ -41,29 +41,29 @@
 
 /// The least latency of the last one to two spans: what a request takes that meets no queue.
 #[derive(Clone, Debug, Default)]
-pub struct Floor {
-    past: Option<Millis>,
-    present: Option<Millis>,
-    turned: Millis,
+pub struct SlidingMin {
+    previous: Option<Millis>,
+    current: Option<Millis>,
+    period_start: Millis,
 }
 
 /// How long a least latency counts. Shorter, and a lasting overload would pass for the normal
 /// state; longer, and a slower new version would be held to its predecessor's latency.
-const FLOOR_SPAN: Millis = Millis::secs(30);
+const PERIOD: Millis = Millis::secs(30);
 
-impl Floor {
+impl SlidingMin {
     /// Adds a sample.
     pub fn add(&mut self, now: Millis, sample: Millis) {
-        if now.since(self.turned) >= FLOOR_SPAN {
-            self.past = self.present.take();
-            self.turned = now;
+        if now.since(self.period_start) >= PERIOD {
+            self.previous = self.current.take();
+            self.period_start = now;
         }
-        self.present = Some(self.present.map_or(sample, |least| least.min(sample)));
+        self.current = Some(self.current.map_or(sample, |least| least.min(sample)));
     }
 
     /// The least sample, if there is one.
-    pub fn least(&self) -> Option<Millis> {
-        match (self.past, self.present) {
+    pub fn get(&self) -> Option<Millis> {
+        match (self.previous, self.current) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         }
@@ -85,8 +85,8 @@
         self.value += (sample - self.value) * weight;
     }
 
-    /// The mean, if at least `fewest` samples were seen.
-    pub fn get(&self, fewest: u32) -> Option<f64> {
-        (self.samples >= fewest.max(1)).then_some(self.value)
+    /// The mean, if at least `min_samples` samples were seen.
+    pub fn get(&self, min_samples: u32) -> Option<f64> {
+        (self.samples >= min_samples.max(1)).then_some(self.value)
     }
 }
