--- a/crates/filbertstack-policy/src/route.rs
+++ b/crates/filbertstack-policy/src/route.rs
@@ -1,10 +1,10 @@
-//! Which target gets a request.
+//! Chooses a target for each request.
 //!
-//! *Load pattern*: work of very unequal length, targets of unequal speed, load reports that lag
-//! by a second, and other entries that choose at the same time. Round robin keeps sending to a
-//! slow target until it holds most of the work; always taking the least loaded sends every
-//! entry's next requests to the one target whose report looks best. Two choices at random among
-//! those with room avoid both: own in-flight counts are exact, and a late report only tilts.
+//! *Load pattern*: requests differ widely in length, targets differ in speed, load reports are about a second
+//! old, and other entries choose at the same time. Round robin keeps sending to a slow target until that
+//! target holds most of the work. Always taking the least loaded target sends the next requests of every
+//! entry to the one target whose report looks best. Choosing the better of two random targets with room
+//! avoids both: an entry's own in-flight counts are exact, and an old report only shifts the choice.
 
 mod learn;
 
@@ -35,73 +35,75 @@
 use crate::window::Window;
 
 new_key_type! {
-    /// A target at this entry.
+    /// Identifies a target at this entry.
     pub struct TargetKey;
-    /// A set of targets that requests of one kind may go to.
+    /// Identifies a set of targets that serve requests of one kind.
     pub struct GroupKey;
-    /// One request at one target.
+    /// Identifies one attempt of a request at one target.
     pub struct AttemptKey;
 }
 
-/// What the zone weighs: a target in another zone is taken if it is a tenth less full. The way
-/// there costs 1 to 3 ms, which a tenth less of a batch brings back.
+/// The penalty for a target in another zone: such a target is chosen only if it is a tenth less full. A
+/// request to another zone takes 1 to 3 ms longer, which a batch that is a tenth less full makes up for.
 const ZONE_PENALTY: f64 = 0.1;
 
-/// What a wholly cached prompt weighs: a quarter of a target's room. A hot prefix fills its
-/// targets by a quarter more than the others and then goes to further ones, which cache it too.
+/// The bonus for a prompt that is cached completely, as a share of a target's room. A hot prefix fills its
+/// targets a quarter more than the others, and then moves to further targets, which cache it too.
 const CACHE_BONUS: f64 = 0.25;
 
-/// A request is long beyond this many times the mean. In a mix with one in twenty 50 times longer
-/// the mean is 3.5 short requests, so that the 50 are long and the usual spread is not.
+/// A request is long if its work exceeds the group's mean by this factor. In a mix where one request in
+/// twenty is 50 times longer, the mean is 3.5 short requests, so the 50-fold requests are long and the usual
+/// variation is not.
 const LONG_FACTOR: f64 = 4.0;
 
-/// The share of a group's room that long requests may hold. They keep a place fifty times as
-/// long: once they hold all, short ones wait for seconds. A quarter for the short alone suffices,
-/// as a place that short requests use is free again within a second.
+/// The largest share of a group's limit that long requests may use. A long request can hold its slot fifty
+/// times as long as a short one: if long requests held all slots, short ones would wait for seconds.
+/// Reserving a quarter for short requests is enough, because they release a slot within a second.
 pub const LONG_MAX_SHARE: f64 = 0.75;
 
-/// Up to this share of a group's room long requests take their turn like short ones; beyond it
-/// an organisation's short requests go first. So a mix that asks for more than there is cuts the
-/// long ones, which can wait, down to half of the room before a short one waits.
+/// The share of a group's limit up to which long requests are served in the same order as short ones. Above
+/// it, an organisation's short requests go first. Under overload, long requests, which tolerate waiting, are
+/// therefore reduced to half of the limit before a short request waits.
 pub const LONG_EQUAL_SHARE: f64 = 0.5;
 
-/// The queueing at an engine that is accepted for a full batch: about two requests waiting at an
-/// engine with 32 places of one second each.
+/// The queueing delay that is accepted at an engine to keep its batch full: about two waiting requests at an
+/// engine with 32 slots and requests of one second.
 const ACCEPTED_DELAY: Millis = Millis(60);
 
-/// The queueing accepted at a plain service, in mean answers of an unloaded one: with as much
-/// again in its queue a service that works on many calls at once is never idle.
+/// The queueing delay that is accepted at a plain service, as a multiple of the mean answer time of an
+/// unloaded service. With one answer time's worth of work queued, a service that handles many calls at once
+/// is never idle.
 const DELAY_FACTOR: f64 = 1.0;
 
-/// The first answers of a service all count as unloaded, as the limit begins at two.
+/// The number of first answers of a service that count as unloaded, because the limit starts at two.
 const WARMUP_ANSWERS: u32 = 20;
 
-/// How long a due probe waits for an idempotent request, before any request may be the probe.
+/// The time for which a due probe waits for an idempotent request before any other request may be the probe.
 const PROBE_WAIT: Millis = Millis::secs(5);
 
-/// The weight of an answer in a group's long-term means.
+/// The weight of one answer in a group's long-term means.
 const LASTING_WEIGHT: f64 = 1.0 / 64.0;
 
-/// What a group's targets are.
+/// The kind of targets in a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupKind {
-    /// Model engines: the first token's time tells of the queue.
+    /// Model engines. Their queueing delay shows in the time to first token.
     Engines,
-    /// Plain services, whose answers take unequal time of themselves: a target's recent mean
-    /// against the mean of calls sent while it was at most half full tells.
+    /// Plain services. Their answer times vary without any load, so a target's recent mean is compared with
+    /// the mean of calls that were sent while the group was at most half full.
     Service,
 }
 
-/// What a choice of target rests on.
+/// The criteria for the choice of a target.
 #[derive(Clone, Debug, Default)]
 pub struct Criteria {
-    /// What the request is expected to cost.
+    /// The expected cost of the request.
     pub cost: Cost,
-    /// Hashes of the prompt's leading blocks, each covering all before it.
+    /// The hashes of the prompt's leading blocks. Each hash covers all blocks before it.
     pub prefix: Vec<u64>,
-    /// Whether it may run twice.
+    /// Whether the request may run twice.
     pub idempotent: bool,
-    /// The targets that already had it.
+    /// The targets to which the request was already sent.
     pub tried: Vec<TargetKey>,
 }
 
@@ -144,21 +146,21 @@
     }
 }
 
-/// What an attempt is for, beside its request.
+/// The purpose of an attempt apart from serving its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Regular,
-    /// Its answer decides whether the target comes back.
+    /// The attempt's answer decides whether an ejected target is readmitted.
     Probe,
 }
 
-/// How full the group was when an attempt was sent.
+/// The fill level of the group when an attempt was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fill {
-    /// At most half: what the answer took is the target's own time.
+    /// At most half of the limit was used: the answer time is the target's own time without queueing.
     Low,
     Medium,
-    /// No room was left: the limits may be too low.
+    /// No room was left, so the limits may be too low.
     Full,
 }
 
@@ -182,7 +184,7 @@
     }
 }
 
-/// The targets of one entry and what is in flight there.
+/// The targets of one entry and the attempts in flight at them.
 #[derive(Debug)]
 pub struct Router {
     name: InstanceName,
@@ -195,7 +197,7 @@
 }
 
 impl Router {
-    /// The router of the entry `name` in `zone`; `seed` rules its random choices.
+    /// Creates the router of the entry `name` in `zone`. The random choices are seeded with `seed`.
     pub fn new(name: InstanceName, zone: ZoneName, seed: u64) -> Self {
         let seed = subset::mix(seed ^ subset::hash(name.as_str()));
         Self {
@@ -209,26 +211,26 @@
         }
     }
 
-    /// Sets how many entries use one target in the mean: the first limit is a target's slots
-    /// shared among them.
+    /// Sets the mean number of entries that use one target. The initial limit is a target's slots divided by
+    /// this number.
     pub fn set_sharers(&mut self, sharers: u32) {
         self.sharers = f64::from(sharers.max(1));
     }
 
-    /// Adds a target; `new` if it came up just now and must start slowly.
+    /// Adds a target. `new` marks a target that has just come up, whose limit is ramped up.
     pub fn add_target(&mut self, now: Millis, info: TargetInfo, new: bool) -> TargetKey {
         let target = Target::new(now, info, self.sharers, new);
         self.targets.insert(target)
     }
 
-    /// Gives the target no new work from now on.
+    /// Marks a target as leaving. It gets no further requests.
     pub fn mark_leaving(&mut self, key: TargetKey) {
         if let Some(target) = self.targets.get_mut(key) {
             target.leaving = true;
         }
     }
 
-    /// Forgets the target; attempts there still have to be finished.
+    /// Removes a target. Its attempts still have to be finished.
     pub fn remove_target(&mut self, key: TargetKey) {
         self.targets.remove(key);
         for (_, group) in &mut self.groups {
@@ -241,12 +243,12 @@
         self.groups.insert(Group::new(kind))
     }
 
-    /// Removes a group; its attempts still have to be finished.
+    /// Removes a group. Its attempts still have to be finished.
     pub fn remove_group(&mut self, group: GroupKey) {
         self.groups.remove(group);
     }
 
-    /// Sets the targets that a group's requests may go to; the entry uses its subset of them.
+    /// Sets the targets that a group's requests may use. The entry uses its own subset of them.
     pub fn set_candidates(&mut self, group: GroupKey, candidates: &[TargetKey]) {
         let targets = &self.targets;
         let known: Vec<_> = candidates
@@ -264,31 +266,32 @@
         }
     }
 
-    /// Learns from a target's load report, which came just now.
+    /// Records a target's load report, which arrived just now.
     pub fn observe_load(&mut self, now: Millis, key: TargetKey, report: LoadReport) {
         if let Some(target) = self.targets.get_mut(key) {
             target.observe_load(now, report);
         }
     }
 
-    /// Learns from a target's cache event.
+    /// Records a target's cache event.
     pub fn observe_cache(&mut self, now: Millis, key: TargetKey, event: &CacheEvent) {
         if let Some(target) = self.targets.get_mut(key) {
             target.hints.observe(now, event);
         }
     }
 
-    /// The target as this entry sees it.
+    /// Returns the state of a target as this entry sees it.
     pub fn target(&self, key: TargetKey) -> Option<&Target> {
         self.targets.get(key)
     }
 
-    /// The targets of the group that this entry uses.
+    /// Returns the targets of the group that this entry uses.
     pub fn members(&self, group: GroupKey) -> &[TargetKey] {
         self.groups.get(group).map_or(&[], |group| &group.members)
     }
 
-    /// What may be in flight in the group: the sum of the limits of targets that take work.
+    /// Returns the number of requests that may be in flight in the group: the sum of the limits of targets
+    /// that take work.
     pub fn group_limit(&self, now: Millis, group: GroupKey) -> f64 {
         let takes = |target: &&Target| target.takes_work();
         let members = self.members(group).iter();
@@ -299,19 +302,20 @@
             .sum()
     }
 
-    /// The work that one place of the group's targets does in a second; `None` until measured.
+    /// Returns the work that one slot of the group's targets completes in a second, or `None` before any
+    /// answer was measured.
     pub fn slot_rate(&self, group: GroupKey) -> Option<f64> {
         let group = self.groups.get(group)?;
         let elapsed = group.mean_elapsed.get(1)?;
         Some(group.mean_work.get(1)? / elapsed.max(0.001))
     }
 
-    /// The time below which `percent` of the group's first tokens came.
+    /// Returns the TTFT below which `percent` of the group's recent first tokens arrived.
     pub fn ttft_quantile(&self, group: GroupKey, percent: usize) -> Option<Millis> {
         self.groups.get(group)?.ttft.quantile(percent)
     }
 
-    /// Whether a request of this cost is long in its group.
+    /// Returns whether a request of this cost is long for its group.
     pub fn is_long(&self, group: GroupKey, cost: Cost) -> bool {
         let mean = self
             .groups
@@ -320,8 +324,8 @@
         mean.is_some_and(|mean| cost.work() > mean * LONG_FACTOR)
     }
 
-    /// How another long request stands to short ones. One may always be sent, so that none
-    /// starves.
+    /// Returns the priority of the next long request against short ones. One long request may always be sent,
+    /// so that long requests never starve.
     pub fn long_priority(&self, now: Millis, group: GroupKey) -> LongPriority {
         let in_flight = self.long_in_flight(group);
         let limit = self.group_limit(now, group);
@@ -335,19 +339,19 @@
         }
     }
 
-    /// The long requests in flight in the group.
+    /// Returns the number of long requests in flight in the group.
     pub fn long_in_flight(&self, group: GroupKey) -> u32 {
         self.groups
             .get(group)
             .map_or(0, |group| group.long_in_flight)
     }
 
-    /// The requests in flight in the group.
+    /// Returns the number of requests in flight in the group.
     pub fn in_flight(&self, group: GroupKey) -> u32 {
         self.groups.get(group).map_or(0, |group| group.in_flight)
     }
 
-    /// Chooses a target with room; `None` if there is none now.
+    /// Chooses a target with room, or returns `None` if no target has room now.
     pub fn choose(
         &mut self,
         now: Millis,
@@ -366,7 +370,8 @@
             .map(|(_, key)| key)
     }
 
-    /// The targets with room. One that had the request before is taken only if no other works.
+    /// Returns the targets with room. A target that already had the request is included only if no other
+    /// target of the group takes work.
     fn free_targets(&self, now: Millis, group: GroupKey, criteria: &Criteria) -> Vec<TargetKey> {
         let works = |key: &TargetKey| self.targets.get(*key).is_some_and(Target::takes_work);
         let untried = |key: &TargetKey| !criteria.tried.contains(key);
@@ -378,7 +383,7 @@
             .collect()
     }
 
-    /// Whether any target of the group takes work or waits for its probe.
+    /// Returns whether any target of the group takes work or is due for a probe.
     pub fn has_target(&self, now: Millis, group: GroupKey) -> bool {
         self.members(group).iter().any(|key| {
             let target = self.targets.get(*key);
@@ -386,12 +391,12 @@
         })
     }
 
-    /// The target of an attempt.
+    /// Returns the target of an attempt.
     pub fn target_of(&self, attempt: AttemptKey) -> Option<TargetKey> {
         self.attempts.get(attempt).map(|attempt| attempt.target)
     }
 
-    /// How long an attempt has waited for its first token; `None` once that came.
+    /// Returns the time that an attempt has waited for its first token, or `None` once the token has arrived.
     pub fn unanswered_for(&self, now: Millis, attempt: AttemptKey) -> Option<Millis> {
         let attempt = self.attempts.get(attempt)?;
         attempt
@@ -400,7 +405,7 @@
             .then_some(now.since(attempt.sent))
     }
 
-    /// Two at random, and those thought to hold some of the prefix.
+    /// Returns two random targets and those that are expected to have part of the prefix cached.
     fn shortlist(
         &mut self,
         now: Millis,
@@ -450,7 +455,7 @@
         })
     }
 
-    /// How bad a choice the target is.
+    /// Returns the score of a target; the target with the lowest score is chosen.
     fn score(&self, now: Millis, key: TargetKey, criteria: &Criteria) -> f64 {
         let Some(target) = self.targets.get(key) else {
             return f64::INFINITY;
@@ -469,7 +474,7 @@
         target.fullness(now) + penalty - bonus
     }
 
-    /// Notes that the request was sent to `key`, which [`Self::choose`] gave.
+    /// Records that a request is sent to `key`, which [`Self::choose`] returned, and returns the new attempt.
     pub fn start_attempt(
         &mut self,
         now: Millis,
@@ -505,8 +510,8 @@
         self.attempts.insert(attempt)
     }
 
-    /// Limits grow for want of room in the group: growth of a single full target, while others have
-    /// room, would only move the queue into that one.
+    /// Returns the fill level of the group. Limits grow only if the whole group is full: if a single full
+    /// target's limit grew while others had room, the queue would merely move into that target.
     fn fill(&self, now: Millis, group: GroupKey) -> Fill {
         let in_flight = f64::from(self.in_flight(group));
         let limit = self.group_limit(now, group);
@@ -519,7 +524,7 @@
         }
     }
 
-    /// Notes that the first token or byte came.
+    /// Records that an attempt's first token or byte arrived.
     pub fn first_token(&mut self, now: Millis, key: AttemptKey) {
         let Some(attempt) = self.attempts.get_mut(key) else {
             return;
@@ -533,8 +538,8 @@
         if let Some(group) = self.groups.get_mut(group) {
             group.ttft.add(ttft);
             group.min_ttft.add(now, ttft);
-            // A lasting overload must not pass for the usual latency: the goal would follow the
-            // queue up, and the limit with it to its ceiling.
+            // The unloaded TTFT must not include a lasting overload: the accepted delay would grow with the
+            // queue, and the limit would grow to its ceiling.
             if fill == Fill::Low || group.unloaded_ttft.get(WARMUP_ANSWERS).is_none() {
                 group.unloaded_ttft.add(secs(ttft), LASTING_WEIGHT);
             }
@@ -558,7 +563,7 @@
         }
     }
 
-    /// Ends an attempt that was withdrawn and tells nothing of its target.
+    /// Ends an attempt that was withdrawn. Its end says nothing about the target.
     pub fn cancel_attempt(&mut self, now: Millis, key: AttemptKey) {
         let Some(attempt) = self.remove_attempt(key) else {
             return;
--- a/crates/filbertstack-policy/src/route/learn.rs
+++ b/crates/filbertstack-policy/src/route/learn.rs
@@ -1,4 +1,4 @@
-//! What a router learns of its targets from how attempts go.
+//! Updates limits, latencies and ejections of targets from the results of attempts.
 
 use filbertstack_core::Millis;
 
@@ -23,25 +23,25 @@
 use crate::units::secs;
 use crate::window::Mean;
 
-/// A target this many times slower than the median of its group is an outlier. Prompts cached
-/// or not and batches full or not make up to three times.
+/// The factor by which a target's mean must exceed its group's median to be ejected as slow. Cached and
+/// uncached prompts, and full and partly filled batches, account for differences of up to three times.
 const SLOW_FACTOR: f64 = 4.0;
 
-/// The fewest answers that a target is judged slow by.
+/// The smallest number of answers from which a target is judged.
 const MIN_ANSWERS: u32 = 3;
 
-/// The fewest judged targets that make a median.
+/// The smallest number of other targets whose means give a median.
 const MIN_PEERS: usize = 3;
 
-/// Prompt tokens that an engine reads in a second at least; what longer prompts take is no
-/// queueing.
+/// The prompt tokens that an engine processes in a second at least. The time that a prompt takes at this rate
+/// does not count as queueing delay.
 const PREFILL_RATE: f64 = 10_000.0;
 
 impl Router {
-    /// Takes attempts whose first token is overdue as slow ones, without waiting for their end.
+    /// Records attempts whose first token is overdue as slow ones, without waiting for their end.
     ///
-    /// A target that is twenty times slower tells so twenty times later: what it holds is
-    /// evidence as soon as the usual time has passed.
+    /// A target that is twenty times slower also reports its slowness twenty times later. Its open attempts
+    /// are evidence as soon as the usual time has passed.
     pub fn mark_overdue(&mut self, now: Millis) {
         let late: Vec<_> = self
             .attempts
@@ -118,7 +118,7 @@
         match reason {
             NotRun::Unreachable => self.learn_unreachable(now, attempt),
             NotRun::Leaving => self.mark_leaving(attempt.target),
-            // Its candidates are out of date: that tells nothing of its load.
+            // The candidates are out of date. This says nothing about the target's load.
             NotRun::Absent => {}
             NotRun::Full => {
                 if let Some(target) = self.targets.get_mut(attempt.target) {
@@ -129,7 +129,7 @@
         self.reopen_probe(now, attempt);
     }
 
-    /// A refusal tells nothing of a probed target's speed: the next request probes again.
+    /// Makes a probe that was refused due again. A refusal says nothing about the target's speed.
     fn reopen_probe(&mut self, now: Millis, attempt: &Attempt) {
         if let Some(target) = self.targets.get_mut(attempt.target)
             && attempt.is_probe()
@@ -139,8 +139,8 @@
         }
     }
 
-    /// A target without a link is out at once: unlike an answer that fails, there is no doubt, and
-    /// every further request sent there would need a retry.
+    /// Ejects a target without a link at once. Unlike a failed answer, a missing link is certain, and every
+    /// further request sent there would need a retry.
     fn learn_unreachable(&mut self, now: Millis, attempt: &Attempt) {
         let can_eject = self.can_eject(attempt.group);
         if let Some(target) = self.targets.get_mut(attempt.target)
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Ejects the target if its first tokens come too late, or takes it back after its probe.
+    /// Ejects the target if its first tokens are too late, or if a probe's first token is overdue.
     pub(super) fn judge_ttft(
         &mut self,
         now: Millis,
@@ -187,7 +187,8 @@
         }
     }
 
-    /// Judges by the pace of the stream, which shows a slow target whose queue is empty.
+    /// Judges a target by the mean time between tokens, which reveals a slow target whose queue is empty, and
+    /// readmits or ejects a probed target.
     fn judge_gap(&mut self, now: Millis, attempt: &Attempt) {
         let slow = self.is_slow(attempt.group, attempt.target, 0.0, |target| {
             &target.token_gap
@@ -218,7 +219,8 @@
         }
     }
 
-    /// Whether the target's mean lies beyond its peers', a queue of `slack` seconds allowed for.
+    /// Returns whether the target's mean exceeds [`SLOW_FACTOR`] times its peers' median by more than `slack`
+    /// seconds, the accepted queueing delay.
     fn is_slow(
         &self,
         group: GroupKey,
@@ -239,7 +241,7 @@
         own > means[means.len() / 2] * SLOW_FACTOR + slack
     }
 
-    /// Whether one more of the group's targets may be out.
+    /// Returns whether one more of the group's targets may be ejected.
     pub fn can_eject(&self, group: GroupKey) -> bool {
         let members = self.members(group);
         let is_out = |key: &&TargetKey| self.targets.get(**key).is_some_and(Target::is_out);
