--- a/crates/filbertstack-policy/src/admission.rs
+++ b/crates/filbertstack-policy/src/admission.rs
@@ -1,10 +1,10 @@
-//! Who is served, who waits, who is refused, and when to come back.
+//! Decides which requests wait and which are refused, and when refused callers should come back.
 //!
-//! *Load pattern*: a burst of ten times the load in one second, or three times the load for
-//! hours. Without bounds the queue grows until every answer comes after its deadline: the
-//! engines are full and nobody is served. Here a request waits only if, at the measured pace, its
-//! answer can be whole by its deadline; otherwise it is refused at once with a time to return.
-//! What becomes hopeless while it waits is refused at that moment.
+//! *Load pattern*: a burst of ten times the load in one second, or three times the load for hours. Without
+//! bounds the queue grows until every answer comes after its deadline: the engines are full and nobody is
+//! served. Here a request waits only if, at the measured rate, its answer can be complete by its deadline;
+//! otherwise it is refused at once with a time to come back. A waiting request that can no longer make its
+//! deadline is refused at that moment.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -28,59 +28,61 @@
 use crate::units::secs;
 
 new_key_type! {
-    /// One request from its offer to its final answer.
+    /// Identifies one request from its offer to its final answer.
     pub struct TicketKey;
 }
 
-/// The requests of one organisation that may wait: at an entry that ends 30 requests a second
-/// they are four seconds' worth, and deadlines bound the wait before that.
+/// The maximum number of waiting requests of one organisation. At an entry that completes 30 requests a
+/// second these are four seconds' worth; deadlines usually limit the wait earlier.
 const ORG_QUEUE_MAX: usize = 128;
 
-/// The requests that may wait in all, for the memory that their bodies take: at 16 KiB each,
-/// 16 MiB of a node's 128 MB.
+/// The maximum number of waiting requests in all. It bounds the memory that their bodies take: at 16 KiB
+/// each, 16 MiB of a node's 128 MB.
 const QUEUE_MAX: usize = 1024;
 
-/// How much of the time left the estimated wait may fill in a burst: the estimate follows the
-/// pace by about a second, for which the rest is kept.
+/// The share of the remaining time that the expected wait may take during a burst. The estimate lags behind
+/// the actual rate by about a second, which the rest of the time covers.
 const BURST_SHARE: f64 = 0.6;
 
-/// The same once the organisation's queue has stood for [`BURST_SPAN`]. A standing queue brings no
-/// more answers than a short one; it only makes each of them late.
+/// The same share once the organisation's queue has lasted for [`BURST_SPAN`]. A long-lasting queue yields no
+/// more answers than a short one; it only makes every answer later.
 const STANDING_SHARE: f64 = 0.2;
 
-/// How long a queue may last as a burst's. Ten times the load for one second, on engines half
-/// full, is worked off in nine.
+/// The time up to which a queue counts as the result of a burst. Ten times the load for one second, at
+/// engines that are half full, is worked off in nine seconds.
 const BURST_SPAN: Millis = Millis::secs(10);
 
-/// The places kept free for organisations within their share, in square roots of the places that
-/// they hold. What they hold varies by about its root: at three roots one request in a thousand
-/// of theirs would wait, and the engines run below their slowest step. Under one hot organisation
-/// the others' p99 is 1.52 times that alone without it, 1.23 with two roots and 1.19 with three.
+/// The number of slots kept free for organisations within their share, as a multiple of the square root of
+/// the slots that they use. Their usage varies by about its square root: with a factor of three, one of their
+/// requests in a thousand would wait, and the engines run below their slowest step. Under one hot
+/// organisation, the p99 of the others is 1.52 times their p99 without it if no slots are kept free, 1.23
+/// times with a factor of two and 1.19 times with a factor of three.
 const RESERVE_FACTOR: f64 = 3.0;
 
-/// What is allowed for a request's own time against the mean pace: full batches step a quarter
-/// slower than half-full ones.
+/// The margin on a request's own run time against the mean rate: a step of a full batch takes a quarter
+/// longer than a step of a half-full one.
 const SERVICE_MARGIN: f64 = 1.25;
 
-/// The soonest that a refused caller is told to come back.
+/// The shortest time after which a refused caller is told to come back.
 const MIN_RETRY: Millis = Millis(200);
 
-/// The latest. Longer, and a caller refused in a burst would stay away long after its end.
+/// The longest time after which a refused caller is told to come back. With a longer time, a caller refused
+/// during a burst would stay away long after the end of the burst.
 const MAX_RETRY: Millis = Millis::secs(30);
 
-/// The pace by which return times are spread before any was measured, in generated tokens a
-/// second: a sequence of a full batch at 8.6 ms a step.
+/// The rate per slot that spreads return times before any rate was measured, in generated tokens a second:
+/// one sequence of a full batch at 8.6 ms a step.
 const DEFAULT_RATE: f64 = 100.0;
 
-/// The fewest places that an estimate counts with, so that it stays finite.
+/// The smallest number of slots in an estimate, which keeps the estimate finite.
 const MIN_SLOTS: f64 = 0.1;
 
-/// The bounds of the queues.
+/// The bounds of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// The requests of one organisation that may wait.
+    /// The maximum number of waiting requests of one organisation.
     pub org: usize,
-    /// The requests that may wait in all.
+    /// The maximum number of waiting requests in all.
     pub total: usize,
 }
 
@@ -93,28 +95,28 @@
     }
 }
 
-/// What the group's targets can do now.
+/// The load and the capacity of a group's targets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GroupLoad {
-    /// The requests that may be in flight.
+    /// The number of requests that may be in flight.
     pub limit: f64,
-    /// The requests that are.
+    /// The number of requests in flight.
     pub in_flight: u32,
-    /// The work a second of one of them, if measured.
+    /// The work that one slot completes in a second, if measured.
     pub slot_rate: Option<f64>,
-    /// The long requests among them.
+    /// The number of long requests in flight.
     pub long_in_flight: u32,
 }
 
 impl GroupLoad {
-    /// The time that work takes once it is sent; none before any was measured.
+    /// Returns the time that work takes once it is sent, or zero before any rate was measured.
     pub fn run_time(&self, work: f64) -> Millis {
         self.slot_rate
             .map_or(Millis::ZERO, |rate| millis(work / rate))
     }
 
-    /// The part of the places in use that long or short requests hold, but at least what they may
-    /// soon get.
+    /// Returns the share of the used slots that long or short requests hold, but at least the share that they
+    /// may soon get.
     fn slot_share(&self, long: bool) -> f64 {
         let share = f64::from(self.long_in_flight) / f64::from(self.in_flight.max(1));
         if long {
@@ -124,50 +126,50 @@
         }
     }
 
-    /// The time in which `slots` do the work.
+    /// Returns the time in which `slots` complete the work.
     fn drain_time(&self, work: f64, slots: f64) -> Millis {
         scale(self.run_time(work), 1.0 / slots)
     }
 
-    /// Whether an estimate may refuse. With nothing in flight nothing is measured either: a pace
-    /// once found too slow would then refuse everything for ever.
+    /// Returns whether an estimate may refuse requests. With nothing in flight nothing is measured either: a
+    /// rate that was once measured as too slow would then refuse everything forever.
     fn is_measured(&self) -> bool {
         self.in_flight > 0 && self.slot_rate.is_some()
     }
 }
 
-/// Why a request is refused without having run.
+/// The reason for which a request is refused without having run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Reason {
     /// The organisation's queue is full.
     #[error("the organisation's queue is full: send less at once, or come back when told")]
     OrgQueueFull,
-    /// The queue is full.
+    /// The queue of the group is full.
     #[error("the queue is full: come back when told")]
     QueueFull,
-    /// The answer could not be whole by the deadline.
+    /// The answer could not be complete by the deadline.
     #[error("the answer would miss its deadline: come back when told, or allow more time")]
     Deadline,
     /// No target takes work.
     #[error("no target takes work: come back when told; operators see the targets with 'status'")]
     NoTarget,
-    /// Targets refused it, and no attempt is left.
+    /// Targets refused the request, and no attempt is left.
     #[error("the targets tried did not run it: come back when told")]
     NotRun,
 }
 
-/// A refusal: the request did not run.
+/// A refusal of a request that did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{reason} (in {retry_after})")]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// When the caller should come back, from now; spread, so that those refused together do not
-    /// come back together.
+    /// The time after which the caller should come back. It is spread, so that callers refused together do
+    /// not come back together.
     pub retry_after: Millis,
 }
 
-/// The queue before one group of targets.
+/// The bounded queue of one group of targets.
 #[derive(Debug)]
 pub struct Admission {
     queue: FairQueue,
@@ -177,7 +179,7 @@
 }
 
 impl Admission {
-    /// An empty queue; `seed` rules the spread of return times.
+    /// Creates an empty queue. `seed` determines the jitter of return times.
     pub fn new(bounds: Bounds, seed: u64) -> Self {
         Self {
             queue: FairQueue::default(),
@@ -187,30 +189,30 @@
         }
     }
 
-    /// Sets an organisation's weight; one is the usual.
+    /// Sets an organisation's weight. The default is one.
     pub fn set_weight(&mut self, org: &OrgName, weight: f64) {
         self.queue.set_weight(org, weight);
     }
 
-    /// The requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// The organisation's requests that wait.
+    /// Returns the number of waiting requests of the organisation.
     pub fn queued(&self, org: &OrgName) -> usize {
         self.queue.queued(org)
     }
 
-    /// Lets the request wait, or refuses it at once.
+    /// Adds the request to the queue, or refuses it at once.
     ///
     /// # Errors
-    /// The refusal, if the queue is full or the deadline out of reach.
+    /// Returns the refusal if the queue is full or the deadline cannot be met.
     pub fn offer(&mut self, now: Millis, item: Item, load: &GroupLoad) -> Result<(), Refusal> {
         if self.queue.queued(&item.org) >= self.bounds.org {
             return Err(self.refuse(now, &item, load, Reason::OrgQueueFull));
@@ -235,8 +237,8 @@
         run_time <= left && wait <= scale(left.since(run_time), share)
     }
 
-    /// Who may be served now: organisations with a standing queue beyond their fair share only
-    /// while enough places stay free for the others.
+    /// Returns the conditions under which a request may be served now. An organisation with a standing queue
+    /// gets slots beyond its fair share only while enough slots stay free for the others.
     pub fn eligibility(&self, now: Millis, long: LongPriority, load: &GroupLoad) -> Eligibility {
         let reserved = self.reserved(load);
         let next = f64::from(load.in_flight) + 1.0;
@@ -249,8 +251,8 @@
         }
     }
 
-    /// Takes the excess over the bound in all from the organisation with the longest queue, so
-    /// that a flood of one never closes the queue to the others.
+    /// Refuses a request of the organisation with the longest queue if the queue exceeds its total bound. A
+    /// flood from one organisation therefore never closes the queue to others.
     pub fn trim(&mut self, now: Millis, load: &GroupLoad) -> Option<(TicketKey, Refusal)> {
         if self.queue.len() <= self.bounds.total {
             return None;
@@ -261,37 +263,39 @@
         Some((last.ticket, refusal))
     }
 
-    /// Puts a request back to the front after an attempt that did not run.
+    /// Puts a request back at the front after an attempt that did not run.
     pub fn put_back(&mut self, now: Millis, item: Item) {
         self.queue.push_front(now, item);
     }
 
-    /// The request that is served next.
+    /// Returns the request to serve next.
     pub fn peek(&self, eligibility: Eligibility) -> Option<&Item> {
         self.queue.peek(eligibility)
     }
 
-    /// Takes the request that [`Self::peek`] shows, and charges its organisation. What is taken
-    /// has to be settled once.
+    /// Removes and returns the request that [`Self::peek`] returns, and charges its organisation. Every taken
+    /// request has to be settled once.
     pub fn take(&mut self, eligibility: Eligibility) -> Option<Item> {
         self.queue.take(eligibility)
     }
 
-    /// Settles what was taken: corrects the charge, once the work is known.
+    /// Settles a taken request: replaces the charge by the actual work.
     pub fn settle(&mut self, org: &OrgName, charged: f64, actual: f64) {
         self.queue.settle(org, charged, actual);
     }
 
-    /// Takes out a request whose caller left.
+    /// Removes a request whose caller left.
     pub fn cancel(&mut self, now: Millis, org: &OrgName, ticket: TicketKey) -> bool {
         self.queue.remove(now, org, ticket).is_some()
     }
 
-    /// Refuses what can no longer make its deadline, as after a loss of targets.
+    /// Refuses the waiting requests that can no longer make their deadline, for example after a loss of
+    /// targets.
     pub fn expire(&mut self, now: Millis, load: &GroupLoad) -> Vec<(TicketKey, Refusal)> {
         self.queue.prune(now);
-        let late = self.late_items(now, load);
-        late.into_iter()
+        let expired = self.expired_items(now, load);
+        expired
+            .into_iter()
             .map(|item| {
                 self.queue.remove(now, &item.org, item.ticket);
                 let refusal = self.refuse(now, &item, load, Reason::Deadline);
@@ -300,17 +304,23 @@
             .collect()
     }
 
-    fn late_items(&self, now: Millis, load: &GroupLoad) -> Vec<Item> {
-        let mut late = Vec::new();
+    fn expired_items(&self, now: Millis, load: &GroupLoad) -> Vec<Item> {
+        let mut expired = Vec::new();
         for org in self.queue.waiting() {
             for lane in org {
-                self.late_in(now, lane, load, &mut late);
+                self.expired_in(now, lane, load, &mut expired);
             }
         }
-        late
+        expired
     }
 
-    fn late_in(&self, now: Millis, lane: &VecDeque<Item>, load: &GroupLoad, late: &mut Vec<Item>) {
+    fn expired_in(
+        &self,
+        now: Millis,
+        lane: &VecDeque<Item>,
+        load: &GroupLoad,
+        expired: &mut Vec<Item>,
+    ) {
         let Some(head) = lane.front() else {
             return;
         };
@@ -319,24 +329,24 @@
         for item in lane {
             let wait = load.drain_time(ahead, slots);
             if now + wait + load.run_time(item.work) > item.deadline {
-                late.push(item.clone());
+                expired.push(item.clone());
             } else {
                 ahead += item.work;
             }
         }
     }
 
-    /// The time that a new request is expected to wait.
+    /// Returns the expected wait of a new request.
     pub fn expected_wait(&self, item: &Item, load: &GroupLoad) -> Millis {
         let ahead = self.queue.work_ahead(item);
         load.drain_time(ahead, self.slots_for(item, load))
     }
 
-    /// The places that work like the item's gets while its organisation has a queue: of those in
-    /// use, the ones that organisations without a queue leave, but at least its fair share.
+    /// Returns the number of slots that serve requests like `item` while its organisation has a queue: the
+    /// used slots that organisations without a queue leave over, or at least the organisation's fair share.
     ///
-    /// What is in use counts and not what the limits allow: while something waits, that is what
-    /// the targets give.
+    /// The estimate counts used slots and not the limits: while requests wait, the used slots are what the
+    /// targets provide.
     fn slots_for(&self, item: &Item, load: &GroupLoad) -> f64 {
         let used = f64::from(load.in_flight).max(1.0);
         let unqueued = f64::from(self.queue.unqueued_in_flight(&item.org));
@@ -345,17 +355,17 @@
         (left.max(fair) * load.slot_share(item.long)).max(MIN_SLOTS)
     }
 
-    /// The places kept free for organisations within their share.
+    /// Returns the number of slots to keep free for organisations within their share.
     fn reserved(&self, load: &GroupLoad) -> f64 {
         let light = f64::from(self.queue.light_in_flight(load.limit));
         light.sqrt() * RESERVE_FACTOR
     }
 
-    /// A refusal whose time to return is a place after everyone refused before.
+    /// Returns a refusal whose return time follows those of all refusals before it.
     ///
-    /// Callers refused within one second would all come back within one second if each were told
-    /// the present wait. So each refusal books its organisation's capacity for the request's
-    /// work, and the next is told a later time.
+    /// If every refused caller were told the present wait, all callers refused within one second would also
+    /// come back within one second. So each refusal books its organisation's capacity for the request's work,
+    /// and the next refusal gets a later time.
     pub fn refuse(
         &mut self,
         now: Millis,
@@ -376,7 +386,8 @@
         }
     }
 
-    /// Half as much again at random; those beyond the latest time spread over its second half.
+    /// Extends a span at random by up to a half. A span beyond the maximum becomes a random time in the
+    /// second half of the maximum.
     fn jitter(&mut self, span: Millis) -> Millis {
         let factor = self.rng.random_range(1.0..1.5);
         let later = scale(span, factor);
--- a/crates/filbertstack-policy/src/fair.rs
+++ b/crates/filbertstack-policy/src/fair.rs
@@ -1,13 +1,13 @@
-//! Whose request is next: fair shares of the work between organisations and priorities.
+//! Orders waiting requests by fair shares of the work, between organisations and between priorities.
 //!
 //! *Load pattern*: one organisation sends ten times its usual load, or much longer requests.
-//! First in, first out gives it the capacity in proportion to what it sends, and everybody else
-//! its queue. Start-time fair queuing charges each organisation for the work that it gets, and
-//! serves the one that had least: an organisation within its share waits for at most one request
-//! of each other.
+//! First-in-first-out order gives it capacity in proportion to what it sends, and makes all others wait
+//! behind it. Start-time fair queueing charges each organisation for the work it receives, and serves the
+//! organisation with the least charge: an organisation within its share waits for at most one request of each
+//! other organisation.
 //!
-//! Priorities are shares too and not strict: under strict priorities a flood of high requests
-//! starves the low ones for as long as it lasts.
+//! Priorities are shares too, not strict: under strict priorities, a flood of high-priority requests would
+//! starve low-priority ones for as long as it lasts.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -21,58 +21,57 @@
 
 const CLASSES: usize = 3;
 
-/// The shares of low, normal and high requests when all three wait: 1/21, 4/21 and 16/21. High
-/// requests wait for next to nothing until they are three quarters of the load, and low ones
-/// move on at 5% of the capacity in any flood.
+/// The shares of low, normal and high priority while all three wait: 1/21, 4/21 and 16/21. High-priority
+/// requests hardly wait until they make up three quarters of the load, and low-priority ones always get 5% of
+/// the capacity.
 const CLASS_SHARES: [f64; CLASSES] = [1.0, 4.0, 16.0];
 
-/// How the next long request stands to short ones.
+/// The priority of the next long request against short ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LongPriority {
-    /// In the order they came.
+    /// Long and short requests are served in order of arrival.
     Equal,
-    /// After its organisation's short ones.
+    /// Long requests are served after the short ones of their organisation.
     Lower,
-    /// Not now: long requests hold all that they may.
+    /// No long request is served now, because long requests use all the slots that they may.
     Blocked,
 }
 
-/// Who may be served now.
+/// The conditions under which a waiting request may be served now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Eligibility {
-    /// Long requests.
+    /// The priority of long requests.
     pub long: LongPriority,
-    /// The places a unit of weight beyond which an organisation with a standing queue gets no
-    /// more now.
+    /// The number of slots, per unit of weight, at which an organisation with a standing queue gets no more.
     pub slot_cap: f64,
-    /// The time.
+    /// The current time.
     pub now: Millis,
 }
 
-/// How long a queue may last until its organisation counts as sending more than its share. Within
-/// its share it waits for a place or two, some 50 ms each.
+/// The time for which an organisation may have a queue before it counts as sending more than its share. An
+/// organisation within its share waits for a slot or two, some 50 ms each.
 const STANDING_AFTER: Millis = Millis(500);
 
-/// The break that ends a standing queue. A short queue is empty now and then by chance alone, at
-/// three requests a second some times a second.
+/// The time without a queue that ends a standing queue. At three requests a second, a short queue becomes
+/// empty several times a second by chance alone.
 const QUEUE_GAP: Millis = Millis::secs(1);
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
-    /// Its ticket.
+    /// The ticket of the request.
     pub ticket: TicketKey,
-    /// Whose it is.
+    /// The organisation that sent the request.
     pub org: OrgName,
-    /// Its priority.
+    /// The priority of the request.
     pub priority: Priority,
-    /// The work it is expected to be.
+    /// The expected work of the request.
     pub work: f64,
-    /// Whether it is long, and only gets the places that long requests may hold.
+    /// Whether the request is long and may use only the slots open to long requests.
     pub long: bool,
-    /// When it came.
+    /// The time of arrival.
     pub arrived: Millis,
-    /// When its answer has to be whole.
+    /// The time by which the answer has to be complete.
     pub deadline: Millis,
 }
 
@@ -90,23 +89,23 @@
     }
 }
 
-/// Short and long requests of one priority, each in the order they came.
+/// The short and the long requests of one priority, each in order of arrival.
 type Lanes = [VecDeque<Item>; 2];
 
 #[derive(Debug)]
 struct Org {
     weight: f64,
-    /// The work had so far, over the weight.
+    /// The work received so far, divided by the weight: the virtual start time of the next request.
     start_tag: f64,
     classes: [Lanes; CLASSES],
     queued: usize,
-    /// Since when it has had a queue.
+    /// The time since which requests have been waiting.
     queued_since: Millis,
-    /// Since when it has had a queue, short breaks aside.
+    /// The time since which requests have been waiting, ignoring short breaks.
     busy_since: Millis,
-    /// When its queue last came to an end.
+    /// The time of the last removal from the queue.
     last_removal: Millis,
-    /// What was taken and not yet settled.
+    /// The number of requests taken and not yet settled.
     in_flight: u32,
 }
 
@@ -124,7 +123,7 @@
         }
     }
 
-    /// The request of the class that is next under `eligibility`.
+    /// Returns the next request of the class that may be served.
     fn head(&self, class: usize, eligibility: Eligibility) -> Option<&Item> {
         let at_cap = f64::from(self.in_flight) >= eligibility.slot_cap * self.weight;
         if at_cap && self.is_standing(eligibility.now) {
@@ -149,12 +148,12 @@
         self.classes[class].iter().any(|lane| !lane.is_empty())
     }
 
-    /// The places that it holds or asks for.
+    /// Returns the number of slots that the organisation uses or asks for.
     fn demand(&self) -> f64 {
         len_f64(self.queued) + f64::from(self.in_flight)
     }
 
-    /// How long it has had a queue, short breaks aside.
+    /// Returns how long the organisation has had a queue, ignoring short breaks.
     fn standing_time(&self, now: Millis) -> Millis {
         if self.queued == 0 && now.since(self.last_removal) > QUEUE_GAP {
             return Millis::ZERO;
@@ -162,7 +161,7 @@
         now.since(self.busy_since)
     }
 
-    /// Whether it sends more than its share: it has had a queue without a break.
+    /// Returns whether the organisation sends more than its share, that is, has had a queue without a break.
     fn is_standing(&self, now: Millis) -> bool {
         self.queued > 0 && now.since(self.queued_since) > STANDING_AFTER
     }
@@ -183,7 +182,7 @@
     }
 }
 
-/// The requests that wait for one group of targets.
+/// The waiting requests of one group of targets.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     orgs: BTreeMap<OrgName, Org>,
@@ -195,7 +194,7 @@
 }
 
 impl FairQueue {
-    /// Sets an organisation's weight; one is the usual.
+    /// Sets an organisation's weight. The default is one.
     pub fn set_weight(&mut self, org: &OrgName, weight: f64) {
         let weight = weight.clamp(0.01, 100.0);
         self.weights.insert(org.clone(), weight);
@@ -204,22 +203,22 @@
         }
     }
 
-    /// The requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.queued
     }
 
-    /// Whether none waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.queued == 0
     }
 
-    /// The organisation's requests that wait.
+    /// Returns the number of waiting requests of the organisation.
     pub fn queued(&self, org: &OrgName) -> usize {
         self.orgs.get(org).map_or(0, |org| org.queued)
     }
 
-    /// Puts a request at the end of its organisation's queue.
+    /// Appends a request to its organisation's queue.
     pub fn push(&mut self, now: Millis, item: Item) {
         self.activate(now, &item);
         let org = self.org(&item.org);
@@ -228,7 +227,7 @@
         self.queued += 1;
     }
 
-    /// Puts a request back to the front, as one that did not run where it was sent.
+    /// Puts a request back at the front of its organisation's queue after an attempt that did not run.
     pub fn push_front(&mut self, now: Millis, item: Item) {
         self.activate(now, &item);
         let org = self.org(&item.org);
@@ -237,8 +236,9 @@
         self.queued += 1;
     }
 
-    /// Whoever was idle has no claim on the past: without this an organisation back from a quiet
-    /// night would be served alone until it had caught up.
+    /// Advances the start tags of an idle organisation or class to the present. Idle time gives no claim to
+    /// later capacity: otherwise an organisation that was idle for a night would be served alone until it had
+    /// caught up.
     fn activate(&mut self, now: Millis, item: &Item) {
         let class = item.class();
         if !self.orgs.values().any(|org| org.has_waiting(class)) {
@@ -260,7 +260,7 @@
             .or_insert_with(|| Org::new(virtual_time, weight))
     }
 
-    /// The request to be served next.
+    /// Returns the request to serve next.
     pub fn peek(&self, eligibility: Eligibility) -> Option<&Item> {
         let class = self.next_class(eligibility)?;
         let heads = self.orgs.values();
@@ -279,7 +279,7 @@
         classes.min_by(|a, b| self.class_tags[*a].total_cmp(&self.class_tags[*b]))
     }
 
-    /// Takes the request that [`Self::peek`] shows and charges its organisation for it.
+    /// Removes and returns the request that [`Self::peek`] returns, and charges its organisation for it.
     pub fn take(&mut self, eligibility: Eligibility) -> Option<Item> {
         let item = self.peek(eligibility)?.clone();
         self.remove(eligibility.now, &item.org, item.ticket)?;
@@ -294,7 +294,7 @@
         Some(item)
     }
 
-    /// Settles what was taken: corrects the charge, once the work is known.
+    /// Settles a taken request: replaces the charge by the actual work.
     pub fn settle(&mut self, org: &OrgName, charged: f64, actual: f64) {
         let Some(account) = self.orgs.get_mut(org) else {
             return;
@@ -303,7 +303,7 @@
         account.in_flight = account.in_flight.saturating_sub(1);
     }
 
-    /// Forgets organisations that are idle and owe nothing.
+    /// Removes organisations that are idle and have no charge left to work off.
     pub fn prune(&mut self, now: Millis) {
         let virtual_time = self.virtual_time;
         self.orgs.retain(|_, org| {
@@ -313,8 +313,8 @@
         });
     }
 
-    /// The requests in flight of organisations that hold and ask for less than their share of
-    /// `limit`.
+    /// Returns the number of requests in flight of the organisations whose demand is below their fair share
+    /// of `limit`.
     pub fn light_in_flight(&self, limit: f64) -> u32 {
         let per_weight = self.slots_per_weight(limit);
         let active = self.orgs.values().filter(|org| org.demand() > 0.0);
@@ -322,20 +322,20 @@
         light.map(|org| org.in_flight).sum()
     }
 
-    /// The places of `limit` that a unit of weight has a right to.
+    /// Returns the number of slots of `limit` that one unit of weight is entitled to.
     pub fn slots_per_weight(&self, limit: f64) -> f64 {
         let active = self.orgs.values().filter(|org| org.demand() > 0.0);
         let weights: f64 = active.map(|org| org.weight).sum();
         limit / weights.max(0.01)
     }
 
-    /// How long the organisation has had a queue.
+    /// Returns how long the organisation has had a queue, ignoring short breaks.
     pub fn standing_time(&self, now: Millis, org: &OrgName) -> Millis {
         let org = self.orgs.get(org);
         org.map_or(Millis::ZERO, |org| org.standing_time(now))
     }
 
-    /// Takes a request out, wherever it stands.
+    /// Removes a request at any position of its organisation's queue.
     pub fn remove(&mut self, now: Millis, org: &OrgName, ticket: TicketKey) -> Option<Item> {
         let org = self.orgs.get_mut(org)?;
         let lanes = org.classes.iter_mut().flatten();
@@ -350,7 +350,7 @@
         None
     }
 
-    /// The youngest request of the least priority of the organisation with the longest queue.
+    /// Returns the latest request of the lowest priority of the organisation with the longest queue.
     pub fn last_of_longest(&self) -> Option<&Item> {
         let longest = self.orgs.values().max_by_key(|org| org.queued)?;
         longest
@@ -362,7 +362,7 @@
             .filter(|_| longest.queued > 0)
     }
 
-    /// The work of the organisation that is served before a new request like `item`.
+    /// Returns the work of the organisation that is served before a new request like `item`.
     pub fn work_ahead(&self, item: &Item) -> f64 {
         let Some(org) = self.orgs.get(&item.org) else {
             return 0.0;
@@ -371,8 +371,8 @@
         org.items().filter(before).map(|other| other.work).sum()
     }
 
-    /// The share that a request of this organisation and priority gets of the places that
-    /// organisations with a queue divide among them.
+    /// Returns the share of a request of this organisation and priority in the slots that are divided among
+    /// organisations with a queue.
     pub fn share(&self, org: &OrgName, priority: Priority) -> f64 {
         let own = self.weights.get(org).copied().unwrap_or(1.0);
         let waiting = self.orgs.iter().filter(|(_, org)| org.queued > 0);
@@ -386,7 +386,7 @@
         own / weights * CLASS_SHARES[class] / shares
     }
 
-    /// The organisation's fair share among all that have requests waiting or in flight.
+    /// Returns the organisation's fair share among all organisations with waiting or running requests.
     pub fn fair_share(&self, org: &OrgName) -> f64 {
         let own = self.weights.get(org).copied().unwrap_or(1.0);
         let others = self.orgs.iter().filter(|(name, _)| *name != org);
@@ -394,15 +394,15 @@
         own / (own + active.map(|(_, org)| org.weight).sum::<f64>())
     }
 
-    /// The requests in flight of other organisations without a queue: places that are not
-    /// divided, as these are served before.
+    /// Returns the number of requests in flight of other organisations without a queue. Their slots are not
+    /// divided, because such organisations are served first.
     pub fn unqueued_in_flight(&self, org: &OrgName) -> u32 {
         let others = self.orgs.iter().filter(|(name, _)| *name != org);
         let idle = others.filter(|(_, org)| org.queued == 0);
         idle.map(|(_, org)| org.in_flight).sum()
     }
 
-    /// What waits, by organisation: its lanes, each in the order in which it is served.
+    /// Returns the waiting requests by organisation, as lanes in order of arrival.
     pub fn waiting(&self) -> impl Iterator<Item = impl Iterator<Item = &VecDeque<Item>>> {
         let orgs = self.orgs.values().filter(|org| org.queued > 0);
         orgs.map(|org| org.classes.iter().flatten())
