--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -1,10 +1,10 @@
-//! The requests of one entry: admission, the choice of a target and retries as one.
+//! Manages the open requests of one entry: admission, the choice of a target, retries and hedging.
 //!
-//! The owner keeps a `Flow` under a mutex and passes in the time. After every command, and at
-//! the latest every [`POLL_INTERVAL`] while requests are open, it calls [`Flow::poll`] and hands each
-//! [`Event`] to the thread that waits for its ticket. Every offer that is not refused gets
-//! exactly one end: [`Ended`] other than [`Ended::Retry`] and [`Ended::Stale`] from
-//! [`Flow::finish`], an [`Event::Refuse`] or [`Event::Unknown`], or the owner's own [`Flow::cancel`].
+//! The caller keeps one `Flow` under a mutex and passes in the time. It calls [`Flow::poll`] after every
+//! command, and at least every [`POLL_INTERVAL`] while requests are open, and hands each [`Event`] to the
+//! thread that waits for its ticket. Every accepted offer ends exactly once: by a result of [`Flow::finish`]
+//! other than [`Ended::Retry`], [`Ended::Pending`] and [`Ended::Stale`], by an [`Event::Refuse`] or
+//! [`Event::Unknown`], or by the caller's own [`Flow::cancel`].
 //!
 //! ```
 //! use filbertstack_core::Millis;
@@ -76,29 +76,30 @@
 use crate::route::Router;
 use crate::route::TargetKey;
 
-/// How often [`Flow::poll`] is called at least while requests are open: three engine steps, so
-/// that hopeless requests, hedges and overdue tokens are seen at once for any caller.
+/// The longest time between two calls of [`Flow::poll`] while requests are open. It is about three engine
+/// steps, so that requests that will miss their deadline, due hedges and overdue first tokens are noticed
+/// promptly.
 pub const POLL_INTERVAL: Millis = Millis(20);
 
-/// The percentile of first tokens after which an idempotent request is hedged: one in twenty
-/// would be, half of what the budget of retries can pay.
+/// The percentile of the time to first token (TTFT) after which an idempotent request is hedged. This hedges
+/// one request in twenty, which is half of what the retry budget can pay for.
 const HEDGE_PERCENTILE: usize = 95;
 
-/// What a flow is built with.
+/// The settings of a [`Flow`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The entry's name, by which its subset of targets is chosen.
+    /// The entry's name. The entry's subset of targets is chosen by it.
     pub name: InstanceName,
     /// The entry's availability zone.
     pub zone: ZoneName,
-    /// The seed of random choices.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// The bounds of the queue before each group.
+    /// The bounds of each group's queue.
     pub bounds: Bounds,
 }
 
 impl Settings {
-    /// Settings with the usual bounds.
+    /// Returns settings with the default bounds.
     pub fn new(name: InstanceName, zone: ZoneName, seed: u64) -> Self {
         Self {
             name,
@@ -109,62 +110,62 @@
     }
 }
 
-/// A request that asks to be served.
+/// A request that is offered for admission.
 #[derive(Clone, Debug)]
 pub struct Offer {
-    /// The targets that it may go to.
+    /// The group of targets that may serve the request.
     pub group: GroupKey,
-    /// Whose it is.
+    /// The organisation that sent the request.
     pub org: OrgName,
-    /// Its priority.
+    /// The priority of the request.
     pub priority: Priority,
-    /// When its answer has to be whole.
+    /// The time by which the answer has to be complete.
     pub deadline: Millis,
-    /// What the choice of a target rests on.
+    /// The criteria for the choice of a target.
     pub criteria: Criteria,
 }
 
-/// What happens to a request that waits.
+/// A change of state of a waiting request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Send it to the target now.
+    /// The request is sent to the target now.
     Send {
         /// The request.
         ticket: TicketKey,
-        /// This sending of it.
+        /// The attempt that this event starts.
         attempt: AttemptKey,
-        /// Where to.
+        /// The target of the attempt.
         target: TargetKey,
     },
-    /// It is refused: its end.
+    /// The request is refused, and thereby ended.
     Refuse {
         /// The request.
         ticket: TicketKey,
-        /// Why, and when to come back.
+        /// The reason, and the time after which the caller should come back.
         refusal: Refusal,
     },
-    /// Whether it ran is not known, and it cannot be tried again in time: its end.
+    /// It is unknown whether the request ran, and no retry fits before its deadline. The request has ended.
     Unknown {
         /// The request.
         ticket: TicketKey,
     },
 }
 
-/// What the end of an attempt means for its request.
+/// The consequence of an attempt's end for its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// The answer is whole: the request's end. Attempts still open elsewhere are to be withdrawn;
-    /// they are given by [`Flow::first_token`].
+    /// The answer is complete and the request has ended. Attempts that are still open at other targets have
+    /// to be withdrawn; [`Flow::first_token`] has returned them.
     Complete,
-    /// It waits to be sent again; an event follows.
+    /// The request waits for another attempt. An event follows.
     Retry,
-    /// Another attempt is still open: nothing to do.
+    /// Another attempt of the request is still open. The caller does nothing.
     Pending,
-    /// It did not run: the request's end.
+    /// The request did not run and has ended.
     Refused(Refusal),
-    /// Whether it ran is not known: the request's end.
+    /// It is unknown whether the request ran. The request has ended.
     Unknown,
-    /// The request had ended before: the attempt's answer must not reach the caller.
+    /// The request had already ended. The attempt's answer must not reach the caller.
     Stale,
 }
 
@@ -185,7 +186,7 @@
     retry_at: Option<Millis>,
 }
 
-/// The requests of one entry.
+/// The open requests of one entry, and the router and queues that serve them.
 #[derive(Debug)]
 pub struct Flow {
     settings: Settings,
@@ -200,7 +201,7 @@
 }
 
 impl Flow {
-    /// A flow without targets.
+    /// Creates a flow without targets.
     pub fn new(settings: Settings) -> Self {
         let router = Router::new(settings.name.clone(), settings.zone.clone(), settings.seed);
         Self {
@@ -216,32 +217,33 @@
         }
     }
 
-    /// The router, to read.
+    /// Returns the router.
     pub fn router(&self) -> &Router {
         &self.router
     }
 
-    /// The router, to tell it of targets, candidates, load and caches.
+    /// Returns the router for updates of targets, candidates, load and cache contents.
     pub fn router_mut(&mut self) -> &mut Router {
         &mut self.router
     }
 
-    /// The queue before a group, to read.
+    /// Returns the queue of a group.
     pub fn queue(&self, group: GroupKey) -> Option<&Admission> {
         self.queues.get(group)
     }
 
-    /// The requests that have not ended.
+    /// Returns the number of requests that have not ended.
     pub fn open_count(&self) -> usize {
         self.tickets.len()
     }
 
-    /// The request that an attempt is for; `None` once its answer must not reach a caller.
+    /// Returns the request that an attempt belongs to, or `None` once the attempt's answer must not reach a
+    /// caller.
     pub fn owner(&self, attempt: AttemptKey) -> Option<TicketKey> {
         self.owners.get(attempt).copied()
     }
 
-    /// Adds a group of targets with an empty queue before it.
+    /// Adds a group of targets with an empty queue.
     pub fn add_group(&mut self, kind: GroupKind) -> GroupKey {
         let group = self.router.add_group(kind);
         let queue = Admission::new(self.settings.bounds, self.settings.seed);
@@ -249,17 +251,17 @@
         group
     }
 
-    /// Sets an organisation's weight before a group; one is the usual.
+    /// Sets an organisation's weight in a group's queue. The default is one.
     pub fn set_weight(&mut self, group: GroupKey, org: &OrgName, weight: f64) {
         if let Some(queue) = self.queues.get_mut(group) {
             queue.set_weight(org, weight);
         }
     }
 
-    /// Takes a request in, or refuses it at once. [`Self::poll`] says when to send it.
+    /// Admits a request to its group's queue, or refuses it at once. [`Self::poll`] reports when to send it.
     ///
     /// # Errors
-    /// The refusal: the request did not run and will not.
+    /// Returns the refusal if the request is not admitted. The request did not run and will not run.
     pub fn offer(&mut self, now: Millis, offer: Offer) -> Result<TicketKey, Refusal> {
         let ticket = self.tickets.insert(Ticket {
             group: offer.group,
@@ -322,7 +324,7 @@
         }
     }
 
-    /// What is to be done now: requests to send and requests that are refused.
+    /// Returns the requests to send now, the requests refused and those that ended with an unknown outcome.
     pub fn poll(&mut self, now: Millis) -> Vec<Event> {
         self.requeue_due(now);
         if now.since(self.last_sweep) >= POLL_INTERVAL {
@@ -338,7 +340,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// When [`Self::poll`] has to be called again at the latest; `None` while nothing is open.
+    /// Returns the time by which [`Self::poll`] has to be called again, or `None` while no request is open.
     pub fn next_poll(&self) -> Option<Millis> {
         (!self.tickets.is_empty()).then_some(self.last_sweep + POLL_INTERVAL)
     }
@@ -393,8 +395,8 @@
         }
     }
 
-    /// A refusal says for certain that the request did not run. One that waits for another
-    /// attempt, after a first of unknown outcome, must not get it.
+    /// Ends a request that cannot be sent. A refusal guarantees that the request did not run, so a request
+    /// that waits for a retry after an attempt with an unknown outcome ends as unknown instead.
     fn end_refused(&mut self, ticket: TicketKey, refusal: Refusal) {
         let may_have_run = self.tickets.remove(ticket).is_some_and(|t| t.may_have_run);
         self.events.push(if may_have_run {
@@ -426,10 +428,10 @@
         }
     }
 
-    /// Sends idempotent requests a second time whose first token is later than nearly all others.
+    /// Hedges idempotent requests whose first token is later than [`HEDGE_PERCENTILE`] percent of all.
     ///
-    /// Only while nobody waits: in an overload every first token is late, and hedges would double
-    /// the load that makes them so.
+    /// Hedges are sent only while no request waits. In an overload every first token is late, and hedges
+    /// would double the load that causes the delay.
     fn hedge(&mut self, now: Millis) {
         let late: Vec<_> = self
             .tickets
@@ -466,8 +468,8 @@
         matches!((waited, threshold), (Some(waited), Some(threshold)) if waited > threshold)
     }
 
-    /// Notes an attempt's first token or byte. The attempts returned lost the race: they are to
-    /// be withdrawn from their targets, and nothing of them may reach the caller.
+    /// Records an attempt's first token or byte. Returns the request's other attempts, which have lost the
+    /// race: the caller withdraws them from their targets and passes nothing of them on.
     pub fn first_token(&mut self, now: Millis, attempt: AttemptKey) -> Vec<AttemptKey> {
         self.router.first_token(now, attempt);
         let Some(key) = self.owners.get(attempt).copied() else {
@@ -490,7 +492,7 @@
         self.router.cancel_attempt(now, attempt);
     }
 
-    /// Ends an attempt and says what that means for its request.
+    /// Ends an attempt and returns the consequence for its request.
     pub fn finish(&mut self, now: Millis, attempt: AttemptKey, outcome: Outcome) -> Ended {
         self.router.finish_attempt(now, attempt, outcome);
         let Some(key) = self.owners.remove(attempt) else {
@@ -580,7 +582,7 @@
         Ended::Refused(queue.refuse(now, &item, load, Reason::NotRun))
     }
 
-    /// Ends a request whose caller left; the attempts returned are to be withdrawn.
+    /// Ends a request whose caller left. Returns the attempts to withdraw.
     pub fn cancel(&mut self, now: Millis, key: TicketKey) -> Vec<AttemptKey> {
         let Some(ticket) = self.tickets.remove(key) else {
             return Vec::new();
@@ -598,7 +600,7 @@
     }
 }
 
-/// The caller's rule was withdrawn between the choice of its group and the offer.
+/// Returns the refusal for a request whose group was removed between the choice of the group and the offer.
 fn group_removed() -> Refusal {
     Refusal {
         reason: Reason::NoTarget,
