--- a/crates/filbertstack-policy/src/lib.rs
+++ b/crates/filbertstack-policy/src/lib.rs
@@ -1,20 +1,23 @@
-//! Every decision under load, free of network, clock and thread.
+//! Decides on admission, routing, placement and the distribution of weights, without network, clock or
+//! threads.
 //!
-//! Time, randomness (as a seed) and what was observed are passed in; decisions come back. A
-//! process that carries requests owns one [`flow::Flow`], which joins admission, the choice of a
-//! target and retries, so that tests and the entry run the same code:
+//! Time, random seeds and observations are passed in; decisions are returned. A process that carries requests
+//! owns one [`flow::Flow`], which combines admission, the choice of a target and retries, so that tests and
+//! the entry run the same code:
 //!
-//! - [`admission`]: who is served next, who waits, who is refused and when to come back;
-//! - [`limit`]: how much may be in flight at a target;
-//! - [`route`]: which target gets a request;
-//! - [`outlier`]: which targets get none for a while;
-//! - [`retry`]: what may be tried again or twice at once.
+//! - [`admission`] decides which requests are served next, wait or are refused, and when refused callers come
+//!   back;
+//! - [`limit`] bounds the requests in flight at a target;
+//! - [`route`] chooses the target of a request;
+//! - [`outlier`] excludes targets for a while;
+//! - [`retry`] decides which requests may be retried or hedged.
 //!
-//! An agent that starts judges with [`inherited`] what may yet be loaded.
+//! An agent that starts uses [`inherited`] to determine which version its engine may already have been
+//! ordered to load.
 //!
-//! The leader of the replicated log decides with [`placement`] which instances hold which models, and
-//! with [`spread`] who fetches their weights from whom. Entries tell each other with [`gossip`]
-//! which instances there are.
+//! The leader of the replicated log uses [`placement`] to decide which instances hold which models, and
+//! [`spread`] to decide which target fetches weights from which source. Entries use [`gossip`] to share the
+//! known instances.
 
 pub mod admission;
 pub mod cost;
--- a/crates/filbertstack-policy/src/limit.rs
+++ b/crates/filbertstack-policy/src/limit.rs
@@ -1,52 +1,51 @@
-//! How much one entry keeps in flight at one target.
+//! Limits the requests that one entry keeps in flight at one target.
 //!
-//! *Load pattern*: several entries share an engine that batches continuously. They do not talk
-//! to each other, and the engine's load reports lag. Without a limit an overload moves into the
-//! engines' queues, where it can neither be ordered fairly nor refused early, and every first
-//! token comes late.
+//! *Load pattern*: several entries share an engine that batches continuously. They do not communicate with
+//! each other, and the engine's load reports lag. Without a limit, an overload moves into the engines'
+//! queues, where requests can be neither ordered fairly nor refused early, and every first token comes late.
 //!
-//! Additive increase, multiplicative decrease: entries that see the same queue converge to equal
-//! shares whatever they start from. The signal is the time to the first token beyond what an
-//! unloaded target takes, because that is where a full batch shows first. By Little's law the
-//! requests in a queue are to all at the target as the time in the queue is to the whole time,
-//! so a cut by that ratio takes away the queue and leaves the batch.
+//! The limit uses additive increase and multiplicative decrease: entries that see the same queue converge to
+//! equal shares from any starting point. The signal is the time to first token beyond that of an unloaded
+//! target, because a full batch shows there first. By Little's law, the ratio of queued requests to all
+//! requests at the target equals the ratio of the queueing delay to the whole time, so a cut by that ratio
+//! removes the queue and leaves the batch.
 
 use filbertstack_core::Millis;
 
 use crate::units::secs;
 
-/// What is added for a whole limit's worth of good answers, after the start. With eleven entries
-/// at one engine, a round then adds about three requests, a tenth of a batch of 32.
+/// The increase over one limit's worth of good answers after slow start. With eleven entries at one engine, a
+/// round adds about three requests, a tenth of a batch of 32.
 const INCREASE: f64 = 0.25;
 
-/// The most that one cut takes away. A halving by all of eleven entries at once would leave half
-/// of a batch empty for several rounds.
+/// The largest share that one cut removes. If all of eleven entries halved their limits at once, half of a
+/// batch would stay empty for several rounds.
 const MAX_CUT: f64 = 0.3;
 
-/// What a failure takes away: a target that fails may be gone, and half of the work risked there
-/// is enough to find out.
+/// The share that a failure removes. A target that fails may be gone, and half of the requests is enough to
+/// find out.
 const FAILURE_CUT: f64 = 0.5;
 
-/// A limit without any knowledge of the target: two, so that a second request need not wait for
-/// the first to tell how the target fares.
+/// The limit at a target of unknown capacity. With two, a second request does not have to wait for the first
+/// to show how the target performs.
 pub const INITIAL_LIMIT: f64 = 2.0;
 
-/// How an answer's first token came.
+/// The measurement of an answer's first token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sample {
-    /// When the request was sent.
+    /// The time at which the request was sent.
     pub sent: Millis,
-    /// The time in the target's queue: to the first token, less an unloaded target's time.
+    /// The time in the target's queue: the time to first token minus that of an unloaded target.
     pub queue_delay: Millis,
-    /// The queueing that is accepted for the sake of a full batch.
+    /// The queueing delay that is accepted to keep the batch full.
     pub accepted_delay: Millis,
-    /// The mean time from sending to the end of an answer.
+    /// The mean time from sending a request to the end of its answer.
     pub service_time: Millis,
-    /// Whether the limit was all used when the request was sent.
+    /// Whether the group's limits were fully used when the request was sent.
     pub full: bool,
 }
 
-/// The adaptive limit of one target as one entry sees it.
+/// The adaptive limit of one entry at one target.
 #[derive(Clone, Debug)]
 pub struct Limit {
     value: f64,
@@ -56,7 +55,7 @@
 }
 
 impl Limit {
-    /// A limit that begins at `initial` and never exceeds `ceiling`.
+    /// Creates a limit that starts at `initial` and never exceeds `ceiling`.
     pub fn new(initial: f64, ceiling: f64) -> Self {
         let ceiling = ceiling.max(1.0);
         Self {
@@ -67,7 +66,7 @@
         }
     }
 
-    /// The limit: at least one, so that a target can show that it is well again.
+    /// Returns the limit. It is at least one, so that a target can show that it has recovered.
     pub fn value(&self) -> f64 {
         self.value
     }
@@ -78,12 +77,12 @@
         self.value = self.value.min(self.ceiling);
     }
 
-    /// Begins again at `initial`, with fast growth.
+    /// Restarts the limit at `initial` in slow start.
     pub fn restart(&mut self, initial: f64) {
         *self = Self::new(initial, self.ceiling);
     }
 
-    /// Learns from an answer's first token.
+    /// Adjusts the limit to an answer's first token.
     pub fn observe(&mut self, now: Millis, sample: Sample) {
         if sample.queue_delay <= sample.accepted_delay {
             self.grow(sample.full);
@@ -94,13 +93,13 @@
         self.shrink(now, sample.sent, (excess / total).min(MAX_CUT));
     }
 
-    /// Learns that the request sent at `sent` failed.
+    /// Reduces the limit after a failure of the request sent at `sent`.
     pub fn fail(&mut self, now: Millis, sent: Millis) {
         self.shrink(now, sent, FAILURE_CUT);
     }
 
-    /// Only a limit that was used grows: otherwise idle hours would raise it to the ceiling, and
-    /// the next burst would all land in the engine's queue.
+    /// Increases the limit only if it was fully used. Otherwise idle hours would raise it to the ceiling, and
+    /// the next burst would go straight into the engine's queue.
     fn grow(&mut self, full: bool) {
         if !full {
             return;
@@ -113,8 +112,8 @@
         self.value = (self.value + step).min(self.ceiling);
     }
 
-    /// One cut a round: answers to requests sent before the last cut tell of the queue that this
-    /// cut already answers, and counting them again would collapse the limit to one.
+    /// Cuts the limit at most once a round. Answers to requests sent before the last cut reflect the queue
+    /// that this cut already reduces; counting them again would collapse the limit to one.
     fn shrink(&mut self, now: Millis, sent: Millis, share: f64) {
         if self.last_cut.is_some_and(|cut| sent <= cut) {
             return;
--- a/crates/filbertstack-policy/src/prefix.rs
+++ b/crates/filbertstack-policy/src/prefix.rs
@@ -1,42 +1,41 @@
-//! What is known of a target's prefix cache: a hint, never more.
+//! Records what a target's prefix cache probably holds, as hints.
 //!
-//! *Load pattern*: many requests share the start of their prompts, and an engine that has it
-//! cached skips its prefill. Cache events come late and with gaps. Without hints each engine
-//! computes each prefix; with hints taken for truth, one hot prefix would draw its whole load to
-//! one engine. So a hint ages, is doubted after a gap, and only weighs against load in
-//! [`crate::route`].
+//! *Load pattern*: many requests share the start of their prompts, and an engine that has this prefix cached
+//! skips its prefill. Cache events arrive late and with gaps. Without hints each engine computes each prefix.
+//! If hints were taken as certain, one hot prefix would draw its whole load to one engine. Therefore a hint
+//! expires, is distrusted after a gap, and is only weighed against load in [`crate::route`].
 
 use std::collections::HashMap;
 
 use filbertstack_core::Millis;
 
-/// How long a hint counts without news: an engine with limited memory under load has replaced
-/// its cache in about a minute.
+/// The time for which a hint is valid without further events. An engine with limited memory under load
+/// replaces its cache in about a minute.
 const HINT_TTL: Millis = Millis::secs(60);
 
-/// How long a hint still counts after a gap in the events, in which its removal may have been.
+/// The time for which a hint stays valid after a gap in the events, which may have contained its removal.
 const GAP_TTL: Millis = Millis::secs(5);
 
-/// The hints kept a generation, two generations a target: 48 targets then take about 3 MB.
+/// The number of hints per generation. With two generations a target, 48 targets take about 3 MB.
 const GENERATION_SIZE: usize = 1024;
 
-/// One event of an engine's prefix cache; prefixes are named by the hash of their blocks.
+/// An event of an engine's prefix cache. A prefix is identified by the hash of its blocks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// The event's number at its engine, rising by one.
+    /// The event's number at its engine, which increases by one.
     pub seq: u64,
-    /// What changed.
+    /// The change.
     pub change: CacheChange,
 }
 
 /// A change of a prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// The prefixes are cached.
+    /// The prefixes were cached.
     Stored(Vec<u64>),
     /// The prefixes are no longer cached.
     Removed(Vec<u64>),
-    /// The cache is empty.
+    /// The cache was emptied.
     Cleared,
 }
 
@@ -50,7 +49,7 @@
 }
 
 impl Hints {
-    /// Learns from an event; one that comes late, after a younger, is passed over.
+    /// Records an event. An event that arrives after a later one is ignored.
     pub fn observe(&mut self, now: Millis, event: &CacheEvent) {
         if self.seq.is_some_and(|seq| event.seq <= seq) {
             return;
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Notes that the target holds `prefix`, as after a request with it ran there.
+    /// Records that the target holds `prefix`, for example after a request with this prefix ran there.
     pub fn store(&mut self, now: Millis, prefix: u64) {
         if self.current.len() >= GENERATION_SIZE {
             self.previous = std::mem::take(&mut self.current);
@@ -74,7 +73,7 @@
         self.current.insert(prefix, now);
     }
 
-    /// How many leading blocks of `prefix` the target is thought to hold.
+    /// Returns the number of leading blocks of `prefix` that the target probably holds.
     pub fn cached_blocks(&self, now: Millis, prefix: &[u64]) -> usize {
         prefix
             .iter()
--- a/crates/filbertstack-policy/src/target.rs
+++ b/crates/filbertstack-policy/src/target.rs
@@ -1,4 +1,4 @@
-//! One target as one entry sees it: its limit, its load, its record.
+//! The state of one target as one entry sees it: its limit, load, latencies and failures.
 
 use filbertstack_core::Millis;
 use filbertstack_core::names::InstanceName;
@@ -11,47 +11,48 @@
 use crate::units::secs;
 use crate::window::Mean;
 
-/// How long a new target takes to its full share. Its caches are empty and every entry sees it
-/// idle at once: without a ramp the first second's choices of all entries would land there.
+/// The time in which a new target's limit rises to its full value. The target's caches are empty, and every
+/// entry sees it idle at once: without a ramp, all entries would choose it for the requests of the first
+/// second.
 const RAMP_SPAN: Millis = Millis::secs(5);
 
-/// The share that a new target begins with.
+/// The share of the limit with which a new target starts.
 const RAMP_START: f64 = 0.2;
 
-/// The ceiling of a limit at a target that does not tell its slots.
+/// The ceiling of the limit at a target that does not report its slots.
 const DEFAULT_CEILING: f64 = 64.0;
 
-/// What a limit may exceed the slots by: a short queue in the engine keeps its batch full while
+/// The factor by which a limit may exceed the slots. A short queue in the engine keeps its batch full while
 /// the next request is on its way.
 const CEILING_FACTOR: f64 = 1.25;
 
-/// The time after which what a report tells of others' work counts for a third. Requests of
-/// about a second have mostly ended two seconds after.
+/// The time in seconds after which the load of other entries in a report counts for a third. Most requests of
+/// about a second have ended two seconds later.
 const REPORT_DECAY_SECS: f64 = 2.0;
 
-/// The weight of a new latency in a target's means: five answers make most of the mean, so that
-/// a slowdown shows within a few requests and one slow answer does not eject.
+/// The weight of a new latency in a target's means. Five answers make up most of the mean, so that a slowdown
+/// shows within a few requests while one slow answer does not eject the target.
 const RECENT_WEIGHT: f64 = 0.3;
 
-/// What is known of a target when it is announced.
+/// The properties of a target when it is announced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetInfo {
-    /// Its name.
+    /// The target's name.
     pub name: InstanceName,
-    /// Its availability zone.
+    /// The target's availability zone.
     pub zone: ZoneName,
-    /// How many requests it works on at once, if it tells.
+    /// The number of requests that the target processes at once, if it reports it.
     pub slots: Option<u32>,
 }
 
-/// A target's report of its load, already late when it comes.
+/// A target's report of its load. It is already out of date when it arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// The requests in its batch, from all entries.
+    /// The number of requests in the target's batch, from all entries.
     pub running: u32,
-    /// The requests that wait for a place in the batch.
+    /// The number of requests that wait for a slot in the batch.
     pub waiting: u32,
-    /// The places of the batch.
+    /// The number of slots of the batch.
     pub slots: u32,
 }
 
@@ -78,7 +79,7 @@
 }
 
 impl Target {
-    /// A target; `new` if it came up just now, so that it starts slowly.
+    /// Creates a target. `new` marks a target that has just come up, whose limit is ramped up.
     pub(crate) fn new(now: Millis, info: TargetInfo, sharers: f64, new: bool) -> Self {
         let slots = info.slots.map(f64::from);
         let initial = slots.map_or(INITIAL_LIMIT, |slots| slots / sharers.max(1.0));
@@ -97,23 +98,23 @@
         }
     }
 
-    /// What may be in flight now.
+    /// Returns the number of requests that may be in flight now.
     pub fn allowed(&self, now: Millis) -> f64 {
         (self.limit.value() * self.ramp(now)).max(1.0)
     }
 
-    /// The requests in flight from this entry.
+    /// Returns the number of requests in flight from this entry.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Whether the target is out: ejected or awaiting its probe's answer.
+    /// Returns whether the target is ejected or waits for its probe's answer.
     pub fn is_out(&self) -> bool {
         self.outlier.is_out()
     }
 
-    /// Whether one more request may go there. Limits are rounded, not cut: eleven entries at 2.9
-    /// each would else leave ten of a batch's 32 places empty.
+    /// Returns whether one more request may be sent to the target. The limit is rounded and not truncated:
+    /// with eleven entries at a limit of 2.9 each, truncation would leave ten of a batch's 32 slots empty.
     pub(crate) fn has_room(&self, now: Millis) -> bool {
         f64::from(self.in_flight) + 0.5 <= self.allowed(now)
     }
@@ -133,8 +134,9 @@
         });
     }
 
-    /// How full the target is with one more request: own work against the limit, and all work
-    /// against the slots, of which the others' part is discounted by its age.
+    /// Returns how full the target is with one more request: the mean of the entry's own requests against the
+    /// limit and of all requests against the slots. The requests of other entries are discounted by the
+    /// report's age.
     pub(crate) fn fullness(&self, now: Millis) -> f64 {
         let own = f64::from(self.in_flight) + 1.0;
         let share = own / self.allowed(now);
@@ -154,7 +156,7 @@
         self.token_gap.add(gap, RECENT_WEIGHT);
     }
 
-    /// Takes the target back: slowly, and with its latencies forgotten.
+    /// Readmits the target with its initial limit, a new ramp and no recorded latencies.
     pub(crate) fn readmit(&mut self, now: Millis) {
         self.outlier.readmit();
         self.ttft = Mean::default();
--- a/crates/filbertstack-policy/src/window.rs
+++ b/crates/filbertstack-policy/src/window.rs
@@ -1,12 +1,12 @@
-//! Recent samples of a latency and their quantiles.
+//! Sliding statistics of latencies: quantiles, minimum and mean.
 
 use filbertstack_core::Millis;
 
-/// How many samples are kept: enough for a p95 that rests on six samples, few enough that one
-/// second of an entry's traffic replaces them.
+/// The number of samples kept. Six of them lie above the p95, and one second of an entry's traffic replaces
+/// them all.
 const CAPACITY: usize = 128;
 
-/// The fewest samples that a quantile is read from.
+/// The smallest number of samples from which a quantile is read.
 const MIN_SAMPLES: usize = 20;
 
 /// The most recent latencies of one kind.
@@ -17,7 +17,7 @@
 }
 
 impl Window {
-    /// Adds a sample; the oldest makes room.
+    /// Adds a sample, which replaces the oldest one if the window is full.
     pub fn add(&mut self, sample: Millis) {
         if self.samples.len() < CAPACITY {
             self.samples.push(sample);
@@ -27,7 +27,8 @@
         self.next = (self.next + 1) % CAPACITY;
     }
 
-    /// The sample below which `percent` of the samples lie; `None` while they are too few.
+    /// Returns the sample below which `percent` of the samples lie, or `None` while there are too few
+    /// samples.
     pub fn quantile(&self, percent: usize) -> Option<Millis> {
         if self.samples.len() < MIN_SAMPLES {
             return None;
@@ -39,7 +40,7 @@
     }
 }
 
-/// The least latency of the last one to two spans: what a request takes that meets no queue.
+/// The minimum latency of the last one to two periods: the latency of a request that meets no queue.
 #[derive(Clone, Debug, Default)]
 pub struct SlidingMin {
     previous: Option<Millis>,
@@ -47,8 +48,8 @@
     period_start: Millis,
 }
 
-/// How long a least latency counts. Shorter, and a lasting overload would pass for the normal
-/// state; longer, and a slower new version would be held to its predecessor's latency.
+/// The length of a period. If it were shorter, a lasting overload would count as the normal state; if it were
+/// longer, a slower new version would be compared with its predecessor's latency.
 const PERIOD: Millis = Millis::secs(30);
 
 impl SlidingMin {
@@ -61,7 +62,7 @@
         self.current = Some(self.current.map_or(sample, |least| least.min(sample)));
     }
 
-    /// The least sample, if there is one.
+    /// Returns the smallest sample, if there is one.
     pub fn get(&self) -> Option<Millis> {
         match (self.previous, self.current) {
             (Some(a), Some(b)) => Some(a.min(b)),
@@ -78,14 +79,14 @@
 }
 
 impl Mean {
-    /// Adds a sample that counts for `weight`, more while there are few.
+    /// Adds a sample with at least the given weight. The first samples weigh more, as in a plain mean.
     pub fn add(&mut self, sample: f64, weight: f64) {
         self.samples = self.samples.saturating_add(1);
         let weight = weight.max(1.0 / f64::from(self.samples));
         self.value += (sample - self.value) * weight;
     }
 
-    /// The mean, if at least `min_samples` samples were seen.
+    /// Returns the mean if at least `min_samples` samples were added.
     pub fn get(&self, min_samples: u32) -> Option<f64> {
         (self.samples >= min_samples.max(1)).then_some(self.value)
     }
