--- a/crates/filbertstack-policy/tests/sim/engine.rs
+++ b/crates/filbertstack-policy/tests/sim/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine in virtual time: continuous batching, chunked prefill, a small prefix cache.
+//! A model engine in virtual time, with continuous batching, chunked prefill and a small prefix cache.
 
 use std::collections::VecDeque;
 
@@ -9,29 +9,29 @@
 pub type Micros = u64;
 
 pub const SLOTS: usize = 32;
-const STEP: Micros = 7_000;
-const STEP_PER_SEQUENCE: Micros = 50;
-const PREFILL_PER_TOKEN: Micros = 20;
+const STEP_TIME: Micros = 7_000;
+const SEQUENCE_TIME: Micros = 50;
+const PREFILL_TIME: Micros = 20;
 const PREFILL_CHUNK: u32 = 512;
 const CACHED_PREFIXES: usize = 6;
 
-/// One sending of a call to an engine.
+/// One attempt of a call at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sent {
-    pub brain: usize,
+pub struct Attempt {
+    pub process: usize,
     pub handle: u64,
     pub call: usize,
 }
 
 #[derive(Clone, Debug)]
 pub struct Sequence {
-    pub sent: Sent,
+    pub attempt: Attempt,
     pub prompt: u32,
     pub prefix: Option<(u64, u32)>,
     pub output: u32,
 }
 
-/// What a step brought for a sequence.
+/// The token that a step produced for a sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Token {
     First,
@@ -67,14 +67,14 @@
         self.waiting.push_back(sequence);
     }
 
-    pub fn withdraw(&mut self, sent: Sent) {
-        let it = |sequence: &Sequence| {
-            (sequence.sent.brain, sequence.sent.handle) == (sent.brain, sent.handle)
+    pub fn withdraw(&mut self, attempt: Attempt) {
+        let matches = |sequence: &Sequence| {
+            (sequence.attempt.process, sequence.attempt.handle) == (attempt.process, attempt.handle)
         };
-        if let Some(place) = self.batch.iter().position(it) {
+        if let Some(place) = self.batch.iter().position(matches) {
             self.batch.remove(place);
         }
-        if let Some(place) = self.waiting.iter().position(it) {
+        if let Some(place) = self.waiting.iter().position(matches) {
             self.waiting.remove(place);
         }
     }
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The prefixes cached and those dropped since the last call.
+    /// Returns the prefixes cached and removed since the last call.
     pub fn take_changes(&mut self) -> [CacheChange; 2] {
         let cached = |prefix: &u64| self.cache.contains(prefix);
         self.stored.retain(cached);
@@ -98,51 +98,52 @@
         ]
     }
 
-    /// Everything on the engine is lost.
-    pub fn lose(&mut self) -> Vec<Sent> {
+    /// Stops the engine and returns the attempts that it held, all of which are lost.
+    pub fn fail(&mut self) -> Vec<Attempt> {
         self.alive = false;
         let waiting = self.waiting.drain(..);
         let lost = self.batch.drain(..).chain(waiting);
-        lost.map(|sequence| sequence.sent).collect()
+        lost.map(|sequence| sequence.attempt).collect()
     }
 
-    /// One step of the batch: how long it takes and what it brings, `None` if there is no work.
-    pub fn step(&mut self) -> Option<(Micros, Vec<(Sent, Token)>)> {
-        self.fill();
+    /// Runs one step of the batch. Returns its duration and the tokens it produced, or `None` if there is no
+    /// work.
+    pub fn step(&mut self) -> Option<(Micros, Vec<(Attempt, Token)>)> {
+        self.fill_batch();
         if self.batch.is_empty() {
             return None;
         }
-        let mut chunk = PREFILL_CHUNK;
-        let mut out = Vec::new();
+        let mut budget = PREFILL_CHUNK;
+        let mut results = Vec::new();
         for sequence in &mut self.batch {
-            let read = sequence.prompt.min(chunk);
+            let read = sequence.prompt.min(budget);
             let reading = sequence.prompt > 0;
             sequence.prompt -= read;
-            chunk -= read;
+            budget -= read;
             if sequence.prompt > 0 {
                 continue;
             }
             sequence.output -= 1;
             if reading {
-                out.push((sequence.sent, Token::First));
+                results.push((sequence.attempt, Token::First));
             }
             if sequence.output == 0 {
-                out.push((sequence.sent, Token::Last));
+                results.push((sequence.attempt, Token::Last));
             }
         }
-        let read = Micros::from(PREFILL_CHUNK - chunk) * PREFILL_PER_TOKEN;
-        let length = Micros::try_from(self.batch.len()).unwrap();
+        let read = Micros::from(PREFILL_CHUNK - budget) * PREFILL_TIME;
+        let batch_len = Micros::try_from(self.batch.len()).unwrap();
         self.batch.retain(|sequence| sequence.output > 0);
-        let span = (STEP + length * STEP_PER_SEQUENCE + read) * self.slowdown;
-        Some((span, out))
+        let span = (STEP_TIME + batch_len * SEQUENCE_TIME + read) * self.slowdown;
+        Some((span, results))
     }
 
-    fn fill(&mut self) {
+    fn fill_batch(&mut self) {
         while self.batch.len() < SLOTS
             && let Some(mut sequence) = self.waiting.pop_front()
         {
             if let Some((prefix, tokens)) = sequence.prefix
-                && self.touch(prefix)
+                && self.use_prefix(prefix)
             {
                 sequence.prompt -= tokens;
             }
@@ -151,8 +152,8 @@
         }
     }
 
-    /// Whether the prefix was cached; it is afterwards.
-    fn touch(&mut self, prefix: u64) -> bool {
+    /// Adds the prefix to the cache and returns whether it was cached before.
+    fn use_prefix(&mut self, prefix: u64) -> bool {
         let place = self.cache.iter().position(|cached| *cached == prefix);
         if let Some(place) = place {
             self.cache.remove(place);
--- a/crates/filbertstack-policy/tests/sim/mod.rs
+++ b/crates/filbertstack-policy/tests/sim/mod.rs
@@ -1,10 +1,10 @@
-//! Entries, engines and callers in virtual time, to judge decisions by what callers receive.
+//! Simulates entries, engines and callers in virtual time, to judge decisions by what callers receive.
 //!
-//! Not a model of the network or of processes: messages take a fixed time, and only what a
-//! decision depends on is there.
+//! The network and the processes are not modelled: messages take a fixed time, and only what affects a
+//! decision is simulated.
 
-pub mod brain;
 pub mod engine;
+pub mod process;
 pub mod report;
 
 use std::cmp::Reverse;
@@ -23,35 +23,35 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use brain::Act;
-use brain::Brain;
-use brain::Filbert;
-use brain::Plain;
-use brain::cost;
+use engine::Attempt;
 use engine::Engine;
 use engine::Micros;
-use engine::Sent;
 use engine::Sequence;
 use engine::Token;
+use process::Action;
+use process::BaselineProcess;
+use process::EntryProcess;
+use process::FlowProcess;
+use process::cost;
 use report::End;
 use report::Report;
 
 const SECOND: Micros = 1_000_000;
-const HOP: Micros = 2_000;
-const TICK: Micros = 20_000;
-const REPORT_EVERY: Micros = 500_000;
-const REPORT_LATE: Micros = 300_000;
-const LINK_LOST_AFTER: Micros = 200_000;
-const GONE_AFTER: Micros = 3 * SECOND;
-
-/// A call of a caller, as it is generated.
+const HOP_DELAY: Micros = 2_000;
+const POLL_INTERVAL: Micros = 20_000;
+const REPORT_INTERVAL: Micros = 500_000;
+const REPORT_DELAY: Micros = 300_000;
+const LINK_LOSS_DELAY: Micros = 200_000;
+const REMOVAL_DELAY: Micros = 3 * SECOND;
+
+/// A generated call.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub org: OrgName,
     pub stream: usize,
     pub at: Micros,
     pub entry: usize,
-    pub patience: Millis,
+    pub timeout: Millis,
     pub prompt: u32,
     pub output: u32,
     pub expected: Cost,
@@ -70,12 +70,12 @@
     pub prompt: u32,
     pub output: (u32, u32),
     pub prefix: Option<(u64, u32)>,
-    pub patience: Millis,
+    pub timeout: Millis,
     pub returns: u32,
     pub idempotent: bool,
 }
 
-/// What happens to the entries and engines, at a second.
+/// A fault of an entry or an engine. A scenario gives the second at which it occurs.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     Slow { engine: usize, factor: u64 },
@@ -88,120 +88,120 @@
     pub entries: usize,
     pub engines: usize,
     pub seconds: u64,
-    pub warm: u64,
+    pub warm_up: u64,
     pub streams: Vec<Stream>,
     pub faults: Vec<(u64, Fault)>,
-    /// Whether engines tell their slots and their load.
-    pub tells: bool,
+    /// Whether engines report their slots and their load.
+    pub reports_load: bool,
     pub seed: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
     Filbert,
-    Plain,
+    Baseline,
 }
 
 #[derive(Debug)]
-enum Happening {
+enum SimEvent {
     Arrive(usize),
     Deadline(usize),
     Deliver { engine: usize, sequence: Sequence },
-    Withdraw { engine: usize, sent: Sent },
+    Withdraw { engine: usize, attempt: Attempt },
     Step(usize),
-    First(Sent),
-    Done(Sent, Outcome),
-    Tick(usize),
+    FirstToken(Attempt),
+    Finished(Attempt, Outcome),
+    Poll(usize),
     Measure(usize),
     Load(usize, LoadReport),
     Cache(usize, CacheEvent),
-    Gone(usize),
+    Removed(usize),
     Fault(Fault),
 }
 
-struct At(Micros, u64, Happening);
+struct Scheduled(Micros, u64, SimEvent);
 
-impl PartialEq for At {
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
         (self.0, self.1) == (other.0, other.1)
     }
 }
 
-impl Eq for At {}
+impl Eq for Scheduled {}
 
-impl PartialOrd for At {
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for At {
+impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.0, self.1).cmp(&(other.0, other.1))
     }
 }
 
-pub struct Sim {
+pub struct Simulation {
     scenario: Scenario,
     policy: Policy,
     now: Micros,
-    order: u64,
-    queue: BinaryHeap<Reverse<At>>,
-    brains: Vec<Box<dyn Brain>>,
+    last_order: u64,
+    queue: BinaryHeap<Reverse<Scheduled>>,
+    processes: Vec<Box<dyn EntryProcess>>,
     serving: Vec<usize>,
     engines: Vec<Engine>,
-    events: Vec<u64>,
+    cache_events: Vec<u64>,
     calls: Vec<Call>,
     open: Vec<Option<Open>>,
     runs: Vec<u32>,
     unfinished: usize,
-    places: HashMap<(usize, u64), (usize, Sent)>,
+    attempt_engines: HashMap<(usize, u64), (usize, Attempt)>,
     rng: ChaCha8Rng,
     report: Report,
 }
 
 #[derive(Clone, Copy)]
 struct Open {
-    brain: usize,
-    sent: Option<Micros>,
+    process: usize,
+    first_sent: Option<Micros>,
 }
 
-/// Runs the scenario under a policy.
+/// Simulates a scenario under a policy and returns what callers received.
 pub fn run(scenario: &Scenario, policy: Policy) -> Report {
-    let mut sim = Sim::new(scenario.clone(), policy);
+    let mut sim = Simulation::new(scenario.clone(), policy);
     sim.start();
-    while let Some(Reverse(At(now, _, happening))) = sim.queue.pop() {
+    while let Some(Reverse(Scheduled(now, _, event))) = sim.queue.pop() {
         if now > (scenario.seconds + 60) * SECOND {
             break;
         }
         sim.now = now;
-        sim.happen(happening);
-        if sim.calls_over() {
+        sim.handle(event);
+        if sim.all_ended() {
             break;
         }
     }
     sim.report
 }
 
-impl Sim {
+impl Simulation {
     fn new(scenario: Scenario, policy: Policy) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed);
-        let calls = generate(&scenario, &mut rng);
+        let calls = generate_calls(&scenario, &mut rng);
         Self {
             report: Report::new(&scenario),
             policy,
             now: 0,
-            order: 0,
+            last_order: 0,
             queue: BinaryHeap::new(),
-            brains: Vec::new(),
+            processes: Vec::new(),
             serving: Vec::new(),
             engines: (0..scenario.engines).map(|_| Engine::new()).collect(),
-            events: vec![0; scenario.engines],
+            cache_events: vec![0; scenario.engines],
             open: vec![None; calls.len()],
             runs: vec![0; calls.len()],
             unfinished: calls.len(),
             calls,
-            places: HashMap::new(),
+            attempt_engines: HashMap::new(),
             rng,
             scenario,
         }
@@ -213,171 +213,182 @@
             self.restart(entry);
         }
         for call in 0..self.calls.len() {
-            self.push(self.calls[call].at, Happening::Arrive(call));
+            self.push(self.calls[call].at, SimEvent::Arrive(call));
         }
         for engine in 0..self.engines.len() {
-            let offset = u64::try_from(engine).unwrap() * 31_000 % REPORT_EVERY;
-            self.push(offset, Happening::Measure(engine));
+            let offset = u64::try_from(engine).unwrap() * 31_000 % REPORT_INTERVAL;
+            self.push(offset, SimEvent::Measure(engine));
         }
         for (second, fault) in self.scenario.faults.clone() {
-            self.push(second * SECOND, Happening::Fault(fault));
+            self.push(second * SECOND, SimEvent::Fault(fault));
         }
     }
 
-    /// The old process serves what it has; a new one without any state takes the new calls.
+    /// Replaces an entry's process. The old process finishes its calls; a new one without any state gets the
+    /// new calls.
     fn restart(&mut self, entry: usize) {
-        let index = self.brains.len();
+        let index = self.processes.len();
         let seed = self.scenario.seed + u64::try_from(index).unwrap();
-        let brain: Box<dyn Brain> = match self.policy {
-            Policy::Plain => Box::new(Plain::new(self.engines.len(), entry)),
-            Policy::Filbert => Box::new(Filbert::new(
+        let process: Box<dyn EntryProcess> = match self.policy {
+            Policy::Baseline => Box::new(BaselineProcess::new(self.engines.len(), entry)),
+            Policy::Filbert => Box::new(FlowProcess::new(
                 Millis(self.now / 1000),
                 &format!("entry-{entry}"),
                 self.engines.len(),
                 self.scenario.entries,
-                self.scenario.tells,
+                self.scenario.reports_load,
                 seed,
             )),
         };
-        self.brains.push(brain);
+        self.processes.push(process);
         self.serving[entry] = index;
-        let tick = TICK * u64::try_from(index % 7).unwrap() / 7;
-        self.push(self.now + tick, Happening::Tick(index));
+        let tick = POLL_INTERVAL * u64::try_from(index % 7).unwrap() / 7;
+        self.push(self.now + tick, SimEvent::Poll(index));
     }
 
-    fn push(&mut self, at: Micros, happening: Happening) {
-        self.order += 1;
-        self.queue.push(Reverse(At(at, self.order, happening)));
+    fn push(&mut self, at: Micros, event: SimEvent) {
+        self.last_order += 1;
+        self.queue
+            .push(Reverse(Scheduled(at, self.last_order, event)));
     }
 
-    fn calls_over(&self) -> bool {
+    fn all_ended(&self) -> bool {
         self.now > self.scenario.seconds * SECOND && self.unfinished == 0
     }
 
-    fn happen(&mut self, happening: Happening) {
+    fn handle(&mut self, event: SimEvent) {
         let now = Millis(self.now / 1000);
-        match happening {
-            Happening::Arrive(call) => self.arrive(call),
-            Happening::Deadline(call) => self.deadline(call),
-            Happening::Deliver { engine, sequence } => self.deliver(engine, sequence),
-            Happening::Withdraw { engine, sent } => self.engines[engine].withdraw(sent),
-            Happening::Step(engine) => self.step(engine),
-            Happening::First(sent) => {
-                let acts = self.brains[sent.brain].first(now, sent.handle);
-                self.act(sent.brain, acts);
+        match event {
+            SimEvent::Arrive(call) => self.arrive(call),
+            SimEvent::Deadline(call) => self.deadline(call),
+            SimEvent::Deliver { engine, sequence } => self.deliver(engine, sequence),
+            SimEvent::Withdraw { engine, attempt } => self.engines[engine].withdraw(attempt),
+            SimEvent::Step(engine) => self.step(engine),
+            SimEvent::FirstToken(attempt) => {
+                let actions = self.processes[attempt.process].first_token(now, attempt.handle);
+                self.apply(attempt.process, actions);
             }
-            Happening::Done(sent, outcome) => {
-                let acts = self.brains[sent.brain].finish(now, sent.handle, outcome);
-                self.act(sent.brain, acts);
+            SimEvent::Finished(attempt, outcome) => {
+                let actions = self.processes[attempt.process].finish(now, attempt.handle, outcome);
+                self.apply(attempt.process, actions);
             }
-            Happening::Tick(brain) => {
-                let acts = self.brains[brain].poll(now);
-                self.act(brain, acts);
-                self.push(self.now + TICK, Happening::Tick(brain));
+            SimEvent::Poll(process) => {
+                let actions = self.processes[process].poll(now);
+                self.apply(process, actions);
+                self.push(self.now + POLL_INTERVAL, SimEvent::Poll(process));
             }
-            Happening::Measure(engine) => self.measure(engine),
-            Happening::Load(engine, report) => {
-                self.brains
+            SimEvent::Measure(engine) => self.measure(engine),
+            SimEvent::Load(engine, report) => {
+                self.processes
                     .iter_mut()
-                    .for_each(|b| b.load(now, engine, report));
+                    .for_each(|p| p.observe_load(now, engine, report));
             }
-            Happening::Cache(engine, event) => {
-                self.brains
+            SimEvent::Cache(engine, event) => {
+                self.processes
                     .iter_mut()
-                    .for_each(|b| b.cache(now, engine, &event));
+                    .for_each(|p| p.observe_cache(now, engine, &event));
             }
-            Happening::Gone(engine) => self.brains.iter_mut().for_each(|b| b.gone(engine)),
-            Happening::Fault(fault) => self.fault(fault),
+            SimEvent::Removed(engine) => self
+                .processes
+                .iter_mut()
+                .for_each(|p| p.remove_target(engine)),
+            SimEvent::Fault(fault) => self.fault(fault),
         }
     }
 
     fn arrive(&mut self, call: usize) {
-        let what = self.calls[call].clone();
-        let brain = self.serving[what.entry];
-        self.open[call] = Some(Open { brain, sent: None });
-        self.report.offered(&what);
-        let deadline = self.now + what.patience.0 * 1000;
-        self.push(deadline, Happening::Deadline(call));
-        let acts = self.brains[brain].offer(Millis(self.now / 1000), call, &what);
-        self.act(brain, acts);
+        let details = self.calls[call].clone();
+        let process = self.serving[details.entry];
+        self.open[call] = Some(Open {
+            process,
+            first_sent: None,
+        });
+        self.report.record_offered(&details);
+        let deadline = self.now + details.timeout.0 * 1000;
+        self.push(deadline, SimEvent::Deadline(call));
+        let actions = self.processes[process].offer(Millis(self.now / 1000), call, &details);
+        self.apply(process, actions);
     }
 
     fn deadline(&mut self, call: usize) {
         let Some(open) = self.open[call] else {
             return;
         };
-        let acts = self.brains[open.brain].leave(Millis(self.now / 1000), call);
-        self.act(open.brain, acts);
+        let actions = self.processes[open.process].cancel(Millis(self.now / 1000), call);
+        self.apply(open.process, actions);
         self.end(call, End::Missed);
-        self.come_back(call, Millis::ZERO);
+        self.return_later(call, Millis::ZERO);
     }
 
-    fn act(&mut self, brain: usize, acts: Vec<Act>) {
-        for act in acts {
-            match act {
-                Act::Send {
+    fn apply(&mut self, process: usize, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Send {
                     call,
                     target,
                     handle,
                 } => self.send(
-                    Sent {
-                        brain,
+                    Attempt {
+                        process,
                         handle,
                         call,
                     },
                     target,
                 ),
-                Act::Withdraw { handle } => self.withdraw(brain, handle),
-                Act::Refuse { call, after } => {
+                Action::Withdraw { handle } => self.withdraw(process, handle),
+                Action::Refuse { call, after } => {
                     self.end(call, End::Refused);
-                    self.come_back(call, after);
+                    self.return_later(call, after);
                 }
-                Act::Fail { call } => self.end(call, End::Failed),
-                Act::Whole { call } => self.end(call, End::Whole),
+                Action::Fail { call } => self.end(call, End::Failed),
+                Action::Complete { call } => self.end(call, End::Complete),
             }
         }
     }
 
-    fn send(&mut self, sent: Sent, target: usize) {
-        let call = &self.calls[sent.call];
+    fn send(&mut self, attempt: Attempt, target: usize) {
+        let call = &self.calls[attempt.call];
         let sequence = Sequence {
-            sent,
+            attempt,
             prompt: call.prompt,
             prefix: call.prefix,
             output: call.output,
         };
-        self.report.sent(call);
-        if let Some(open) = &mut self.open[sent.call] {
-            open.sent.get_or_insert(self.now);
+        self.report.record_sent(call);
+        if let Some(open) = &mut self.open[attempt.call] {
+            open.first_sent.get_or_insert(self.now);
         }
         let engine = target;
-        self.places
-            .insert((sent.brain, sent.handle), (engine, sent));
-        self.push(self.now + HOP, Happening::Deliver { engine, sequence });
+        self.attempt_engines
+            .insert((attempt.process, attempt.handle), (engine, attempt));
+        self.push(self.now + HOP_DELAY, SimEvent::Deliver { engine, sequence });
     }
 
-    /// An engine that does not have it passes the withdrawal over, so all may be told.
-    fn withdraw(&mut self, brain: usize, handle: u64) {
+    /// Withdraws an attempt from all engines. An engine that does not hold it ignores the withdrawal.
+    fn withdraw(&mut self, process: usize, handle: u64) {
         for engine in 0..self.engines.len() {
             let call = 0;
-            let sent = Sent {
-                brain,
+            let attempt = Attempt {
+                process,
                 handle,
                 call,
             };
-            self.push(self.now + HOP, Happening::Withdraw { engine, sent });
+            self.push(self.now + HOP_DELAY, SimEvent::Withdraw { engine, attempt });
         }
     }
 
     fn deliver(&mut self, engine: usize, sequence: Sequence) {
         if !self.engines[engine].alive {
             let outcome = Outcome::NotRun(NotRun::Unreachable);
-            self.push(self.now + HOP, Happening::Done(sequence.sent, outcome));
+            self.push(
+                self.now + HOP_DELAY,
+                SimEvent::Finished(sequence.attempt, outcome),
+            );
             return;
         }
-        self.runs[sequence.sent.call] += 1;
-        if self.runs[sequence.sent.call] > 1 && !self.calls[sequence.sent.call].idempotent {
-            self.report.doubled += 1;
+        self.runs[sequence.attempt.call] += 1;
+        if self.runs[sequence.attempt.call] > 1 && !self.calls[sequence.attempt.call].idempotent {
+            self.report.run_twice += 1;
         }
         self.engines[engine].push(sequence);
         if !self.engines[engine].stepping {
@@ -392,34 +403,34 @@
         };
         self.engines[engine].stepping = true;
         let end = self.now + span;
-        for (sent, token) in tokens {
-            let happening = match token {
-                Token::First => Happening::First(sent),
+        for (attempt, token) in tokens {
+            let event = match token {
+                Token::First => SimEvent::FirstToken(attempt),
                 Token::Last => {
-                    let call = &self.calls[sent.call];
+                    let call = &self.calls[attempt.call];
                     let cost = cost(call.prompt, call.output);
-                    Happening::Done(sent, Outcome::Ran { cost })
+                    SimEvent::Finished(attempt, Outcome::Ran { cost })
                 }
             };
-            self.push(end + HOP, happening);
+            self.push(end + HOP_DELAY, event);
         }
-        self.push(end, Happening::Step(engine));
+        self.push(end, SimEvent::Step(engine));
     }
 
     fn measure(&mut self, engine: usize) {
-        self.push(self.now + REPORT_EVERY, Happening::Measure(engine));
-        if !self.engines[engine].alive || !self.scenario.tells {
+        self.push(self.now + REPORT_INTERVAL, SimEvent::Measure(engine));
+        if !self.engines[engine].alive || !self.scenario.reports_load {
             return;
         }
-        let late = self.now + REPORT_LATE;
+        let arrival = self.now + REPORT_DELAY;
         let report = self.engines[engine].report();
-        self.push(late, Happening::Load(engine, report));
+        self.push(arrival, SimEvent::Load(engine, report));
         for change in self.engines[engine].take_changes() {
-            self.events[engine] += 1;
-            let seq = self.events[engine];
-            let lost = self.rng.random_bool(0.1);
-            if !lost {
-                self.push(late, Happening::Cache(engine, CacheEvent { seq, change }));
+            self.cache_events[engine] += 1;
+            let seq = self.cache_events[engine];
+            let dropped = self.rng.random_bool(0.1);
+            if !dropped {
+                self.push(arrival, SimEvent::Cache(engine, CacheEvent { seq, change }));
             }
         }
     }
@@ -429,11 +440,11 @@
             Fault::Slow { engine, factor } => self.engines[engine].slowdown = factor,
             Fault::Restart { entry } => self.restart(entry),
             Fault::Lose { engine } => {
-                for sent in self.engines[engine].lose() {
-                    let done = Happening::Done(sent, Outcome::Unknown);
-                    self.push(self.now + LINK_LOST_AFTER, done);
+                for attempt in self.engines[engine].fail() {
+                    let done = SimEvent::Finished(attempt, Outcome::Unknown);
+                    self.push(self.now + LINK_LOSS_DELAY, done);
                 }
-                self.push(self.now + GONE_AFTER, Happening::Gone(engine));
+                self.push(self.now + REMOVAL_DELAY, SimEvent::Removed(engine));
             }
         }
     }
@@ -443,39 +454,40 @@
             panic!("call {call} ended twice");
         };
         self.unfinished -= 1;
-        let what = &self.calls[call];
-        let sent = open.sent.unwrap_or(self.now);
+        let details = &self.calls[call];
+        let first_sent = open.first_sent.unwrap_or(self.now);
         self.report
-            .ended(what, end, sent - what.at, self.now - what.at);
+            .record_ended(details, end, first_sent - details.at, self.now - details.at);
     }
 
-    /// A caller that was refused returns when told; one that waited in vain asks again at once.
-    fn come_back(&mut self, call: usize, after: Millis) {
-        let what = self.calls[call].clone();
-        if what.returns == 0 {
+    /// Schedules the next call of a caller: after a refusal at the time given, after a missed deadline at
+    /// once.
+    fn return_later(&mut self, call: usize, after: Millis) {
+        let details = self.calls[call].clone();
+        if details.returns == 0 {
             return;
         }
-        let again = Call {
+        let retry = Call {
             at: self.now + after.0 * 1000,
-            returns: what.returns - 1,
+            returns: details.returns - 1,
             entry: self.rng.random_range(0..self.scenario.entries),
-            ..what
+            ..details
         };
-        self.push(again.at, Happening::Arrive(self.calls.len()));
-        self.calls.push(again);
+        self.push(retry.at, SimEvent::Arrive(self.calls.len()));
+        self.calls.push(retry);
         self.open.push(None);
         self.runs.push(0);
         self.unfinished += 1;
     }
 }
 
-fn generate(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<Call> {
+fn generate_calls(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<Call> {
     let mut calls = Vec::new();
     for (index, stream) in scenario.streams.iter().enumerate() {
-        let mut at = real(stream.from);
+        let mut at = to_f64(stream.from);
         loop {
             at -= (1.0 - rng.random::<f64>()).ln() / stream.rate;
-            if at >= real(stream.to) {
+            if at >= to_f64(stream.to) {
                 break;
             }
             calls.push(stream.call(index, at, scenario.entries, rng));
@@ -488,16 +500,16 @@
 impl Stream {
     fn call(&self, stream: usize, at: f64, entries: usize, rng: &mut ChaCha8Rng) -> Call {
         let output = rng.random_range(self.output.0..=self.output.1);
-        let guess = output * rng.random_range(70..130) / 100;
+        let estimate = output * rng.random_range(70..130) / 100;
         Call {
             org: self.org.parse().unwrap(),
             stream,
             at: micros(at),
             entry: rng.random_range(0..entries),
-            patience: self.patience,
+            timeout: self.timeout,
             prompt: self.prompt,
             output,
-            expected: cost(self.prompt, guess),
+            expected: cost(self.prompt, estimate),
             prefix: self.prefix,
             idempotent: self.idempotent,
             returns: self.returns,
@@ -505,8 +517,8 @@
     }
 }
 
-/// A count as a number to divide by.
-pub fn real(n: u64) -> f64 {
+/// Converts a count to a floating-point number.
+pub fn to_f64(n: u64) -> f64 {
     f64::from(u32::try_from(n).unwrap())
 }
 
--- a/crates/filbertstack-policy/tests/sim/brain.rs
+++ b/crates/filbertstack-policy/tests/sim/process.rs
@@ -1,4 +1,4 @@
-//! What decides at an entry: the flow under test, or the plain baseline.
+//! The processes of an entry in the simulation: the request flow under test, or the baseline policy.
 
 use std::collections::HashMap;
 
@@ -26,8 +26,8 @@
 use super::Call;
 use super::engine::SLOTS;
 
-/// What an entry does.
-pub enum Act {
+/// An action that an entry takes.
+pub enum Action {
     Send {
         call: usize,
         target: usize,
@@ -43,23 +43,23 @@
     Fail {
         call: usize,
     },
-    Whole {
+    Complete {
         call: usize,
     },
 }
 
-pub trait Brain {
-    fn offer(&mut self, now: Millis, call: usize, what: &Call) -> Vec<Act>;
-    fn poll(&mut self, now: Millis) -> Vec<Act>;
-    fn first(&mut self, now: Millis, handle: u64) -> Vec<Act>;
-    fn finish(&mut self, now: Millis, handle: u64, outcome: Outcome) -> Vec<Act>;
-    fn leave(&mut self, now: Millis, call: usize) -> Vec<Act>;
-    fn load(&mut self, now: Millis, target: usize, report: LoadReport);
-    fn cache(&mut self, now: Millis, target: usize, event: &CacheEvent);
-    fn gone(&mut self, target: usize);
+pub trait EntryProcess {
+    fn offer(&mut self, now: Millis, call: usize, details: &Call) -> Vec<Action>;
+    fn poll(&mut self, now: Millis) -> Vec<Action>;
+    fn first_token(&mut self, now: Millis, handle: u64) -> Vec<Action>;
+    fn finish(&mut self, now: Millis, handle: u64, outcome: Outcome) -> Vec<Action>;
+    fn cancel(&mut self, now: Millis, call: usize) -> Vec<Action>;
+    fn observe_load(&mut self, now: Millis, target: usize, report: LoadReport);
+    fn observe_cache(&mut self, now: Millis, target: usize, event: &CacheEvent);
+    fn remove_target(&mut self, target: usize);
 }
 
-pub struct Filbert {
+pub struct FlowProcess {
     flow: Flow,
     group: GroupKey,
     targets: Vec<TargetKey>,
@@ -67,25 +67,25 @@
     tickets: HashMap<usize, filbertstack_policy::admission::TicketKey>,
 }
 
-impl Filbert {
+impl FlowProcess {
     pub fn new(
         now: Millis,
         name: &str,
         engines: usize,
         entries: usize,
-        tells: bool,
+        reports_load: bool,
         seed: u64,
     ) -> Self {
         let zone = |i: usize| format!("zone-{}", i % 3).parse().unwrap();
         let own: usize = name.rsplit('-').next().unwrap().parse().unwrap();
         let mut flow = Flow::new(Settings::new(name.parse().unwrap(), zone(own), seed));
-        let used = engines.min(filbertstack_policy::subset::SIZE);
-        let sharers = u32::try_from((entries * used).div_ceil(engines)).unwrap();
+        let subset_size = engines.min(filbertstack_policy::subset::SIZE);
+        let sharers = u32::try_from((entries * subset_size).div_ceil(engines)).unwrap();
         flow.router_mut().set_sharers(sharers);
         let info = |i: usize| TargetInfo {
             name: format!("engine-{i}").parse().unwrap(),
             zone: zone(i),
-            slots: tells.then_some(u32::try_from(SLOTS).unwrap()),
+            slots: reports_load.then_some(u32::try_from(SLOTS).unwrap()),
         };
         let up = |i| flow.router_mut().add_target(now, info(i), false);
         let targets: Vec<_> = (0..engines).map(up).collect();
@@ -100,50 +100,50 @@
         }
     }
 
-    fn act(&mut self, event: &Event) -> Act {
+    fn action(&mut self, event: &Event) -> Action {
         match event {
             Event::Send {
                 ticket,
                 attempt,
                 target,
-            } => Act::Send {
+            } => Action::Send {
                 call: self.calls[&ticket.data().as_ffi()],
                 target: self.targets.iter().position(|t| t == target).unwrap(),
                 handle: attempt.data().as_ffi(),
             },
-            Event::Refuse { ticket, refusal } => Act::Refuse {
+            Event::Refuse { ticket, refusal } => Action::Refuse {
                 call: self.calls[&ticket.data().as_ffi()],
                 after: refusal.retry_after,
             },
-            Event::Unknown { ticket } => Act::Fail {
+            Event::Unknown { ticket } => Action::Fail {
                 call: self.calls[&ticket.data().as_ffi()],
             },
         }
     }
 }
 
-fn key(handle: u64) -> AttemptKey {
+fn attempt_key(handle: u64) -> AttemptKey {
     KeyData::from_ffi(handle).into()
 }
 
-fn withdraw(lost: Vec<AttemptKey>) -> Vec<Act> {
-    let withdraw = |key: AttemptKey| Act::Withdraw {
+fn withdrawals(lost: Vec<AttemptKey>) -> Vec<Action> {
+    let withdraw = |key: AttemptKey| Action::Withdraw {
         handle: key.data().as_ffi(),
     };
     lost.into_iter().map(withdraw).collect()
 }
 
-impl Brain for Filbert {
-    fn offer(&mut self, now: Millis, call: usize, what: &Call) -> Vec<Act> {
+impl EntryProcess for FlowProcess {
+    fn offer(&mut self, now: Millis, call: usize, details: &Call) -> Vec<Action> {
         let offer = Offer {
             group: self.group,
-            org: what.org.clone(),
+            org: details.org.clone(),
             priority: Priority::Normal,
-            deadline: now + what.patience,
+            deadline: now + details.timeout,
             criteria: Criteria {
-                cost: what.expected,
-                prefix: what.prefix.iter().map(|(prefix, _)| *prefix).collect(),
-                idempotent: what.idempotent,
+                cost: details.expected,
+                prefix: details.prefix.iter().map(|(prefix, _)| *prefix).collect(),
+                idempotent: details.idempotent,
                 tried: Vec::new(),
             },
         };
@@ -153,77 +153,80 @@
                 self.tickets.insert(call, ticket);
                 self.poll(now)
             }
-            Err(refusal) => vec![Act::Refuse {
+            Err(refusal) => vec![Action::Refuse {
                 call,
                 after: refusal.retry_after,
             }],
         }
     }
 
-    fn poll(&mut self, now: Millis) -> Vec<Act> {
+    fn poll(&mut self, now: Millis) -> Vec<Action> {
         let events = self.flow.poll(now);
-        events.iter().map(|event| self.act(event)).collect()
+        events.iter().map(|event| self.action(event)).collect()
     }
 
-    fn first(&mut self, now: Millis, handle: u64) -> Vec<Act> {
-        withdraw(self.flow.first_token(now, key(handle)))
+    fn first_token(&mut self, now: Millis, handle: u64) -> Vec<Action> {
+        withdrawals(self.flow.first_token(now, attempt_key(handle)))
     }
 
-    fn finish(&mut self, now: Millis, handle: u64, outcome: Outcome) -> Vec<Act> {
-        let owner = self.flow.owner(key(handle)).map(|t| t.data().as_ffi());
-        let ended = self.flow.finish(now, key(handle), outcome);
-        let mut acts = self.poll(now);
+    fn finish(&mut self, now: Millis, handle: u64, outcome: Outcome) -> Vec<Action> {
+        let owner = self
+            .flow
+            .owner(attempt_key(handle))
+            .map(|t| t.data().as_ffi());
+        let ended = self.flow.finish(now, attempt_key(handle), outcome);
+        let mut actions = self.poll(now);
         let Some(call) = owner.map(|ticket| self.calls[&ticket]) else {
-            return acts;
+            return actions;
         };
         match ended {
-            Ended::Complete => acts.push(Act::Whole { call }),
-            Ended::Refused(refusal) => acts.push(Act::Refuse {
+            Ended::Complete => actions.push(Action::Complete { call }),
+            Ended::Refused(refusal) => actions.push(Action::Refuse {
                 call,
                 after: refusal.retry_after,
             }),
-            Ended::Unknown => acts.push(Act::Fail { call }),
+            Ended::Unknown => actions.push(Action::Fail { call }),
             Ended::Retry | Ended::Pending | Ended::Stale => {}
         }
-        acts
+        actions
     }
 
-    fn leave(&mut self, now: Millis, call: usize) -> Vec<Act> {
+    fn cancel(&mut self, now: Millis, call: usize) -> Vec<Action> {
         let lost = self.flow.cancel(now, self.tickets[&call]);
-        let mut acts = withdraw(lost);
-        acts.extend(self.poll(now));
-        acts
+        let mut actions = withdrawals(lost);
+        actions.extend(self.poll(now));
+        actions
     }
 
-    fn load(&mut self, now: Millis, target: usize, report: LoadReport) {
+    fn observe_load(&mut self, now: Millis, target: usize, report: LoadReport) {
         let key = self.targets[target];
         self.flow.router_mut().observe_load(now, key, report);
     }
 
-    fn cache(&mut self, now: Millis, target: usize, event: &CacheEvent) {
+    fn observe_cache(&mut self, now: Millis, target: usize, event: &CacheEvent) {
         let key = self.targets[target];
         self.flow.router_mut().observe_cache(now, key, event);
     }
 
-    fn gone(&mut self, target: usize) {
+    fn remove_target(&mut self, target: usize) {
         let key = self.targets[target];
         self.flow.router_mut().remove_target(key);
     }
 }
 
-/// Round robin, first in first out, no limits, and up to three retries at once.
+/// A policy with round robin, first-in-first-out order, no limits, and up to three immediate retries.
 #[derive(Default)]
-pub struct Plain {
+pub struct BaselineProcess {
     targets: Vec<usize>,
     next: usize,
-    made: u64,
+    last_handle: u64,
     open: HashMap<u64, (usize, u32)>,
     handles: HashMap<usize, u64>,
 }
 
-const NAIVE_RETRIES: u32 = 3;
+const BASELINE_RETRIES: u32 = 3;
 
-impl Plain {
+impl BaselineProcess {
     pub fn new(engines: usize, offset: usize) -> Self {
         Self {
             targets: (0..engines).collect(),
@@ -232,63 +235,63 @@
         }
     }
 
-    fn send(&mut self, call: usize, retries: u32) -> Vec<Act> {
+    fn send(&mut self, call: usize, retries: u32) -> Vec<Action> {
         self.next += 1;
-        self.made += 1;
-        self.open.insert(self.made, (call, retries));
-        self.handles.insert(call, self.made);
-        vec![Act::Send {
+        self.last_handle += 1;
+        self.open.insert(self.last_handle, (call, retries));
+        self.handles.insert(call, self.last_handle);
+        vec![Action::Send {
             call,
             target: self.targets[self.next % self.targets.len()],
-            handle: self.made,
+            handle: self.last_handle,
         }]
     }
 }
 
-impl Brain for Plain {
-    fn offer(&mut self, _: Millis, call: usize, _: &Call) -> Vec<Act> {
+impl EntryProcess for BaselineProcess {
+    fn offer(&mut self, _: Millis, call: usize, _: &Call) -> Vec<Action> {
         self.send(call, 0)
     }
 
-    fn poll(&mut self, _: Millis) -> Vec<Act> {
+    fn poll(&mut self, _: Millis) -> Vec<Action> {
         Vec::new()
     }
 
-    fn first(&mut self, _: Millis, _: u64) -> Vec<Act> {
+    fn first_token(&mut self, _: Millis, _: u64) -> Vec<Action> {
         Vec::new()
     }
 
-    fn finish(&mut self, _: Millis, handle: u64, outcome: Outcome) -> Vec<Act> {
+    fn finish(&mut self, _: Millis, handle: u64, outcome: Outcome) -> Vec<Action> {
         let Some((call, retries)) = self.open.remove(&handle) else {
             return Vec::new();
         };
         match outcome {
-            Outcome::Ran { .. } => vec![Act::Whole { call }],
-            Outcome::NotRun(NotRun::Unreachable) if retries < NAIVE_RETRIES => {
+            Outcome::Ran { .. } => vec![Action::Complete { call }],
+            Outcome::NotRun(NotRun::Unreachable) if retries < BASELINE_RETRIES => {
                 self.send(call, retries + 1)
             }
-            Outcome::NotRun(_) | Outcome::Unknown => vec![Act::Fail { call }],
+            Outcome::NotRun(_) | Outcome::Unknown => vec![Action::Fail { call }],
         }
     }
 
-    fn leave(&mut self, _: Millis, call: usize) -> Vec<Act> {
+    fn cancel(&mut self, _: Millis, call: usize) -> Vec<Action> {
         let Some(handle) = self.handles.remove(&call) else {
             return Vec::new();
         };
         self.open.remove(&handle);
-        vec![Act::Withdraw { handle }]
+        vec![Action::Withdraw { handle }]
     }
 
-    fn load(&mut self, _: Millis, _: usize, _: LoadReport) {}
+    fn observe_load(&mut self, _: Millis, _: usize, _: LoadReport) {}
 
-    fn cache(&mut self, _: Millis, _: usize, _: &CacheEvent) {}
+    fn observe_cache(&mut self, _: Millis, _: usize, _: &CacheEvent) {}
 
-    fn gone(&mut self, target: usize) {
+    fn remove_target(&mut self, target: usize) {
         self.targets.retain(|t| *t != target);
     }
 }
 
-/// The cost that an entry expects of a call.
+/// Creates the cost of a call.
 pub fn cost(prompt: u32, output: u32) -> Cost {
     Cost { prompt, output }
 }
--- a/crates/filbertstack-policy/tests/sim/report.rs
+++ b/crates/filbertstack-policy/tests/sim/report.rs
@@ -1,4 +1,4 @@
-//! What callers received.
+//! Statistics of what callers received.
 
 use std::collections::BTreeMap;
 
@@ -7,189 +7,189 @@
 use super::Call;
 use super::Scenario;
 use super::engine::Micros;
-use super::real;
+use super::to_f64;
 
-/// How a call ended.
+/// The end of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    Whole,
+    Complete,
     Missed,
     Refused,
     Failed,
 }
 
-/// What the callers of one stream received after the warm-up.
-pub struct Received {
+/// The statistics of one stream's calls after the warm-up.
+pub struct StreamStats {
     pub offered: u64,
     pub sent: u64,
-    pub whole: u64,
+    pub complete: u64,
     pub missed: u64,
     pub refused: u64,
     pub failed: u64,
-    /// Generated tokens of whole answers.
+    /// The number of generated tokens of complete answers.
     pub tokens: u64,
-    pub waits: Histogram<u64>,
-    pub totals: Histogram<u64>,
-    /// Refused after a wait of more than half a second.
-    pub late: u64,
+    pub wait_times: Histogram<u64>,
+    pub total_times: Histogram<u64>,
+    /// The number of calls refused after a wait of more than half a second.
+    pub refused_late: u64,
 }
 
-impl Received {
+impl StreamStats {
     fn new() -> Self {
         Self {
             offered: 0,
             sent: 0,
-            whole: 0,
+            complete: 0,
             missed: 0,
             refused: 0,
             failed: 0,
             tokens: 0,
-            waits: Histogram::new(3).unwrap(),
-            totals: Histogram::new(3).unwrap(),
-            late: 0,
+            wait_times: Histogram::new(3).unwrap(),
+            total_times: Histogram::new(3).unwrap(),
+            refused_late: 0,
         }
     }
 
     fn add(&mut self, other: &Self) {
         self.offered += other.offered;
         self.sent += other.sent;
-        self.whole += other.whole;
+        self.complete += other.complete;
         self.missed += other.missed;
         self.refused += other.refused;
         self.failed += other.failed;
         self.tokens += other.tokens;
-        self.waits.add(&other.waits).unwrap();
-        self.totals.add(&other.totals).unwrap();
-        self.late += other.late;
+        self.wait_times.add(&other.wait_times).unwrap();
+        self.total_times.add(&other.total_times).unwrap();
+        self.refused_late += other.refused_late;
     }
 }
 
-/// What all callers received, by stream.
+/// The statistics of all calls by stream.
 pub struct Report {
     from: Micros,
     to: Micros,
     span: f64,
-    streams: BTreeMap<usize, Received>,
-    /// Calls that may run once and reached a second engine.
-    pub doubled: u64,
+    streams: BTreeMap<usize, StreamStats>,
+    /// The number of calls that may run only once and reached a second engine.
+    pub run_twice: u64,
 }
 
 impl Report {
     pub fn new(scenario: &Scenario) -> Self {
         Self {
-            from: scenario.warm * 1_000_000,
+            from: scenario.warm_up * 1_000_000,
             to: scenario.seconds * 1_000_000,
-            span: real(scenario.seconds - scenario.warm),
+            span: to_f64(scenario.seconds - scenario.warm_up),
             streams: BTreeMap::new(),
-            doubled: 0,
+            run_twice: 0,
         }
     }
 
-    fn of(&mut self, call: &Call) -> &mut Received {
+    fn stats_mut(&mut self, call: &Call) -> &mut StreamStats {
         self.streams
             .entry(call.stream)
-            .or_insert_with(Received::new)
+            .or_insert_with(StreamStats::new)
     }
 
-    fn counts(&self, call: &Call) -> bool {
+    fn in_window(&self, call: &Call) -> bool {
         (self.from..self.to).contains(&call.at)
     }
 
-    pub fn offered(&mut self, call: &Call) {
-        if self.counts(call) {
-            self.of(call).offered += 1;
+    pub fn record_offered(&mut self, call: &Call) {
+        if self.in_window(call) {
+            self.stats_mut(call).offered += 1;
         }
     }
 
-    pub fn sent(&mut self, call: &Call) {
-        if self.counts(call) {
-            self.of(call).sent += 1;
+    pub fn record_sent(&mut self, call: &Call) {
+        if self.in_window(call) {
+            self.stats_mut(call).sent += 1;
         }
     }
 
-    pub fn ended(&mut self, call: &Call, end: End, wait: Micros, total: Micros) {
-        let counts = self.counts(call);
-        // Goodput counts what ends within the window, whenever it was offered.
+    pub fn record_ended(&mut self, call: &Call, end: End, wait: Micros, total: Micros) {
+        let counted = self.in_window(call);
+        // Goodput counts calls that end within the window, regardless of when they were offered.
         let within = (self.from..self.to).contains(&(call.at + total));
-        let received = self.of(call);
-        if end == End::Whole && within {
-            received.tokens += u64::from(call.output);
+        let stats = self.stats_mut(call);
+        if end == End::Complete && within {
+            stats.tokens += u64::from(call.output);
         }
-        if !counts {
+        if !counted {
             return;
         }
         match end {
-            End::Whole => received.whole += 1,
-            End::Missed => received.missed += 1,
-            End::Failed => received.failed += 1,
+            End::Complete => stats.complete += 1,
+            End::Missed => stats.missed += 1,
+            End::Failed => stats.failed += 1,
             End::Refused => {
-                received.refused += 1;
-                received.late += u64::from(total > 500_000);
+                stats.refused += 1;
+                stats.refused_late += u64::from(total > 500_000);
                 return;
             }
         }
-        received.waits.record(wait / 1000).unwrap();
-        received.totals.record(total / 1000).unwrap();
+        stats.wait_times.record(wait / 1000).unwrap();
+        stats.total_times.record(total / 1000).unwrap();
     }
 
-    /// What the callers of these streams received together.
-    pub fn of_streams(&self, pick: impl Fn(usize) -> bool) -> Received {
-        let mut all = Received::new();
-        let picked = self.streams.iter().filter(|(stream, _)| pick(**stream));
-        picked.for_each(|(_, received)| all.add(received));
+    /// Returns the combined statistics of the selected streams.
+    pub fn of_streams(&self, pick: impl Fn(usize) -> bool) -> StreamStats {
+        let mut all = StreamStats::new();
+        let selected = self.streams.iter().filter(|(stream, _)| pick(**stream));
+        selected.for_each(|(_, stats)| all.add(stats));
         all
     }
 
-    pub fn all(&self) -> Received {
+    pub fn all(&self) -> StreamStats {
         self.of_streams(|_| true)
     }
 
-    /// Generated tokens a second in whole answers that came in time.
-    pub fn goodput(&self, received: &Received) -> f64 {
-        real(received.tokens) / self.span
+    /// Returns the generated tokens a second of complete answers that came in time.
+    pub fn goodput(&self, stats: &StreamStats) -> f64 {
+        to_f64(stats.tokens) / self.span
     }
 
-    /// One line of a result table.
-    pub fn line(&self, name: &str, received: &Received) -> String {
-        let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q);
+    /// Returns one line of a result table.
+    pub fn line(&self, name: &str, stats: &StreamStats) -> String {
+        let quantile = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q);
         format!(
             "{name:<22} {:>8.0} {:>8} {:>8} {:>7} {:>7} {:>7} {:>6} {:>6} {:>6} {:>6} {:>6.3} {:>6}",
-            self.goodput(received),
-            received.offered,
-            received.whole,
-            received.missed,
-            received.refused,
-            received.failed,
-            ms(&received.waits, 0.5),
-            ms(&received.waits, 0.99),
-            ms(&received.totals, 0.5),
-            ms(&received.totals, 0.99),
-            received.sends(),
-            received.late,
+            self.goodput(stats),
+            stats.offered,
+            stats.complete,
+            stats.missed,
+            stats.refused,
+            stats.failed,
+            quantile(&stats.wait_times, 0.5),
+            quantile(&stats.wait_times, 0.99),
+            quantile(&stats.total_times, 0.5),
+            quantile(&stats.total_times, 0.99),
+            stats.attempts_per_call(),
+            stats.refused_late,
         )
     }
 }
 
-impl Received {
-    /// The 99th percentile of the time to a whole answer or the deadline, in milliseconds.
+impl StreamStats {
+    /// Returns the 99th percentile of the time to a complete answer or to the deadline, in milliseconds.
     pub fn p99(&self) -> u64 {
-        self.totals.value_at_quantile(0.99)
+        self.total_times.value_at_quantile(0.99)
     }
 
-    /// The sendings to targets for each call that was offered.
-    pub fn sends(&self) -> f64 {
-        real(self.sent) / real(self.offered.max(1))
+    /// Returns the number of attempts for each call that was offered.
+    pub fn attempts_per_call(&self) -> f64 {
+        to_f64(self.sent) / to_f64(self.offered.max(1))
     }
 }
 
-/// The head of a result table.
-pub fn head() -> String {
+/// Returns the header of a result table.
+pub fn header() -> String {
     format!(
         "{:<22} {:>8} {:>8} {:>8} {:>7} {:>7} {:>7} {:>6} {:>6} {:>6} {:>6} {:>6} {:>6}",
         "",
         "tok/s",
         "offered",
-        "whole",
+        "complete",
         "missed",
         "refused",
         "failed",
