--- a/crates/filbertstack-policy/tests/properties.rs
+++ b/crates/filbertstack-policy/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What must hold of the decisions whatever happens, checked by random sequences of commands.
+//! Invariants of the request flow, checked with random sequences of commands.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -32,9 +32,9 @@
 
 const BOUNDS: Bounds = Bounds { org: 6, total: 10 };
 const TARGETS: usize = 6;
-const PATIENCE: Millis = Millis::secs(5);
+const TIMEOUT: Millis = Millis::secs(5);
 
-/// What happens to the flow next; numbers choose among what there is.
+/// The next operation on the flow. Numbers select among the present requests, attempts or targets.
 #[derive(Clone, Debug)]
 enum Command {
     Offer {
@@ -63,7 +63,7 @@
         }),
         4 => (1..400_u64).prop_map(Command::Pass),
         4 => any::<usize>().prop_map(Command::First),
-        6 => (any::<usize>(), 0..6_usize).prop_map(|(i, how)| Command::Finish(i, how)),
+        6 => (any::<usize>(), 0..6_usize).prop_map(|(i, result)| Command::Finish(i, result)),
         1 => any::<usize>().prop_map(Command::Cancel),
         1 => (0..TARGETS, 0..60_u32).prop_map(|(i, running)| Command::Load(i, running)),
         1 => (0..TARGETS).prop_map(Command::Leave),
@@ -76,21 +76,21 @@
     target: TargetKey,
 }
 
-/// The flow and what a strict owner expects of it.
-struct Owner {
+/// A flow together with the state that its caller expects.
+struct Harness {
     flow: Flow,
     group: GroupKey,
     targets: Vec<TargetKey>,
     now: Millis,
-    /// Requests without an end, and whether they may run twice.
+    /// The requests that have not ended, and whether they may run twice.
     open: BTreeMap<TicketKey, bool>,
     attempts: BTreeMap<AttemptKey, Attempt>,
-    /// Requests of which an attempt ended without anyone knowing whether it ran.
-    unsure: BTreeSet<TicketKey>,
+    /// The requests with an attempt of unknown outcome.
+    may_have_run: BTreeSet<TicketKey>,
     leaving: BTreeSet<TargetKey>,
 }
 
-impl Owner {
+impl Harness {
     fn new() -> Self {
         let settings = Settings {
             bounds: BOUNDS,
@@ -112,7 +112,7 @@
             now: Millis::ZERO,
             open: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            unsure: BTreeSet::new(),
+            may_have_run: BTreeSet::new(),
             leaving: BTreeSet::new(),
         }
     }
@@ -126,8 +126,8 @@
                 idempotent,
             } => self.offer(org, priority, output, idempotent),
             Command::Pass(span) => self.now = self.now + Millis(span),
-            Command::First(i) => self.first(i),
-            Command::Finish(i, how) => self.finish(i, how),
+            Command::First(i) => self.first_token(i),
+            Command::Finish(i, result) => self.finish(i, result),
             Command::Cancel(i) => self.cancel(i),
             Command::Load(i, running) => {
                 let report = LoadReport {
@@ -156,7 +156,7 @@
             group: self.group,
             org: format!("org-{org}").parse().unwrap(),
             priority: priorities[priority],
-            deadline: self.now + PATIENCE,
+            deadline: self.now + TIMEOUT,
             criteria: Criteria {
                 cost: Cost { prompt: 0, output },
                 idempotent,
@@ -178,12 +178,18 @@
                     target,
                 } => self.sent(ticket, attempt, target),
                 Event::Refuse { ticket, refusal } => {
-                    assert!(!self.unsure.contains(&ticket), "may have run");
+                    assert!(
+                        !self.may_have_run.contains(&ticket),
+                        "refused a request that may have run"
+                    );
                     assert!(refusal.retry_after > Millis::ZERO);
                     self.end(ticket);
                 }
                 Event::Unknown { ticket } => {
-                    assert!(self.unsure.contains(&ticket), "did not run");
+                    assert!(
+                        self.may_have_run.contains(&ticket),
+                        "unknown outcome of a request that did not run"
+                    );
                     self.end(ticket);
                 }
             }
@@ -192,38 +198,47 @@
 
     fn sent(&mut self, ticket: TicketKey, attempt: AttemptKey, target: TargetKey) {
         let idempotent = self.open[&ticket];
-        assert!(idempotent || !self.unsure.contains(&ticket), "may have run");
-        assert!(!self.leaving.contains(&target), "sent to one that leaves");
+        assert!(
+            idempotent || !self.may_have_run.contains(&ticket),
+            "resent a request that may have run"
+        );
+        assert!(!self.leaving.contains(&target), "sent to a leaving target");
         let others = self.attempts.values().filter(|a| a.ticket == ticket);
-        assert!(idempotent || others.count() == 0, "in flight twice");
+        assert!(
+            idempotent || others.count() == 0,
+            "two attempts of a request that may run once"
+        );
         self.attempts.insert(attempt, Attempt { ticket, target });
         let state = self.flow.router().target(target).unwrap();
         let within = f64::from(state.in_flight()) < state.allowed(self.now) + 1.0;
-        assert!(within || state.is_out(), "over the limit");
+        assert!(
+            within || state.is_out(),
+            "sent over the limit of the target"
+        );
     }
 
-    fn pick(&self, i: usize) -> Option<AttemptKey> {
+    fn pick_attempt(&self, i: usize) -> Option<AttemptKey> {
         let len = self.attempts.len().max(1);
         self.attempts.keys().nth(i % len).copied()
     }
 
-    fn first(&mut self, i: usize) {
-        if let Some(attempt) = self.pick(i) {
+    fn first_token(&mut self, i: usize) {
+        if let Some(attempt) = self.pick_attempt(i) {
             for lost in self.flow.first_token(self.now, attempt) {
                 self.attempts.remove(&lost).unwrap();
             }
         }
     }
 
-    fn finish(&mut self, i: usize, how: usize) {
-        let Some(key) = self.pick(i) else {
+    fn finish(&mut self, i: usize, result: usize) {
+        let Some(key) = self.pick_attempt(i) else {
             return;
         };
         let cost = Cost {
             prompt: 0,
             output: 50,
         };
-        let outcome = match how {
+        let outcome = match result {
             0 => Outcome::NotRun(NotRun::Full),
             1 => Outcome::NotRun(NotRun::Unreachable),
             2 => Outcome::Unknown,
@@ -231,14 +246,14 @@
         };
         let ticket = self.attempts.remove(&key).unwrap().ticket;
         if outcome == Outcome::Unknown {
-            self.unsure.insert(ticket);
+            self.may_have_run.insert(ticket);
         }
         match self.flow.finish(self.now, key, outcome) {
             Ended::Complete | Ended::Unknown => self.end(ticket),
             Ended::Refused(refusal) => {
                 assert!(
-                    !self.unsure.contains(&ticket),
-                    "called not run, may have run"
+                    !self.may_have_run.contains(&ticket),
+                    "refused a request that may have run"
                 );
                 assert!(refusal.retry_after > Millis::ZERO);
                 self.end(ticket);
@@ -260,7 +275,10 @@
     }
 
     fn end(&mut self, ticket: TicketKey) {
-        assert!(self.open.remove(&ticket).is_some(), "ended twice");
+        assert!(
+            self.open.remove(&ticket).is_some(),
+            "the request ended twice"
+        );
         self.attempts.retain(|_, attempt| attempt.ticket != ticket);
     }
 
@@ -284,14 +302,18 @@
         }
     }
 
-    /// Ends what is in flight and lets every deadline pass.
+    /// Ends all attempts in flight and lets every deadline pass.
     fn drain(&mut self) {
         for _ in 0..1000 {
             self.now = self.now + Millis(50);
             self.finish(0, 3);
             self.poll();
         }
-        assert!(self.open.is_empty(), "{} never ended", self.open.len());
+        assert!(
+            self.open.is_empty(),
+            "{} requests never ended",
+            self.open.len()
+        );
     }
 }
 
@@ -310,33 +332,33 @@
         ..ProptestConfig::default()
     })]
 
-    // Offers, tokens, ends of every outcome, departures and lost targets in any order. A lost
-    // ticket would leave its caller without an answer, a second end would answer it twice, and
-    // a refusal after an attempt of unknown outcome would have it sent again and run twice.
+    // Offers, tokens, ends with every outcome, leaving and lost targets occur in any order. A lost ticket
+    // would leave its caller without an answer, a second end would answer it twice, and a refusal after an
+    // attempt with an unknown outcome would let the caller resend a request that may have run.
     #[test]
     fn every_request_ends_once(commands in proptest::collection::vec(command(), 1..150)) {
-        let mut owner = Owner::new();
+        let mut harness = Harness::new();
         for command in &commands {
-            owner.run(command);
+            harness.run(command);
         }
-        owner.drain();
+        harness.drain();
     }
 }
 
-/// Serves one request at a time from a full queue and counts the work by organisation.
-fn served(orgs: &[(&str, f64, Priority, u32)], rounds: usize) -> BTreeMap<String, f64> {
+/// Serves one request at a time from a full queue and returns the work by organisation.
+fn work_served(orgs: &[(&str, f64, Priority, u32)], rounds: usize) -> BTreeMap<String, f64> {
     let mut flow = Flow::new(Settings::new(
         "entry-1".parse().unwrap(),
         "zone-1".parse().unwrap(),
         1,
     ));
-    let mut one = info(0);
-    one.slots = Some(1);
-    let target = flow.router_mut().add_target(Millis::ZERO, one, false);
+    let mut single = info(0);
+    single.slots = Some(1);
+    let target = flow.router_mut().add_target(Millis::ZERO, single, false);
     let group = flow.add_group(GroupKind::Engines);
     flow.router_mut().set_candidates(group, &[target]);
     let mut work = BTreeMap::new();
-    let mut owners = BTreeMap::new();
+    let mut requests = BTreeMap::new();
     for round in 0..rounds {
         let now = Millis(u64::try_from(round).unwrap() * 20);
         for (name, weight, priority, output) in orgs {
@@ -357,7 +379,7 @@
                         ..Criteria::default()
                     },
                 };
-                owners.insert(flow.offer(now, offer).unwrap(), (*name, cost));
+                requests.insert(flow.offer(now, offer).unwrap(), (*name, cost));
             }
         }
         for event in flow.poll(now) {
@@ -365,9 +387,9 @@
                 ticket, attempt, ..
             } = event
             else {
-                panic!("refused with an hour to go");
+                panic!("refused an hour before the deadline");
             };
-            let (name, cost) = owners[&ticket];
+            let (name, cost) = requests[&ticket];
             *work.entry(name.to_owned()).or_default() += cost.work();
             flow.finish(now + Millis(10), attempt, Outcome::Ran { cost });
         }
@@ -376,43 +398,43 @@
 }
 
 #[test]
-fn work_is_shared_by_weight_whatever_its_pieces() {
-    // Three organisations always have requests waiting; one sends pieces ten times as long and
-    // one weighs twice. First in, first out would give the long pieces ten times the work.
+fn work_is_shared_by_weight_for_any_request_length() {
+    // Three organisations always have waiting requests; one sends requests that are ten times as long, and
+    // one has twice the weight. First-in-first-out order would give the long requests ten times the work.
     let normal = Priority::Normal;
     let orgs = [
         ("long", 1.0, normal, 300),
         ("short", 1.0, normal, 30),
         ("double", 2.0, normal, 60),
     ];
-    let work = served(&orgs, 4000);
+    let work = work_served(&orgs, 4000);
     let (long, short, double) = (work["long"], work["short"], work["double"]);
     assert!((long - short).abs() <= 600.0, "{work:?}");
     assert!((double / 2.0 - short).abs() <= 600.0, "{work:?}");
 }
 
 #[test]
-fn low_priority_moves_on_in_a_flood_of_high() {
-    // High requests wait at any time. Strict priorities would never serve the low ones; shares of
-    // 16 to 1 give them a seventeenth of the work.
+fn low_priority_is_served_in_a_flood_of_high() {
+    // High-priority requests wait at any time. Strict priorities would never serve the low ones; shares of 16
+    // to 1 give them a seventeenth of the work.
     let orgs = [
         ("high", 1.0, Priority::High, 50),
         ("low", 1.0, Priority::Low, 50),
     ];
-    let work = served(&orgs, 2000);
-    let part = work["low"] / (work["low"] + work["high"]);
-    assert!((0.05..0.07).contains(&part), "{part}");
+    let work = work_served(&orgs, 2000);
+    let share = work["low"] / (work["low"] + work["high"]);
+    assert!((0.05..0.07).contains(&share), "{share}");
 }
 
 #[test]
-fn refused_callers_are_told_different_times() {
-    // Forty calls meet a full queue in the same millisecond. Told the same time, they would come
-    // back in one second and be refused again.
-    let mut owner = Owner::new();
+fn refused_callers_get_different_return_times() {
+    // Sixty calls arrive in the same millisecond, more than the targets and the queue take. If all refused
+    // callers got the same time, they would come back together and be refused again.
+    let mut harness = Harness::new();
     let mut times = Vec::new();
     for _ in 0..60 {
         let offer = Offer {
-            group: owner.group,
+            group: harness.group,
             org: "org-1".parse().unwrap(),
             priority: Priority::Normal,
             deadline: Millis::secs(60),
@@ -424,10 +446,10 @@
                 ..Criteria::default()
             },
         };
-        if let Err(refusal) = owner.flow.offer(owner.now, offer) {
+        if let Err(refusal) = harness.flow.offer(harness.now, offer) {
             times.push(refusal.retry_after);
         }
-        owner.flow.poll(owner.now);
+        harness.flow.poll(harness.now);
     }
     let different: BTreeSet<_> = times.iter().collect();
     assert!(times.len() >= 20);
@@ -435,26 +457,26 @@
 }
 
 #[test]
-fn retries_add_a_tenth_at_most() {
-    // Every target refuses every request as full. Free retries would send each four times and
-    // keep the targets busy with refusing.
-    let mut owner = Owner::new();
+fn retries_add_at_most_a_tenth() {
+    // Every target refuses every request as full. Unlimited retries would send each request four times and
+    // keep the targets busy with refusals.
+    let mut harness = Harness::new();
     let mut sent = 0;
     for round in 1..=1000 {
-        owner.now = owner.now + Millis(200);
-        owner.offer(round % 4, 1, 20, true);
-        owner.poll();
-        while let Some(attempt) = owner.pick(0) {
+        harness.now = harness.now + Millis(200);
+        harness.offer(round % 4, 1, 20, true);
+        harness.poll();
+        while let Some(attempt) = harness.pick_attempt(0) {
             sent += 1;
-            let ticket = owner.attempts.remove(&attempt).unwrap().ticket;
+            let ticket = harness.attempts.remove(&attempt).unwrap().ticket;
             let full = Outcome::NotRun(NotRun::Full);
-            let ended = owner.flow.finish(owner.now, attempt, full);
+            let ended = harness.flow.finish(harness.now, attempt, full);
             if matches!(ended, Ended::Refused(_)) {
-                owner.end(ticket);
+                harness.end(ticket);
             }
-            owner.poll();
+            harness.poll();
         }
     }
-    assert!(sent > 1000, "nothing was tried again");
-    assert!(sent <= 1100 + 3, "{sent} sendings of 1000 requests");
+    assert!(sent > 1000, "no request was retried");
+    assert!(sent <= 1100 + 3, "{sent} attempts of 1000 requests");
 }
