--- a/crates/filbertstack-policy/tests/service.rs
+++ b/crates/filbertstack-policy/tests/service.rs
@@ -1,4 +1,4 @@
-//! Limits before a plain service, whose answers take unequal time of themselves.
+//! Limits at a plain service, whose answer times vary without any load.
 
 use filbertstack_core::Millis;
 use filbertstack_core::declare::Priority;
@@ -17,17 +17,17 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// One target that works on `places` calls at once, each for 10 to 490 ms, and queues the rest.
+/// One target that handles `slots` calls at once, each for 10 to 490 ms, and queues the rest.
 struct Service {
     flow: Flow,
     group: GroupKey,
-    places: usize,
+    slots: usize,
     queue: Vec<(AttemptKey, u64)>,
     rng: ChaCha8Rng,
 }
 
 impl Service {
-    fn new(places: usize) -> Self {
+    fn new(slots: usize) -> Self {
         let settings = Settings::new("entry-1".parse().unwrap(), "zone-1".parse().unwrap(), 5);
         let mut flow = Flow::new(settings);
         let info = TargetInfo {
@@ -41,13 +41,14 @@
         Self {
             flow,
             group,
-            places,
+            slots,
             queue: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(5),
         }
     }
 
-    /// Ten milliseconds in which callers always ask for more; the calls that end.
+    /// Advances by ten milliseconds, in which callers always send more calls, and returns the number of calls
+    /// that ended.
     fn step(&mut self, now: Millis) -> usize {
         while self.flow.queue(self.group).unwrap().len() < 5 {
             let offer = Offer {
@@ -64,11 +65,11 @@
         }
         for event in self.flow.poll(now) {
             let Event::Send { attempt, .. } = event else {
-                panic!("refused with an hour to go");
+                panic!("refused an hour before the deadline");
             };
             self.queue.push((attempt, self.rng.random_range(1..50)));
         }
-        for (_, left) in self.queue.iter_mut().take(self.places) {
+        for (_, left) in self.queue.iter_mut().take(self.slots) {
             *left -= 1;
         }
         let (ended, open): (Vec<_>, Vec<_>) =
@@ -83,21 +84,21 @@
 }
 
 #[test]
-fn a_service_is_kept_busy_and_its_queue_short() {
-    // Callers always want more from a service that works on 16 calls at once and tells nothing.
-    // A limit that took its unequal answers for a queue would fall to one and leave it idle; one
-    // that heeded nothing would put every call it may hold into the service's own queue.
+fn service_stays_busy_with_a_short_queue() {
+    // Callers always have more calls for a service that handles 16 at once and reports nothing. A limit that
+    // took its varying answer times for a queue would fall to one and leave the service idle; a limit that
+    // ignored them would move every allowed call into the service's own queue.
     let mut service = Service::new(16);
     let mut ended = 0;
-    let mut longest = 0;
+    let mut max_queue = 0;
     for round in 0..12_000 {
-        let done = service.step(Millis(round * 10));
+        let finished = service.step(Millis(round * 10));
         if round >= 4_000 {
-            ended += done;
-            longest = longest.max(service.queue.len());
+            ended += finished;
+            max_queue = max_queue.max(service.queue.len());
         }
     }
-    // 16 places, a mean of 25 steps: at best 5,120 in 8,000 steps.
-    assert!(ended >= 4_600, "{ended} ended");
-    assert!(longest <= 36, "{longest} at the service");
+    // 16 slots and a mean of 25 steps a call: at best 5,120 calls in 8,000 steps.
+    assert!(ended >= 4_600, "{ended} calls ended");
+    assert!(max_queue <= 36, "{max_queue} calls at the service");
 }
