--- a/crates/filbertstack-policy/src/admission.rs
+++ b/crates/filbertstack-policy/src/admission.rs
@@ -37,7 +37,7 @@
 const ORG_QUEUE_MAX: usize = 128;
 
 /// The maximum number of waiting requests in all. It bounds the memory that their bodies take: at 16 KiB
-/// each, 16 MiB of a node's 128 MB.
+/// each, 16 MiB of an entry's 128 MB.
 const QUEUE_MAX: usize = 1024;
 
 /// The share of the remaining time that the expected wait may take during a burst. The estimate lags behind
@@ -55,8 +55,8 @@
 /// The number of slots kept free for organisations within their share, as a multiple of the square root of
 /// the slots that they use. Their usage varies by about its square root: with a factor of three, one of their
 /// requests in a thousand would wait, and the engines run below their slowest step. Under one hot
-/// organisation, the p99 of the others is 1.52 times their p99 without it if no slots are kept free, 1.23
-/// times with a factor of two and 1.19 times with a factor of three.
+/// organisation, the p99 of the others is 1.52 times their p99 without that organisation if no slots are kept
+/// free, 1.23 times with a factor of two and 1.19 times with a factor of three.
 const RESERVE_FACTOR: f64 = 3.0;
 
 /// The margin on a request's own run time against the mean rate: a step of a full batch takes a quarter
@@ -263,7 +263,7 @@
         Some((last.ticket, refusal))
     }
 
-    /// Puts a request back at the front after an attempt that did not run.
+    /// Puts a request back at the front for another attempt.
     pub fn put_back(&mut self, now: Millis, item: Item) {
         self.queue.push_front(now, item);
     }
--- a/crates/filbertstack-policy/src/fair.rs
+++ b/crates/filbertstack-policy/src/fair.rs
@@ -227,7 +227,7 @@
         self.queued += 1;
     }
 
-    /// Puts a request back at the front of its organisation's queue after an attempt that did not run.
+    /// Puts a request back at the front of its organisation's queue for another attempt.
     pub fn push_front(&mut self, now: Millis, item: Item) {
         self.activate(now, &item);
         let org = self.org(&item.org);
@@ -313,7 +313,7 @@
         });
     }
 
-    /// Returns the number of requests in flight of the organisations whose demand is below their fair share
+    /// Returns the number of requests in flight of the organisations whose demand is within their fair share
     /// of `limit`.
     pub fn light_in_flight(&self, limit: f64) -> u32 {
         let per_weight = self.slots_per_weight(limit);
--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -428,7 +428,8 @@
         }
     }
 
-    /// Hedges idempotent requests whose first token is later than [`HEDGE_PERCENTILE`] percent of all.
+    /// Hedges idempotent requests whose first token is later than [`HEDGE_PERCENTILE`] percent of the group's
+    /// recent first tokens.
     ///
     /// Hedges are sent only while no request waits. In an overload every first token is late, and hedges
     /// would double the load that causes the delay.
--- a/crates/filbertstack-policy/tests/properties.rs
+++ b/crates/filbertstack-policy/tests/properties.rs
@@ -100,7 +100,7 @@
         let targets: Vec<_> = (0..TARGETS)
             .map(|i| {
                 flow.router_mut()
-                    .add_target(Millis::ZERO, info(i), i % 2 == 0)
+                    .add_target(Millis::ZERO, target_info(i), i % 2 == 0)
             })
             .collect();
         let group = flow.add_group(GroupKind::Engines);
@@ -317,7 +317,7 @@
     }
 }
 
-fn info(i: usize) -> TargetInfo {
+fn target_info(i: usize) -> TargetInfo {
     TargetInfo {
         name: format!("engine-{i}").parse().unwrap(),
         zone: "zone-1".parse().unwrap(),
@@ -352,7 +352,7 @@
         "zone-1".parse().unwrap(),
         1,
     ));
-    let mut single = info(0);
+    let mut single = target_info(0);
     single.slots = Some(1);
     let target = flow.router_mut().add_target(Millis::ZERO, single, false);
     let group = flow.add_group(GroupKind::Engines);
