--- a/crates/filbertstack-policy/src/limit.rs
+++ b/crates/filbertstack-policy/src/limit.rs
@@ -26,8 +26,8 @@
 /// find out.
 const FAILURE_CUT: f64 = 0.5;
 
-/// The limit at a target of unknown capacity. With two, a second request does not have to wait for the first
-/// to show how the target performs.
+/// The initial limit at a target about which nothing is known. With two, a second request does not have
+/// to wait for the first to show how the target performs.
 pub const INITIAL_LIMIT: f64 = 2.0;
 
 /// The measurement of an answer's first token.
--- a/crates/filbertstack-policy/src/route/learn.rs
+++ b/crates/filbertstack-policy/src/route/learn.rs
@@ -129,7 +129,8 @@
         self.reopen_probe(now, attempt);
     }
 
-    /// Makes a probe that was refused due again. A refusal says nothing about the target's speed.
+    /// Ejects a target again after its probe was refused. A refusal says nothing about the target's speed, so
+    /// a later request has to probe it again.
     fn reopen_probe(&mut self, now: Millis, attempt: &Attempt) {
         if let Some(target) = self.targets.get_mut(attempt.target)
             && attempt.is_probe()
--- a/crates/filbertstack-policy/src/target.rs
+++ b/crates/filbertstack-policy/src/target.rs
@@ -156,7 +156,7 @@
         self.token_gap.add(gap, RECENT_WEIGHT);
     }
 
-    /// Readmits the target with its initial limit, a new ramp and no recorded latencies.
+    /// Readmits the target with [`INITIAL_LIMIT`], a new ramp and no recorded latencies.
     pub(crate) fn readmit(&mut self, now: Millis) {
         self.outlier.readmit();
         self.ttft = Mean::default();
