--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -15,8 +15,8 @@
 use filbertstack_policy::admission;
 use filbertstack_policy::cost::Cost;
 use filbertstack_policy::flow::Offer;
-use filbertstack_policy::route::Kind;
-use filbertstack_policy::route::Need;
+use filbertstack_policy::route::Criteria;
+use filbertstack_policy::route::GroupKind;
 use filbertstack_telemetry::Span;
 use filbertstack_telemetry::Telemetry;
 use filbertstack_telemetry::traces as trace;
@@ -82,7 +82,7 @@
     pub(crate) org: OrgName,
     pub(crate) chosen: Chosen,
     pub(crate) table: SharedTable,
-    pub(crate) need: Need,
+    pub(crate) need: Criteria,
     pub(crate) dispatch: Dispatch,
     pub(crate) deadline: Instant,
     pub(crate) timeout: Millis,
@@ -218,7 +218,7 @@
             org: job.org.clone(),
             priority: job.chosen.priority,
             deadline: self.traffic.now() + left.into(),
-            need: job.need.clone(),
+            criteria: job.need.clone(),
         };
         let end = match self.traffic.offer(offer) {
             Ok(ticket) => Run::new(self, job, ticket, request, span).follow(),
@@ -248,7 +248,7 @@
 
 pub(crate) fn refusal_of(refusal: &admission::Refusal) -> Refusal {
     let status = match refusal.reason {
-        admission::Reason::OrgQueue | admission::Reason::Queue => 429,
+        admission::Reason::OrgQueueFull | admission::Reason::QueueFull => 429,
         _ => 503,
     };
     Refusal::not_run(status, refusal.reason.to_string()).after_ms(refusal.retry_after.0)
@@ -298,12 +298,12 @@
     asked.map_or(rule, |asked| rule.min(Millis(asked)))
 }
 
-fn need_of(chosen: &Chosen, prompt: Option<Prompt>) -> Need {
+fn need_of(chosen: &Chosen, prompt: Option<Prompt>) -> Criteria {
     let (cost, prefix) = match prompt {
-        Some(prompt) if chosen.kind == Kind::Engines => (prompt.cost, prompt.prefix),
+        Some(prompt) if chosen.kind == GroupKind::Engines => (prompt.cost, prompt.prefix),
         _ => (Cost::CALL, Vec::new()),
     };
-    Need {
+    Criteria {
         cost,
         prefix,
         idempotent: chosen.idempotent,
--- a/crates/filbertstack-policy/src/flow.rs
+++ b/crates/filbertstack-policy/src/flow.rs
@@ -1,10 +1,10 @@
-//! The requests of one entry: admission, the choice of a target and retries as one.
+//! Manages the open requests of one entry: admission, the choice of a target, retries and hedging.
 //!
-//! The owner keeps a `Flow` under a mutex and passes in the time. After every command, and at
-//! the latest every [`TICK`] while requests are open, it calls [`Flow::poll`] and hands each
-//! [`Event`] to the thread that waits for its ticket. Every offer that is not refused gets
-//! exactly one end: [`Ended`] other than [`Ended::Again`] and [`Ended::Late`] from
-//! [`Flow::finish`], an [`Event::Refuse`] or [`Event::Unknown`], or the owner's own [`Flow::cancel`].
+//! The caller keeps one `Flow` under a mutex and passes in the time. It calls [`Flow::poll`] after every
+//! command, and at least every [`POLL_INTERVAL`] while requests are open, and hands each [`Event`] to the
+//! thread that waits for its ticket. Every accepted offer ends exactly once: by a result of [`Flow::finish`]
+//! other than [`Ended::Retry`], [`Ended::Pending`] and [`Ended::Stale`], by an [`Event::Refuse`] or
+//! [`Event::Unknown`], or by the caller's own [`Flow::cancel`].
 //!
 //! ```
 //! use filbertstack_core::Millis;
@@ -16,16 +16,16 @@
 //! use filbertstack_policy::flow::Offer;
 //! use filbertstack_policy::flow::Settings;
 //! use filbertstack_policy::retry::Outcome;
-//! use filbertstack_policy::route::Kind;
-//! use filbertstack_policy::route::Need;
+//! use filbertstack_policy::route::GroupKind;
+//! use filbertstack_policy::route::Criteria;
 //! use filbertstack_policy::target::TargetInfo;
 //!
 //! # fn main() -> Result<(), Box<dyn std::error::Error>> {
 //! let mut flow = Flow::new(Settings::new("entry-1".parse()?, "van-a".parse()?, 7));
 //! let now = Millis::ZERO;
 //! let info = TargetInfo { name: "engine-1".parse()?, zone: "van-a".parse()?, slots: Some(32) };
-//! let target = flow.router_mut().target_up(now, info, false);
-//! let group = flow.add_group(Kind::Engines);
+//! let target = flow.router_mut().add_target(now, info, false);
+//! let group = flow.add_group(GroupKind::Engines);
 //! flow.router_mut().set_candidates(group, &[target]);
 //!
 //! let cost = Cost { prompt: 400, output: 100 };
@@ -34,13 +34,13 @@
 //!     org: "brewery".parse()?,
 //!     priority: Priority::Normal,
 //!     deadline: now + Millis::secs(30),
-//!     need: Need { cost, ..Need::default() },
+//!     criteria: Criteria { cost, ..Criteria::default() },
 //! })?;
 //! let events = flow.poll(now);
 //! let Event::Send { attempt, .. } = events[0] else { panic!("there is room") };
 //! flow.first_token(now + Millis(40), attempt);
 //! let ended = flow.finish(now + Millis(900), attempt, Outcome::Ran { cost });
-//! assert_eq!(ended, Ended::Whole);
+//! assert_eq!(ended, Ended::Complete);
 //! # let _ = ticket;
 //! # Ok(())
 //! # }
@@ -59,9 +59,9 @@
 
 use crate::admission::Admission;
 use crate::admission::Bounds;
+use crate::admission::GroupLoad;
 use crate::admission::Reason;
 use crate::admission::Refusal;
-use crate::admission::Supply;
 use crate::admission::TicketKey;
 use crate::fair::Item;
 use crate::retry::Budget;
@@ -70,35 +70,36 @@
 use crate::retry::Outcome;
 use crate::retry::decide;
 use crate::route::AttemptKey;
+use crate::route::Criteria;
 use crate::route::GroupKey;
-use crate::route::Kind;
-use crate::route::Need;
+use crate::route::GroupKind;
 use crate::route::Router;
 use crate::route::TargetKey;
 
-/// How often [`Flow::poll`] is called at least while requests are open: three engine steps, so
-/// that hopeless requests, hedges and overdue tokens are seen at once for any caller.
-pub const TICK: Millis = Millis(20);
+/// The longest time between two calls of [`Flow::poll`] while requests are open. It is about three engine
+/// steps, so that requests that will miss their deadline, due hedges and overdue first tokens are noticed
+/// promptly.
+pub const POLL_INTERVAL: Millis = Millis(20);
 
-/// The percentile of first tokens after which an idempotent request is hedged: one in twenty
-/// would be, half of what the budget of retries can pay.
-const HEDGE_AT: usize = 95;
+/// The percentile of the time to first token (TTFT) after which an idempotent request is hedged. This hedges
+/// one request in twenty, which is half of what the retry budget can pay for.
+const HEDGE_PERCENTILE: usize = 95;
 
-/// What a flow is built with.
+/// The settings of a [`Flow`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The entry's name, by which its subset of targets is chosen.
+    /// The entry's name. The entry's subset of targets is chosen by it.
     pub name: InstanceName,
     /// The entry's availability zone.
     pub zone: ZoneName,
-    /// The seed of random choices.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// The bounds of the queue before each group.
+    /// The bounds of each group's queue.
     pub bounds: Bounds,
 }
 
 impl Settings {
-    /// Settings with the usual bounds.
+    /// Returns settings with the default bounds.
     pub fn new(name: InstanceName, zone: ZoneName, seed: u64) -> Self {
         Self {
             name,
@@ -109,63 +110,63 @@
     }
 }
 
-/// A request that asks to be served.
+/// A request that is offered for admission.
 #[derive(Clone, Debug)]
 pub struct Offer {
-    /// The targets that it may go to.
+    /// The group of targets that may serve the request.
     pub group: GroupKey,
-    /// Whose it is.
+    /// The organisation that sent the request.
     pub org: OrgName,
-    /// Its priority.
+    /// The priority of the request.
     pub priority: Priority,
-    /// When its answer has to be whole.
+    /// The time by which the answer has to be complete.
     pub deadline: Millis,
-    /// What the choice of a target rests on.
-    pub need: Need,
+    /// The criteria for the choice of a target.
+    pub criteria: Criteria,
 }
 
-/// What happens to a request that waits.
+/// A change of state of a waiting request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Send it to the target now.
+    /// The request is sent to the target now.
     Send {
         /// The request.
         ticket: TicketKey,
-        /// This sending of it.
+        /// The attempt that this event starts.
         attempt: AttemptKey,
-        /// Where to.
+        /// The target of the attempt.
         target: TargetKey,
     },
-    /// It is refused: its end.
+    /// The request is refused, and thereby ended.
     Refuse {
         /// The request.
         ticket: TicketKey,
-        /// Why, and when to come back.
+        /// The reason, and the time after which the caller should come back.
         refusal: Refusal,
     },
-    /// Whether it ran is not known, and it cannot be tried again in time: its end.
+    /// It is unknown whether the request ran, and no retry fits before its deadline. The request has ended.
     Unknown {
         /// The request.
         ticket: TicketKey,
     },
 }
 
-/// What the end of an attempt means for its request.
+/// The consequence of an attempt's end for its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// The answer is whole: the request's end. Attempts still open elsewhere are to be withdrawn;
-    /// they are given by [`Flow::first_token`].
-    Whole,
-    /// It waits to be sent again; an event follows.
-    Again,
-    /// Another attempt is still open: nothing to do.
-    Open,
-    /// It did not run: the request's end.
+    /// The answer is complete and the request has ended. Attempts that are still open at other targets have
+    /// to be withdrawn; [`Flow::first_token`] has returned them.
+    Complete,
+    /// The request waits for another attempt. An event follows.
+    Retry,
+    /// Another attempt of the request is still open. The caller does nothing.
+    Pending,
+    /// The request did not run and has ended.
     Refused(Refusal),
-    /// Whether it ran is not known: the request's end.
+    /// It is unknown whether the request ran. The request has ended.
     Unknown,
-    /// The request had ended before: the attempt's answer must not reach the caller.
-    Late,
+    /// The request had already ended. The attempt's answer must not reach the caller.
+    Stale,
 }
 
 #[derive(Debug)]
@@ -173,19 +174,19 @@
     group: GroupKey,
     org: OrgName,
     priority: Priority,
-    came: Millis,
+    arrived: Millis,
     deadline: Millis,
-    need: Need,
+    criteria: Criteria,
     attempts: u32,
     open: Vec<AttemptKey>,
     answered: bool,
     hedged: bool,
-    unsure: bool,
+    may_have_run: bool,
     charged: f64,
-    due: Option<Millis>,
+    retry_at: Option<Millis>,
 }
 
-/// The requests of one entry.
+/// The open requests of one entry, and the router and queues that serve them.
 #[derive(Debug)]
 pub struct Flow {
     settings: Settings,
@@ -196,11 +197,11 @@
     budget: Budget,
     rng: ChaCha8Rng,
     events: Vec<Event>,
-    swept: Millis,
+    last_sweep: Millis,
 }
 
 impl Flow {
-    /// A flow without targets.
+    /// Creates a flow without targets.
     pub fn new(settings: Settings) -> Self {
         let router = Router::new(settings.name.clone(), settings.zone.clone(), settings.seed);
         Self {
@@ -212,69 +213,70 @@
             owners: SecondaryMap::new(),
             budget: Budget::default(),
             events: Vec::new(),
-            swept: Millis::ZERO,
+            last_sweep: Millis::ZERO,
         }
     }
 
-    /// The router, to read.
+    /// Returns the router.
     pub fn router(&self) -> &Router {
         &self.router
     }
 
-    /// The router, to tell it of targets, candidates, load and caches.
+    /// Returns the router for updates of targets, candidates, load and cache contents.
     pub fn router_mut(&mut self) -> &mut Router {
         &mut self.router
     }
 
-    /// The queue before a group, to read.
+    /// Returns the queue of a group.
     pub fn queue(&self, group: GroupKey) -> Option<&Admission> {
         self.queues.get(group)
     }
 
-    /// The requests that have not ended.
-    pub fn open(&self) -> usize {
+    /// Returns the number of requests that have not ended.
+    pub fn open_count(&self) -> usize {
         self.tickets.len()
     }
 
-    /// The request that an attempt is for; `None` once its answer must not reach a caller.
+    /// Returns the request that an attempt belongs to, or `None` once the attempt's answer must not reach a
+    /// caller.
     pub fn owner(&self, attempt: AttemptKey) -> Option<TicketKey> {
         self.owners.get(attempt).copied()
     }
 
-    /// Adds a group of targets with an empty queue before it.
-    pub fn add_group(&mut self, kind: Kind) -> GroupKey {
+    /// Adds a group of targets with an empty queue.
+    pub fn add_group(&mut self, kind: GroupKind) -> GroupKey {
         let group = self.router.add_group(kind);
         let queue = Admission::new(self.settings.bounds, self.settings.seed);
         self.queues.insert(group, queue);
         group
     }
 
-    /// Sets an organisation's weight before a group; one is the usual.
+    /// Sets an organisation's weight in a group's queue. The default is one.
     pub fn set_weight(&mut self, group: GroupKey, org: &OrgName, weight: f64) {
         if let Some(queue) = self.queues.get_mut(group) {
             queue.set_weight(org, weight);
         }
     }
 
-    /// Takes a request in, or refuses it at once. [`Self::poll`] says when to send it.
+    /// Admits a request to its group's queue, or refuses it at once. [`Self::poll`] reports when to send it.
     ///
     /// # Errors
-    /// The refusal: the request did not run and will not.
+    /// Returns the refusal if the request is not admitted. The request did not run and will not run.
     pub fn offer(&mut self, now: Millis, offer: Offer) -> Result<TicketKey, Refusal> {
         let ticket = self.tickets.insert(Ticket {
             group: offer.group,
             org: offer.org,
             priority: offer.priority,
-            came: now,
+            arrived: now,
             deadline: offer.deadline,
-            need: offer.need,
+            criteria: offer.criteria,
             attempts: 0,
             open: Vec::new(),
             answered: false,
             hedged: false,
-            unsure: false,
+            may_have_run: false,
             charged: 0.0,
-            due: None,
+            retry_at: None,
         });
         let admitted = self.admit(now, ticket);
         if admitted.is_err() {
@@ -286,15 +288,15 @@
     fn admit(&mut self, now: Millis, ticket: TicketKey) -> Result<(), Refusal> {
         let group = self.tickets[ticket].group;
         let item = self.item(ticket);
-        let supply = self.supply(now, group);
+        let load = self.group_load(now, group);
         let Some(queue) = self.queues.get_mut(group) else {
-            return Err(no_group());
+            return Err(group_removed());
         };
         if !self.router.has_target(now, group) {
-            return Err(queue.refuse(now, &item, &supply, Reason::NoTarget));
+            return Err(queue.refuse(now, &item, &load, Reason::NoTarget));
         }
-        queue.offer(now, item, &supply)?;
-        if let Some((ticket, refusal)) = queue.trim(now, &supply) {
+        queue.offer(now, item, &load)?;
+        if let Some((ticket, refusal)) = queue.trim(now, &load) {
             self.end_refused(ticket, refusal);
         }
         Ok(())
@@ -306,58 +308,58 @@
             ticket: key,
             org: ticket.org.clone(),
             priority: ticket.priority,
-            work: ticket.need.cost.work(),
-            long: self.router.is_long(ticket.group, ticket.need.cost),
-            came: ticket.came,
+            work: ticket.criteria.cost.work(),
+            long: self.router.is_long(ticket.group, ticket.criteria.cost),
+            arrived: ticket.arrived,
             deadline: ticket.deadline,
         }
     }
 
-    fn supply(&self, now: Millis, group: GroupKey) -> Supply {
-        Supply {
-            room: self.router.room(now, group),
+    fn group_load(&self, now: Millis, group: GroupKey) -> GroupLoad {
+        GroupLoad {
+            limit: self.router.group_limit(now, group),
             in_flight: self.router.in_flight(group),
-            pace: self.router.pace(group),
-            long: self.router.long_in_flight(group),
+            slot_rate: self.router.slot_rate(group),
+            long_in_flight: self.router.long_in_flight(group),
         }
     }
 
-    /// What is to be done now: requests to send and requests that are refused.
+    /// Returns the requests to send now, the requests refused and those that ended with an unknown outcome.
     pub fn poll(&mut self, now: Millis) -> Vec<Event> {
-        self.wake_delayed(now);
-        if now.since(self.swept) >= TICK {
-            self.swept = now;
-            self.router.sweep(now);
+        self.requeue_due(now);
+        if now.since(self.last_sweep) >= POLL_INTERVAL {
+            self.last_sweep = now;
+            self.router.mark_overdue(now);
             self.expire(now);
             self.hedge(now);
         }
         let groups: Vec<_> = self.queues.keys().collect();
         for group in groups {
-            self.pump(now, group);
+            self.send_waiting(now, group);
         }
         std::mem::take(&mut self.events)
     }
 
-    /// When [`Self::poll`] has to be called again at the latest; `None` while nothing is open.
-    pub fn wake(&self) -> Option<Millis> {
-        (!self.tickets.is_empty()).then_some(self.swept + TICK)
+    /// Returns the time by which [`Self::poll`] has to be called again, or `None` while no request is open.
+    pub fn next_poll(&self) -> Option<Millis> {
+        (!self.tickets.is_empty()).then_some(self.last_sweep + POLL_INTERVAL)
     }
 
-    fn pump(&mut self, now: Millis, group: GroupKey) {
+    fn send_waiting(&mut self, now: Millis, group: GroupKey) {
         loop {
             let Some(queue) = self.queues.get(group).filter(|queue| !queue.is_empty()) else {
                 return;
             };
-            let long = self.router.long_turn(now, group);
-            let turn = queue.turn(now, long, &self.supply(now, group));
-            let Some(ticket) = queue.peek(turn).map(|item| item.ticket) else {
+            let long = self.router.long_priority(now, group);
+            let eligibility = queue.eligibility(now, long, &self.group_load(now, group));
+            let Some(ticket) = queue.peek(eligibility).map(|item| item.ticket) else {
                 return;
             };
-            let need = &self.tickets[ticket].need;
-            let Some(target) = self.router.choose(now, group, need) else {
+            let criteria = &self.tickets[ticket].criteria;
+            let Some(target) = self.router.choose(now, group, criteria) else {
                 return;
             };
-            let taken = self.queues[group].take(turn);
+            let taken = self.queues[group].take(eligibility);
             self.tickets[ticket].charged = taken.map_or(0.0, |item| item.work);
             self.send(now, ticket, target);
         }
@@ -369,8 +371,10 @@
             self.budget.earn();
         }
         ticket.attempts += 1;
-        let attempt = self.router.started(now, ticket.group, target, &ticket.need);
-        ticket.need.tried.push(target);
+        let attempt = self
+            .router
+            .start_attempt(now, ticket.group, target, &ticket.criteria);
+        ticket.criteria.tried.push(target);
         ticket.open.push(attempt);
         self.owners.insert(attempt, key);
         self.events.push(Event::Send {
@@ -383,51 +387,52 @@
     fn expire(&mut self, now: Millis) {
         let groups: Vec<_> = self.queues.keys().collect();
         for group in groups {
-            let supply = self.supply(now, group);
-            let lost = self.queues[group].expire(now, &supply);
-            for (ticket, refusal) in lost {
+            let load = self.group_load(now, group);
+            let expired = self.queues[group].expire(now, &load);
+            for (ticket, refusal) in expired {
                 self.end_refused(ticket, refusal);
             }
         }
     }
 
-    /// A refusal says for certain that the request did not run. One that waits for another
-    /// attempt, after a first of unknown outcome, must not get it.
+    /// Ends a request that cannot be sent. A refusal guarantees that the request did not run, so a request
+    /// that waits for a retry after an attempt with an unknown outcome ends as unknown instead.
     fn end_refused(&mut self, ticket: TicketKey, refusal: Refusal) {
-        let unsure = self.tickets.remove(ticket).is_some_and(|t| t.unsure);
-        self.events.push(if unsure {
+        let may_have_run = self.tickets.remove(ticket).is_some_and(|t| t.may_have_run);
+        self.events.push(if may_have_run {
             Event::Unknown { ticket }
         } else {
             Event::Refuse { ticket, refusal }
         });
     }
 
-    fn wake_delayed(&mut self, now: Millis) {
+    fn requeue_due(&mut self, now: Millis) {
         let due: Vec<_> = self
             .tickets
             .iter()
-            .filter(|(_, ticket)| ticket.due.is_some_and(|due| due <= now))
+            .filter(|(_, ticket)| ticket.retry_at.is_some_and(|due| due <= now))
             .map(|(key, _)| key)
             .collect();
         for key in due {
-            self.tickets[key].due = None;
+            self.tickets[key].retry_at = None;
             let item = self.item(key);
             let group = self.tickets[key].group;
-            let supply = self.supply(now, group);
+            let load = self.group_load(now, group);
             let Some(queue) = self.queues.get_mut(group) else {
                 continue;
             };
             queue.put_back(now, item);
-            if let Some((ticket, refusal)) = queue.trim(now, &supply) {
+            if let Some((ticket, refusal)) = queue.trim(now, &load) {
                 self.end_refused(ticket, refusal);
             }
         }
     }
 
-    /// Sends idempotent requests a second time whose first token is later than nearly all others.
+    /// Hedges idempotent requests whose first token is later than [`HEDGE_PERCENTILE`] percent of the group's
+    /// recent first tokens.
     ///
-    /// Only while nobody waits: in an overload every first token is late, and hedges would double
-    /// the load that makes them so.
+    /// Hedges are sent only while no request waits. In an overload every first token is late, and hedges
+    /// would double the load that causes the delay.
     fn hedge(&mut self, now: Millis) {
         let late: Vec<_> = self
             .tickets
@@ -437,8 +442,8 @@
             .collect();
         for key in late {
             let ticket = &self.tickets[key];
-            let target = self.router.choose(now, ticket.group, &ticket.need);
-            let fresh = target.filter(|target| !ticket.need.tried.contains(target));
+            let target = self.router.choose(now, ticket.group, &ticket.criteria);
+            let fresh = target.filter(|target| !ticket.criteria.tried.contains(target));
             if let Some(target) = fresh
                 && self.budget.spend_hedge()
             {
@@ -456,16 +461,16 @@
             .queues
             .get(ticket.group)
             .is_some_and(Admission::is_empty);
-        if !ticket.need.idempotent || ticket.hedged || ticket.answered || !idle {
+        if !ticket.criteria.idempotent || ticket.hedged || ticket.answered || !idle {
             return false;
         }
-        let usual = self.router.first_quantile(ticket.group, HEDGE_AT);
-        let waited = self.router.unanswered(now, attempt);
-        matches!((waited, usual), (Some(waited), Some(usual)) if waited > usual)
+        let threshold = self.router.ttft_quantile(ticket.group, HEDGE_PERCENTILE);
+        let waited = self.router.unanswered_for(now, attempt);
+        matches!((waited, threshold), (Some(waited), Some(threshold)) if waited > threshold)
     }
 
-    /// Notes an attempt's first token or byte. The attempts returned lost the race: they are to
-    /// be withdrawn from their targets, and nothing of them may reach the caller.
+    /// Records an attempt's first token or byte. Returns the request's other attempts, which have lost the
+    /// race: the caller withdraws them from their targets and passes nothing of them on.
     pub fn first_token(&mut self, now: Millis, attempt: AttemptKey) -> Vec<AttemptKey> {
         self.router.first_token(now, attempt);
         let Some(key) = self.owners.get(attempt).copied() else {
@@ -485,32 +490,32 @@
 
     fn withdraw(&mut self, now: Millis, attempt: AttemptKey) {
         self.owners.remove(attempt);
-        self.router.cancelled(now, attempt);
+        self.router.cancel_attempt(now, attempt);
     }
 
-    /// Ends an attempt and says what that means for its request.
+    /// Ends an attempt and returns the consequence for its request.
     pub fn finish(&mut self, now: Millis, attempt: AttemptKey, outcome: Outcome) -> Ended {
-        self.router.finished(now, attempt, outcome);
+        self.router.finish_attempt(now, attempt, outcome);
         let Some(key) = self.owners.remove(attempt) else {
-            return Ended::Late;
+            return Ended::Stale;
         };
         let Some(ticket) = self.tickets.get_mut(key) else {
-            return Ended::Late;
+            return Ended::Stale;
         };
         ticket.open.retain(|open| *open != attempt);
         match outcome {
-            Outcome::Ran { cost } => self.end_whole(now, key, cost.work()),
+            Outcome::Ran { cost } => self.complete(now, key, cost.work()),
             Outcome::Unknown => {
-                ticket.unsure = true;
-                self.end_without(now, key, outcome)
+                ticket.may_have_run = true;
+                self.end_unanswered(now, key, outcome)
             }
-            Outcome::NotRun(_) => self.end_without(now, key, outcome),
+            Outcome::NotRun(_) => self.end_unanswered(now, key, outcome),
         }
     }
 
-    fn end_whole(&mut self, now: Millis, key: TicketKey, work: f64) -> Ended {
+    fn complete(&mut self, now: Millis, key: TicketKey, work: f64) -> Ended {
         let Some(ticket) = self.tickets.remove(key) else {
-            return Ended::Late;
+            return Ended::Stale;
         };
         for attempt in &ticket.open {
             self.withdraw(now, *attempt);
@@ -518,57 +523,67 @@
         if let Some(queue) = self.queues.get_mut(ticket.group) {
             queue.settle(&ticket.org, ticket.charged, work);
         }
-        Ended::Whole
+        Ended::Complete
     }
 
-    fn end_without(&mut self, now: Millis, key: TicketKey, outcome: Outcome) -> Ended {
+    fn end_unanswered(&mut self, now: Millis, key: TicketKey, outcome: Outcome) -> Ended {
         let ticket = &self.tickets[key];
         if !ticket.open.is_empty() {
-            return Ended::Open;
+            return Ended::Pending;
         }
-        let supply = self.supply(now, ticket.group);
+        let load = self.group_load(now, ticket.group);
         let attempted = FailedAttempt {
             outcome,
             attempts: ticket.attempts,
-            idempotent: ticket.need.idempotent,
+            idempotent: ticket.criteria.idempotent,
             answered: ticket.answered,
             time_left: ticket.deadline.since(now),
-            expected_time: supply.takes(ticket.need.cost.work()),
+            expected_time: load.run_time(ticket.criteria.cost.work()),
         };
         match decide(&mut self.budget, &mut self.rng, &attempted) {
-            Decision::Retry { after } => self.again(now, key, after, outcome),
-            Decision::GiveUp => self.give_up(now, key, &supply),
+            Decision::Retry { after } => self.schedule_retry(now, key, after, outcome),
+            Decision::GiveUp => self.give_up(now, key, &load),
         }
     }
 
-    fn again(&mut self, now: Millis, key: TicketKey, after: Millis, outcome: Outcome) -> Ended {
+    fn schedule_retry(
+        &mut self,
+        now: Millis,
+        key: TicketKey,
+        after: Millis,
+        outcome: Outcome,
+    ) -> Ended {
         let ticket = &mut self.tickets[key];
-        ticket.due = Some(now + after);
+        ticket.retry_at = Some(now + after);
         let ran = matches!(outcome, Outcome::Unknown);
         let actual = if ran { ticket.charged } else { 0.0 };
         if let Some(queue) = self.queues.get_mut(ticket.group) {
             queue.settle(&ticket.org, ticket.charged, actual);
         }
-        Ended::Again
+        Ended::Retry
     }
 
-    fn give_up(&mut self, now: Millis, key: TicketKey, supply: &Supply) -> Ended {
+    fn give_up(&mut self, now: Millis, key: TicketKey, load: &GroupLoad) -> Ended {
         let item = self.item(key);
         let Some(ticket) = self.tickets.remove(key) else {
-            return Ended::Late;
+            return Ended::Stale;
         };
         let Some(queue) = self.queues.get_mut(ticket.group) else {
-            return Ended::Refused(no_group());
+            return Ended::Refused(group_removed());
+        };
+        let actual = if ticket.may_have_run {
+            ticket.charged
+        } else {
+            0.0
         };
-        let actual = if ticket.unsure { ticket.charged } else { 0.0 };
         queue.settle(&ticket.org, ticket.charged, actual);
-        if ticket.unsure {
+        if ticket.may_have_run {
             return Ended::Unknown;
         }
-        Ended::Refused(queue.refuse(now, &item, supply, Reason::NotRun))
+        Ended::Refused(queue.refuse(now, &item, load, Reason::NotRun))
     }
 
-    /// Ends a request whose caller left; the attempts returned are to be withdrawn.
+    /// Ends a request whose caller left. Returns the attempts to withdraw.
     pub fn cancel(&mut self, now: Millis, key: TicketKey) -> Vec<AttemptKey> {
         let Some(ticket) = self.tickets.remove(key) else {
             return Vec::new();
@@ -586,8 +601,8 @@
     }
 }
 
-/// The caller's rule was withdrawn between the choice of its group and the offer.
-fn no_group() -> Refusal {
+/// Returns the refusal for a request whose group was removed between the choice of the group and the offer.
+fn group_removed() -> Refusal {
     Refusal {
         reason: Reason::NoTarget,
         retry_after: Millis::secs(1),
--- a/crates/filbertstack-policy/src/window.rs
+++ b/crates/filbertstack-policy/src/window.rs
@@ -1,13 +1,13 @@
-//! Recent samples of a latency and their quantiles.
+//! Sliding statistics of latencies: quantiles, minimum and mean.
 
 use filbertstack_core::Millis;
 
-/// How many samples are kept: enough for a p95 that rests on six samples, few enough that one
-/// second of an entry's traffic replaces them.
-const KEPT: usize = 128;
+/// The number of samples kept. Six of them lie above the p95, and one second of an entry's traffic replaces
+/// them all.
+const CAPACITY: usize = 128;
 
-/// The fewest samples that a quantile is read from.
-const ENOUGH: usize = 20;
+/// The smallest number of samples from which a quantile is read.
+const MIN_SAMPLES: usize = 20;
 
 /// The most recent latencies of one kind.
 #[derive(Clone, Debug, Default)]
@@ -17,19 +17,20 @@
 }
 
 impl Window {
-    /// Adds a sample; the oldest makes room.
+    /// Adds a sample, which replaces the oldest one if the window is full.
     pub fn add(&mut self, sample: Millis) {
-        if self.samples.len() < KEPT {
+        if self.samples.len() < CAPACITY {
             self.samples.push(sample);
             return;
         }
         self.samples[self.next] = sample;
-        self.next = (self.next + 1) % KEPT;
+        self.next = (self.next + 1) % CAPACITY;
     }
 
-    /// The sample below which `percent` of the samples lie; `None` while they are too few.
+    /// Returns the sample below which `percent` of the samples lie, or `None` while there are too few
+    /// samples.
     pub fn quantile(&self, percent: usize) -> Option<Millis> {
-        if self.samples.len() < ENOUGH {
+        if self.samples.len() < MIN_SAMPLES {
             return None;
         }
         let mut sorted = self.samples.clone();
@@ -39,31 +40,31 @@
     }
 }
 
-/// The least latency of the last one to two spans: what a request takes that meets no queue.
+/// The minimum latency of the last one to two periods: the latency of a request that meets no queue.
 #[derive(Clone, Debug, Default)]
-pub struct Floor {
-    past: Option<Millis>,
-    present: Option<Millis>,
-    turned: Millis,
+pub struct SlidingMin {
+    previous: Option<Millis>,
+    current: Option<Millis>,
+    period_start: Millis,
 }
 
-/// How long a least latency counts. Shorter, and a lasting overload would pass for the normal
-/// state; longer, and a slower new version would be held to its predecessor's latency.
-const FLOOR_SPAN: Millis = Millis::secs(30);
+/// The length of a period. If it were shorter, a lasting overload would count as the normal state; if it were
+/// longer, a slower new version would be compared with its predecessor's latency.
+const PERIOD: Millis = Millis::secs(30);
 
-impl Floor {
+impl SlidingMin {
     /// Adds a sample.
     pub fn add(&mut self, now: Millis, sample: Millis) {
-        if now.since(self.turned) >= FLOOR_SPAN {
-            self.past = self.present.take();
-            self.turned = now;
+        if now.since(self.period_start) >= PERIOD {
+            self.previous = self.current.take();
+            self.period_start = now;
         }
-        self.present = Some(self.present.map_or(sample, |least| least.min(sample)));
+        self.current = Some(self.current.map_or(sample, |least| least.min(sample)));
     }
 
-    /// The least sample, if there is one.
-    pub fn least(&self) -> Option<Millis> {
-        match (self.past, self.present) {
+    /// Returns the smallest sample, if there is one.
+    pub fn get(&self) -> Option<Millis> {
+        match (self.previous, self.current) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         }
@@ -78,15 +79,15 @@
 }
 
 impl Mean {
-    /// Adds a sample that counts for `weight`, more while there are few.
+    /// Adds a sample with at least the given weight. The first samples weigh more, as in a plain mean.
     pub fn add(&mut self, sample: f64, weight: f64) {
         self.samples = self.samples.saturating_add(1);
         let weight = weight.max(1.0 / f64::from(self.samples));
         self.value += (sample - self.value) * weight;
     }
 
-    /// The mean, if at least `fewest` samples were seen.
-    pub fn get(&self, fewest: u32) -> Option<f64> {
-        (self.samples >= fewest.max(1)).then_some(self.value)
+    /// Returns the mean if at least `min_samples` samples were added.
+    pub fn get(&self, min_samples: u32) -> Option<f64> {
+        (self.samples >= min_samples.max(1)).then_some(self.value)
     }
 }
