--- a/crates/filbertstack-gateway/src/agent/peers.rs
+++ b/crates/filbertstack-gateway/src/agent/peers.rs
@@ -12,8 +12,8 @@
 use crate::link::Given;
 use crate::link::Handler;
 use crate::link::Sender;
+use crate::link::messages::Empty;
 use crate::link::messages::News;
-use crate::link::messages::Nothing;
 use crate::link::messages::PieceName;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
@@ -65,7 +65,7 @@
             .agent
             .lies_at_engine(&holding(&name.weights), name.number)
         {
-            return Reply::Done(Nothing {});
+            return Reply::Done(Empty {});
         }
         not_here()
     }
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -27,13 +27,13 @@
 use crate::link::Handler;
 use crate::link::LinkError;
 use crate::link::Sender;
+use crate::link::messages::Empty;
 use crate::link::messages::Follow;
 use crate::link::messages::Hop;
 use crate::link::messages::Interest;
 use crate::link::messages::LoadRow;
 use crate::link::messages::Loads as Told;
 use crate::link::messages::News;
-use crate::link::messages::Nothing;
 use crate::link::messages::Proposal;
 use crate::link::messages::Pulse;
 use crate::link::messages::Question;
@@ -233,7 +233,7 @@
         };
         match voter.documents().list(upto) {
             Some(list) => Reply::List(list.clone()),
-            None => Reply::NotKept(Nothing {}),
+            None => Reply::NotKept(Empty {}),
         }
     }
 
@@ -332,7 +332,7 @@
 impl Handler for Node {
     async fn answer(self: Rc<Self>, question: Question) -> Given {
         let done = |result: Result<(), GroupError>| match result {
-            Ok(()) => Reply::Done(Nothing {}),
+            Ok(()) => Reply::Done(Empty {}),
             Err(error) => Reply::Failed(error.to_string()),
         };
         let reply = match question {
@@ -340,7 +340,7 @@
             Question::Join(standing) => match &self.voter {
                 Some(voter) if voter.leads() => {
                     voter.meet(&standing);
-                    Reply::Done(Nothing {})
+                    Reply::Done(Empty {})
                 }
                 _ => Reply::Failed("this node does not lead; ask the leader".into()),
             },
--- a/crates/filbertstack-gateway/src/control/seek.rs
+++ b/crates/filbertstack-gateway/src/control/seek.rs
@@ -10,7 +10,7 @@
 use crate::control::search::Search;
 use crate::link::Dialer;
 use crate::link::LinkError;
-use crate::link::messages::Nothing;
+use crate::link::messages::Empty;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
 use crate::link::messages::Standing;
@@ -48,7 +48,7 @@
 }
 
 async fn ask(dialer: &Dialer, node: SocketAddr) -> Result<Standing, LinkError> {
-    let question = Question::Standing(Nothing {});
+    let question = Question::Standing(Empty {});
     match dialer.ask(node, question, STANDING).await? {
         Reply::Standing(standing) => Ok(standing),
         _ => Err(LinkError::Unfit),
--- a/crates/filbertstack-gateway/src/link/messages.rs
+++ b/crates/filbertstack-gateway/src/link/messages.rs
@@ -45,7 +45,7 @@
 pub enum Question {
     /// Who are you, and who leads?
     #[prost(message, tag = "1")]
-    Standing(Nothing),
+    Standing(Empty),
     /// I have a disk and am no member of the group: take me in.
     #[prost(message, tag = "2")]
     Join(Standing),
@@ -77,7 +77,7 @@
 
 /// Nothing more to say.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct Nothing {}
+pub struct Empty {}
 
 /// How often a question was passed on: once at most, so that it can't go round.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
@@ -140,7 +140,7 @@
     Standing(Standing),
     /// It is done.
     #[prost(message, tag = "2")]
-    Done(Nothing),
+    Done(Empty),
     /// It is not done, or that isn't known; the text says why.
     #[prost(string, tag = "3")]
     Failed(String),
@@ -155,7 +155,7 @@
     Manifest(Manifest),
     /// Nothing of that version is kept here, nor will be.
     #[prost(message, tag = "7")]
-    NotKept(Nothing),
+    NotKept(Empty),
     /// A list of pieces that the voters keep.
     #[prost(message, tag = "8")]
     List(List),
--- a/crates/filbertstack-gateway/src/weights/cache.rs
+++ b/crates/filbertstack-gateway/src/weights/cache.rs
@@ -21,8 +21,8 @@
 use crate::link::Given;
 use crate::link::Handler;
 use crate::link::Sender;
+use crate::link::messages::Empty;
 use crate::link::messages::News;
-use crate::link::messages::Nothing;
 use crate::link::messages::PieceName;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
@@ -243,7 +243,7 @@
             return weights::not_here();
         };
         match timeout(wait, stock.await_piece(name.number)).await {
-            Ok(true) => Reply::Done(Nothing {}),
+            Ok(true) => Reply::Done(Empty {}),
             Ok(false) | Err(_) => weights::not_here(),
         }
     }
@@ -251,7 +251,7 @@
     fn has_now(&self, name: &PieceName) -> Reply {
         let stock = self.stock(&weights::holding(&name.weights));
         if stock.is_some_and(|stock| stock.piece(name.number).is_some()) {
-            return Reply::Done(Nothing {});
+            return Reply::Done(Empty {});
         }
         weights::not_here()
     }
@@ -259,7 +259,7 @@
     /// The list of a version's pieces, if it is here or comes within `wait`.
     async fn manifest(&self, named: &Weights, wait: Duration) -> Reply {
         let Some(stock) = self.stock(&weights::holding(named)) else {
-            return Reply::NotKept(Nothing {});
+            return Reply::NotKept(Empty {});
         };
         let list = timeout(wait, stock.await_list()).await;
         weights::manifest(list.ok().flatten())
--- a/crates/filbertstack-gateway/tests/links.rs
+++ b/crates/filbertstack-gateway/tests/links.rs
@@ -16,9 +16,9 @@
 use filbertstack_gateway::link::Dialer;
 use filbertstack_gateway::link::messages::Answer;
 use filbertstack_gateway::link::messages::Body;
+use filbertstack_gateway::link::messages::Empty;
 use filbertstack_gateway::link::messages::Frame;
 use filbertstack_gateway::link::messages::News;
-use filbertstack_gateway::link::messages::Nothing;
 use filbertstack_gateway::link::messages::Question;
 use filbertstack_gateway::link::messages::Reply;
 use filbertstack_gateway::link::messages::Rows;
@@ -67,7 +67,7 @@
         let question = read_frame(&mut socket);
         asked.send(()).expect("the test waits");
         told.recv_timeout(PATIENCE).expect("told");
-        let reply = Some(Reply::Done(Nothing {}));
+        let reply = Some(Reply::Done(Empty {}));
         let answer = Frame {
             id: question.id,
             body: Some(Body::Answer(Answer { reply })),
@@ -96,7 +96,7 @@
         let dialer = Dialer::default();
         let link = dialer.link(peer(asked, told, gone)).await.expect("dialled");
         let asking = link.clone();
-        let question = Question::Standing(Nothing {});
+        let question = Question::Standing(Empty {});
         let answer = spawn_local(async move { asking.ask(question, PATIENCE).await });
         while was_asked.try_recv().is_err() {
             sleep(Duration::from_millis(1)).await;
@@ -111,6 +111,6 @@
         });
         telling.await.expect("no panic");
         let reply = answer.await.expect("no panic").expect("an answer");
-        assert_eq!(reply, Reply::Done(Nothing {}));
+        assert_eq!(reply, Reply::Done(Empty {}));
     });
 }
--- a/crates/filbertstack-gateway/tests/loads.rs
+++ b/crates/filbertstack-gateway/tests/loads.rs
@@ -12,10 +12,10 @@
 use filbertstack_gateway::link::Given;
 use filbertstack_gateway::link::Handler;
 use filbertstack_gateway::link::Sender;
+use filbertstack_gateway::link::messages::Empty;
 use filbertstack_gateway::link::messages::LoadRow;
 use filbertstack_gateway::link::messages::Loads as Told;
 use filbertstack_gateway::link::messages::News;
-use filbertstack_gateway::link::messages::Nothing;
 use filbertstack_gateway::link::messages::Question;
 use filbertstack_gateway::link::messages::Reply;
 use filbertstack_gateway::link::messages::Watch;
@@ -48,7 +48,7 @@
 
 impl Handler for Voter {
     async fn answer(self: Rc<Self>, _question: Question) -> Given {
-        Reply::Done(Nothing {}).into()
+        Reply::Done(Empty {}).into()
     }
 
     fn take(self: Rc<Self>, news: News, sender: &Sender) {
