--- a/crates/filbertstack-gateway/src/control/membership.rs
+++ b/crates/filbertstack-gateway/src/control/membership.rs
@@ -9,7 +9,7 @@
 use filbertstack_log::Membership;
 use filbertstack_log::NodeId;
 
-use crate::link::messages::Standing;
+use crate::link::messages::NodeStatus;
 
 /// For how long a request to be taken in counts: some rounds in which it is made again.
 pub const NEWCOMER: Duration = Duration::from_secs(2);
@@ -48,10 +48,10 @@
     first: bool,
     own: SocketAddr,
     seeds: &[SocketAddr],
-    heard: &[Standing],
+    heard: &[NodeStatus],
 ) -> Option<u32> {
     // A seed without a disk is in no group, but may know one.
-    let knows = |s: &Standing| s.cluster != 0 || !s.leader.is_empty() || !s.voters.is_empty();
+    let knows = |s: &NodeStatus| s.cluster != 0 || !s.leader.is_empty() || !s.voters.is_empty();
     let grouped = heard.iter().any(knows);
     if !first || grouped {
         return None;
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -34,13 +34,13 @@
 use crate::link::messages::LoadRow;
 use crate::link::messages::Loads as Told;
 use crate::link::messages::News;
+use crate::link::messages::NodeStatus;
 use crate::link::messages::Proposal;
 use crate::link::messages::Pulse;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
 use crate::link::messages::Row;
 use crate::link::messages::Rows;
-use crate::link::messages::Standing;
 use crate::link::messages::addr;
 use crate::reload::Seeds;
 use crate::settings::Settings;
@@ -268,12 +268,12 @@
         }
     }
 
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> NodeStatus {
         if let Some(voter) = &self.voter {
             return voter.standing();
         }
         let text = |addr: SocketAddr| addr.to_string();
-        Standing {
+        NodeStatus {
             name: self.settings.node.name.clone(),
             addr: text(self.settings.node.link),
             node: 0,
@@ -336,7 +336,7 @@
             Err(error) => Reply::Failed(error.to_string()),
         };
         let reply = match question {
-            Question::Standing(_) => Reply::Standing(self.standing()),
+            Question::NodeStatus(_) => Reply::NodeStatus(self.standing()),
             Question::Join(standing) => match &self.voter {
                 Some(voter) if voter.leads() => {
                     voter.meet(&standing);
--- a/crates/filbertstack-gateway/src/control/search.rs
+++ b/crates/filbertstack-gateway/src/control/search.rs
@@ -13,7 +13,7 @@
 
 use filbertstack_log::MAX_VOTERS;
 
-use crate::link::messages::Standing;
+use crate::link::messages::NodeStatus;
 use crate::link::messages::addr;
 
 /// The most nodes that one search asks: the seeds, the voters of a full group, and as many that
@@ -77,7 +77,7 @@
     }
 
     /// Notes what a node answered.
-    pub fn hear(&mut self, node: SocketAddr, standing: &Standing) {
+    pub fn hear(&mut self, node: SocketAddr, standing: &NodeStatus) {
         let voters: Vec<SocketAddr> = standing.voters.iter().filter_map(|v| addr(v)).collect();
         let said = match addr(&standing.leader) {
             // One that was taken out may still name this node as its leader.
--- a/crates/filbertstack-gateway/src/control/seek.rs
+++ b/crates/filbertstack-gateway/src/control/seek.rs
@@ -11,9 +11,9 @@
 use crate::link::Dialer;
 use crate::link::LinkError;
 use crate::link::messages::Empty;
+use crate::link::messages::NodeStatus;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
-use crate::link::messages::Standing;
 
 /// How long a node is waited for when it is asked who it is: some hundred times the way there.
 const STANDING: Duration = Duration::from_millis(500);
@@ -40,17 +40,17 @@
 }
 
 /// Asks all of `nodes` but this one, and returns what those who answer in time say.
-pub async fn hear_all(dialer: &Dialer, own: SocketAddr, nodes: &[SocketAddr]) -> Vec<Standing> {
+pub async fn hear_all(dialer: &Dialer, own: SocketAddr, nodes: &[SocketAddr]) -> Vec<NodeStatus> {
     let others = nodes.iter().filter(|node| **node != own);
     let answers = join_all(others.map(|node| ask(dialer, *node))).await;
     // Whoever does not answer is asked again in the next round.
     answers.into_iter().filter_map(Result::ok).collect()
 }
 
-async fn ask(dialer: &Dialer, node: SocketAddr) -> Result<Standing, LinkError> {
-    let question = Question::Standing(Empty {});
+async fn ask(dialer: &Dialer, node: SocketAddr) -> Result<NodeStatus, LinkError> {
+    let question = Question::NodeStatus(Empty {});
     match dialer.ask(node, question, STANDING).await? {
-        Reply::Standing(standing) => Ok(standing),
+        Reply::NodeStatus(standing) => Ok(standing),
         _ => Err(LinkError::Unfit),
     }
 }
--- a/crates/filbertstack-gateway/src/control/voter.rs
+++ b/crates/filbertstack-gateway/src/control/voter.rs
@@ -44,7 +44,7 @@
 use crate::link::Dialer;
 use crate::link::messages::LogMessage;
 use crate::link::messages::News;
-use crate::link::messages::Standing;
+use crate::link::messages::NodeStatus;
 use crate::reload::Seeds;
 use crate::settings::Node as NodeSettings;
 
@@ -251,7 +251,7 @@
     }
 
     /// Who this voter is.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> NodeStatus {
         let status = self.status();
         let leader = if self.leads() {
             Some(self.settings.link)
@@ -259,7 +259,7 @@
             self.leader()
         };
         let membership = &status.node.membership;
-        Standing {
+        NodeStatus {
             name: self.settings.name.clone(),
             addr: self.settings.link.to_string(),
             node: status.id.0,
@@ -282,7 +282,7 @@
     }
 
     /// Notes a node that wants to be taken in.
-    pub fn meet(&self, standing: &Standing) {
+    pub fn meet(&self, standing: &NodeStatus) {
         let Ok(addr) = standing.addr.parse() else {
             return;
         };
--- a/crates/filbertstack-gateway/src/link/messages.rs
+++ b/crates/filbertstack-gateway/src/link/messages.rs
@@ -45,10 +45,10 @@
 pub enum Question {
     /// Who are you, and who leads?
     #[prost(message, tag = "1")]
-    Standing(Empty),
+    NodeStatus(Empty),
     /// I have a disk and am no member of the group: take me in.
     #[prost(message, tag = "2")]
-    Join(Standing),
+    Join(NodeStatus),
     /// Commit this command of the document machine.
     #[prost(message, tag = "3")]
     Propose(Proposal),
@@ -100,7 +100,7 @@
 
 /// Who a node is.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Standing {
+pub struct NodeStatus {
     /// Its name.
     #[prost(string, tag = "1")]
     pub name: String,
@@ -137,7 +137,7 @@
 pub enum Reply {
     /// Who I am.
     #[prost(message, tag = "1")]
-    Standing(Standing),
+    NodeStatus(NodeStatus),
     /// It is done.
     #[prost(message, tag = "2")]
     Done(Empty),
--- a/crates/filbertstack-gateway/tests/links.rs
+++ b/crates/filbertstack-gateway/tests/links.rs
@@ -96,7 +96,7 @@
         let dialer = Dialer::default();
         let link = dialer.link(peer(asked, told, gone)).await.expect("dialled");
         let asking = link.clone();
-        let question = Question::Standing(Empty {});
+        let question = Question::NodeStatus(Empty {});
         let answer = spawn_local(async move { asking.ask(question, PATIENCE).await });
         while was_asked.try_recv().is_err() {
             sleep(Duration::from_millis(1)).await;
--- a/crates/filbertstack-gateway/tests/membership.rs
+++ b/crates/filbertstack-gateway/tests/membership.rs
@@ -6,7 +6,7 @@
 use filbertstack_gateway::control::membership::Newcomer;
 use filbertstack_gateway::control::membership::founder;
 use filbertstack_gateway::control::membership::next;
-use filbertstack_gateway::link::messages::Standing;
+use filbertstack_gateway::link::messages::NodeStatus;
 use filbertstack_log::Change;
 use filbertstack_log::Member;
 use filbertstack_log::Membership;
@@ -16,12 +16,12 @@
     format!("10.0.0.{n}:7700").parse().expect("an address")
 }
 
-fn standing(n: u64, disk: bool) -> Standing {
-    Standing {
+fn standing(n: u64, disk: bool) -> NodeStatus {
+    NodeStatus {
         name: format!("node-{n}"),
         addr: addr(n).to_string(),
         node: if disk { n } else { 0 },
-        ..Standing::default()
+        ..NodeStatus::default()
     }
 }
 
--- a/crates/filbertstack-gateway/tests/membership_model.rs
+++ b/crates/filbertstack-gateway/tests/membership_model.rs
@@ -13,7 +13,7 @@
 use filbertstack_gateway::control::membership::founder;
 use filbertstack_gateway::control::membership::next;
 use filbertstack_gateway::control::search::Search;
-use filbertstack_gateway::link::messages::Standing;
+use filbertstack_gateway::link::messages::NodeStatus;
 use filbertstack_log::Change;
 use filbertstack_log::Member;
 use filbertstack_log::Membership;
@@ -141,7 +141,7 @@
         majority.then(|| place(&there[0].address))
     }
 
-    fn standing(&self, n: usize) -> Standing {
+    fn standing(&self, n: usize) -> NodeStatus {
         let node = &self.nodes[n];
         let leader = self
             .leader()
@@ -157,18 +157,18 @@
             voters
         };
         let members = self.group.iter().flat_map(|g| g.members().map(|m| m.node));
-        Standing {
+        NodeStatus {
             addr: addr(n).to_string(),
             node: node.disk.unwrap_or(0),
             cluster: u64::from(node.holds),
             leader: leader.map_or(String::new(), |l| addr(l).to_string()),
             voters: voters.iter().map(|v| addr(*v).to_string()).collect(),
             members: members.collect(),
-            ..Standing::default()
+            ..NodeStatus::default()
         }
     }
 
-    fn heard(&self, from: usize, n: usize) -> Option<Standing> {
+    fn heard(&self, from: usize, n: usize) -> Option<NodeStatus> {
         let touch = !self.nodes[from].cut && !self.nodes[n].cut;
         (touch && from != n).then(|| self.standing(n))
     }
@@ -213,7 +213,7 @@
 
     fn form(&mut self, n: usize) {
         let seeds: Vec<SocketAddr> = self.seeds.iter().map(|s| addr(*s)).collect();
-        let heard: Vec<Standing> = self
+        let heard: Vec<NodeStatus> = self
             .seeds
             .iter()
             .filter_map(|s| self.heard(n, *s))
--- a/crates/filbertstack-gateway/tests/search.rs
+++ b/crates/filbertstack-gateway/tests/search.rs
@@ -4,18 +4,18 @@
 
 use filbertstack_gateway::control::search::MOST;
 use filbertstack_gateway::control::search::Search;
-use filbertstack_gateway::link::messages::Standing;
+use filbertstack_gateway::link::messages::NodeStatus;
 
 fn addr(n: usize) -> SocketAddr {
     format!("10.0.0.{n}:7700").parse().expect("an address")
 }
 
-fn knows(voters: &[usize], leader: Option<usize>) -> Standing {
-    Standing {
+fn knows(voters: &[usize], leader: Option<usize>) -> NodeStatus {
+    NodeStatus {
         voters: voters.iter().map(|n| addr(*n).to_string()).collect(),
         leader: leader.map_or(String::new(), |n| addr(n).to_string()),
         members: voters.iter().map(|n| *n as u64).collect(),
-        ..Standing::default()
+        ..NodeStatus::default()
     }
 }
 
