--- a/crates/filbertstack-gateway/src/control/follow.rs
+++ b/crates/filbertstack-gateway/src/control/follow.rs
@@ -276,7 +276,7 @@
         };
         heard = Instant::now();
         match came {
-            Ok(Some(News::Pulse(pulse))) if !pulse.current => {
+            Ok(Some(News::VoterHeartbeat(pulse))) if !pulse.current => {
                 // While a group forms or elects, every voter is tried many times a second.
                 if told {
                     info!("voter left: it has no contact with its group",
@@ -284,7 +284,7 @@
                 }
                 return left(told);
             }
-            Ok(Some(News::Pulse(pulse))) => {
+            Ok(Some(News::VoterHeartbeat(pulse))) => {
                 node.learn_voters(pulse.voters.iter().filter_map(|v| addr(v)).collect());
                 node.people.prune();
                 if !told {
@@ -329,7 +329,7 @@
             node.people.take(rows.rows, false);
         }
         News::Loads(loads) => node.loads.take(loads.rows, false),
-        News::Log(_) | News::Follow(_) | News::Pulse(_) | News::Watch(_) => {}
+        News::Log(_) | News::Follow(_) | News::VoterHeartbeat(_) | News::Watch(_) => {}
     }
     Ok(())
 }
@@ -373,7 +373,7 @@
         match news {
             News::Rows(rows) => node.people.take(rows.rows, false),
             News::Loads(loads) => node.loads.take(loads.rows, false),
-            News::Pulse(pulse) => node.hear_document(pulse.document),
+            News::VoterHeartbeat(pulse) => node.hear_document(pulse.document),
             _ => {}
         }
     }
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -36,11 +36,11 @@
 use crate::link::messages::News;
 use crate::link::messages::NodeStatus;
 use crate::link::messages::Proposal;
-use crate::link::messages::Pulse;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
 use crate::link::messages::Row;
 use crate::link::messages::Rows;
+use crate::link::messages::VoterHeartbeat;
 use crate::link::messages::addr;
 use crate::reload::Seeds;
 use crate::settings::Settings;
@@ -321,7 +321,7 @@
     /// The sign of life that followers get.
     pub fn pulse(&self) -> News {
         let voter = self.voter.as_ref();
-        News::Pulse(Pulse {
+        News::VoterHeartbeat(VoterHeartbeat {
             current: self.is_current() && voter.is_some_and(|v| !v.is_leaving()),
             voters: voter.map_or_else(Vec::new, |v| v.standing().voters),
             document: self.declared.version(),
@@ -375,7 +375,7 @@
                 self.loads.follow(sender, Wants::Engines(engines));
             }
             // A voter tells its seeds who the voters are.
-            News::Pulse(pulse) => {
+            News::VoterHeartbeat(pulse) => {
                 let voters: Vec<_> = pulse.voters.iter().filter_map(|v| addr(v)).collect();
                 if let Some(voter) = &self.voter {
                     voter.learn_voters(&voters);
--- a/crates/filbertstack-gateway/src/link/messages.rs
+++ b/crates/filbertstack-gateway/src/link/messages.rs
@@ -208,7 +208,7 @@
     Rows(Rows),
     /// A sign of life.
     #[prost(message, tag = "5")]
-    Pulse(Pulse),
+    VoterHeartbeat(VoterHeartbeat),
     /// The loads of engines.
     #[prost(message, tag = "6")]
     Loads(Loads),
@@ -490,7 +490,7 @@
 
 /// A voter's sign of life.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Pulse {
+pub struct VoterHeartbeat {
     /// Whether the voter is in contact with a leader, so that nothing newer passes it by.
     #[prost(bool, tag = "1")]
     pub current: bool,
