--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -181,7 +181,7 @@
         }
         let question = Question::Propose(Proposal {
             command,
-            passed: self.voter.is_some() || passed,
+            relayed: self.voter.is_some() || passed,
         });
         match self.ask_group(question, passed).await? {
             Reply::Done(_) => Ok(()),
@@ -203,7 +203,7 @@
             return Ok(voter.documents().document().clone());
         }
         let question = Question::Read(Hop {
-            passed: self.voter.is_some() || passed,
+            relayed: self.voter.is_some() || passed,
         });
         match self.ask_group(question, passed).await? {
             Reply::Document(document) => Ok(document),
@@ -345,9 +345,9 @@
                 _ => Reply::Failed("this node does not lead; ask the leader".into()),
             },
             Question::Propose(proposal) => {
-                done(self.pass_proposal(proposal.command, proposal.passed).await)
+                done(self.pass_proposal(proposal.command, proposal.relayed).await)
             }
-            Question::Read(hop) => match self.pass_read(hop.passed).await {
+            Question::Read(hop) => match self.pass_read(hop.relayed).await {
                 Ok(document) => Reply::Document(document),
                 Err(error) => Reply::Failed(error.to_string()),
             },
--- a/crates/filbertstack-gateway/src/link/messages.rs
+++ b/crates/filbertstack-gateway/src/link/messages.rs
@@ -84,7 +84,7 @@
 pub struct Hop {
     /// Whether the question was passed on already.
     #[prost(bool, tag = "1")]
-    pub passed: bool,
+    pub relayed: bool,
 }
 
 /// A command on its way to the leader.
@@ -95,7 +95,7 @@
     pub command: Bytes,
     /// Whether it was passed on already.
     #[prost(bool, tag = "2")]
-    pub passed: bool,
+    pub relayed: bool,
 }
 
 /// Who a node is.
