--- a/crates/filbertstack-gateway/src/control/declared.rs
+++ b/crates/filbertstack-gateway/src/control/declared.rs
@@ -115,7 +115,7 @@
     pub fn may_break_off(&self, model: &str) -> bool {
         let models = self.models.borrow();
         let mut served = models.iter().filter(|m| m.model == model).peekable();
-        served.peek().is_some() && served.all(|m| m.may_break)
+        served.peek().is_some() && served.all(|m| m.resumable)
     }
 
     /// Told whenever something changes.
@@ -259,7 +259,7 @@
         engine.models.iter().map(|model| ServedModel {
             service: service.name.to_string(),
             model: model.to_string(),
-            may_break: catalogue.may_break_off(&service.name),
+            resumable: catalogue.may_break_off(&service.name),
         })
     });
     models.collect()
--- a/crates/filbertstack-gateway/src/link/messages.rs
+++ b/crates/filbertstack-gateway/src/link/messages.rs
@@ -297,7 +297,7 @@
     pub model: String,
     /// Whether all its requests may go on at another engine when they break off.
     #[prost(bool, tag = "3")]
-    pub may_break: bool,
+    pub resumable: bool,
 }
 
 /// A version of weights, and how long ago it was named.
