--- a/crates/filbertstack-gateway/src/agent/reports.rs
+++ b/crates/filbertstack-gateway/src/agent/reports.rs
@@ -13,7 +13,7 @@
 use crate::link::messages::Kind;
 use crate::link::messages::LoadRow;
 use crate::link::messages::Row;
-use crate::link::messages::pack;
+use crate::link::messages::pack_addr;
 
 /// How often the engine is asked: about two passes of a full batch. More often costs processor
 /// time and tells little; less often, entries send to an engine that has filled up since.
@@ -127,7 +127,7 @@
     )]
     let pace = (report.pace * 100.0) as u32;
     Some(LoadRow {
-        engine: pack(agent.engine.addr())?,
+        engine: pack_addr(agent.engine.addr())?,
         running: report.running,
         waiting: report.waiting,
         pace,
--- a/crates/filbertstack-gateway/src/link/messages.rs
+++ b/crates/filbertstack-gateway/src/link/messages.rs
@@ -466,7 +466,7 @@
 /// The load of an engine. Hundreds are told ten times a second, so that it names its engine shortly.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct LoadRow {
-    /// The engine's address, [packed](pack).
+    /// The engine's address, [packed](pack_addr).
     #[prost(fixed64, tag = "1")]
     pub engine: u64,
     /// Requests that the engine runs.
@@ -483,7 +483,7 @@
 /// Whose loads a follower wants to be told, in place of those that it named before.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Watch {
-    /// The engines' addresses, [packed](pack).
+    /// The engines' addresses, [packed](pack_addr).
     #[prost(fixed64, repeated, tag = "1")]
     pub engines: Vec<u64>,
 }
@@ -508,7 +508,7 @@
 }
 
 /// An address as one number; `None` for one that is not IPv4.
-pub fn pack(addr: SocketAddr) -> Option<u64> {
+pub fn pack_addr(addr: SocketAddr) -> Option<u64> {
     let SocketAddr::V4(addr) = addr else {
         return None;
     };
--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -29,7 +29,7 @@
 use crate::link::messages::LoadRow;
 use crate::link::messages::TargetRow;
 use crate::link::messages::addr;
-use crate::link::messages::pack;
+use crate::link::messages::pack_addr;
 
 /// The targets that requests may go to.
 pub struct Targets {
@@ -107,7 +107,7 @@
                 if !used.contains(&addr) {
                     continue;
                 }
-                engines.extend(pack(addr).map(|packed| (packed, id.clone())));
+                engines.extend(pack_addr(addr).map(|packed| (packed, id.clone())));
             }
             offered.push(target);
             places.insert(id.clone(), place);
--- a/crates/filbertstack-gateway/tests/loads.rs
+++ b/crates/filbertstack-gateway/tests/loads.rs
@@ -19,7 +19,7 @@
 use filbertstack_gateway::link::messages::Question;
 use filbertstack_gateway::link::messages::Reply;
 use filbertstack_gateway::link::messages::Watch;
-use filbertstack_gateway::link::messages::pack;
+use filbertstack_gateway::link::messages::pack_addr;
 use filbertstack_policy::subset;
 use filbertstack_policy::subset::Candidate;
 use tokio::net::TcpListener;
@@ -159,7 +159,7 @@
         .iter()
         .enumerate()
         .map(|(n, name)| Candidate {
-            key: pack(name.parse().expect("an address")).expect("IPv4"),
+            key: pack_addr(name.parse().expect("an address")).expect("IPv4"),
             name,
             zone: &zones[n % zones.len()],
         })
