--- a/crates/filbertstack-gateway/src/control/declared.rs
+++ b/crates/filbertstack-gateway/src/control/declared.rs
@@ -28,7 +28,7 @@
 use crate::link::messages::NamedWeights;
 use crate::link::messages::News;
 use crate::link::messages::ServedModel;
-use crate::link::messages::addr;
+use crate::link::messages::decode_addr;
 
 /// The newest document and the latest versions of weights that this node knows.
 #[derive(Debug)]
@@ -168,7 +168,7 @@
 
     /// Takes in what the voter that is followed says.
     pub fn follow(&self, declared: Declared) {
-        let origins = declared.origins.iter().filter_map(|o| addr(o));
+        let origins = declared.origins.iter().filter_map(|o| decode_addr(o));
         let origins: Vec<SocketAddr> = origins.collect();
         if !origins.is_empty() {
             *self.origins.borrow_mut() = origins;
--- a/crates/filbertstack-gateway/src/control/follow.rs
+++ b/crates/filbertstack-gateway/src/control/follow.rs
@@ -33,7 +33,7 @@
 use crate::link::messages::NamedWeights;
 use crate::link::messages::News;
 use crate::link::messages::Watch;
-use crate::link::messages::addr;
+use crate::link::messages::decode_addr;
 
 /// How often followers hear from their voter.
 const PULSE: Duration = Duration::from_millis(200);
@@ -191,7 +191,9 @@
     let rows = node.people.present();
     rows.iter().any(|(_, kind, _)| match &**kind {
         Kind::Entry(row) => {
-            row.zone == node.settings.node.zone && !row.leaving && addr(&row.link) == Some(voter)
+            row.zone == node.settings.node.zone
+                && !row.leaving
+                && decode_addr(&row.link) == Some(voter)
         }
         _ => false,
     })
@@ -285,7 +287,7 @@
                 return left(told);
             }
             Ok(Some(News::VoterHeartbeat(pulse))) => {
-                node.learn_voters(pulse.voters.iter().filter_map(|v| addr(v)).collect());
+                node.learn_voters(pulse.voters.iter().filter_map(|v| decode_addr(v)).collect());
                 node.people.prune();
                 if !told {
                     info!("voter followed", kv: { voter = voter.to_string() });
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -41,7 +41,7 @@
 use crate::link::messages::Row;
 use crate::link::messages::Rows;
 use crate::link::messages::VoterHeartbeat;
-use crate::link::messages::addr;
+use crate::link::messages::decode_addr;
 use crate::reload::Seeds;
 use crate::settings::Settings;
 
@@ -376,7 +376,7 @@
             }
             // A voter tells its seeds who the voters are.
             News::VoterHeartbeat(pulse) => {
-                let voters: Vec<_> = pulse.voters.iter().filter_map(|v| addr(v)).collect();
+                let voters: Vec<_> = pulse.voters.iter().filter_map(|v| decode_addr(v)).collect();
                 if let Some(voter) = &self.voter {
                     voter.learn_voters(&voters);
                 }
--- a/crates/filbertstack-gateway/src/control/search.rs
+++ b/crates/filbertstack-gateway/src/control/search.rs
@@ -14,7 +14,7 @@
 use filbertstack_log::MAX_VOTERS;
 
 use crate::link::messages::NodeStatus;
-use crate::link::messages::addr;
+use crate::link::messages::decode_addr;
 
 /// The most nodes that one search asks: the seeds, the voters of a full group, and as many that
 /// such a group had before.
@@ -78,8 +78,12 @@
 
     /// Notes what a node answered.
     pub fn hear(&mut self, node: SocketAddr, standing: &NodeStatus) {
-        let voters: Vec<SocketAddr> = standing.voters.iter().filter_map(|v| addr(v)).collect();
-        let said = match addr(&standing.leader) {
+        let voters: Vec<SocketAddr> = standing
+            .voters
+            .iter()
+            .filter_map(|v| decode_addr(v))
+            .collect();
+        let said = match decode_addr(&standing.leader) {
             // One that was taken out may still name this node as its leader.
             Some(leader) if leader != self.own => {
                 if self.named.is_empty() {
--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -21,7 +21,7 @@
 use crate::control::node::Node;
 use crate::entry::server::Service;
 use crate::link::messages::Kind;
-use crate::link::messages::addr;
+use crate::link::messages::decode_addr;
 use crate::request::answer::AnswerBody;
 
 /// How long callers keep an answer: a lost entry is out of use that much later, and each caller
@@ -62,7 +62,7 @@
         let mut addrs: Vec<SocketAddr> = entries
             .iter()
             .filter(|e| near < ENOUGH || e.zone == place.zone)
-            .filter_map(|e| addr(&e.front))
+            .filter_map(|e| decode_addr(&e.front))
             .collect();
         addrs.sort_by_key(|addr| hash(&format!("{own} {addr}")));
         addrs.truncate(MOST_ADDRESSES);
--- a/crates/filbertstack-gateway/src/link/messages.rs
+++ b/crates/filbertstack-gateway/src/link/messages.rs
@@ -503,7 +503,7 @@
 }
 
 /// An address as it is written in messages; `None` if it does not read.
-pub fn addr(text: &str) -> Option<SocketAddr> {
+pub fn decode_addr(text: &str) -> Option<SocketAddr> {
     text.parse().ok()
 }
 
--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -28,7 +28,7 @@
 use crate::link::messages::Kind;
 use crate::link::messages::LoadRow;
 use crate::link::messages::TargetRow;
-use crate::link::messages::addr;
+use crate::link::messages::decode_addr;
 use crate::link::messages::pack_addr;
 
 /// The targets that requests may go to.
@@ -364,7 +364,7 @@
         let Kind::Target(row) = &**kind else {
             continue;
         };
-        let Some(addr) = addr(&row.addr) else {
+        let Some(addr) = decode_addr(&row.addr) else {
             continue;
         };
         let known = by_addr.get(&addr);
--- a/crates/filbertstack-gateway/src/weights/mod.rs
+++ b/crates/filbertstack-gateway/src/weights/mod.rs
@@ -27,7 +27,7 @@
 use crate::link::messages::Kind;
 use crate::link::messages::Manifest;
 use crate::link::messages::Reply;
-use crate::link::messages::addr;
+use crate::link::messages::decode_addr;
 
 /// The version of weights that were there before any was named.
 pub const FIRST_VERSION: u64 = 1;
@@ -106,8 +106,8 @@
 fn place(node: &Node, id: &str) -> Option<SocketAddr> {
     let (kind, _, gone) = node.people.find(id)?;
     match &*kind {
-        Kind::Agent(row) if !gone => addr(&row.link),
-        Kind::Entry(row) if !gone => addr(&row.link),
+        Kind::Agent(row) if !gone => decode_addr(&row.link),
+        Kind::Entry(row) if !gone => decode_addr(&row.link),
         _ => None,
     }
 }
