--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -185,7 +185,7 @@
         });
         match self.ask_group(question, passed).await? {
             Reply::Done(_) => Ok(()),
-            _ => Err(LinkError::Unfit.into()),
+            _ => Err(LinkError::UnexpectedReply.into()),
         }
     }
 
@@ -207,7 +207,7 @@
         });
         match self.ask_group(question, passed).await? {
             Reply::Document(document) => Ok(document),
-            _ => Err(LinkError::Unfit.into()),
+            _ => Err(LinkError::UnexpectedReply.into()),
         }
     }
 
@@ -223,7 +223,7 @@
         match self.ask_group(Question::List(upto), false).await? {
             Reply::List(list) => Ok(Some(list)),
             Reply::NotKept(_) => Ok(None),
-            _ => Err(LinkError::Unfit.into()),
+            _ => Err(LinkError::UnexpectedReply.into()),
         }
     }
 
@@ -264,7 +264,7 @@
         let question = Question::Register(Rows { rows, whole: false });
         match self.ask_group(question, false).await? {
             Reply::Done(_) => Ok(()),
-            _ => Err(LinkError::Unfit.into()),
+            _ => Err(LinkError::UnexpectedReply.into()),
         }
     }
 
--- a/crates/filbertstack-gateway/src/control/seek.rs
+++ b/crates/filbertstack-gateway/src/control/seek.rs
@@ -51,6 +51,6 @@
     let question = Question::NodeStatus(Empty {});
     match dialer.ask(node, question, STANDING).await? {
         Reply::NodeStatus(standing) => Ok(standing),
-        _ => Err(LinkError::Unfit),
+        _ => Err(LinkError::UnexpectedReply),
     }
 }
--- a/crates/filbertstack-gateway/src/link/mod.rs
+++ b/crates/filbertstack-gateway/src/link/mod.rs
@@ -77,7 +77,7 @@
     Failed(String),
     /// The answer is to another question.
     #[error("the peer answered something else; check that both run compatible versions")]
-    Unfit,
+    UnexpectedReply,
 }
 
 /// Sets what every connection between instances needs.
@@ -174,7 +174,7 @@
         match answer.reply {
             Some(Reply::Failed(why)) => Err(LinkError::Failed(why)),
             Some(reply) => Ok(reply),
-            None => Err(LinkError::Unfit),
+            None => Err(LinkError::UnexpectedReply),
         }
     }
 }
