--- a/crates/filbertstack-gateway/src/agent/peers.rs
+++ b/crates/filbertstack-gateway/src/agent/peers.rs
@@ -9,8 +9,8 @@
 use tokio::sync::Semaphore;
 
 use crate::agent::Agent;
-use crate::link::Given;
 use crate::link::Handler;
+use crate::link::HandlerReply;
 use crate::link::Sender;
 use crate::link::messages::Empty;
 use crate::link::messages::News;
@@ -40,13 +40,13 @@
         }
     }
 
-    async fn piece(&self, name: &PieceName) -> Given {
+    async fn piece(&self, name: &PieceName) -> HandlerReply {
         let weights = holding(&name.weights);
         let Ok(slot) = self.uploads.clone().acquire_owned().await else {
             return not_here().into();
         };
         match self.staged(&weights, name.number).await {
-            Some(bytes) => Given::slowly(Reply::Piece(bytes), slot),
+            Some(bytes) => HandlerReply::with_slot(Reply::Piece(bytes), slot),
             None => not_here().into(),
         }
     }
@@ -72,7 +72,7 @@
 }
 
 impl Handler for PieceServer {
-    async fn answer(self: Rc<Self>, question: Question) -> Given {
+    async fn answer(self: Rc<Self>, question: Question) -> HandlerReply {
         match question {
             Question::Piece(name) => self.piece(&name).await,
             Question::Has(name) | Question::HasNow(name) => self.has(&name).into(),
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -23,8 +23,8 @@
 use crate::control::unregistered::Unregistered;
 use crate::control::voter::Voter;
 use crate::link::Dialer;
-use crate::link::Given;
 use crate::link::Handler;
+use crate::link::HandlerReply;
 use crate::link::LinkError;
 use crate::link::Sender;
 use crate::link::messages::Empty;
@@ -330,7 +330,7 @@
 }
 
 impl Handler for Node {
-    async fn answer(self: Rc<Self>, question: Question) -> Given {
+    async fn answer(self: Rc<Self>, question: Question) -> HandlerReply {
         let done = |result: Result<(), GroupError>| match result {
             Ok(()) => Reply::Done(Empty {}),
             Err(error) => Reply::Failed(error.to_string()),
--- a/crates/filbertstack-gateway/src/link/mod.rs
+++ b/crates/filbertstack-gateway/src/link/mod.rs
@@ -32,8 +32,8 @@
 use tokio_util::codec::LengthDelimitedCodec;
 
 pub use dial::Dialer;
-pub use serve::Given;
 pub use serve::Handler;
+pub use serve::HandlerReply;
 pub use serve::serve;
 
 use crate::link::messages::Answer;
--- a/crates/filbertstack-gateway/src/link/serve.rs
+++ b/crates/filbertstack-gateway/src/link/serve.rs
@@ -16,20 +16,20 @@
 use crate::link::open;
 
 /// An answer, and the slot that it holds until it has gone out.
-pub struct Given {
+pub struct HandlerReply {
     reply: Reply,
     slot: Option<OwnedSemaphorePermit>,
 }
 
-impl Given {
+impl HandlerReply {
     /// An answer that is long: while it goes out, it holds a slot.
-    pub fn slowly(reply: Reply, slot: OwnedSemaphorePermit) -> Self {
+    pub fn with_slot(reply: Reply, slot: OwnedSemaphorePermit) -> Self {
         let slot = Some(slot);
         Self { reply, slot }
     }
 }
 
-impl From<Reply> for Given {
+impl From<Reply> for HandlerReply {
     fn from(reply: Reply) -> Self {
         Self { reply, slot: None }
     }
@@ -38,7 +38,7 @@
 /// What a node does with what its peers say.
 pub trait Handler: 'static {
     /// Answers a question.
-    fn answer(self: Rc<Self>, question: Question) -> impl Future<Output = Given>;
+    fn answer(self: Rc<Self>, question: Question) -> impl Future<Output = HandlerReply>;
 
     /// Takes news; `sender` leads back to the peer.
     fn take(self: Rc<Self>, news: News, sender: &Sender);
@@ -74,7 +74,7 @@
                 };
                 let (handler, sender) = (handler.clone(), sender.clone());
                 tokio::task::spawn_local(async move {
-                    let Given { reply, slot } = handler.answer(question).await;
+                    let HandlerReply { reply, slot } = handler.answer(question).await;
                     let reply = Some(reply);
                     sender.send(frame.id, Body::Answer(Answer { reply }));
                     if slot.is_some() {
--- a/crates/filbertstack-gateway/src/weights/cache.rs
+++ b/crates/filbertstack-gateway/src/weights/cache.rs
@@ -18,8 +18,8 @@
 use tokio::time::timeout;
 
 use crate::control::node::Node;
-use crate::link::Given;
 use crate::link::Handler;
+use crate::link::HandlerReply;
 use crate::link::Sender;
 use crate::link::messages::Empty;
 use crate::link::messages::News;
@@ -227,12 +227,12 @@
                 .any(|(_, row)| *row.model == *weights.model && row.version == weights.version)
     }
 
-    async fn piece(&self, name: &PieceName) -> Given {
+    async fn piece(&self, name: &PieceName) -> HandlerReply {
         let stock = self.stock(&weights::holding(&name.weights));
         let found = stock.and_then(|stock| stock.piece(name.number));
         let slot = self.uploads.clone().acquire_owned().await;
         match found.zip(slot.ok()) {
-            Some((bytes, slot)) => Given::slowly(Reply::Piece(bytes), slot),
+            Some((bytes, slot)) => HandlerReply::with_slot(Reply::Piece(bytes), slot),
             None => weights::not_here().into(),
         }
     }
@@ -267,7 +267,7 @@
 }
 
 impl Handler for Cache {
-    async fn answer(self: Rc<Self>, question: Question) -> Given {
+    async fn answer(self: Rc<Self>, question: Question) -> HandlerReply {
         match question {
             Question::Piece(name) => self.piece(&name).await,
             Question::Has(name) => self.has(&name, OWNER_WAIT).await.into(),
--- a/crates/filbertstack-gateway/tests/loads.rs
+++ b/crates/filbertstack-gateway/tests/loads.rs
@@ -9,8 +9,8 @@
 use filbertstack_gateway::control::loads::Wants;
 use filbertstack_gateway::link;
 use filbertstack_gateway::link::Dialer;
-use filbertstack_gateway::link::Given;
 use filbertstack_gateway::link::Handler;
+use filbertstack_gateway::link::HandlerReply;
 use filbertstack_gateway::link::Sender;
 use filbertstack_gateway::link::messages::Empty;
 use filbertstack_gateway::link::messages::LoadRow;
@@ -47,7 +47,7 @@
 }
 
 impl Handler for Voter {
-    async fn answer(self: Rc<Self>, _question: Question) -> Given {
+    async fn answer(self: Rc<Self>, _question: Question) -> HandlerReply {
         Reply::Done(Empty {}).into()
     }
 
