--- a/crates/filbertstack-gateway/src/agent/peers.rs
+++ b/crates/filbertstack-gateway/src/agent/peers.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    fn take(self: Rc<Self>, news: News, sender: &Sender) {
-        self.agent.node.clone().take(news, sender);
+    fn receive(self: Rc<Self>, news: News, sender: &Sender) {
+        self.agent.node.clone().receive(news, sender);
     }
 }
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -360,7 +360,7 @@
         reply.into()
     }
 
-    fn take(self: Rc<Self>, news: News, sender: &Sender) {
+    fn receive(self: Rc<Self>, news: News, sender: &Sender) {
         match news {
             News::Log(message) => {
                 if let Some(voter) = &self.voter {
--- a/crates/filbertstack-gateway/src/link/serve.rs
+++ b/crates/filbertstack-gateway/src/link/serve.rs
@@ -41,7 +41,7 @@
     fn answer(self: Rc<Self>, question: Question) -> impl Future<Output = HandlerReply>;
 
     /// Takes news; `sender` leads back to the peer.
-    fn take(self: Rc<Self>, news: News, sender: &Sender);
+    fn receive(self: Rc<Self>, news: News, sender: &Sender);
 }
 
 /// Accepts links until the process ends.
@@ -65,7 +65,7 @@
         match frame.body {
             Some(Body::Tell(tell)) => {
                 if let Some(news) = tell.news {
-                    handler.clone().take(news, &sender);
+                    handler.clone().receive(news, &sender);
                 }
             }
             Some(Body::Ask(ask)) => {
--- a/crates/filbertstack-gateway/src/weights/cache.rs
+++ b/crates/filbertstack-gateway/src/weights/cache.rs
@@ -277,7 +277,7 @@
         }
     }
 
-    fn take(self: Rc<Self>, news: News, sender: &Sender) {
-        self.node.clone().take(news, sender);
+    fn receive(self: Rc<Self>, news: News, sender: &Sender) {
+        self.node.clone().receive(news, sender);
     }
 }
--- a/crates/filbertstack-gateway/tests/loads.rs
+++ b/crates/filbertstack-gateway/tests/loads.rs
@@ -51,7 +51,7 @@
         Reply::Done(Empty {}).into()
     }
 
-    fn take(self: Rc<Self>, news: News, sender: &Sender) {
+    fn receive(self: Rc<Self>, news: News, sender: &Sender) {
         if let News::Watch(watch) = news {
             let engines = watch.engines.into_iter().collect();
             self.loads.follow(sender, Wants::Engines(engines));
