--- a/crates/filbertstack-gateway/src/link/dial.rs
+++ b/crates/filbertstack-gateway/src/link/dial.rs
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// [`LinkError`]; see [`Sender::ask`].
-    pub async fn ask_patiently(
+    pub async fn ask_until_silent(
         &self,
         peer: SocketAddr,
         question: Question,
--- a/crates/filbertstack-gateway/src/weights/fetch.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch.rs
@@ -236,7 +236,7 @@
         let question = Question::Piece(self.name(number));
         let dialer = &self.node.dialer;
         match dialer
-            .ask_patiently(place, question, PEER, PEER_SILENT)
+            .ask_until_silent(place, question, PEER, PEER_SILENT)
             .await
         {
             Ok(Reply::Piece(bytes)) => {
