--- a/crates/filbertstack-gateway/src/control/people.rs
+++ b/crates/filbertstack-gateway/src/control/people.rs
@@ -22,7 +22,7 @@
 /// crashed. Requests to it fail long before, and the entry's own record of failures acts then.
 const TARGET_PATIENCE: Millis = Millis::secs(8);
 
-/// An entry reports each [`OWN_ROW`](crate::entry::OWN_ROW): three missed.
+/// An entry reports each [`ROW_INTERVAL`](crate::entry::ROW_INTERVAL): three missed.
 const ENTRY_PATIENCE: Millis = Millis(1_600);
 
 /// An agent reports each [`AGAIN`](crate::agent::reports::AGAIN): three missed.
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -47,7 +47,7 @@
 use crate::weights::served::keep_lists;
 
 /// How often an entry tells the voters that it is there.
-pub const OWN_ROW: Duration = Duration::from_millis(500);
+pub const ROW_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How often idle connections are looked through.
 const PRUNE: Duration = Duration::from_secs(2);
@@ -200,7 +200,7 @@
             _ = people.changed() => {}
             _ = declared.changed() => {}
             // A version of weights becomes binding as time passes.
-            () = sleep(OWN_ROW) => {}
+            () = sleep(ROW_INTERVAL) => {}
         }
         sleep(GATHER).await;
     }
@@ -250,7 +250,7 @@
             }
         }
         tokio::select! {
-            () = sleep(OWN_ROW) => {}
+            () = sleep(ROW_INTERVAL) => {}
             _ = leaving.changed(), if !leaves => {}
             _ = held.changed() => {}
         }
