--- a/crates/filbertstack-gateway/src/agent/mod.rs
+++ b/crates/filbertstack-gateway/src/agent/mod.rs
@@ -31,7 +31,7 @@
 use crate::control::node::Node;
 use crate::entry::EntryError;
 use crate::entry::server::bind;
-use crate::entry::wait_for_end;
+use crate::entry::wait_for_stop;
 use crate::link;
 use crate::link::Dialer;
 use crate::link::messages::Interest;
@@ -158,7 +158,7 @@
     spawn_local(reports::watch_engine(agent.clone()));
     spawn_local(rollout::keep_version(agent));
     spawn_local(reload.clone().watch_file());
-    wait_for_end(&reload).await.map_err(EntryError::Signals)?;
+    wait_for_stop(&reload).await.map_err(EntryError::Signals)?;
     info!("stopped");
     Ok(())
 }
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -126,7 +126,7 @@
         name = settings.node.name, zone = settings.node.zone, voter = node.voter.is_some()
     });
     spawn_local(reload.clone().watch_file());
-    wait_for_end(&reload).await.map_err(EntryError::Signals)?;
+    wait_for_stop(&reload).await.map_err(EntryError::Signals)?;
     leave_system(&node, &requests, &leave, &answering).await;
     Ok(())
 }
@@ -265,7 +265,7 @@
 }
 
 /// Waits for the signal that ends the process; reads the settings again on SIGHUP.
-pub(crate) async fn wait_for_end(reload: &Reload) -> io::Result<()> {
+pub(crate) async fn wait_for_stop(reload: &Reload) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut hangup = signal(SignalKind::hangup())?;
