--- a/crates/filbertstack-gateway/src/agent/gather.rs
+++ b/crates/filbertstack-gateway/src/agent/gather.rs
@@ -126,7 +126,7 @@
     let put = stage_piece(&weights.model, number, bytes);
     let answer = agent.engine.call(put).await;
     let failure = answer.as_ref().err();
-    let certain = failure.is_none_or(CallFailure::is_certain);
+    let certain = failure.is_none_or(CallFailure::never_executed);
     if certain {
         stage.settle_put(open);
     }
--- a/crates/filbertstack-gateway/src/client.rs
+++ b/crates/filbertstack-gateway/src/client.rs
@@ -54,7 +54,7 @@
 
 impl CallFailure {
     /// Whether the far end certainly does not carry the call out, now or later.
-    pub const fn is_certain(&self) -> bool {
+    pub const fn never_executed(&self) -> bool {
         matches!(self, Self::Connect { .. } | Self::Status(_))
     }
 }
