--- a/crates/filbertstack-gateway/src/control/follow.rs
+++ b/crates/filbertstack-gateway/src/control/follow.rs
@@ -121,7 +121,7 @@
 pub async fn tell_seeds(node: Rc<Node>) {
     loop {
         let pulse = node.pulse();
-        for seed in node.seeds.now() {
+        for seed in node.seeds.current() {
             if seed != node.settings.node.link {
                 node.dialer.tell(seed, pulse.clone());
             }
@@ -224,7 +224,7 @@
         }
         let part = rand::rng().random_range(1.0 - JITTER..1.0 + JITTER);
         self.next = now + SEARCH.mul_f64(part);
-        let starts = node.seeds.now().into_iter().chain(node.voters());
+        let starts = node.seeds.current().into_iter().chain(node.voters());
         let mut search = Search::new(node.settings.node.link, starts);
         seek_leader(&node.dialer, &mut search).await;
         node.learn_voters(search.voters().to_vec());
--- a/crates/filbertstack-gateway/src/control/upkeep.rs
+++ b/crates/filbertstack-gateway/src/control/upkeep.rs
@@ -67,7 +67,7 @@
 
     /// A node without a group creates one, or asks to be taken in.
     async fn form(&self) {
-        let seeds = self.seeds.now();
+        let seeds = self.seeds.current();
         if self.settings.first {
             let heard = hear_all(&self.dialer, self.settings.link, &seeds).await;
             let own = self.settings.link;
@@ -99,7 +99,7 @@
     /// A member without a leader may have been taken out while it was away.
     async fn ask_in(&self) {
         let known: Vec<SocketAddr> = self.places.borrow().values().copied().collect();
-        let starts = known.into_iter().chain(self.seeds.now());
+        let starts = known.into_iter().chain(self.seeds.current());
         let mut search = Search::new(self.settings.link, starts);
         seek_leader(&self.dialer, &mut search).await;
         let own = self.status().id.0;
--- a/crates/filbertstack-gateway/src/reload.rs
+++ b/crates/filbertstack-gateway/src/reload.rs
@@ -33,7 +33,7 @@
     }
 
     /// The seeds now.
-    pub fn now(&self) -> Vec<SocketAddr> {
+    pub fn current(&self) -> Vec<SocketAddr> {
         self.0.borrow().clone()
     }
 }
