--- a/crates/filbertstack-gateway/src/control/upkeep.rs
+++ b/crates/filbertstack-gateway/src/control/upkeep.rs
@@ -68,7 +68,7 @@
     /// A node without a group creates one, or asks to be taken in.
     async fn form(&self) {
         let seeds = self.seeds.current();
-        if self.settings.first {
+        if self.settings.first_start {
             let heard = hear_all(&self.dialer, self.settings.link, &seeds).await;
             let own = self.settings.link;
             if let Some(wanted) = membership::founder(true, own, &seeds, &heard) {
--- a/crates/filbertstack-gateway/src/settings.rs
+++ b/crates/filbertstack-gateway/src/settings.rs
@@ -41,7 +41,7 @@
     /// Addresses for links of nodes that may know the group.
     pub seeds: Vec<SocketAddr>,
     /// Whether the whole system starts for the first time, so that a group may be created.
-    pub first: bool,
+    pub first_start: bool,
     /// The folder for durable state; with it an entry is a voter.
     pub data: Option<PathBuf>,
 }
@@ -145,7 +145,7 @@
     let zone = section.require::<String, _>("zone", problems);
     let link: Option<SocketAddr> = section.require_with("link", problems, parse_addr);
     let seeds = section.read_with("seeds", problems, parse_addrs);
-    let first: Option<bool> = optional(&mut section, "first-start", problems);
+    let first_start: Option<bool> = optional(&mut section, "first-start", problems);
     let data: Option<PathBuf> = optional(&mut section, "data", problems);
     section.finish(problems);
     let link = link?;
@@ -159,7 +159,7 @@
             .iter()
             .map(|seed| SocketAddr::new(seed.ip(), link.port()))
             .collect(),
-        first: first.unwrap_or(false),
+        first_start: first_start.unwrap_or(false),
         data,
     })
 }
