--- a/crates/filbertstack-gateway/src/control/calls.rs
+++ b/crates/filbertstack-gateway/src/control/calls.rs
@@ -208,7 +208,7 @@
         16 << 10
     }
 
-    fn idle(&self) -> Duration {
+    fn idle_timeout(&self) -> Duration {
         Duration::from_secs(30)
     }
 }
--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -103,7 +103,7 @@
         16 << 10
     }
 
-    fn idle(&self) -> Duration {
+    fn idle_timeout(&self) -> Duration {
         Duration::from_secs(30)
     }
 }
--- a/crates/filbertstack-gateway/src/entry/server.rs
+++ b/crates/filbertstack-gateway/src/entry/server.rs
@@ -41,7 +41,7 @@
     fn head_limit(&self) -> usize;
 
     /// How long a connection may stay without a request's head.
-    fn idle(&self) -> Duration;
+    fn idle_timeout(&self) -> Duration;
 }
 
 /// Counts the connections whose caller has asked for something, until they end. A connection ends once
@@ -120,7 +120,7 @@
     builder
         .timer(TokioTimer::new())
         .max_buf_size(service.head_limit().max(8 << 10))
-        .header_read_timeout(service.idle());
+        .header_read_timeout(service.idle_timeout());
     // Ended at once, a new connection would close on a caller whose request is still on its way.
     let late = *leaving.borrow();
     if late {
--- a/crates/filbertstack-gateway/src/metrics.rs
+++ b/crates/filbertstack-gateway/src/metrics.rs
@@ -58,7 +58,7 @@
         HEAD
     }
 
-    fn idle(&self) -> Duration {
+    fn idle_timeout(&self) -> Duration {
         IDLE
     }
 }
--- a/crates/filbertstack-gateway/src/request/mod.rs
+++ b/crates/filbertstack-gateway/src/request/mod.rs
@@ -360,7 +360,7 @@
 
     /// Kept connections stay open as long as callers may leave them idle; a head that is slower
     /// than that ends its connection.
-    fn idle(&self) -> Duration {
+    fn idle_timeout(&self) -> Duration {
         self.node.declared.catalogue().limits().idle
     }
 }
--- a/crates/filbertstack-gateway/tests/server.rs
+++ b/crates/filbertstack-gateway/tests/server.rs
@@ -44,7 +44,7 @@
         16 << 10
     }
 
-    fn idle(&self) -> Duration {
+    fn idle_timeout(&self) -> Duration {
         Duration::from_secs(60)
     }
 }
