--- a/crates/filbertstack-gateway/src/agent/peers.rs
+++ b/crates/filbertstack-gateway/src/agent/peers.rs
@@ -13,7 +13,7 @@
 use crate::link::HandlerReply;
 use crate::link::Sender;
 use crate::link::messages::Empty;
-use crate::link::messages::News;
+use crate::link::messages::Notification;
 use crate::link::messages::PieceName;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
@@ -83,7 +83,7 @@
         }
     }
 
-    fn receive(self: Rc<Self>, news: News, sender: &Sender) {
+    fn receive(self: Rc<Self>, news: Notification, sender: &Sender) {
         self.agent.node.clone().receive(news, sender);
     }
 }
--- a/crates/filbertstack-gateway/src/control/declared.rs
+++ b/crates/filbertstack-gateway/src/control/declared.rs
@@ -26,7 +26,7 @@
 use crate::link::messages::DocumentPart;
 use crate::link::messages::Interest;
 use crate::link::messages::NamedWeights;
-use crate::link::messages::News;
+use crate::link::messages::Notification;
 use crate::link::messages::ServedModel;
 use crate::link::messages::decode_addr;
 
@@ -124,12 +124,12 @@
     }
 
     /// What a follower that holds the document `version` needs to be told, in this order.
-    pub fn since(&self, version: u64, interest: Interest) -> Vec<News> {
+    pub fn since(&self, version: u64, interest: Interest) -> Vec<Notification> {
         let mut news = Vec::new();
         if interest == Interest::All && self.version() > version {
-            news.extend(self.parts().iter().cloned().map(News::Part));
+            news.extend(self.parts().iter().cloned().map(Notification::Part));
         }
-        news.push(News::Declared(self.declared()));
+        news.push(Notification::Declared(self.declared()));
         news
     }
 
--- a/crates/filbertstack-gateway/src/control/follow.rs
+++ b/crates/filbertstack-gateway/src/control/follow.rs
@@ -31,7 +31,7 @@
 use crate::link::messages::Interest;
 use crate::link::messages::Kind;
 use crate::link::messages::NamedWeights;
-use crate::link::messages::News;
+use crate::link::messages::Notification;
 use crate::link::messages::Watch;
 use crate::link::messages::decode_addr;
 
@@ -257,7 +257,7 @@
             return Left::Unfollowed;
         }
     };
-    link.tell(News::Follow(Follow {
+    link.tell(Notification::Follow(Follow {
         version: node.declared.version(),
         interest: node.interest.into(),
     }));
@@ -272,13 +272,13 @@
             // The sender is the node's own, and outlives this.
             _ = wanted.changed() => {
                 let engines = wanted.borrow_and_update().iter().copied().collect();
-                link.tell(News::Watch(Watch { engines }));
+                link.tell(Notification::Watch(Watch { engines }));
                 continue;
             }
         };
         heard = Instant::now();
         match came {
-            Ok(Some(News::VoterHeartbeat(pulse))) if !pulse.current => {
+            Ok(Some(Notification::VoterHeartbeat(pulse))) if !pulse.current => {
                 // While a group forms or elects, every voter is tried many times a second.
                 if told {
                     info!("voter left: it has no contact with its group",
@@ -286,7 +286,7 @@
                 }
                 return left(told);
             }
-            Ok(Some(News::VoterHeartbeat(pulse))) => {
+            Ok(Some(Notification::VoterHeartbeat(pulse))) => {
                 node.learn_voters(pulse.voters.iter().filter_map(|v| decode_addr(v)).collect());
                 node.people.prune();
                 if !told {
@@ -320,18 +320,21 @@
     !is_near(node, voter) && node.voters().iter().any(|other| is_near(node, *other))
 }
 
-fn take(node: &Rc<Node>, news: News) -> Result<(), PartError> {
+fn take(node: &Rc<Node>, news: Notification) -> Result<(), PartError> {
     match news {
-        News::Part(part) => node.declared.follow_part(part)?,
-        News::Declared(declared) => node.declared.follow(declared),
-        News::Rows(rows) => {
+        Notification::Part(part) => node.declared.follow_part(part)?,
+        Notification::Declared(declared) => node.declared.follow(declared),
+        Notification::Rows(rows) => {
             if rows.whole && node.voter.is_none() {
                 node.people.begin_listing();
             }
             node.people.take(rows.rows, false);
         }
-        News::Loads(loads) => node.loads.take(loads.rows, false),
-        News::Log(_) | News::Follow(_) | News::VoterHeartbeat(_) | News::Watch(_) => {}
+        Notification::Loads(loads) => node.loads.take(loads.rows, false),
+        Notification::Log(_)
+        | Notification::Follow(_)
+        | Notification::VoterHeartbeat(_)
+        | Notification::Watch(_) => {}
     }
     Ok(())
 }
@@ -370,12 +373,12 @@
         version: u64::MAX,
         interest: Interest::Registered.into(),
     };
-    link.tell(News::Follow(follow));
+    link.tell(Notification::Follow(follow));
     while let Ok(Some(news)) = timeout(SILENT, news.recv()).await {
         match news {
-            News::Rows(rows) => node.people.take(rows.rows, false),
-            News::Loads(loads) => node.loads.take(loads.rows, false),
-            News::VoterHeartbeat(pulse) => node.hear_document(pulse.document),
+            Notification::Rows(rows) => node.people.take(rows.rows, false),
+            Notification::Loads(loads) => node.loads.take(loads.rows, false),
+            Notification::VoterHeartbeat(pulse) => node.hear_document(pulse.document),
             _ => {}
         }
     }
--- a/crates/filbertstack-gateway/src/control/loads.rs
+++ b/crates/filbertstack-gateway/src/control/loads.rs
@@ -16,7 +16,7 @@
 use crate::link::Sender;
 use crate::link::messages::LoadRow;
 use crate::link::messages::Loads as Told;
-use crate::link::messages::News;
+use crate::link::messages::Notification;
 
 /// The most engines whose loads are kept until the next turn: twice the most of a deployment.
 const MOST: usize = 4_096;
@@ -128,7 +128,7 @@
             let wanted = pending.values().filter(|p| p.concerns(&follower.wants));
             let rows: Vec<LoadRow> = wanted.map(|pending| pending.row).collect();
             if !rows.is_empty() && follower.link.backlog() < BACKLOG {
-                follower.link.tell(News::Loads(Told { rows }));
+                follower.link.tell(Notification::Loads(Told { rows }));
             }
         }
     }
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -33,8 +33,8 @@
 use crate::link::messages::Interest;
 use crate::link::messages::LoadRow;
 use crate::link::messages::Loads as Told;
-use crate::link::messages::News;
 use crate::link::messages::NodeStatus;
+use crate::link::messages::Notification;
 use crate::link::messages::Proposal;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
@@ -306,7 +306,7 @@
     pub fn tell_rows(&self, rows: Vec<Row>) {
         if let Some(voter) = self.followed.get() {
             self.dialer
-                .tell(voter, News::Rows(Rows { rows, whole: false }));
+                .tell(voter, Notification::Rows(Rows { rows, whole: false }));
         }
     }
 
@@ -314,14 +314,14 @@
     pub fn tell_load(&self, row: LoadRow) {
         if let Some(voter) = self.followed.get() {
             self.dialer
-                .tell(voter, News::Loads(Told { rows: vec![row] }));
+                .tell(voter, Notification::Loads(Told { rows: vec![row] }));
         }
     }
 
     /// The sign of life that followers get.
-    pub fn pulse(&self) -> News {
+    pub fn pulse(&self) -> Notification {
         let voter = self.voter.as_ref();
-        News::VoterHeartbeat(VoterHeartbeat {
+        Notification::VoterHeartbeat(VoterHeartbeat {
             current: self.is_current() && voter.is_some_and(|v| !v.is_leaving()),
             voters: voter.map_or_else(Vec::new, |v| v.standing().voters),
             document: self.declared.version(),
@@ -360,30 +360,33 @@
         reply.into()
     }
 
-    fn receive(self: Rc<Self>, news: News, sender: &Sender) {
+    fn receive(self: Rc<Self>, news: Notification, sender: &Sender) {
         match news {
-            News::Log(message) => {
+            Notification::Log(message) => {
                 if let Some(voter) = &self.voter {
                     voter.deliver(message);
                 }
             }
-            News::Follow(follow) => self.attach(&follow, sender),
-            News::Rows(rows) if self.voter.is_some() => self.people.take(rows.rows, true),
-            News::Loads(loads) if self.voter.is_some() => self.loads.take(loads.rows, true),
-            News::Watch(watch) if self.voter.is_some() => {
+            Notification::Follow(follow) => self.attach(&follow, sender),
+            Notification::Rows(rows) if self.voter.is_some() => self.people.take(rows.rows, true),
+            Notification::Loads(loads) if self.voter.is_some() => self.loads.take(loads.rows, true),
+            Notification::Watch(watch) if self.voter.is_some() => {
                 let engines = watch.engines.into_iter().collect();
                 self.loads.follow(sender, Wants::Engines(engines));
             }
             // A voter tells its seeds who the voters are.
-            News::VoterHeartbeat(pulse) => {
+            Notification::VoterHeartbeat(pulse) => {
                 let voters: Vec<_> = pulse.voters.iter().filter_map(|v| decode_addr(v)).collect();
                 if let Some(voter) = &self.voter {
                     voter.learn_voters(&voters);
                 }
                 self.learn_voters(voters);
             }
-            News::Declared(_) | News::Part(_) | News::Rows(_) | News::Loads(_) | News::Watch(_) => {
-            }
+            Notification::Declared(_)
+            | Notification::Part(_)
+            | Notification::Rows(_)
+            | Notification::Loads(_)
+            | Notification::Watch(_) => {}
         }
     }
 }
--- a/crates/filbertstack-gateway/src/control/people.rs
+++ b/crates/filbertstack-gateway/src/control/people.rs
@@ -14,7 +14,7 @@
 use crate::link::Sender;
 use crate::link::messages::Interest;
 use crate::link::messages::Kind;
-use crate::link::messages::News;
+use crate::link::messages::Notification;
 use crate::link::messages::Row;
 use crate::link::messages::Rows;
 
@@ -149,7 +149,7 @@
             rows: rows.collect(),
             whole: true,
         };
-        link.tell(News::Rows(rows));
+        link.tell(Notification::Rows(rows));
         let mut followers = self.followers.borrow_mut();
         followers.retain(|f| !f.link.is_closed());
         followers.push(Follower { link, interest });
@@ -168,7 +168,7 @@
             });
             let rows: Vec<Row> = rows.map(|p| p.row.clone()).collect();
             let rows = Rows { rows, whole: false };
-            (!rows.rows.is_empty()).then_some(News::Rows(rows))
+            (!rows.rows.is_empty()).then_some(Notification::Rows(rows))
         };
         let all = told(Interest::All);
         let registered = told(Interest::Registered);
@@ -182,7 +182,7 @@
 
     /// Tells each follower the news made for it; one that does not keep up is dropped, and
     /// follows again.
-    pub fn tell(&self, news: impl Fn(Interest) -> Option<News>) {
+    pub fn tell(&self, news: impl Fn(Interest) -> Option<Notification>) {
         let mut followers = self.followers.borrow_mut();
         followers.retain(|follower| match news(follower.interest) {
             Some(news) => follower.link.tell(news) && !follower.link.is_closed(),
--- a/crates/filbertstack-gateway/src/control/voter.rs
+++ b/crates/filbertstack-gateway/src/control/voter.rs
@@ -43,8 +43,8 @@
 use crate::control::shortage::Shortage;
 use crate::link::Dialer;
 use crate::link::messages::LogMessage;
-use crate::link::messages::News;
 use crate::link::messages::NodeStatus;
+use crate::link::messages::Notification;
 use crate::reload::Seeds;
 use crate::settings::Node as NodeSettings;
 
@@ -354,7 +354,7 @@
         };
         let body = message.to_bytes().into();
         let from = self.settings.link.to_string();
-        let news = News::Log(LogMessage { from, body });
+        let news = Notification::Log(LogMessage { from, body });
         self.dialer.tell(addr, news);
     }
 }
--- a/crates/filbertstack-gateway/src/link/dial.rs
+++ b/crates/filbertstack-gateway/src/link/dial.rs
@@ -17,7 +17,7 @@
 use crate::link::LinkError;
 use crate::link::Sender;
 use crate::link::messages::Body;
-use crate::link::messages::News;
+use crate::link::messages::Notification;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
 use crate::link::next;
@@ -28,7 +28,7 @@
 const DIAL: Duration = Duration::from_millis(500);
 
 /// News that came on a dialled link.
-pub type NewsSender = mpsc::UnboundedSender<News>;
+pub type NotificationSender = mpsc::UnboundedSender<Notification>;
 
 /// Keeps one link to each peer.
 #[derive(Clone, Debug, Default)]
@@ -102,7 +102,7 @@
     }
 
     /// Sends news to `peer` if there is a link; else drops them and begins to dial.
-    pub fn tell(&self, peer: SocketAddr, news: News) {
+    pub fn tell(&self, peer: SocketAddr, news: Notification) {
         let kept = self.links.borrow().get(&peer).cloned();
         if let Some(link) = kept.filter(|l| !l.is_closed()) {
             link.tell(news);
@@ -124,12 +124,15 @@
     ///
     /// # Errors
     /// [`LinkError::Broken`].
-    pub async fn subscribe(peer: SocketAddr, news: NewsSender) -> Result<Sender, LinkError> {
+    pub async fn subscribe(
+        peer: SocketAddr,
+        news: NotificationSender,
+    ) -> Result<Sender, LinkError> {
         dial(peer, Some(news)).await
     }
 }
 
-async fn dial(peer: SocketAddr, news: Option<NewsSender>) -> Result<Sender, LinkError> {
+async fn dial(peer: SocketAddr, news: Option<NotificationSender>) -> Result<Sender, LinkError> {
     let broken = |source| LinkError::Broken { peer, source };
     let stream = timeout(DIAL, TcpStream::connect(peer)).await;
     let stream = stream.map_err(|_| broken(io::ErrorKind::TimedOut.into()))?;
@@ -148,7 +151,7 @@
                     }
                 }
                 Some(Body::Tell(tell)) => {
-                    let told = tell.news.zip(news.as_ref());
+                    let told = tell.notification.zip(news.as_ref());
                     if told.is_some_and(|(n, to)| to.send(n).is_err()) {
                         break;
                     }
--- a/crates/filbertstack-gateway/src/link/messages.rs
+++ b/crates/filbertstack-gateway/src/link/messages.rs
@@ -187,13 +187,13 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Tell {
     /// What is told.
-    #[prost(oneof = "News", tags = "1, 2, 3, 4, 5, 6, 7, 8")]
-    pub news: Option<News>,
+    #[prost(oneof = "Notification", tags = "1, 2, 3, 4, 5, 6, 7, 8")]
+    pub notification: Option<Notification>,
 }
 
 /// What may be told.
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum News {
+pub enum Notification {
     /// A message of the replicated log.
     #[prost(message, tag = "1")]
     Log(LogMessage),
--- a/crates/filbertstack-gateway/src/link/mod.rs
+++ b/crates/filbertstack-gateway/src/link/mod.rs
@@ -40,7 +40,7 @@
 use crate::link::messages::Ask;
 use crate::link::messages::Body;
 use crate::link::messages::Frame;
-use crate::link::messages::News;
+use crate::link::messages::Notification;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
 use crate::link::messages::Tell;
@@ -105,8 +105,13 @@
 
 impl Sender {
     /// Sends news, or drops them if the peer does not keep up.
-    pub fn tell(&self, news: News) -> bool {
-        self.send(0, Body::Tell(Tell { news: Some(news) }))
+    pub fn tell(&self, news: Notification) -> bool {
+        self.send(
+            0,
+            Body::Tell(Tell {
+                notification: Some(news),
+            }),
+        )
     }
 
     /// Whether the link has ended.
--- a/crates/filbertstack-gateway/src/link/serve.rs
+++ b/crates/filbertstack-gateway/src/link/serve.rs
@@ -9,7 +9,7 @@
 use crate::link::Sender;
 use crate::link::messages::Answer;
 use crate::link::messages::Body;
-use crate::link::messages::News;
+use crate::link::messages::Notification;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
 use crate::link::next;
@@ -41,7 +41,7 @@
     fn answer(self: Rc<Self>, question: Question) -> impl Future<Output = HandlerReply>;
 
     /// Takes news; `sender` leads back to the peer.
-    fn receive(self: Rc<Self>, news: News, sender: &Sender);
+    fn receive(self: Rc<Self>, news: Notification, sender: &Sender);
 }
 
 /// Accepts links until the process ends.
@@ -64,7 +64,7 @@
     while let Some(frame) = next(&mut reader).await {
         match frame.body {
             Some(Body::Tell(tell)) => {
-                if let Some(news) = tell.news {
+                if let Some(news) = tell.notification {
                     handler.clone().receive(news, &sender);
                 }
             }
--- a/crates/filbertstack-gateway/tests/links.rs
+++ b/crates/filbertstack-gateway/tests/links.rs
@@ -18,7 +18,7 @@
 use filbertstack_gateway::link::messages::Body;
 use filbertstack_gateway::link::messages::Empty;
 use filbertstack_gateway::link::messages::Frame;
-use filbertstack_gateway::link::messages::News;
+use filbertstack_gateway::link::messages::Notification;
 use filbertstack_gateway::link::messages::Question;
 use filbertstack_gateway::link::messages::Reply;
 use filbertstack_gateway::link::messages::Rows;
@@ -105,7 +105,7 @@
         // Holds up this thread, and with it the reader, until the peer has ended.
         has_gone.recv_timeout(PATIENCE).expect("it ends");
         let telling = spawn_local(async move {
-            while link.tell(News::Rows(Rows::default())) {
+            while link.tell(Notification::Rows(Rows::default())) {
                 let_others_run().await;
             }
         });
--- a/crates/filbertstack-gateway/tests/loads.rs
+++ b/crates/filbertstack-gateway/tests/loads.rs
@@ -15,7 +15,7 @@
 use filbertstack_gateway::link::messages::Empty;
 use filbertstack_gateway::link::messages::LoadRow;
 use filbertstack_gateway::link::messages::Loads as Told;
-use filbertstack_gateway::link::messages::News;
+use filbertstack_gateway::link::messages::Notification;
 use filbertstack_gateway::link::messages::Question;
 use filbertstack_gateway::link::messages::Reply;
 use filbertstack_gateway::link::messages::Watch;
@@ -51,8 +51,8 @@
         Reply::Done(Empty {}).into()
     }
 
-    fn receive(self: Rc<Self>, news: News, sender: &Sender) {
-        if let News::Watch(watch) = news {
+    fn receive(self: Rc<Self>, news: Notification, sender: &Sender) {
+        if let Notification::Watch(watch) = news {
             let engines = watch.engines.into_iter().collect();
             self.loads.follow(sender, Wants::Engines(engines));
             self.followers.borrow_mut().push(sender.clone());
@@ -89,9 +89,9 @@
     (0..ENGINES).map(|engine| row(engine, running)).collect()
 }
 
-async fn next(news: &mut mpsc::UnboundedReceiver<News>) -> Vec<LoadRow> {
+async fn next(news: &mut mpsc::UnboundedReceiver<Notification>) -> Vec<LoadRow> {
     let came = timeout(PATIENCE, news.recv()).await.expect("in time");
-    let Some(News::Loads(loads)) = came else {
+    let Some(Notification::Loads(loads)) = came else {
         panic!("not loads: {came:?}");
     };
     loads.rows
@@ -106,7 +106,7 @@
             let (voter, addr) = Voter::serve().await;
             let (sender, mut news) = mpsc::unbounded_channel();
             let link = Dialer::subscribe(addr, sender).await.expect("it listens");
-            link.tell(News::Watch(Watch {
+            link.tell(Notification::Watch(Watch {
                 engines: vec![3, 7],
             }));
             voter.await_followers(1).await;
@@ -115,7 +115,7 @@
             voter.loads.take(all(2), true);
             voter.loads.flush();
             assert_eq!(next(&mut news).await, [row(3, 2), row(7, 2)]);
-            link.tell(News::Watch(Watch { engines: vec![8] }));
+            link.tell(Notification::Watch(Watch { engines: vec![8] }));
             voter.await_followers(2).await;
             voter.loads.take(all(3), true);
             voter.loads.flush();
@@ -133,7 +133,7 @@
             let (voter, addr) = Voter::serve().await;
             let (sender, _news) = mpsc::unbounded_channel();
             let link = Dialer::subscribe(addr, sender).await.expect("it listens");
-            link.tell(News::Watch(Watch {
+            link.tell(Notification::Watch(Watch {
                 engines: (0..ENGINES).collect(),
             }));
             voter.await_followers(1).await;
@@ -172,6 +172,6 @@
     let told = Told {
         rows: rows.collect(),
     };
-    let bytes = News::Loads(told).encoded_len() * REPORTS_PER_S;
+    let bytes = Notification::Loads(told).encoded_len() * REPORTS_PER_S;
     assert!(bytes <= BYTES_PER_S, "{bytes} bytes a second");
 }
