--- a/crates/filbertstack-gateway/src/link/dial.rs
+++ b/crates/filbertstack-gateway/src/link/dial.rs
@@ -1,4 +1,4 @@
-//! The dialling side of links: one a peer, kept, and dialled again when it broke.
+//! The dialling side of links: keeps one link to each peer and dials again when it has ended.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,32 +20,32 @@
 use crate::link::messages::Notification;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
-use crate::link::next;
-use crate::link::open;
+use crate::link::next_frame;
+use crate::link::start_link;
 
-/// How long a connection may take to open: some hundred times the distance between regions, and
-/// less than any caller's patience.
-const DIAL: Duration = Duration::from_millis(500);
+/// How long a connection may take to open: some hundred round trips between regions, and less than any
+/// caller waits.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// News that came on a dialled link.
+/// The sending end of a channel for notifications that arrive on a dialled link.
 pub type NotificationSender = mpsc::UnboundedSender<Notification>;
 
-/// Keeps one link to each peer.
+/// Keeps one link to each peer. Clones share the links.
 #[derive(Clone, Debug, Default)]
 pub struct Dialer {
     links: Rc<RefCell<HashMap<SocketAddr, Sender>>>,
-    /// Peers that are being dialled for news.
+    /// The peers that are being dialled to send a notification.
     dialling: Rc<RefCell<HashSet<SocketAddr>>>,
 }
 
 impl Dialer {
-    /// The link to `peer`, dialled if there is none.
+    /// Returns the link to `peer` and dials it if there is none.
     ///
     /// # Errors
-    /// [`LinkError::Broken`] if it can't be dialled in time.
+    /// [`LinkError::Broken`] if the peer can't be dialled in time.
     pub async fn link(&self, peer: SocketAddr) -> Result<Sender, LinkError> {
-        let kept = self.links.borrow().get(&peer).cloned();
-        if let Some(link) = kept.filter(|l| !l.is_closed()) {
+        let existing = self.links.borrow().get(&peer).cloned();
+        if let Some(link) = existing.filter(|l| !l.is_closed()) {
             return Ok(link);
         }
         let link = dial(peer, None).await?;
@@ -53,8 +53,8 @@
         Ok(link)
     }
 
-    /// Asks `peer` and waits for its answer. A link that did not answer in time is given up: it
-    /// may be one that went silent without an end.
+    /// Asks `peer` and waits for its answer. If no answer arrives in time, the link is no longer used:
+    /// its connection may be broken without having been closed.
     ///
     /// # Errors
     /// [`LinkError`]; see [`Sender::ask`].
@@ -62,18 +62,18 @@
         &self,
         peer: SocketAddr,
         question: Question,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<Reply, LinkError> {
         let link = self.link(peer).await?;
-        let answer = link.ask(question, patience).await;
+        let answer = link.ask(question, max_wait).await;
         if matches!(answer, Err(LinkError::Timeout | LinkError::Ended)) {
             self.links.borrow_mut().remove(&peer);
         }
         answer
     }
 
-    /// Asks `peer` as [`Dialer::ask`] does, but gives up sooner if nothing at all comes from it
-    /// for `silent`. The link is kept: other answers may be on their way.
+    /// Asks `peer` as [`Dialer::ask`] does, but stops waiting sooner if the link receives no frame for
+    /// `max_silence`. The link is kept: other answers may still arrive on it.
     ///
     /// # Errors
     /// [`LinkError`]; see [`Sender::ask`].
@@ -81,19 +81,19 @@
         &self,
         peer: SocketAddr,
         question: Question,
-        patience: Duration,
-        silent: Duration,
+        max_wait: Duration,
+        max_silence: Duration,
     ) -> Result<Reply, LinkError> {
         let link = self.link(peer).await?;
         let asked = Instant::now();
-        let answer = link.ask(question, patience);
+        let answer = link.ask(question, max_wait);
         let mut answer = std::pin::pin!(answer);
         loop {
-            let since = link.heard().max(asked);
+            let silent_since = link.last_received().max(asked);
             tokio::select! {
                 answer = &mut answer => return answer,
-                () = sleep_until(since + silent) => {
-                    if link.heard() <= since {
+                () = sleep_until(silent_since + max_silence) => {
+                    if link.last_received() <= silent_since {
                         return Err(LinkError::Timeout);
                     }
                 }
@@ -101,11 +101,12 @@
         }
     }
 
-    /// Sends news to `peer` if there is a link; else drops them and begins to dial.
-    pub fn tell(&self, peer: SocketAddr, news: Notification) {
-        let kept = self.links.borrow().get(&peer).cloned();
-        if let Some(link) = kept.filter(|l| !l.is_closed()) {
-            link.tell(news);
+    /// Sends a notification to `peer`. If there is no link, it dials one in the background and sends the
+    /// notification then; while a dial to the peer is in progress, it drops the notification.
+    pub fn tell(&self, peer: SocketAddr, notification: Notification) {
+        let existing = self.links.borrow().get(&peer).cloned();
+        if let Some(link) = existing.filter(|l| !l.is_closed()) {
+            link.tell(notification);
             return;
         }
         if !self.dialling.borrow_mut().insert(peer) {
@@ -114,54 +115,58 @@
         let dialer = self.clone();
         tokio::task::spawn_local(async move {
             if let Ok(link) = dialer.link(peer).await {
-                link.tell(news);
+                link.tell(notification);
             }
             dialer.dialling.borrow_mut().remove(&peer);
         });
     }
 
-    /// A link of its own whose news go to `news`; it ends when either side ends.
+    /// Dials a new link, whose notifications go to `notifications`. The link ends when the peer ends it
+    /// or the receiving end of `notifications` is dropped.
     ///
     /// # Errors
-    /// [`LinkError::Broken`].
+    /// [`LinkError::Broken`] if the peer can't be dialled in time.
     pub async fn subscribe(
         peer: SocketAddr,
-        news: NotificationSender,
+        notifications: NotificationSender,
     ) -> Result<Sender, LinkError> {
-        dial(peer, Some(news)).await
+        dial(peer, Some(notifications)).await
     }
 }
 
-async fn dial(peer: SocketAddr, news: Option<NotificationSender>) -> Result<Sender, LinkError> {
+async fn dial(
+    peer: SocketAddr,
+    notifications: Option<NotificationSender>,
+) -> Result<Sender, LinkError> {
     let broken = |source| LinkError::Broken { peer, source };
-    let stream = timeout(DIAL, TcpStream::connect(peer)).await;
+    let stream = timeout(DIAL_TIMEOUT, TcpStream::connect(peer)).await;
     let stream = stream.map_err(|_| broken(io::ErrorKind::TimedOut.into()))?;
-    let (sender, mut reader) = open(stream.map_err(broken)?);
-    let waiting = sender.waiting.clone();
-    let closing = sender.clone();
+    let (sender, mut reader) = start_link(stream.map_err(broken)?);
+    let pending = sender.pending.clone();
+    let receiving = sender.clone();
     tokio::task::spawn_local(async move {
-        while let Some(frame) = next(&mut reader).await {
-            closing.hear();
+        while let Some(frame) = next_frame(&mut reader).await {
+            receiving.note_received();
             match frame.body {
                 Some(Body::Answer(answer)) => {
-                    let asker = waiting.borrow_mut().remove(&frame.id);
+                    let asker = pending.borrow_mut().remove(&frame.id);
                     if let Some(asker) = asker {
-                        // Whoever asked may have stopped waiting.
+                        // The asker may have stopped waiting.
                         let _ = asker.send(answer);
                     }
                 }
                 Some(Body::Tell(tell)) => {
-                    let told = tell.notification.zip(news.as_ref());
-                    if told.is_some_and(|(n, to)| to.send(n).is_err()) {
+                    let forwarded = tell.notification.zip(notifications.as_ref());
+                    if forwarded.is_some_and(|(n, to)| to.send(n).is_err()) {
                         break;
                     }
                 }
                 Some(Body::Ask(_)) | None => {}
             }
         }
-        // Whoever still waits learns that the link has ended.
-        waiting.borrow_mut().clear();
-        closing.end();
+        // Drops the channels of the askers that still wait, which tells them that the link has ended.
+        pending.borrow_mut().clear();
+        receiving.mark_ended();
     });
     Ok(sender)
 }
--- a/crates/filbertstack-gateway/src/link/messages.rs
+++ b/crates/filbertstack-gateway/src/link/messages.rs
@@ -1,4 +1,4 @@
-//! What the system's processes say to each other, as `prost` messages.
+//! The messages between the processes of the system, as `prost` types.
 
 use std::net::SocketAddr;
 
@@ -10,24 +10,24 @@
 /// One frame of a link.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
-    /// Pairs an [`Ask`] with its [`Answer`]; 0 for a [`Tell`].
+    /// The id that an [`Ask`] shares with its [`Answer`]; 0 for a [`Tell`].
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// What is said.
+    /// The content.
     #[prost(oneof = "Body", tags = "2, 3, 4")]
     pub body: Option<Body>,
 }
 
-/// What a frame says.
+/// The content of a frame.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
-    /// A question; it gets one answer.
+    /// A question, which gets one answer.
     #[prost(message, tag = "2")]
     Ask(Ask),
     /// The answer to a question.
     #[prost(message, tag = "3")]
     Answer(Answer),
-    /// A message without an answer.
+    /// A notification, which gets no answer.
     #[prost(message, tag = "4")]
     Tell(Tell),
 }
@@ -35,54 +35,54 @@
 /// A question.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ask {
-    /// What is asked.
+    /// The content of the question.
     #[prost(oneof = "Question", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10")]
     pub question: Option<Question>,
 }
 
-/// What may be asked.
+/// The content of a question.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Question {
-    /// Who are you, and who leads?
+    /// Asks for the node's name and addresses, its group and the leader.
     #[prost(message, tag = "1")]
     NodeStatus(Empty),
-    /// I have a disk and am no member of the group: take me in.
+    /// Asks to join the group. The asker has a disk and is no member yet.
     #[prost(message, tag = "2")]
     Join(NodeStatus),
-    /// Commit this command of the document machine.
+    /// Asks to commit a command of the document's state machine.
     #[prost(message, tag = "3")]
     Propose(Proposal),
-    /// Which document is the newest, confirmed for this question?
+    /// Asks for the newest document, confirmed after the question was asked.
     #[prost(message, tag = "4")]
     Read(Hop),
-    /// Take these rows into the registry, and tell the other voters.
+    /// Asks to add these rows to the registry and to send them to the other voters.
     #[prost(message, tag = "5")]
     Register(Rows),
-    /// One piece of weights.
+    /// Asks for one piece of weights.
     #[prost(message, tag = "6")]
     Piece(PieceName),
-    /// The list of a version's pieces.
+    /// Asks for the list of a version's pieces.
     #[prost(message, tag = "7")]
     Manifest(Weights),
-    /// Whether a piece is there, or comes shortly.
+    /// Asks whether the node has a piece or will have it shortly.
     #[prost(message, tag = "8")]
     Has(PieceName),
-    /// Whether a piece is there now.
+    /// Asks whether the node has a piece now.
     #[prost(message, tag = "9")]
     HasNow(PieceName),
-    /// Which list of pieces do you keep of the latest version up to this one?
+    /// Asks for the list of pieces of the latest version, up to this one, that the voters keep.
     #[prost(message, tag = "10")]
     List(Weights),
 }
 
-/// Nothing more to say.
+/// A message without fields.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct Empty {}
 
-/// How often a question was passed on: once at most, so that it can't go round.
+/// The number of times that a question was relayed: at most once, so that it can't circulate.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct Hop {
-    /// Whether the question was passed on already.
+    /// Whether the question was relayed already.
     #[prost(bool, tag = "1")]
     pub relayed: bool,
 }
@@ -93,12 +93,12 @@
     /// An encoded [`Change`](filbertstack_control::document::Change).
     #[prost(bytes = "bytes", tag = "1")]
     pub command: Bytes,
-    /// Whether it was passed on already.
+    /// Whether it was relayed already.
     #[prost(bool, tag = "2")]
     pub relayed: bool,
 }
 
-/// Who a node is.
+/// The identity of a node and what it knows of its group.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct NodeStatus {
     /// Its name.
@@ -107,16 +107,16 @@
     /// Its address for links.
     #[prost(string, tag = "2")]
     pub addr: String,
-    /// The identity of its log, 0 without a disk.
+    /// The identity of its log; 0 without a disk.
     #[prost(fixed64, tag = "3")]
     pub node: u64,
-    /// The group that it belongs to, 0 if none.
+    /// The identity of its group of voters; 0 if none.
     #[prost(fixed64, tag = "4")]
     pub cluster: u64,
-    /// The leader's address for links; empty if it knows none.
+    /// The leader's address for links; empty if the node knows no leader.
     #[prost(string, tag = "5")]
     pub leader: String,
-    /// The voters' addresses for links, as far as it knows them.
+    /// The voters' addresses for links, as far as the node knows them.
     #[prost(string, repeated, tag = "6")]
     pub voters: Vec<String>,
     /// The identities of all members of the group, learners included.
@@ -127,21 +127,21 @@
 /// An answer.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Answer {
-    /// What is answered.
+    /// The content of the answer.
     #[prost(oneof = "Reply", tags = "1, 2, 3, 4, 5, 6, 7, 8")]
     pub reply: Option<Reply>,
 }
 
-/// What may be answered.
+/// The content of an answer.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Reply {
-    /// Who I am.
+    /// The identity of the node and its group.
     #[prost(message, tag = "1")]
     NodeStatus(NodeStatus),
-    /// It is done.
+    /// What was asked is done, or the answer is yes.
     #[prost(message, tag = "2")]
     Done(Empty),
-    /// It is not done, or that isn't known; the text says why.
+    /// What was asked is not done, or the result is unknown. The text gives the reason.
     #[prost(string, tag = "3")]
     Failed(String),
     /// The newest document.
@@ -150,10 +150,10 @@
     /// The bytes of a piece.
     #[prost(bytes = "bytes", tag = "5")]
     Piece(Bytes),
-    /// The digests of a version's pieces, one after the other.
+    /// The list of a version's pieces.
     #[prost(message, tag = "6")]
     Manifest(Manifest),
-    /// Nothing of that version is kept here, nor will be.
+    /// The node keeps nothing of that version and will not do so later.
     #[prost(message, tag = "7")]
     NotKept(Empty),
     /// A list of pieces that the voters keep.
@@ -161,18 +161,18 @@
     List(List),
 }
 
-/// The pieces of a version.
+/// The list of a version's pieces.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Manifest {
-    /// Bytes of a piece.
+    /// The size of a piece in bytes.
     #[prost(uint32, tag = "1")]
     pub bytes: u32,
-    /// The SHA-256 of each piece, 32 bytes each.
+    /// The SHA-256 digests of the pieces in their order, 32 bytes each.
     #[prost(bytes = "bytes", tag = "2")]
     pub digests: Bytes,
 }
 
-/// One piece of one version.
+/// Identifies one piece of one version.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct PieceName {
     /// The version.
@@ -183,36 +183,36 @@
     pub number: u32,
 }
 
-/// A message without an answer.
+/// A notification.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Tell {
-    /// What is told.
+    /// The content of the notification.
     #[prost(oneof = "Notification", tags = "1, 2, 3, 4, 5, 6, 7, 8")]
     pub notification: Option<Notification>,
 }
 
-/// What may be told.
+/// The content of a notification.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Notification {
     /// A message of the replicated log.
     #[prost(message, tag = "1")]
     Log(LogMessage),
-    /// Tell me on this link whatever is new.
+    /// Subscribes to changes, which come as notifications on this link.
     #[prost(message, tag = "2")]
     Follow(Follow),
-    /// What is declared.
+    /// The declared state, without the document.
     #[prost(message, tag = "3")]
     Declared(Declared),
     /// Rows of the registry.
     #[prost(message, tag = "4")]
     Rows(Rows),
-    /// A sign of life.
+    /// A voter's heartbeat.
     #[prost(message, tag = "5")]
     VoterHeartbeat(VoterHeartbeat),
     /// The loads of engines.
     #[prost(message, tag = "6")]
     Loads(Loads),
-    /// Tell me on this link the loads of these engines.
+    /// Subscribes to the loads of engines, which come as notifications on this link.
     #[prost(message, tag = "7")]
     Watch(Watch),
     /// A part of the newest document.
@@ -220,7 +220,7 @@
     Part(DocumentPart),
 }
 
-/// A message of the replicated log and where its sender is reached.
+/// A message of the replicated log, with the address of its sender.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LogMessage {
     /// The sender's address for links.
@@ -231,27 +231,27 @@
     pub body: Bytes,
 }
 
-/// Who wants to be told.
+/// A subscription to changes.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Follow {
-    /// The document's version that the follower holds.
+    /// The version of the document that the follower holds.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// What the follower is, and so what it needs.
+    /// The changes that the follower needs.
     #[prost(enumeration = "Interest", tag = "2")]
     pub interest: i32,
 }
 
-/// What a follower needs to be told.
+/// The changes that a follower needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum Interest {
-    /// An entry: the document, and all rows as they change.
+    /// All: the document, and all rows as they change. Entries need these.
     All = 0,
-    /// A voter: rows that were registered here, each time.
+    /// The rows that were registered at this node, each time. Voters need these.
     Registered = 1,
-    /// An agent: versions of weights, and who holds them or keeps their pieces. A document for each of 2,000 agents
-    /// would be too much for their links.
+    /// The versions of the weights, and the processes that hold them or keep their pieces. Agents need
+    /// these: sending the document to each of 2,000 agents would overload the links.
     Weights = 2,
 }
 
@@ -264,7 +264,7 @@
     /// The part's number, from 0.
     #[prost(uint32, tag = "2")]
     pub number: u32,
-    /// How many parts there are.
+    /// The number of parts.
     #[prost(uint32, tag = "3")]
     pub count: u32,
     /// Its bytes.
@@ -272,16 +272,16 @@
     pub body: Bytes,
 }
 
-/// What is declared, beside the document, whose parts come before.
+/// The declared state, without the document, whose parts are sent before.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Declared {
     /// The latest versions of each model's weights.
     #[prost(message, repeated, tag = "2")]
     pub weights: Vec<NamedWeights>,
-    /// Where weights come from.
+    /// The addresses of the origins of weights.
     #[prost(string, repeated, tag = "3")]
     pub origins: Vec<String>,
-    /// Which models the engines of each service serve.
+    /// The models that the engines of each service serve.
     #[prost(message, repeated, tag = "4")]
     pub models: Vec<ServedModel>,
 }
@@ -295,12 +295,12 @@
     /// The model.
     #[prost(string, tag = "2")]
     pub model: String,
-    /// Whether all its requests may go on at another engine when they break off.
+    /// Whether another engine may resume each of its requests that breaks off.
     #[prost(bool, tag = "3")]
     pub resumable: bool,
 }
 
-/// A version of weights, and how long ago it was named.
+/// A version of weights, and how long ago it was declared.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct NamedWeights {
     /// The model.
@@ -309,7 +309,7 @@
     /// The version.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// Milliseconds since it was named, as far as the sender knows.
+    /// Milliseconds since it was declared, as far as the sender knows.
     #[prost(uint64, tag = "3")]
     pub age_ms: u64,
 }
@@ -320,33 +320,33 @@
     /// The rows.
     #[prost(message, repeated, tag = "1")]
     pub rows: Vec<Row>,
-    /// Whether these are all rows that the sender holds.
+    /// Whether these are all the rows that the sender holds.
     #[prost(bool, tag = "2")]
     pub whole: bool,
 }
 
-/// What one process or engine says of itself.
+/// A registration of one process or target in the registry.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Row {
-    /// Who.
+    /// The id of the process or target.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// The Unix millisecond of its start.
+    /// The time of its start, in milliseconds since the Unix epoch.
     #[prost(uint64, tag = "2")]
     pub born: u64,
-    /// Grows with each row since that start.
+    /// A number that grows with each row since that start.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
     /// Whether it has left.
     #[prost(bool, tag = "4")]
     pub gone: bool,
-    /// What it is.
+    /// Its kind and state.
     #[prost(oneof = "Kind", tags = "5, 6, 7")]
     pub kind: Option<Kind>,
 }
 
 impl Row {
-    /// Tells that a process has left, whatever it said last.
+    /// Creates a row that says that a process has left. It supersedes every row of that process.
     pub fn left(id: &str) -> Self {
         Self {
             id: id.into(),
@@ -357,7 +357,7 @@
         }
     }
 
-    /// Tells that nothing was heard of a process since that statement.
+    /// Creates a row that says that a process sent nothing after the row with this `sequence`.
     pub fn silent(id: &str, born: u64, sequence: u64) -> Self {
         Self {
             id: id.into(),
@@ -369,7 +369,7 @@
     }
 }
 
-/// What a row is about.
+/// The subject of a row.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Kind {
     /// A target.
@@ -383,48 +383,48 @@
     Agent(AgentRow),
 }
 
-/// A target, as it announced itself.
+/// A target, as it registered itself.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct TargetRow {
     /// The service that it belongs to.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Where it serves.
+    /// The address where it serves.
     #[prost(string, tag = "2")]
     pub addr: String,
     /// Its availability zone.
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// Requests that it processes at once.
+    /// The number of requests that it processes at once.
     #[prost(uint32, tag = "4")]
     pub slots: u32,
-    /// Whether it wants no new work.
+    /// Whether it takes no new requests.
     #[prost(bool, tag = "5")]
     pub draining: bool,
     /// The version of the weights that it serves; 0 if none.
     #[prost(uint64, tag = "6")]
     pub version: u64,
-    /// For how many more milliseconds it stays slow after its start.
+    /// The remaining milliseconds for which it stays slow after its start.
     #[prost(uint64, tag = "7")]
     pub cold_ms: u64,
 }
 
-/// An entry, as others need to know it.
+/// An entry, as it registered itself.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EntryRow {
-    /// Where callers connect.
+    /// The address where callers connect.
     #[prost(string, tag = "1")]
     pub front: String,
     /// Its availability zone.
     #[prost(string, tag = "2")]
     pub zone: String,
-    /// Whether it takes no new callers.
+    /// Whether it takes no new callers, such as while it shuts down.
     #[prost(bool, tag = "3")]
     pub leaving: bool,
     /// Its address for links.
     #[prost(string, tag = "4")]
     pub link: String,
-    /// The versions of which it has all pieces that it asks the origin for.
+    /// The versions of which it has all the pieces that it is to fetch from the origin.
     #[prost(message, repeated, tag = "5")]
     pub holds: Vec<Weights>,
 }
@@ -447,10 +447,10 @@
     /// The version of the weights that the engine serves; 0 if none.
     #[prost(uint64, tag = "5")]
     pub version: u64,
-    /// Whether the engine takes no new work, as it is being brought to another version.
+    /// Whether the engine takes no new requests, as another version is being loaded.
     #[prost(bool, tag = "6")]
     pub loading: bool,
-    /// The version of which all pieces lie at the engine; 0 if none.
+    /// The version of which the engine has all pieces; 0 if none.
     #[prost(uint64, tag = "7")]
     pub holds: u64,
 }
@@ -458,29 +458,30 @@
 /// The loads of some engines.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Loads {
-    /// One row an engine.
+    /// One row for each engine.
     #[prost(message, repeated, tag = "1")]
     pub rows: Vec<LoadRow>,
 }
 
-/// The load of an engine. Hundreds are told ten times a second, so that it names its engine shortly.
+/// The load of an engine. Hundreds of them are sent ten times a second, so the address of the engine is
+/// packed.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct LoadRow {
     /// The engine's address, [packed](pack_addr).
     #[prost(fixed64, tag = "1")]
     pub engine: u64,
-    /// Requests that the engine runs.
+    /// The number of requests that the engine runs.
     #[prost(uint32, tag = "2")]
     pub running: u32,
-    /// Requests that wait in the engine.
+    /// The number of requests that wait in the engine.
     #[prost(uint32, tag = "3")]
     pub waiting: u32,
-    /// How many percent of its usual time the engine takes.
+    /// The time that the engine takes, in percent of its usual time.
     #[prost(uint32, tag = "4")]
     pub pace: u32,
 }
 
-/// Whose loads a follower wants to be told, in place of those that it named before.
+/// A subscription to the loads of engines. It replaces the earlier one of the same follower.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Watch {
     /// The engines' addresses, [packed](pack_addr).
@@ -488,10 +489,10 @@
     pub engines: Vec<u64>,
 }
 
-/// A voter's sign of life.
+/// A voter's heartbeat, which also reports its state.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct VoterHeartbeat {
-    /// Whether the voter is in contact with a leader, so that nothing newer passes it by.
+    /// Whether the voter is in contact with a leader and so receives every change.
     #[prost(bool, tag = "1")]
     pub current: bool,
     /// The voters' addresses for links.
@@ -502,12 +503,12 @@
     pub document: u64,
 }
 
-/// An address as it is written in messages; `None` if it does not read.
+/// Parses an address from a message; `None` if it is not a valid address.
 pub fn decode_addr(text: &str) -> Option<SocketAddr> {
     text.parse().ok()
 }
 
-/// An address as one number; `None` for one that is not IPv4.
+/// Packs an address into one number; `None` for one that is not IPv4.
 pub fn pack_addr(addr: SocketAddr) -> Option<u64> {
     let SocketAddr::V4(addr) = addr else {
         return None;
--- a/crates/filbertstack-gateway/src/link/mod.rs
+++ b/crates/filbertstack-gateway/src/link/mod.rs
@@ -1,6 +1,8 @@
-//! Links between the system's processes: frames over TCP, questions with answers, and news.
+//! Links between the processes of the system: frames over TCP that carry questions, answers and
+//! notifications.
 //!
-//! One link carries many questions at once. Whoever dials may ask; both sides may tell.
+//! One link carries many questions at once. Only the dialling side asks questions; both sides send
+//! notifications.
 
 mod dial;
 pub mod messages;
@@ -45,100 +47,103 @@
 use crate::link::messages::Reply;
 use crate::link::messages::Tell;
 
-/// The longest frame: a document of 4 MiB and what surrounds it.
+/// The longest frame, in bytes: a document of 4 MiB and its envelope.
 const MAX_FRAME: usize = 6 << 20;
 
-/// How many frames may wait to be written; beyond it a peer that does not read loses its link.
-const QUEUE: usize = 1_024;
+/// How many frames may wait to be written. Frames beyond that are dropped, as the peer does not read fast
+/// enough.
+const QUEUE_FRAMES: usize = 1_024;
 
-/// How long sent bytes may stay without an acknowledgement. A partition leaves a connection open
-/// and silent: without this bound its writer would wait for minutes.
-pub const SILENCE: Duration = Duration::from_millis(2_500);
+/// How long sent bytes may stay unacknowledged before the connection is closed. A network partition
+/// leaves a connection open and silent: without this limit its writer would wait for minutes.
+pub const ACK_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Why a question got no answer.
+/// The reason why a question has no answer.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// No connection, or it broke.
+    /// The connection could not be opened.
     #[error("no link to {peer}: {source}; it is dialled again")]
     Broken {
         /// The peer.
         peer: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// No answer came in time.
+    /// No answer arrived in time.
     #[error("the peer did not answer in time; ask another")]
     Timeout,
-    /// The link ended while an answer was awaited.
+    /// The link ended before the answer arrived.
     #[error("the link ended before the answer came; ask again")]
     Ended,
-    /// The peer could not do it.
+    /// The peer could not do what was asked.
     #[error("{0}")]
     Failed(String),
-    /// The answer is to another question.
+    /// The answer is of a kind that does not fit the question.
     #[error("the peer answered something else; check that both run compatible versions")]
     UnexpectedReply,
 }
 
-/// Sets what every connection between instances needs.
+/// Sets the socket options of connections between instances.
 pub fn tune(stream: &TcpStream) {
     let socket = SockRef::from(stream);
-    // Each fails only where the system lacks it, and then the questions' timeouts still hold.
+    // An option fails only where the system lacks it; the timeouts of the questions still hold then.
     let _ = socket.set_tcp_nodelay(true);
-    let _ = socket.set_tcp_user_timeout(Some(SILENCE));
+    let _ = socket.set_tcp_user_timeout(Some(ACK_TIMEOUT));
 }
 
-type Waiting = Rc<RefCell<HashMap<u64, oneshot::Sender<Answer>>>>;
+/// The askers that wait for answers, by the id of the question.
+type Pending = Rc<RefCell<HashMap<u64, oneshot::Sender<Answer>>>>;
 
-/// The sending side of a link.
+/// The sending side of a link. Clones share the link.
 #[derive(Clone, Debug)]
 pub struct Sender {
     frames: mpsc::Sender<Frame>,
-    waiting: Waiting,
-    next: Rc<Cell<u64>>,
+    pending: Pending,
+    next_id: Rc<Cell<u64>>,
     ended: Rc<Cell<bool>>,
-    heard: Rc<Cell<Instant>>,
-    /// Frames that were handed to the writer and have not gone out.
+    last_received: Rc<Cell<Instant>>,
+    /// The number of frames that were queued and are not written yet.
     unsent: watch::Receiver<usize>,
     added: Rc<watch::Sender<usize>>,
 }
 
 impl Sender {
-    /// Sends news, or drops them if the peer does not keep up.
-    pub fn tell(&self, news: Notification) -> bool {
+    /// Sends a notification. Returns false if it was dropped, as the peer does not read fast enough or the
+    /// link has ended.
+    pub fn tell(&self, notification: Notification) -> bool {
         self.send(
             0,
             Body::Tell(Tell {
-                notification: Some(news),
+                notification: Some(notification),
             }),
         )
     }
 
-    /// Whether the link has ended.
+    /// Returns whether the link has ended.
     pub fn is_closed(&self) -> bool {
         self.ended.get() || self.frames.is_closed()
     }
 
-    /// Whether both lead over the same link.
+    /// Returns whether both send over the same link.
     pub fn is_same(&self, other: &Self) -> bool {
         Rc::ptr_eq(&self.ended, &other.ended)
     }
 
-    /// How many frames wait to be written.
+    /// Returns how many frames wait to be written.
     pub fn backlog(&self) -> usize {
         *self.unsent.borrow()
     }
 
-    /// When the peer was last heard.
-    fn heard(&self) -> Instant {
-        self.heard.get()
+    /// Returns when the last frame arrived.
+    fn last_received(&self) -> Instant {
+        self.last_received.get()
     }
 
-    fn hear(&self) {
-        self.heard.set(Instant::now());
+    fn note_received(&self) {
+        self.last_received.set(Instant::now());
     }
 
-    fn end(&self) {
+    fn mark_ended(&self) {
         self.ended.set(true);
     }
 
@@ -151,29 +156,30 @@
         sent
     }
 
-    /// Waits until all that was sent so far has gone out, or the link has ended.
-    async fn drained(&self) {
+    /// Waits until no frame waits to be written, or the link has ended.
+    async fn all_written(&self) {
         let mut unsent = self.unsent.clone();
-        // An error means that the writer has ended, and nothing more goes out.
+        // An error means that the writer has ended and nothing more is written.
         let _ = unsent.wait_for(|count| *count == 0).await;
     }
 
-    /// Asks and waits for the answer.
+    /// Sends a question and waits for the answer.
     ///
     /// # Errors
-    /// [`LinkError`]; whether the peer did what was asked is then unknown, unless it said so.
-    pub async fn ask(&self, question: Question, patience: Duration) -> Result<Reply, LinkError> {
-        let id = self.next.get() + 1;
-        self.next.set(id);
+    /// [`LinkError`]; whether the peer did what was asked is then unknown, unless the error is
+    /// [`LinkError::Failed`] and its text says so.
+    pub async fn ask(&self, question: Question, max_wait: Duration) -> Result<Reply, LinkError> {
+        let id = self.next_id.get() + 1;
+        self.next_id.set(id);
         let (reply, answer) = oneshot::channel();
-        self.waiting.borrow_mut().insert(id, reply);
-        let forget = Forget(self.waiting.clone(), id);
+        self.pending.borrow_mut().insert(id, reply);
+        let guard = PendingGuard(self.pending.clone(), id);
         let question = Some(question);
         if !self.send(id, Body::Ask(Ask { question })) {
             return Err(LinkError::Ended);
         }
-        let answer = tokio::time::timeout(patience, answer).await;
-        drop(forget);
+        let answer = tokio::time::timeout(max_wait, answer).await;
+        drop(guard);
         let answer = answer.map_err(|_| LinkError::Timeout)?;
         let answer = answer.map_err(|_| LinkError::Ended)?;
         match answer.reply {
@@ -184,10 +190,10 @@
     }
 }
 
-/// Forgets a question when its asker stops waiting, so that the table can't grow.
-struct Forget(Waiting, u64);
+/// Removes a question from the table when its asker stops waiting, so that the table can't grow.
+struct PendingGuard(Pending, u64);
 
-impl Drop for Forget {
+impl Drop for PendingGuard {
     fn drop(&mut self) {
         self.0.borrow_mut().remove(&self.1);
     }
@@ -195,20 +201,20 @@
 
 type Reader = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
 
-/// Starts a link on a connection: frames given to the sender are written by a task of its own.
-fn open(stream: TcpStream) -> (Sender, Reader) {
+/// Starts a link on a connection. A task of its own writes the frames that the sender queues.
+fn start_link(stream: TcpStream) -> (Sender, Reader) {
     tune(&stream);
     let (read, write) = stream.into_split();
-    let (frames, queue) = mpsc::channel(QUEUE);
+    let (frames, queue) = mpsc::channel(QUEUE_FRAMES);
     let (added, unsent) = watch::channel(0);
     let added = Rc::new(added);
     tokio::task::spawn_local(write_frames(write, queue, added.clone()));
     let sender = Sender {
         frames,
-        waiting: Waiting::default(),
-        next: Rc::default(),
+        pending: Pending::default(),
+        next_id: Rc::default(),
         ended: Rc::default(),
-        heard: Rc::new(Cell::new(Instant::now())),
+        last_received: Rc::new(Cell::new(Instant::now())),
         unsent,
         added,
     };
@@ -230,7 +236,7 @@
     while let Some(frame) = queue.recv().await {
         let mut count = 1;
         let mut sent = sink.feed(Bytes::from(frame.encode_to_vec())).await;
-        // Frames that wait together share one write.
+        // Frames that are queued at the same time share one write.
         while let (Ok(()), Ok(frame)) = (&sent, queue.try_recv()) {
             count += 1;
             sent = sink.feed(Bytes::from(frame.encode_to_vec())).await;
@@ -244,8 +250,8 @@
     }
 }
 
-/// The next frame; `None` when the link has ended or the peer breaks the format.
-async fn next(reader: &mut Reader) -> Option<Frame> {
+/// Returns the next frame; `None` if the link has ended or a frame does not decode.
+async fn next_frame(reader: &mut Reader) -> Option<Frame> {
     let bytes = reader.next().await?.ok()?;
     Frame::decode(bytes).ok()
 }
--- a/crates/filbertstack-gateway/src/link/serve.rs
+++ b/crates/filbertstack-gateway/src/link/serve.rs
@@ -1,4 +1,4 @@
-//! The accepting side of links.
+//! The accepting side of links: it answers questions and handles notifications.
 
 use std::rc::Rc;
 
@@ -12,17 +12,17 @@
 use crate::link::messages::Notification;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
-use crate::link::next;
-use crate::link::open;
+use crate::link::next_frame;
+use crate::link::start_link;
 
-/// An answer, and the slot that it holds until it has gone out.
+/// The reply of a [`Handler`], and the slot that it holds until it has been written.
 pub struct HandlerReply {
     reply: Reply,
     slot: Option<OwnedSemaphorePermit>,
 }
 
 impl HandlerReply {
-    /// An answer that is long: while it goes out, it holds a slot.
+    /// Creates a long reply, which holds `slot` while it is written.
     pub fn with_slot(reply: Reply, slot: OwnedSemaphorePermit) -> Self {
         let slot = Some(slot);
         Self { reply, slot }
@@ -35,21 +35,21 @@
     }
 }
 
-/// What a node does with what its peers say.
+/// Handles the messages from the peers of a node.
 pub trait Handler: 'static {
     /// Answers a question.
     fn answer(self: Rc<Self>, question: Question) -> impl Future<Output = HandlerReply>;
 
-    /// Takes news; `sender` leads back to the peer.
-    fn receive(self: Rc<Self>, news: Notification, sender: &Sender);
+    /// Handles a notification. `sender` sends to the peer that it came from.
+    fn receive(self: Rc<Self>, notification: Notification, sender: &Sender);
 }
 
-/// Accepts links until the process ends.
+/// Accepts links until the process ends and passes their messages to `handler`.
 pub async fn serve<H: Handler>(listener: TcpListener, handler: Rc<H>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(attend(stream, handler.clone()));
+                tokio::task::spawn_local(serve_link(stream, handler.clone()));
             }
             Err(error) => {
                 spdlog::warn!("link not accepted", kv: { error = error.to_string() });
@@ -59,13 +59,13 @@
     }
 }
 
-async fn attend<H: Handler>(stream: TcpStream, handler: Rc<H>) {
-    let (sender, mut reader) = open(stream);
-    while let Some(frame) = next(&mut reader).await {
+async fn serve_link<H: Handler>(stream: TcpStream, handler: Rc<H>) {
+    let (sender, mut reader) = start_link(stream);
+    while let Some(frame) = next_frame(&mut reader).await {
         match frame.body {
             Some(Body::Tell(tell)) => {
-                if let Some(news) = tell.notification {
-                    handler.clone().receive(news, &sender);
+                if let Some(notification) = tell.notification {
+                    handler.clone().receive(notification, &sender);
                 }
             }
             Some(Body::Ask(ask)) => {
@@ -78,12 +78,12 @@
                     let reply = Some(reply);
                     sender.send(frame.id, Body::Answer(Answer { reply }));
                     if slot.is_some() {
-                        sender.drained().await;
+                        sender.all_written().await;
                     }
                 });
             }
             Some(Body::Answer(_)) | None => {}
         }
     }
-    sender.end();
+    sender.mark_ended();
 }
