--- a/crates/filbertstack-gateway/src/client.rs
+++ b/crates/filbertstack-gateway/src/client.rs
@@ -25,41 +25,41 @@
 use crate::link::tune;
 
 /// The largest head of an answer, in bytes.
-const MAX_HEAD: usize = 32 << 10;
+const MAX_HEAD_BYTES: usize = 32 << 10;
 
-/// Why a call brought no answer.
+/// The reason why a call has no answer.
 #[derive(Debug, Error)]
 pub enum CallFailure {
-    /// No connection: nothing was sent.
+    /// The connection could not be opened: nothing was sent.
     #[error("{addr} not reached: {source}; it is tried again")]
     Connect {
-        /// Where.
+        /// The address of the far end.
         addr: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The connection broke after something may have been sent.
     #[error("the connection broke: {0}; whether the call was carried out is not known")]
     Broken(#[from] hyper::Error),
-    /// No answer came in time.
+    /// No answer arrived in time.
     #[error("no answer came in time; whether the call was carried out is not known")]
     Timeout,
-    /// The answer is no success.
+    /// The answer has a status other than success.
     #[error("answered {0}")]
     Status(http::StatusCode),
-    /// The answer is too long or broke off.
+    /// The answer is too long or incomplete.
     #[error("the answer broke off or is too long: {0}; ask again")]
     Body(String),
 }
 
 impl CallFailure {
-    /// Whether the far end certainly does not carry the call out, now or later.
+    /// Returns whether it is certain that the far end does not execute the call, now or later.
     pub const fn never_executed(&self) -> bool {
         matches!(self, Self::Connect { .. } | Self::Status(_))
     }
 }
 
-/// One connection. Dropping it closes it, and with it whatever is under way there.
+/// An HTTP/1.1 connection. Dropping it resets it and ends any request in progress on it.
 #[derive(Debug)]
 pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
@@ -73,27 +73,28 @@
 }
 
 impl Connection {
-    /// Opens a connection within `patience`.
+    /// Opens a connection within `max_wait`.
     ///
     /// # Errors
-    /// [`CallFailure::Connect`].
-    pub async fn open(addr: SocketAddr, patience: Duration) -> Result<Self, CallFailure> {
+    /// [`CallFailure::Connect`] if the far end can't be reached in time.
+    pub async fn open(addr: SocketAddr, max_wait: Duration) -> Result<Self, CallFailure> {
         let failed = |source| CallFailure::Connect { addr, source };
-        let stream = timeout(patience, TcpStream::connect(addr)).await;
+        let stream = timeout(max_wait, TcpStream::connect(addr)).await;
         let stream = stream.map_err(|_| failed(io::ErrorKind::TimedOut.into()))?;
         let stream = stream.map_err(failed)?;
         tune(&stream);
-        // What is dropped is reset: bytes that wait behind a cut or narrow link would else reach
-        // the target seconds later, and run for a caller who has left.
+        // Without lingering, a dropped connection is reset. Bytes that wait behind a partition or a
+        // slow network would otherwise reach the target seconds later, and it would run the request
+        // of a caller who has left.
         if let Err(error) = SockRef::from(&stream).set_linger(Some(Duration::ZERO)) {
             return Err(failed(error));
         }
-        let made = http1::Builder::new()
-            .max_buf_size(MAX_HEAD)
+        let handshake_result = http1::Builder::new()
+            .max_buf_size(MAX_HEAD_BYTES)
             .handshake(TokioIo::new(stream))
             .await;
-        let (sender, connection) = made.map_err(|e| failed(io::Error::other(e)))?;
-        // How it ends is seen by whoever uses the connection.
+        let (sender, connection) = handshake_result.map_err(|e| failed(io::Error::other(e)))?;
+        // The user of the connection sees how it ends.
         let task = spawn_local(async move { drop(connection.await) });
         Ok(Self {
             sender,
@@ -101,12 +102,12 @@
         })
     }
 
-    /// Whether another request can be sent now.
+    /// Returns whether another request can be sent now.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Waits until another request can be sent; false once it has ended.
+    /// Waits until another request can be sent. Returns false if the connection has ended.
     pub async fn becomes_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
@@ -114,7 +115,7 @@
     /// Sends a request and waits for the head of its answer.
     ///
     /// # Errors
-    /// Those of the connection; the request may have been carried out.
+    /// Errors of the connection; the request may have been executed.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -123,26 +124,28 @@
     }
 }
 
-/// One call on a connection of its own, with its whole answer.
+/// Makes one call on a new connection and returns the body of its answer, which has at most `max_body`
+/// bytes.
 ///
 /// # Errors
-/// [`CallFailure`].
+/// [`CallFailure`] if there is no answer with a status of success within `max_wait`.
 pub async fn call(
     addr: SocketAddr,
     outgoing: Outgoing,
-    longest: usize,
-    patience: Duration,
+    max_body: usize,
+    max_wait: Duration,
 ) -> Result<Bytes, CallFailure> {
     let work = async {
-        let mut connection = Connection::open(addr, patience).await?;
-        exchange(&mut connection, addr, outgoing, longest).await
+        let mut connection = Connection::open(addr, max_wait).await?;
+        exchange(&mut connection, addr, outgoing, max_body).await
     };
-    timeout(patience, work)
+    timeout(max_wait, work)
         .await
         .unwrap_or(Err(CallFailure::Timeout))
 }
 
-/// One call on a connection that is kept.
+/// Makes one call on an open connection and returns the body of its answer, which has at most
+/// `max_body` bytes.
 ///
 /// # Errors
 /// [`CallFailure`]; the connection should then be dropped.
@@ -150,7 +153,7 @@
     connection: &mut Connection,
     addr: SocketAddr,
     outgoing: Outgoing,
-    longest: usize,
+    max_body: usize,
 ) -> Result<Bytes, CallFailure> {
     let mut request = Request::new(Full::new(outgoing.body));
     *request.method_mut() = outgoing.method;
@@ -161,7 +164,7 @@
     }
     let answer = connection.send(request).await?;
     let status = answer.status();
-    let body = Limited::new(answer.into_body(), longest).collect().await;
+    let body = Limited::new(answer.into_body(), max_body).collect().await;
     let body = body.map_err(|e| CallFailure::Body(e.to_string()))?;
     if !status.is_success() {
         return Err(CallFailure::Status(status));
--- a/crates/filbertstack-gateway/src/clock.rs
+++ b/crates/filbertstack-gateway/src/clock.rs
@@ -1,4 +1,4 @@
-//! The steady clock, as the decisions want it: whole milliseconds.
+//! The monotonic clock of a process, in whole milliseconds.
 
 use std::time::Instant;
 use std::time::SystemTime;
@@ -6,10 +6,11 @@
 
 use filbertstack_core::Millis;
 
-/// Where the clock starts, so that a moment long before the process began can be written down.
-const EPOCH: Millis = Millis::secs(3_600);
+/// The reading at the start of the process. It is above zero so that moments before the start can be
+/// expressed.
+const START: Millis = Millis::secs(3_600);
 
-/// The steady clock of one process.
+/// The monotonic clock of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
@@ -20,14 +21,15 @@
 }
 
 impl Clock {
-    /// The time now, from an arbitrary start.
+    /// Returns the time now, counted from an arbitrary start.
     pub fn now(self) -> Millis {
-        EPOCH + Millis::from(self.0.elapsed())
+        START + Millis::from(self.0.elapsed())
     }
 }
 
-/// The time of day, used once, as the birth of a process's own rows. It orders a process's starts
-/// among themselves only; a step of the clock backwards delays them until their old row expires.
+/// Returns the time of day in milliseconds. A process reads it once, as the start time in its own
+/// registry rows, which orders the starts of that process only. After a step of the clock backwards,
+/// new rows are ignored until the old row expires.
 pub fn unix_millis() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(now.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -1,4 +1,4 @@
-//! Where callers connect, and whether this node is ready.
+//! The directory of entries for callers, and the readiness check of this node.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,22 +24,22 @@
 use crate::link::messages::decode_addr;
 use crate::request::answer::AnswerBody;
 
-/// How long callers keep an answer: a lost entry is out of use that much later, and each caller
-/// asks that often.
-const KEEP: Duration = Duration::from_secs(2);
+/// How long callers keep an answer. They may use a lost entry for that long, and each caller asks
+/// again after that time.
+const CACHE_TIME: Duration = Duration::from_secs(2);
 
-/// The fewest entries of a caller's zone that are named without those of other zones: two, so
-/// that the loss of one leaves another at hand.
-const ENOUGH: usize = 2;
+/// The least number of entries in the caller's zone for which an answer leaves out those of other
+/// zones. With two, the loss of one leaves another.
+const MIN_ZONE_ENTRIES: usize = 2;
 
-/// Serves the directory and the question whether the node is ready.
+/// Serves the directory and the readiness check.
 pub struct Directory {
     node: Rc<Node>,
     leaving: watch::Receiver<bool>,
 }
 
 impl Directory {
-    /// The directory of what `node` knows.
+    /// Creates the directory of the entries that `node` knows.
     pub fn new(node: Rc<Node>, leaving: watch::Receiver<bool>) -> Self {
         Self { node, leaving }
     }
@@ -48,8 +48,9 @@
         !*self.leaving.borrow() && self.node.declared.is_known() && self.node.is_current()
     }
 
-    /// The entries for a caller, those of its zone if there are enough. The order differs from
-    /// node to node, so that callers who take the first do not all take the same.
+    /// Returns the addresses of the entries for a caller: those of its zone if there are enough, or
+    /// else all. Each node returns them in a different order, so that callers that use the first address
+    /// spread over the entries.
     fn addrs(&self, place: &Place) -> Vec<SocketAddr> {
         let rows = self.node.people.present();
         let entries = rows.iter().filter_map(|(_, kind, _)| match &**kind {
@@ -57,16 +58,16 @@
             _ => None,
         });
         let entries: Vec<_> = entries.collect();
-        let near = entries.iter().filter(|e| e.zone == place.zone).count();
+        let zone_entries = entries.iter().filter(|e| e.zone == place.zone).count();
         let own = &self.node.settings.node.name;
         let mut addrs: Vec<SocketAddr> = entries
             .iter()
-            .filter(|e| near < ENOUGH || e.zone == place.zone)
+            .filter(|e| zone_entries < MIN_ZONE_ENTRIES || e.zone == place.zone)
             .filter_map(|e| decode_addr(&e.front))
             .collect();
         addrs.sort_by_key(|addr| hash(&format!("{own} {addr}")));
         addrs.truncate(MOST_ADDRESSES);
-        // A node that knows of nobody still serves itself.
+        // A node that knows no entry names itself.
         if addrs.is_empty() && !*self.leaving.borrow() {
             addrs.extend(self.node.settings.listen.front);
         }
@@ -95,7 +96,7 @@
         if addrs.is_empty() || !self.node.declared.is_known() {
             return json(StatusCode::SERVICE_UNAVAILABLE, empty);
         }
-        let keep = KEEP.min(self.node.settings.bounds.keep);
+        let keep = CACHE_TIME.min(self.node.settings.bounds.keep);
         json(StatusCode::OK, answer(&addrs, keep))
     }
 
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry process.
+//! The entry process: its start, its periodic tasks and its orderly stop.
 
 pub mod directory;
 pub mod server;
@@ -32,7 +32,7 @@
 use crate::control::voter::Around;
 use crate::control::voter::Voter;
 use crate::entry::directory::Directory;
-use crate::entry::server::Answering;
+use crate::entry::server::ActiveConnections;
 use crate::link;
 use crate::link::Dialer;
 use crate::link::messages::EntryRow;
@@ -46,47 +46,47 @@
 use crate::weights::cache::Cache;
 use crate::weights::served::keep_lists;
 
-/// How often an entry tells the voters that it is there.
+/// How often an entry registers itself with the voters.
 pub const ROW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often idle connections are looked through.
-const PRUNE: Duration = Duration::from_secs(2);
+/// How often idle connections to targets are checked for their age.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long changes of the registry are gathered before the targets are arranged anew.
-const GATHER: Duration = Duration::from_millis(10);
+/// How long changes of the registry are collected before the targets are refreshed.
+const REFRESH_DELAY: Duration = Duration::from_millis(10);
 
-/// How long a leaving entry takes new connections: callers were told its address for that long.
-const LINGER: Duration = Duration::from_millis(2_500);
+/// How long a leaving entry accepts new connections: callers keep its address for that long.
+const MIN_LEAVE_TIME: Duration = Duration::from_millis(2_500);
 
-/// What is left of the time to leave for the end itself.
-const LAST: Duration = Duration::from_millis(700);
+/// The part of the grace period that is reserved for the exit of the process.
+const EXIT_RESERVE: Duration = Duration::from_millis(700);
 
-/// How often a leaving entry looks whether its requests are done.
+/// How often a leaving entry checks whether its requests are done.
 const LEAVE_POLL: Duration = Duration::from_millis(50);
 
-/// Why an entry could not start.
+/// The reason why an entry could not start.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// An address can't be served.
+    /// An address can't be bound.
     #[error("{addr} can't be served: {source}; stop what holds it or change the settings")]
     Bind {
         /// The address.
         addr: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The log can't start.
+    /// The replicated log can't start.
     #[error(transparent)]
     Log(#[from] StartError),
-    /// Signals can't be taken.
+    /// The signal handlers can't be installed.
     #[error("signals can't be taken: {0}")]
     Signals(io::Error),
 }
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until a signal tells it to stop.
 ///
 /// # Errors
-/// [`EntryError`] names the remedy.
+/// [`EntryError`] if the entry can't start.
 pub async fn run(settings: Settings, path: PathBuf, metrics: Metrics) -> Result<(), EntryError> {
     let clock = Clock::default();
     let dialer = Dialer::default();
@@ -111,23 +111,27 @@
     metrics::serve(settings.listen.metrics, &metrics)?;
     let requests = Requests::new(node.clone(), metrics);
     let (leave, leaving) = watch::channel(false);
-    let answering = Answering::default();
+    let active = ActiveConnections::default();
     let cache = Rc::new(Cache::new(node.clone(), &node.entry_id()));
-    serve_all(&node, &requests, &cache, &leaving, &answering)?;
+    serve_all(&node, &requests, &cache, &leaving, &active)?;
     start_control(&node);
     spawn_local(register_later(node.clone()));
-    spawn_local(keep_targets(node.clone(), requests.clone()));
-    spawn_local(keep_loads(node.clone(), requests.clone()));
+    spawn_local(refresh_targets(node.clone(), requests.clone()));
+    spawn_local(receive_loads(node.clone(), requests.clone()));
     spawn_local(cache.clone().keep());
     spawn_local(keep_lists(node.clone(), node.entry_id()));
-    spawn_local(tell_own_row(node.clone(), leaving.clone(), cache.held()));
-    spawn_local(prune(requests.clone()));
+    spawn_local(register_own_row(
+        node.clone(),
+        leaving.clone(),
+        cache.held(),
+    ));
+    spawn_local(prune_idle(requests.clone()));
     info!("entry started", kv: {
         name = settings.node.name, zone = settings.node.zone, voter = node.voter.is_some()
     });
     spawn_local(reload.clone().watch_file());
     wait_for_stop(&reload).await.map_err(EntryError::Signals)?;
-    leave_system(&node, &requests, &leave, &answering).await;
+    leave_system(&node, &requests, &leave, &active).await;
     Ok(())
 }
 
@@ -136,18 +140,18 @@
     requests: &Rc<Requests>,
     cache: &Rc<Cache>,
     leaving: &watch::Receiver<bool>,
-    answering: &Answering,
+    active: &ActiveConnections,
 ) -> Result<(), EntryError> {
     let listen = &node.settings.listen;
     let bind =
         |addr: SocketAddr| server::bind(addr).map_err(|source| EntryError::Bind { addr, source });
-    let never = watch::channel(false).1;
+    let never_leaving = watch::channel(false).1;
     if let Some(addr) = listen.front {
         spawn_local(server::serve(
             bind(addr)?,
             requests.clone(),
             leaving.clone(),
-            answering.clone(),
+            active.clone(),
         ));
     }
     let directory = Rc::new(Directory::new(node.clone(), leaving.clone()));
@@ -155,8 +159,8 @@
         spawn_local(server::serve(
             bind(addr)?,
             directory.clone(),
-            never.clone(),
-            Answering::default(),
+            never_leaving.clone(),
+            ActiveConnections::default(),
         ));
     }
     if let Some(addr) = listen.control {
@@ -164,8 +168,8 @@
         spawn_local(server::serve(
             bind(addr)?,
             calls,
-            never,
-            Answering::default(),
+            never_leaving,
+            ActiveConnections::default(),
         ));
     }
     let links = bind(node.settings.node.link)?;
@@ -185,8 +189,8 @@
     }
 }
 
-/// Keeps the targets in line with the registry and the declared state.
-async fn keep_targets(node: Rc<Node>, requests: Rc<Requests>) {
+/// Refreshes the targets whenever the registry or the declared state changes.
+async fn refresh_targets(node: Rc<Node>, requests: Rc<Requests>) {
     let mut people = node.people.watch();
     let mut declared = node.declared.watch();
     loop {
@@ -199,22 +203,24 @@
         tokio::select! {
             _ = people.changed() => {}
             _ = declared.changed() => {}
-            // A version of weights becomes binding as time passes.
+            // A version of the weights becomes mandatory by the passing of time, without a change.
             () = sleep(ROW_INTERVAL) => {}
         }
-        sleep(GATHER).await;
+        sleep(REFRESH_DELAY).await;
     }
 }
 
-/// Keeps the loads of the targets as they are told.
-async fn keep_loads(node: Rc<Node>, requests: Rc<Requests>) {
+/// Takes over the loads of the targets whenever new ones arrive.
+async fn receive_loads(node: Rc<Node>, requests: Rc<Requests>) {
     loop {
         node.loads.come().await;
         requests.targets().report(&node.loads.drain());
     }
 }
 
-async fn tell_own_row(
+/// Registers this entry with the voters at an interval, and whenever its state changes. Rows that could
+/// not be registered are kept to be registered later.
+async fn register_own_row(
     node: Rc<Node>,
     mut leaving: watch::Receiver<bool>,
     mut held: watch::Receiver<Vec<Weights>>,
@@ -223,9 +229,9 @@
         return;
     };
     let born = unix_millis();
-    let mut complained: Option<Instant> = None;
+    let mut last_logged: Option<Instant> = None;
     for sequence in 1.. {
-        let leaves = *leaving.borrow_and_update();
+        let leaving_now = *leaving.borrow_and_update();
         let row = Row {
             id: node.entry_id(),
             born,
@@ -234,16 +240,16 @@
             kind: Some(Kind::Entry(EntryRow {
                 front: front.to_string(),
                 zone: node.settings.node.zone.clone(),
-                leaving: leaves || !node.declared.is_known(),
+                leaving: leaving_now || !node.declared.is_known(),
                 link: node.settings.node.link.to_string(),
                 holds: held.borrow_and_update().clone(),
             })),
         };
         match node.register(vec![row.clone()]).await {
-            Ok(()) => complained = None,
+            Ok(()) => last_logged = None,
             Err(error) => {
-                if complained.is_none_or(|at| at.elapsed() >= EXPLAIN) {
-                    complained = Some(Instant::now());
+                if last_logged.is_none_or(|at| at.elapsed() >= EXPLAIN) {
+                    last_logged = Some(Instant::now());
                     info!("own row not registered", kv: { error = error.to_string() });
                 }
                 node.unregistered.put(row, node.clock.now());
@@ -251,20 +257,20 @@
         }
         tokio::select! {
             () = sleep(ROW_INTERVAL) => {}
-            _ = leaving.changed(), if !leaves => {}
+            _ = leaving.changed(), if !leaving_now => {}
             _ = held.changed() => {}
         }
     }
 }
 
-async fn prune(requests: Rc<Requests>) {
+async fn prune_idle(requests: Rc<Requests>) {
     loop {
-        sleep(PRUNE).await;
-        requests.prune();
+        sleep(PRUNE_INTERVAL).await;
+        requests.prune_idle();
     }
 }
 
-/// Waits for the signal that ends the process; reads the settings again on SIGHUP.
+/// Waits for the signal that ends the process, and reloads the settings file on each SIGHUP.
 pub(crate) async fn wait_for_stop(reload: &Reload) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -278,34 +284,34 @@
     }
 }
 
-/// Ends without cutting off a request: no new callers are sent here, those who come still are
-/// served, and the process ends when all have their answers.
+/// Stops without cutting off a request: the directory no longer names this entry, callers that still
+/// connect are served, and the process ends once all have their answers or the grace period is over.
 async fn leave_system(
     node: &Rc<Node>,
     requests: &Rc<Requests>,
     leave: &watch::Sender<bool>,
-    answering: &Answering,
+    active: &ActiveConnections,
 ) {
-    let grace = node.settings.bounds.grace.saturating_sub(LAST);
+    let grace = node.settings.bounds.grace.saturating_sub(EXIT_RESERVE);
     let started = Instant::now();
     info!("leaving", kv: { grace_ms = grace.as_millis(), requests = requests.under_way() });
     requests.leave(grace);
     leave.send_replace(true);
     let voter = node.voter.clone();
-    let handing = spawn_local(async move {
+    let hand_over_task = spawn_local(async move {
         if let Some(voter) = voter {
             voter.hand_over().await;
         }
     });
     loop {
         let spent = started.elapsed();
-        let answered = requests.under_way() == 0 && answering.count() == 0;
-        let idle = answered && handing.is_finished();
-        let done = idle && spent >= LINGER.min(grace);
+        let all_answered = requests.under_way() == 0 && active.count() == 0;
+        let idle = all_answered && hand_over_task.is_finished();
+        let done = idle && spent >= MIN_LEAVE_TIME.min(grace);
         if done || spent >= grace {
             break;
         }
         sleep(LEAVE_POLL).await;
     }
-    info!("stopped", kv: { requests = requests.under_way(), unread = answering.count() });
+    info!("stopped", kv: { requests = requests.under_way(), unread = active.count() });
 }
--- a/crates/filbertstack-gateway/src/entry/server.rs
+++ b/crates/filbertstack-gateway/src/entry/server.rs
@@ -1,4 +1,4 @@
-//! Accepting HTTP connections.
+//! The HTTP server, which also ends connections in an orderly way when the process stops.
 
 use std::cell::Cell;
 use std::cell::OnceCell;
@@ -26,58 +26,58 @@
 use crate::BACKLOG;
 use crate::link::tune;
 
-/// Answers requests.
+/// Answers HTTP requests.
 pub trait Service: 'static {
     /// The body of an answer.
     type Body: Body<Data = bytes::Bytes, Error = io::Error> + 'static;
 
-    /// Answers one request. Dropping the future means that the caller has left.
+    /// Answers one request. The server drops the future when the caller disconnects.
     fn answer(
         self: Rc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<Self::Body>>;
 
-    /// The longest head of a request, in bytes.
+    /// Returns the limit for the head of a request, in bytes.
     fn head_limit(&self) -> usize;
 
-    /// How long a connection may stay without a request's head.
+    /// Returns how long a connection may wait for the head of a request.
     fn idle_timeout(&self) -> Duration;
 }
 
-/// Counts the connections whose caller has asked for something, until they end. A connection ends once
-/// its last answer is passed on, as soon as the process leaves.
+/// Counts the connections that have received a request, until they end. Once the process stops, each
+/// of them ends when its last answer has been sent.
 ///
-/// A request is done when the body of its answer has been handed over. A caller that reads slowly has
-/// yet to take a part of it then, which the end of the process would cut off.
+/// A request counts as done when the body of its answer has been handed to the server. If the caller
+/// reads slowly, a part of the body is not sent yet, and the end of the process would cut it off.
 #[derive(Clone, Debug, Default)]
-pub struct Answering(Rc<Cell<usize>>);
+pub struct ActiveConnections(Rc<Cell<usize>>);
 
-impl Answering {
-    /// How many there are.
+impl ActiveConnections {
+    /// Returns the number of these connections.
     pub fn count(&self) -> usize {
         self.0.get()
     }
 
-    fn begin(&self) -> Asked {
+    fn track(&self) -> ConnectionGuard {
         self.0.set(self.0.get() + 1);
-        Asked(self.clone())
+        ConnectionGuard(self.clone())
     }
 }
 
-/// Counts one connection for as long as it lives.
-struct Asked(Answering);
+/// Counts one connection until it is dropped.
+struct ConnectionGuard(ActiveConnections);
 
-impl Drop for Asked {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let count = &self.0.0;
         count.set(count.get() - 1);
     }
 }
 
-/// Opens a listening socket whose queue holds a burst of new connections.
+/// Opens a listening socket whose queue can hold a burst of new connections.
 ///
 /// # Errors
-/// Those of the system, such as an address in use.
+/// Errors of the operating system, such as an address in use.
 pub fn bind(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -85,20 +85,20 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts connections until the process ends. Once `leaving` is true each connection ends with
-/// the answer in progress, and new ones are told to close after theirs; `answering` counts those that
-/// have yet to.
+/// Accepts connections until the process ends. Once `leaving` is true, each connection closes after
+/// the answer in progress, and a new one after its first answer. `active` counts the connections that
+/// have received a request.
 pub async fn serve<S: Service>(
     listener: TcpListener,
     service: Rc<S>,
     leaving: watch::Receiver<bool>,
-    answering: Answering,
+    active: ActiveConnections,
 ) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let (leaving, answering) = (leaving.clone(), answering.clone());
-                spawn_local(attend(stream, service.clone(), leaving, answering));
+                let (leaving, active) = (leaving.clone(), active.clone());
+                spawn_local(run_connection(stream, service.clone(), leaving, active));
             }
             Err(error) => {
                 spdlog::warn!("connection not accepted", kv: { error = error.to_string() });
@@ -108,42 +108,43 @@
     }
 }
 
-async fn attend<S: Service>(
+async fn run_connection<S: Service>(
     stream: TcpStream,
     service: Rc<S>,
     mut leaving: watch::Receiver<bool>,
-    answering: Answering,
+    active: ActiveConnections,
 ) {
-    let asked = OnceCell::new();
+    let guard = OnceCell::new();
     tune(&stream);
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         .max_buf_size(service.head_limit().max(8 << 10))
         .header_read_timeout(service.idle_timeout());
-    // Ended at once, a new connection would close on a caller whose request is still on its way.
-    let late = *leaving.borrow();
-    if late {
+    // A new connection still serves one request: closed at once, it would fail a request that its
+    // caller is just sending.
+    let stopping = *leaving.borrow();
+    if stopping {
         builder.keep_alive(false);
     }
     let answer = service_fn(|request| {
         let service = service.clone();
-        asked.get_or_init(|| answering.begin());
+        guard.get_or_init(|| active.track());
         async move { Ok::<_, Infallible>(service.answer(request).await) }
     });
     let connection = builder.serve_connection(TokioIo::new(stream), answer);
     let mut connection = std::pin::pin!(connection);
-    if late {
+    if stopping {
         let _ = connection.await;
         return;
     }
-    // A caller that breaks off or sends what is no request ends its connection only.
+    // A caller that disconnects or sends an invalid request ends only its own connection.
     tokio::select! {
         _ = &mut connection => return,
-        told = leaving.wait_for(|leaving| *leaving) => {
-            // Nobody will tell any more: it is served to its end.
-            if told.is_err() {
-                drop(told);
+        signal = leaving.wait_for(|leaving| *leaving) => {
+            // The sender is gone, so the signal never comes: the connection is served to its end.
+            if signal.is_err() {
+                drop(signal);
                 let _ = connection.await;
                 return;
             }
--- a/crates/filbertstack-gateway/src/lib.rs
+++ b/crates/filbertstack-gateway/src/lib.rs
@@ -1,10 +1,11 @@
-//! The processes that serve on small instances: one event loop each, one thread for everything
-//! but the disk.
+//! The server processes for small instances. Each process runs one event loop on one thread; only
+//! disk access has threads of its own.
 //!
-//! An [`entry`] takes callers, operators and heartbeats; with a disk it is a voter of the
-//! replicated log as well. An [`agent`] stands beside each model engine, reports its load and
-//! brings new weights to it, whose pieces come over the entries ([`weights`]). [`link`] carries what they say to each other, [`control`] keeps what
-//! is declared and who is there, and [`request`] is the way of a request to a target and back.
+//! An [`entry`] accepts callers, operators and heartbeats; with a disk it is a voter of the
+//! replicated log as well. An [`agent`] runs beside each model engine, reports its load and
+//! loads new weights into it, whose pieces it fetches through the entries ([`weights`]). [`link`]
+//! carries messages between these processes, [`control`] keeps the declared configuration and the
+//! registry of processes, and [`request`] forwards a caller's request to a target and the answer back.
 
 pub mod agent;
 pub mod control;
@@ -21,10 +22,10 @@
 
 use std::time::Duration;
 
-/// The pause after an accept that failed, as it does while no descriptor is free: long enough
-/// that the loop does not spin, short enough that callers' connections wait in the queue.
+/// The pause after a failed accept. Accepting fails while no file descriptor is free. The pause keeps
+/// the loop from spinning and is short enough that callers' connections wait in the queue meanwhile.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// The most connections that wait to be accepted. A full queue drops the opening packet, which is
-/// sent again only after a second.
+/// The most connections that may wait to be accepted. A full queue drops the opening packet, which
+/// the caller's system resends only after a second.
 pub(crate) const BACKLOG: u32 = 1_024;
--- a/crates/filbertstack-gateway/src/metrics.rs
+++ b/crates/filbertstack-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Serving the process's metrics.
+//! The HTTP server for the metrics of a process.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,26 +19,27 @@
 
 use crate::entry::EntryError;
 use crate::entry::server;
-use crate::entry::server::Answering;
+use crate::entry::server::ActiveConnections;
 use crate::entry::server::Service;
 use crate::request::answer::AnswerBody;
 
-/// Where metrics are read.
-const PATH: &str = "/metrics";
+/// The path that serves the metrics.
+const METRICS_PATH: &str = "/metrics";
 
 /// The longest head of a request for metrics, in bytes.
-const HEAD: usize = 8 << 10;
+const HEAD_LIMIT: usize = 8 << 10;
 
-/// How long a connection may stay between two reads: collectors read every few seconds.
-const IDLE: Duration = Duration::from_secs(30);
+/// How long a connection may stay idle between two reads: collectors read every few seconds.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-struct Text(Rc<Metrics>);
+/// Answers with the metrics as text.
+struct MetricsService(Rc<Metrics>);
 
-impl Service for Text {
+impl Service for MetricsService {
     type Body = AnswerBody;
 
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
-        let found = request.uri().path() == PATH;
+        let found = request.uri().path() == METRICS_PATH;
         let text = if found {
             self.0.render()
         } else {
@@ -55,15 +56,15 @@
     }
 
     fn head_limit(&self) -> usize {
-        HEAD
+        HEAD_LIMIT
     }
 
     fn idle_timeout(&self) -> Duration {
-        IDLE
+        IDLE_TIMEOUT
     }
 }
 
-/// Serves the metrics, if an address is set.
+/// Serves the metrics at `addr`, or does nothing if there is none.
 ///
 /// # Errors
 /// [`EntryError::Bind`] if the address can't be served.
@@ -72,12 +73,12 @@
         return Ok(());
     };
     let listener = server::bind(addr).map_err(|source| EntryError::Bind { addr, source })?;
-    let never = watch::channel(false).1;
+    let never_leaving = watch::channel(false).1;
     spawn_local(server::serve(
         listener,
-        Rc::new(Text(metrics.clone())),
-        never,
-        Answering::default(),
+        Rc::new(MetricsService(metrics.clone())),
+        never_leaving,
+        ActiveConnections::default(),
     ));
     Ok(())
 }
--- a/crates/filbertstack-gateway/src/reload.rs
+++ b/crates/filbertstack-gateway/src/reload.rs
@@ -1,8 +1,8 @@
-//! Settings that change while a process runs.
+//! Reloading of the settings file while a process runs.
 //!
-//! The seeds are taken over as soon as the file names others: a voter that went on telling the seeds
-//! of its own start would leave the new ones without knowledge of the group, and whoever starts with
-//! those would find nobody. Whatever else changes needs a restart, and is refused by name.
+//! Only the seeds are reloaded, as soon as the file names others. A voter that kept the seeds from its
+//! own start would not inform the new ones of the group, and a node that starts with those would not find
+//! the group. Other changes need a restart: a warning names their keys, and they are ignored.
 
 use std::cell::RefCell;
 use std::fs;
@@ -18,102 +18,105 @@
 
 use crate::settings::Settings;
 
-/// How often it is looked whether the file has changed: a platform may write it without a signal,
-/// and a seed that nobody told of the group yet is of use a second later.
-const LOOK: Duration = Duration::from_secs(1);
+/// How often the file is checked for changes: a platform may write it without sending a signal. One
+/// second is soon enough for a new seed to be informed of the group.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The seeds as the settings file names them now; copies share them.
+/// The seeds in the settings file as last read. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Seeds(Rc<RefCell<Vec<SocketAddr>>>);
 
 impl Seeds {
-    /// The seeds that a process starts with.
+    /// Creates the list with the seeds at the start of a process.
     pub fn new(seeds: Vec<SocketAddr>) -> Self {
         Self(Rc::new(RefCell::new(seeds)))
     }
 
-    /// The seeds now.
+    /// Returns the seeds in force now.
     pub fn current(&self) -> Vec<SocketAddr> {
         self.0.borrow().clone()
     }
 }
 
-/// The settings of a running process and the file that they came from.
+/// Watches the settings file of a running process.
 pub struct Reload {
     path: PathBuf,
-    held: Settings,
+    running: Settings,
     seeds: Seeds,
-    written: RefCell<Option<SystemTime>>,
+    modified_at: RefCell<Option<SystemTime>>,
 }
 
 impl Reload {
-    /// The settings `held`, as they were read from `path`.
-    pub fn new(path: PathBuf, held: Settings) -> Self {
-        let seeds = Seeds::new(held.node.seeds.clone());
-        let written = RefCell::new(modified(&path));
+    /// Creates a watcher for the file at `path`, from which the settings `running` were read.
+    pub fn new(path: PathBuf, running: Settings) -> Self {
+        let seeds = Seeds::new(running.node.seeds.clone());
+        let modified_at = RefCell::new(modification_time(&path));
         Self {
             path,
-            held,
+            running,
             seeds,
-            written,
+            modified_at,
         }
     }
 
-    /// The seeds, which follow the file.
+    /// Returns the seeds, which are updated with the file.
     pub fn seeds(&self) -> Seeds {
         self.seeds.clone()
     }
 
-    /// Reads the file again, takes over what may change and refuses the rest by name.
+    /// Reads the file again, takes over the seeds and logs the keys of other changes, which need a
+    /// restart.
     pub fn read_again(&self) {
-        let now = match Settings::read(&self.path) {
-            Ok(now) => now,
+        let new = match Settings::read(&self.path) {
+            Ok(new) => new,
             Err(error) => {
-                warn!("settings not read again, those held stay", kv: { error = error.to_string() });
+                warn!("settings file not reloaded, current settings stay", kv: {
+                    error = error.to_string()
+                });
                 return;
             }
         };
-        let refused = refused(&self.held, &now);
-        if !refused.is_empty() {
+        let fixed_changes = fixed_changes(&self.running, &new);
+        if !fixed_changes.is_empty() {
             warn!("settings that changed are not taken over: restart the process for them", kv: {
-                keys = refused.join(", ")
+                keys = fixed_changes.join(", ")
             });
         }
-        if now.node.seeds != *self.seeds.0.borrow() {
-            info!("seeds taken over", kv: { seeds = format!("{:?}", now.node.seeds) });
-            *self.seeds.0.borrow_mut() = now.node.seeds;
+        if new.node.seeds != *self.seeds.0.borrow() {
+            info!("seeds taken over", kv: { seeds = format!("{:?}", new.node.seeds) });
+            *self.seeds.0.borrow_mut() = new.node.seeds;
         }
     }
 
     /// Reads the file again whenever it has changed, until the process ends.
     pub async fn watch_file(self: Rc<Self>) {
         loop {
-            sleep(LOOK).await;
-            let written = modified(&self.path);
-            if written.is_some() && self.written.replace(written) != written {
+            sleep(CHECK_INTERVAL).await;
+            let modified_at = modification_time(&self.path);
+            if modified_at.is_some() && self.modified_at.replace(modified_at) != modified_at {
                 self.read_again();
             }
         }
     }
 }
 
-/// When the file was written last; `None` if that can't be told, as while it is replaced.
-fn modified(path: &PathBuf) -> Option<SystemTime> {
+/// Returns when the file was last written; `None` if that is unknown, such as while it is replaced.
+fn modification_time(path: &PathBuf) -> Option<SystemTime> {
     fs::metadata(path).and_then(|meta| meta.modified()).ok()
 }
 
-/// What may not change while a process runs. Whether the system starts for the first time counts at
-/// the start only, and is no change later.
-fn refused(held: &Settings, now: &Settings) -> Vec<&'static str> {
+/// Returns the keys and sections that differ and need a restart. The key `first-start` is left out: it
+/// has a meaning at the start of the process only.
+fn fixed_changes(running: &Settings, new: &Settings) -> Vec<&'static str> {
     let changes = [
-        ("[node] name", held.node.name != now.node.name),
-        ("[node] zone", held.node.zone != now.node.zone),
-        ("[node] link", held.node.link != now.node.link),
-        ("[node] data", held.node.data != now.node.data),
-        ("[listen]", held.listen != now.listen),
-        ("[target]", held.target != now.target),
-        ("[bounds]", held.bounds != now.bounds),
+        ("[node] name", running.node.name != new.node.name),
+        ("[node] zone", running.node.zone != new.node.zone),
+        ("[node] link", running.node.link != new.node.link),
+        ("[node] data", running.node.data != new.node.data),
+        ("[listen]", running.listen != new.listen),
+        ("[target]", running.target != new.target),
+        ("[bounds]", running.bounds != new.bounds),
     ];
-    let refused = changes.into_iter().filter(|(_, changed)| *changed);
-    refused.map(|(name, _)| name).collect()
+    let fixed = changes.into_iter().filter(|(_, changed)| *changed);
+    fixed.map(|(name, _)| name).collect()
 }
--- a/crates/filbertstack-gateway/src/request/mod.rs
+++ b/crates/filbertstack-gateway/src/request/mod.rs
@@ -160,8 +160,8 @@
     pub fn new(node: Rc<Node>, metrics: Rc<Metrics>) -> Rc<Self> {
         let bounds = node.settings.bounds;
         let allowance = Allowance {
-            ratio: bounds.ratio,
-            fixed: bounds.fixed,
+            ratio: bounds.repeat_ratio,
+            fixed: bounds.repeat_allowance,
         };
         let mut rng = ChaCha8Rng::seed_from_u64(rand::rng().random());
         let dispatcher = Dispatcher::new(ChaCha8Rng::from_rng(&mut rng));
@@ -207,8 +207,8 @@
     }
 
     /// Closes kept connections that have been idle for too long.
-    pub fn prune(&self) {
-        self.pool.prune();
+    pub fn prune_idle(&self) {
+        self.pool.prune_idle();
     }
 
     /// Takes one repeated send for `service` from the budget; false if there is none left.
--- a/crates/filbertstack-gateway/src/request/pool.rs
+++ b/crates/filbertstack-gateway/src/request/pool.rs
@@ -52,7 +52,7 @@
     }
 
     /// Closes what has been idle for too long.
-    pub fn prune(&self) {
+    pub fn prune_idle(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, kept| {
--- a/crates/filbertstack-gateway/src/settings.rs
+++ b/crates/filbertstack-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process on small instances: the sections `[node]`, `[listen]`, `[target]` and
+//! Settings of a process for small instances: the sections `[node]`, `[listen]`, `[target]` and
 //! `[bounds]` of an INI file.
 
 use std::net::SocketAddr;
@@ -19,17 +19,17 @@
 /// All settings of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Who and where the process is.
+    /// The identity and location of the process.
     pub node: Node,
-    /// What it serves.
+    /// The addresses that it serves.
     pub listen: Listen,
-    /// What it stands beside, if it is an agent.
+    /// The engine beside it, if it is an agent.
     pub target: Target,
-    /// The bounds that the operator promises.
+    /// The limits that the operator guarantees.
     pub bounds: Bounds,
 }
 
-/// Who and where a process is.
+/// The identity and location of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
     /// Its name.
@@ -38,30 +38,30 @@
     pub zone: String,
     /// Its address for links to other processes of the system.
     pub link: SocketAddr,
-    /// Addresses for links of nodes that may know the group.
+    /// The addresses for links of nodes that may know the group of voters.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time, so that a group may be created.
+    /// Whether the whole system starts for the first time, so that a group of voters may be created.
     pub first_start: bool,
-    /// The folder for durable state; with it an entry is a voter.
+    /// The directory for durable state. An entry that has one is a voter.
     pub data: Option<PathBuf>,
 }
 
-/// The addresses that a process serves; each may be absent.
+/// The addresses that a process serves. Each may be absent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Listen {
-    /// Callers' requests.
+    /// The address for callers' requests.
     pub front: Option<SocketAddr>,
-    /// The question whether the process is ready.
+    /// The address for readiness checks.
     pub ready: Option<SocketAddr>,
-    /// Operators and heartbeats.
+    /// The address for operators and for heartbeats of targets.
     pub control: Option<SocketAddr>,
-    /// Callers' question where to connect.
+    /// The address where callers look up the entries.
     pub directory: Option<SocketAddr>,
-    /// The process's metrics.
+    /// The address for the metrics of the process.
     pub metrics: Option<SocketAddr>,
 }
 
-/// What an agent stands beside.
+/// The engine that an agent runs beside.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Target {
     /// The engine's address.
@@ -70,19 +70,20 @@
     pub service: String,
 }
 
-/// What the operator promises, in the product's terms.
+/// The limits that the operator guarantees to callers and the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// From SIGTERM to the end of the process.
+    /// The time from SIGTERM to the end of the process.
     pub grace: Duration,
-    /// How long callers may keep the addresses that they were told.
+    /// How long callers may keep the addresses of entries that they looked up.
     pub keep: Duration,
-    /// From the acknowledgement of a version of weights to the last request on an older one.
+    /// The time from the acknowledgement of a version of the weights to the last request that an older
+    /// one serves.
     pub rollout: Duration,
-    /// Repeated sends for each request.
-    pub ratio: f64,
-    /// Repeated sends beside those, of all entries together.
-    pub fixed: f64,
+    /// How many repeated sends the entries may make for each request.
+    pub repeat_ratio: f64,
+    /// How many repeated sends all entries together may make beside those.
+    pub repeat_allowance: f64,
 }
 
 impl Default for Bounds {
@@ -91,25 +92,25 @@
             grace: Duration::from_secs(8),
             keep: Duration::from_secs(5),
             rollout: Duration::from_secs(8),
-            ratio: 0.2,
-            fixed: 50.0,
+            repeat_ratio: 0.2,
+            repeat_allowance: 50.0,
         }
     }
 }
 
 impl Settings {
-    /// Reads the settings file.
+    /// Reads the settings file at `path`.
     ///
     /// # Errors
-    /// [`SettingsError`], with every line that does not read.
+    /// [`SettingsError`] with every faulty line.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         Ok(Self::parse(read_document(path)?)?)
     }
 
-    /// Reads settings from a parsed file.
+    /// Reads the settings from a parsed file.
     ///
     /// # Errors
-    /// All problems of the file.
+    /// [`Problems`] with all faults of the file.
     pub fn parse(mut document: Document) -> Result<Self, Problems> {
         let mut problems = Problems::default();
         let node = require_section(&mut document, "node", &mut problems);
@@ -154,7 +155,8 @@
         name: name?,
         zone: zone?,
         link,
-        // Seeds are named by what they serve to operators; links have one port everywhere.
+        // The setting names the seeds by their addresses for operators. Links use the same port on
+        // every node.
         seeds: seeds
             .iter()
             .map(|seed| SocketAddr::new(seed.ip(), link.port()))
@@ -177,27 +179,29 @@
 }
 
 fn read_bounds(mut section: Section, problems: &mut Problems) -> Bounds {
-    let usual = Bounds::default();
-    let mut seconds = |key: &str, scale: f64, usual: Duration| {
+    let defaults = Bounds::default();
+    let mut seconds = |key: &str, unit_seconds: f64, default: Duration| {
         let value: Option<f64> = optional(&mut section, key, problems);
-        let span = value.and_then(|v| Duration::try_from_secs_f64(v * scale).ok());
-        span.unwrap_or(usual)
+        let span = value.and_then(|v| Duration::try_from_secs_f64(v * unit_seconds).ok());
+        span.unwrap_or(default)
     };
-    let grace = seconds("grace-s", 1.0, usual.grace);
-    let keep = seconds("keep-s", 1.0, usual.keep);
-    let rollout = seconds("rollout-ms", 0.001, usual.rollout);
+    let grace = seconds("grace-s", 1.0, defaults.grace);
+    let keep = seconds("keep-s", 1.0, defaults.keep);
+    let rollout = seconds("rollout-ms", 0.001, defaults.rollout);
     let bounds = Bounds {
         grace,
         keep,
         rollout,
-        ratio: optional(&mut section, "repeat-ratio", problems).unwrap_or(usual.ratio),
-        fixed: optional(&mut section, "repeat-allowance", problems).unwrap_or(usual.fixed),
+        repeat_ratio: optional(&mut section, "repeat-ratio", problems)
+            .unwrap_or(defaults.repeat_ratio),
+        repeat_allowance: optional(&mut section, "repeat-allowance", problems)
+            .unwrap_or(defaults.repeat_allowance),
     };
     section.finish(problems);
     bounds
 }
 
-/// Reads a key that may be absent or empty: a template leaves an empty value where there is none.
+/// Reads a key that may be absent or empty. Templates write an empty value where there is none.
 fn optional<T>(section: &mut Section, key: &str, problems: &mut Problems) -> Option<T>
 where
     T: FromStr,
--- a/crates/filbertstack-gateway/tests/server.rs
+++ b/crates/filbertstack-gateway/tests/server.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use filbertstack_gateway::entry::server;
-use filbertstack_gateway::entry::server::Answering;
+use filbertstack_gateway::entry::server::ActiveConnections;
 use filbertstack_gateway::entry::server::Service;
 use http::Request;
 use http::Response;
@@ -70,27 +70,27 @@
         let listener = server::bind("127.0.0.1:0".parse().expect("an address")).expect("bound");
         let addr = listener.local_addr().expect("bound");
         let (leave, leaving) = watch::channel(false);
-        let answering = Answering::default();
+        let active = ActiveConnections::default();
         spawn_local(server::serve(
             listener,
             Rc::new(Long),
             leaving,
-            answering.clone(),
+            active.clone(),
         ));
         let mut caller = TcpStream::connect(addr).expect("connects");
         let idle = TcpStream::connect(addr).expect("connects");
         let asked = caller.write_all(b"GET / HTTP/1.1\r\nhost: test\r\n\r\n");
         asked.expect("sent");
-        while answering.count() == 0 {
+        while active.count() == 0 {
             sleep(LOOK).await;
         }
         leave.send_replace(true);
         sleep(LOOK).await;
-        assert_eq!(answering.count(), 1, "the caller has taken nothing yet");
+        assert_eq!(active.count(), 1, "the caller has taken nothing yet");
         let (read, told) = oneshot::channel();
         let reading = read_late(caller, told);
         read.send(()).expect("it waits");
-        while answering.count() > 0 {
+        while active.count() > 0 {
             sleep(LOOK).await;
         }
         assert!(reading.join().expect("reads") > LONG);
