--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -294,7 +294,7 @@
 ) {
     let grace = node.settings.bounds.grace.saturating_sub(EXIT_RESERVE);
     let started = Instant::now();
-    info!("leaving", kv: { grace_ms = grace.as_millis(), requests = requests.under_way() });
+    info!("leaving", kv: { grace_ms = grace.as_millis(), requests = requests.in_flight() });
     requests.leave(grace);
     leave.send_replace(true);
     let voter = node.voter.clone();
@@ -305,7 +305,7 @@
     });
     loop {
         let spent = started.elapsed();
-        let all_answered = requests.under_way() == 0 && active.count() == 0;
+        let all_answered = requests.in_flight() == 0 && active.count() == 0;
         let idle = all_answered && hand_over_task.is_finished();
         let done = idle && spent >= MIN_LEAVE_TIME.min(grace);
         if done || spent >= grace {
@@ -313,5 +313,5 @@
         }
         sleep(LEAVE_POLL).await;
     }
-    info!("stopped", kv: { requests = requests.under_way(), unread = active.count() });
+    info!("stopped", kv: { requests = requests.in_flight(), unread = active.count() });
 }
--- a/crates/filbertstack-gateway/src/request/answer.rs
+++ b/crates/filbertstack-gateway/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers, and answers of our own.
+//! Bodies of answers, and answers that the entry itself gives.
 
 use std::io;
 use std::pin::Pin;
@@ -17,14 +17,14 @@
 
 /// The body of an answer.
 pub enum AnswerBody {
-    /// One of our own, whole.
+    /// A whole body that the entry made itself.
     Whole(Full<Bytes>),
-    /// A target's, as it comes.
+    /// The body of a target's answer, passed on as it arrives.
     Relayed(Box<Relay>),
 }
 
 impl AnswerBody {
-    /// A body of our own.
+    /// Creates a body that the entry made itself.
     pub fn whole(body: Full<Bytes>) -> Self {
         Self::Whole(body)
     }
@@ -62,19 +62,19 @@
     }
 }
 
-/// An answer of our own in place of a target's.
+/// An answer that the entry gives in place of a target's.
 #[derive(Debug)]
 pub struct Refusal {
-    /// Its status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// When the caller may come back: only where the request certainly has not run.
+    /// The time after which the caller may retry; set only if the request certainly has not run.
     pub after: Option<Duration>,
-    /// Why, for logs and metrics.
+    /// The reason, for the caller, logs and metrics.
     pub why: &'static str,
 }
 
 impl Refusal {
-    /// A request that can't be served as it is.
+    /// Refuses a request that can't be served as it is.
     pub fn own(status: StatusCode, why: &'static str) -> Self {
         Self {
             status,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// A request that has not run and never will; the caller may come back.
+    /// Refuses a request that has not run and never will. The caller may retry after `after`.
     pub fn busy(why: &'static str, after: Duration) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -92,23 +92,23 @@
         }
     }
 
-    /// A request of which it is not known whether it ran.
+    /// Answers a request of which it is unknown whether it ran.
     pub fn unknown(why: &'static str) -> Self {
         Self::own(StatusCode::BAD_GATEWAY, why)
     }
 
-    /// A request whose time has run out.
+    /// Answers a request whose deadline has passed.
     pub fn late() -> Self {
         Self::own(StatusCode::GATEWAY_TIMEOUT, "the time has run out")
     }
 
-    /// The body: why.
+    /// Returns the body of the answer, which gives the reason.
     pub fn body(&self) -> Bytes {
         Bytes::from_static(self.why.as_bytes())
     }
 
-    /// Logs the refusal of the request `id` of `prompt` tokens, judged by that version of the
-    /// configuration.
+    /// Logs the refusal of the request `id` with a prompt of `prompt` tokens. `configuration` is the
+    /// version of the configuration in force.
     pub fn log(&self, id: &str, prompt: u32, configuration: u64) {
         let after = self.after.map_or(0, |a| a.as_millis());
         spdlog::info!("refused", kv: {
--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -1,4 +1,4 @@
-//! Sending a request to a target, and again to another where that is allowed.
+//! The attempts of a request: it is sent to one target, and to another one if that is allowed.
 
 use std::io;
 use std::net::SocketAddr;
@@ -35,60 +35,62 @@
 use crate::request::targets::Chosen;
 use crate::request::waiting;
 
-/// For how long a target is left out that says it is another instance or holds other weights: the
-/// registry tells within this what is there.
-const MISDIRECTED: Millis = Millis(400);
+/// How long a target is excluded after it has answered that it is another instance or has other weights.
+/// Within this time the registry learns what is at its address.
+const MISDIRECTED_EXCLUSION: Millis = Millis(400);
 
-/// For how long a target is left out that has no room: some turns of a full batch.
-const FULL: Millis = Millis(60);
+/// How long a target without room is excluded: some steps of a full batch.
+const FULL_EXCLUSION: Millis = Millis(60);
 
-/// How many times its goal a first event may take before another target is asked. Below this an
-/// engine may only be busy, and a repeat would read the prompt twice.
+/// How many times the route's goal the first event may take before another target is asked. Before that,
+/// the engine may only be busy, and a repeat would make two engines read the prompt.
 const SILENT_GOALS: u32 = 2;
 
-/// The least of that time.
-const SILENT: Duration = Duration::from_millis(300);
+/// The least time that the first event may take before another target is asked.
+const MIN_SILENCE: Duration = Duration::from_millis(300);
 
-/// Within what another target must begin to answer a request that was at one before. Its caller has
-/// waited and leaves after two seconds without an event: an answer that comes late is worth more than
-/// one that breaks off, or that a frozen target gives to nobody, because no target would be as quick
-/// as for a new request.
-const AGAIN: Duration = Duration::from_millis(1_200);
+/// The time within which the next target must begin to answer a request that was sent before. It is longer
+/// than the goal for a new request, which no target may meet any more. A late answer is worth more to the
+/// caller, who disconnects after two seconds without an event, than one that breaks off or never comes
+/// from a frozen target.
+const RETRY_GOAL: Duration = Duration::from_millis(1_200);
 
-/// After how long a request or stream at a target that nobody hears is given up, also where no other
-/// can take it: callers leave after two seconds, and one that is told before can still come back.
-pub const FORSAKEN: Duration = Duration::from_millis(1_600);
+/// The time after which a request or stream at a target that is silent to all requests is abandoned, even
+/// if no other target can take it. Callers disconnect after two seconds; one that is answered before that
+/// may still retry.
+pub const ABANDON_AFTER: Duration = Duration::from_millis(1_600);
 
-/// The part of the time that callers wait for the next event after which an attempt that brought none
-/// is ended: what could come still would meet nobody. Told then, a caller may come back, and the
-/// target stops work in time; one that leaves by itself has run its request for nothing.
-const HOPELESS: f64 = 0.9;
+/// The share of the time that callers wait for the next event after which an attempt without one is
+/// ended. A later answer would find no caller. Ended now, the target stops its work in time and the caller
+/// may retry; when the caller disconnects by itself, the work of the target is wasted.
+const GIVE_UP_SHARE: f64 = 0.9;
 
-/// How often it is looked whether another target is to be asked: one may come free, or the one asked
-/// be missed, at any time. One load report.
-pub const LOOK: Duration = Duration::from_millis(100);
+/// How often a waiting attempt checks whether to ask another target: one may become free, or the target
+/// asked may fall silent, at any time. It equals the interval of load reports.
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The time left below which nothing is sent any more: no answer could come back in it.
-const TOO_LATE: Duration = Duration::from_millis(5);
+/// The time left until the deadline below which nothing is sent any more: no answer could arrive in it.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
-/// What a target sent first, or why nothing came.
-type Reply = Result<Response<Incoming>, hyper::Error>;
+/// The head of a target's answer, or the error of the connection.
+type HeadResult = Result<Response<Incoming>, hyper::Error>;
 
-/// What one attempt led to.
+/// The outcome of one attempt.
 pub enum Outcome {
-    /// An answer that goes back to the caller.
-    Answer(Response<Incoming>, Lease),
-    /// It certainly did not run.
+    /// The target gave an answer to return to the caller.
+    Answer(Response<Incoming>, AttemptGuard),
+    /// The request certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// It ran, and the target failed at it.
-    Failed(Response<Incoming>, Lease),
+    /// The request ran and failed at the target; another target may be asked.
+    Failed(Response<Incoming>, AttemptGuard),
 }
 
-/// A request's place at a target. Dropping it gives the place back; the connection closes with it
-/// unless it was kept, so that the target stops work for a caller who has left.
-pub struct Lease {
+/// An attempt in progress at a target. Dropping it ends the attempt: the target's slot counts as free, and
+/// the connection closes unless it went back to the pool, so that the target stops work for a caller who
+/// has disconnected.
+pub struct AttemptGuard {
     requests: Rc<Requests>,
     call: Rc<Call>,
     id: TargetId,
@@ -96,58 +98,61 @@
     connection: Option<Connection>,
     idle: Option<Duration>,
     closes: bool,
-    unread: u32,
+    /// The tokens of the prompt that the target has not read yet; 0 once an event has arrived.
+    unread_prompt: u32,
     sent: Instant,
-    /// When it was noted last that the target is heard.
-    heard: Instant,
-    /// The time to the first bytes of the answer's body; `None` until they came.
-    first: Option<Duration>,
-    /// The status of the target's answer; 0 until it came.
+    /// The last time that the dispatcher was notified of bytes from the target.
+    notified_at: Instant,
+    /// The time to the first bytes of the answer's body; `None` until they arrive.
+    first_bytes: Option<Duration>,
+    /// The status of the target's answer; 0 until it arrives.
     status: u16,
     ended: Ended,
 }
 
-impl Lease {
-    /// The requests that it is one of.
+impl AttemptGuard {
+    /// Returns the handler of the request.
     pub fn requests(&self) -> Rc<Requests> {
         self.requests.clone()
     }
 
-    /// The target.
+    /// Returns the id of the target.
     pub fn target(&self) -> &TargetId {
         &self.id
     }
 
-    /// Notes that bytes of the answer came: the target is there.
-    pub fn hear(&mut self) {
-        self.began();
-        if self.heard.elapsed() >= LOOK {
-            self.heard = Instant::now();
-            self.requests.targets.heard(&self.id);
+    /// Records that bytes of the answer's body arrived, so the target is alive.
+    pub fn record_bytes(&mut self) {
+        self.record_first_bytes();
+        if self.notified_at.elapsed() >= CHECK_INTERVAL {
+            self.notified_at = Instant::now();
+            self.requests.targets.record_bytes(&self.id);
         }
     }
 
-    /// Notes that the first bytes of the answer's body came.
-    fn began(&mut self) {
-        if self.first.is_none() {
-            let first = self.sent.elapsed();
-            self.first = Some(first);
-            self.requests.metrics.entry.first_token.record(first);
+    /// Records the first bytes of the answer's body.
+    fn record_first_bytes(&mut self) {
+        if self.first_bytes.is_none() {
+            let first_bytes = self.sent.elapsed();
+            self.first_bytes = Some(first_bytes);
+            self.requests.metrics.entry.first_token.record(first_bytes);
         }
-        if self.unread > 0 {
-            self.requests.targets.began(&self.id, self.unread);
-            self.unread = 0;
+        if self.unread_prompt > 0 {
+            self.requests
+                .targets
+                .record_first(&self.id, self.unread_prompt);
+            self.unread_prompt = 0;
         }
     }
 
-    /// Notes that the target failed.
+    /// Records that the target failed.
     pub fn fail(&mut self) {
         self.ended = Ended::Failed;
     }
 
-    /// Notes that the answer is whole, and keeps the connection if a later request may use it:
-    /// those that may run once only go on new ones, and a target resets connections beyond the
-    /// number that it takes, idle ones included.
+    /// Records that the answer is complete, and returns the connection to the pool if a later request may
+    /// use it. The connections of requests that may run only once are closed: such requests always open new
+    /// ones, and a target resets connections beyond its limit, idle ones included.
     pub fn finish(&mut self) {
         self.ended = Ended::Answered(Millis::from(self.sent.elapsed()));
         let keep = !self.closes && self.call.may_repeat();
@@ -158,7 +163,7 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         let outcome = match self.ended {
             Ended::Answered(_) => "answered",
@@ -171,27 +176,27 @@
         info!("attempt ended", kv: {
             request = self.call.head.id(), target = self.id.to_string(), outcome = outcome,
             status = self.status, took_ms = took.as_millis(),
-            first_ms = self.first.map_or(-1, |first| i64::try_from(first.as_millis()).unwrap_or(-1))
+            first_ms = self.first_bytes.map_or(-1, |first| i64::try_from(first.as_millis()).unwrap_or(-1))
         });
         self.requests
             .targets
-            .ended(&self.id, self.unread, self.ended);
+            .record_end(&self.id, self.unread_prompt, self.ended);
     }
 }
 
 /// The attempts of one request so far.
 #[derive(Default)]
 pub struct Tries {
-    /// The targets that it was sent to or could not be sent to.
+    /// The targets that were chosen for it, also those that could not be reached.
     pub targets: Vec<TargetId>,
-    /// How many targets it was handed to.
+    /// The number of targets that it was sent to.
     pub sent: u32,
 }
 
-/// Serves a request: one target after another, until there is an answer for the caller.
+/// Sends a request to one target after another, until there is an answer for the caller.
 ///
 /// # Errors
-/// A [`Refusal`] that says truly whether the request may have run.
+/// A [`Refusal`] that says whether the request may have run.
 pub async fn run(
     requests: &Rc<Requests>,
     call: &Rc<Call>,
@@ -201,7 +206,9 @@
     let mut failed = None;
     loop {
         let chosen = if tries.targets.is_empty() {
-            waiting::first(requests, call).await.map_err(refuse)
+            waiting::choose_first(requests, call)
+                .await
+                .map_err(to_refusal)
         } else {
             choose(requests, call, &tries)
         };
@@ -209,27 +216,27 @@
             Ok(chosen) => chosen,
             Err(refusal) => {
                 return match failed {
-                    Some((response, lease)) => Ok(relay(call, response, lease, tries)),
+                    Some((response, guard)) => Ok(relay(call, response, guard, tries)),
                     None if unknown => Err(Refusal::unknown("no answer came; it may have run")),
                     None => Err(refusal),
                 };
             }
         };
         match send(requests, call, &chosen, &mut tries, None).await {
-            Outcome::Answer(response, lease) => {
+            Outcome::Answer(response, guard) => {
                 requests.metrics.entry.requests.add("target's answer", 1);
-                return Ok(relay(call, response, lease, tries));
+                return Ok(relay(call, response, guard, tries));
             }
-            Outcome::Failed(response, lease) => failed = Some((response, lease)),
+            Outcome::Failed(response, guard) => failed = Some((response, guard)),
             Outcome::NotRun => {}
             Outcome::Unknown if call.may_repeat() => unknown = true,
             Outcome::Unknown => {
                 return Err(Refusal::unknown("the answer was lost; it may have run"));
             }
         }
-        if !again(requests, call, &tries) {
+        if !may_retry(requests, call, &tries) {
             return match failed {
-                Some((response, lease)) => Ok(relay(call, response, lease, tries)),
+                Some((response, guard)) => Ok(relay(call, response, guard, tries)),
                 None if unknown => Err(Refusal::unknown("no answer came; it may have run")),
                 None => Err(Refusal::busy(
                     "no target has room",
@@ -240,52 +247,53 @@
     }
 }
 
-/// Whether the request may be sent to another target. A target that was never reached costs
-/// nothing of the budget.
-fn again(requests: &Rc<Requests>, call: &Call, tries: &Tries) -> bool {
-    let most = call.route.attempts;
+/// Returns whether the request may be sent to another target. That costs one repeated send of the budget,
+/// unless no target was reached yet.
+fn may_retry(requests: &Rc<Requests>, call: &Call, tries: &Tries) -> bool {
+    let max_attempts = call.route.attempts;
     requests.metrics.entry.retries.add("attempt", 1);
-    // Targets that were not reached are tried past the most, but not all of a large service.
-    if is_hopeless(call, call.came)
-        || tries.sent >= most
-        || tries.targets.len() >= 4 + most as usize
+    // Targets that could not be reached do not count as attempts, but not all targets of a large service
+    // are tried.
+    if is_caller_leaving(call, call.arrived_at)
+        || tries.sent >= max_attempts
+        || tries.targets.len() >= 4 + max_attempts as usize
     {
         return false;
     }
     tries.sent == 0 || requests.spend(&call.service)
 }
 
-/// Chooses the next target for a request that was at another before: one that answers before its caller
-/// leaves.
+/// Chooses the next target for a request that was sent before: one that answers before the caller
+/// disconnects.
 ///
 /// # Errors
-/// A [`Refusal`] that says when to come back.
+/// A [`Refusal`] with a time to retry, if there is none.
 pub fn choose(requests: &Rc<Requests>, call: &Call, tries: &Tries) -> Result<Chosen, Refusal> {
-    let goal = call.route.goal.max(AGAIN).min(call.left());
+    let goal = call.route.goal.max(RETRY_GOAL).min(call.left());
     let wanted = Wanted {
         service: &call.service,
         prompt: call.prompt(),
         goal: Millis::from(goal),
         tried: &tries.targets,
     };
-    requests.targets.choose(&wanted).map_err(refuse)
+    requests.targets.choose(&wanted).map_err(to_refusal)
 }
 
-fn refuse(refused: Refused) -> Refusal {
+fn to_refusal(refused: Refused) -> Refusal {
     let after = Duration::from(refused.after());
     Refusal::busy("no target can serve it in time", after)
 }
 
-/// A stream that broke off, and that another target is to go on with.
+/// A stream that broke off and that another target is to resume.
 #[derive(Clone, Copy, Debug)]
 pub struct Resume {
-    /// The last event that the caller holds; `None` if it has none.
+    /// The id of the last event that the caller has; `None` if it has none.
     pub after: Option<u64>,
-    /// When the caller last heard something.
-    pub heard: Instant,
+    /// The time at which the last bytes arrived for the caller.
+    pub last_bytes_at: Instant,
 }
 
-/// Sends a request to one target and waits for the head of its answer.
+/// Sends a request to one target, or asks it to resume a stream, and waits for the head of its answer.
 pub async fn send(
     requests: &Rc<Requests>,
     call: &Rc<Call>,
@@ -296,8 +304,8 @@
     tries.targets.push(chosen.id.clone());
     let resume_after = resume.and_then(|resume| resume.after);
     let resume_after = resume_after.or(call.head.resumes);
-    let heard = resume.map_or(call.came, |resume| resume.heard);
-    let mut lease = Lease {
+    let last_bytes_at = resume.map_or(call.arrived_at, |resume| resume.last_bytes_at);
+    let mut guard = AttemptGuard {
         requests: requests.clone(),
         call: call.clone(),
         id: chosen.id.clone(),
@@ -305,26 +313,26 @@
         connection: None,
         idle: None,
         closes: false,
-        unread: call.prompt(),
+        unread_prompt: call.prompt(),
         sent: Instant::now(),
-        heard: Instant::now(),
-        first: None,
+        notified_at: Instant::now(),
+        first_bytes: None,
         status: 0,
         ended: Ended::Left,
     };
-    requests.targets.sent(&chosen.id, call.prompt());
+    requests.targets.record_sent(&chosen.id, call.prompt());
     let mut connected = match Connected::to(requests, call, chosen.addr).await {
         Ok(connected) => connected,
         Err(error) => {
             info!("target not reached", kv: {
                 request = call.head.id(), target = chosen.id.to_string(), error = error.to_string()
             });
-            lease.fail();
+            guard.fail();
             return Outcome::NotRun;
         }
     };
-    let left = call.left().min(chosen.patience.unwrap_or(Duration::MAX));
-    if left < TOO_LATE {
+    let left = call.left().min(chosen.time_limit.unwrap_or(Duration::MAX));
+    if left < MIN_TIME_LEFT {
         return Outcome::NotRun;
     }
     tries.sent += 1;
@@ -337,99 +345,105 @@
         resume_after,
     };
     let mut reply = {
-        let sending = std::pin::pin!(connected.connection.send(prepare(call, &onward)));
-        await_head(requests, call, chosen, tries, heard, sending).await
+        let sending = std::pin::pin!(connected.connection.send(build_request(call, &onward)));
+        await_head(requests, call, chosen, tries, last_bytes_at, sending).await
     };
     let broken = matches!(reply, Some(Err(_)));
     if broken && connected.was_closed() && connected.replace(requests, call, chosen).await {
-        let sending = std::pin::pin!(connected.connection.send(prepare(call, &onward)));
-        reply = await_head(requests, call, chosen, tries, heard, sending).await;
+        let sending = std::pin::pin!(connected.connection.send(build_request(call, &onward)));
+        reply = await_head(requests, call, chosen, tries, last_bytes_at, sending).await;
     }
     let Some(reply) = reply else {
-        lease.fail();
+        guard.fail();
         return Outcome::Unknown;
     };
-    lease.connection = Some(connected.connection);
+    guard.connection = Some(connected.connection);
     match reply {
-        Ok(response) => judge(call, response, lease),
+        Ok(response) => classify_answer(call, response, guard),
         Err(error) => {
             info!("answer lost", kv: {
                 request = call.head.id(), target = chosen.id.to_string(), error = error.to_string()
             });
-            lease.fail();
+            guard.fail();
             Outcome::Unknown
         }
     }
 }
 
-/// Waits for the head of an answer. `None` if another target is to be asked in place of this one: it
-/// has been silent to this request for too long, or it is to everybody. Whether another can take the
-/// request is looked at again and again: where none could, a caller waited at a frozen target until
-/// it left, and the request ran for nobody when the target woke. So where none can for long, the
-/// caller is told.
+/// Waits for the head of an answer. Returns `None` if the attempt is to end, as the target has been silent
+/// to this request for too long or is silent to all requests.
+///
+/// A silent target is given up as soon as another can take the request, which is checked repeatedly. If
+/// none can for too long, the attempt ends as well and the caller gets an error. Otherwise the caller of a
+/// frozen target would wait until it disconnects, and the target would run the request for nobody once it
+/// resumes work.
 async fn await_head(
     requests: &Rc<Requests>,
     call: &Call,
     chosen: &Chosen,
     tries: &Tries,
-    heard: Instant,
-    mut sending: Pin<&mut impl Future<Output = Reply>>,
-) -> Option<Reply> {
+    last_bytes_at: Instant,
+    mut sending: Pin<&mut impl Future<Output = HeadResult>>,
+) -> Option<HeadResult> {
     if !call.may_repeat() {
         return Some(sending.await);
     }
     let began = Instant::now();
     loop {
-        if let Ok(reply) = timeout(LOOK, &mut sending).await {
+        if let Ok(reply) = timeout(CHECK_INTERVAL, &mut sending).await {
             return Some(reply);
         }
         let waited = began.elapsed();
-        let missed = waited >= call.route.goal && requests.targets.is_silent(&chosen.id);
-        let forsaken = (missed && waited >= FORSAKEN) || is_hopeless(call, heard);
-        let silent = missed || waited >= silence(call);
-        if forsaken || (silent && can_ask_another(requests, call, tries)) {
+        let target_silent = waited >= call.route.goal && requests.targets.is_silent(&chosen.id);
+        let abandoned =
+            (target_silent && waited >= ABANDON_AFTER) || is_caller_leaving(call, last_bytes_at);
+        let silent = target_silent || waited >= silence_limit(call);
+        if abandoned || (silent && can_ask_another(requests, call, tries)) {
             info!("target silent, given up", kv: {
                 request = call.head.id(), target = chosen.id.to_string(),
-                waited_ms = waited.as_millis(), forsaken = forsaken
+                waited_ms = waited.as_millis(), forsaken = abandoned
             });
             return None;
         }
     }
 }
 
-/// Whether the caller of a stream, who last `heard` something then, is about to leave. Until the first
-/// event, that is when its request came. Counted from there for a stream that is resumed, the time would
-/// be over at once, and its next target given up before it could answer.
-fn is_hopeless(call: &Call, heard: Instant) -> bool {
-    call.route.repeat == Repeat::Resumable && heard.elapsed() >= call.gap().mul_f64(HOPELESS)
+/// Returns whether the caller of a stream is about to disconnect, as it has received nothing since
+/// `last_bytes_at`. Before the first event that is the arrival of its request. A stream that is resumed
+/// needs the time of its last event: counted from the arrival, the limit would already have passed, and
+/// the next target would be given up before it could answer.
+fn is_caller_leaving(call: &Call, last_bytes_at: Instant) -> bool {
+    call.route.repeat == Repeat::Resumable
+        && last_bytes_at.elapsed() >= call.event_gap().mul_f64(GIVE_UP_SHARE)
 }
 
-/// Tells where a request goes and what that rests on. An age of -1 means that there was no load
-/// report, weights of 0 that any version may answer.
+/// Logs the target of an attempt and the data behind the choice. An age of -1 means that there was no load
+/// report; weights of 0 mean that any version may answer.
 fn log_sent(requests: &Requests, call: &Call, chosen: &Chosen, tries: &Tries) {
     let age = chosen.report_age.and_then(|age| i64::try_from(age.0).ok());
     info!("sent", kv: {
         request = call.head.id(), target = chosen.id.to_string(), attempt = tries.sent,
-        waited_ms = call.came.elapsed().as_millis(), prompt = call.prompt(),
+        waited_ms = call.arrived_at.elapsed().as_millis(), prompt = call.prompt(),
         predicted_ms = chosen.predicted.round(),
         report_age_ms = age.unwrap_or(-1),
         configuration = requests.node.declared.version(), weights = chosen.version.unwrap_or(0)
     });
 }
 
-/// Whether another target could take the request now, within its attempts.
+/// Returns whether another target could take the request now, within the attempts and the budget.
 fn can_ask_another(requests: &Rc<Requests>, call: &Call, tries: &Tries) -> bool {
     tries.sent < call.route.attempts
         && requests.may_spend(&call.service)
         && choose(requests, call, tries).is_ok()
 }
 
-/// After which silence of a target another is asked, though others hear it.
-fn silence(call: &Call) -> Duration {
-    (call.route.goal * SILENT_GOALS).max(SILENT)
+/// Returns how long a target may be silent to a request before another one is asked, although it answers
+/// other requests.
+fn silence_limit(call: &Call) -> Duration {
+    (call.route.goal * SILENT_GOALS).max(MIN_SILENCE)
 }
 
-fn prepare(call: &Call, onward: &Onward<'_>) -> Request<Full<bytes::Bytes>> {
+fn build_request(call: &Call, onward: &Onward<'_>) -> Request<Full<bytes::Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.target.clone();
@@ -438,56 +452,60 @@
     request
 }
 
-/// What the head of an answer means for the request.
-fn judge(call: &Call, response: Response<Incoming>, mut lease: Lease) -> Outcome {
+/// Decides from the head of an answer what the outcome of the attempt is.
+fn classify_answer(call: &Call, response: Response<Incoming>, mut guard: AttemptGuard) -> Outcome {
     let status = response.status();
-    lease.status = status.as_u16();
+    guard.status = status.as_u16();
     let head = ReplyHead::read(response.headers(), call.head.attempt.as_ref());
-    lease.idle = head.idle;
-    lease.closes = head.closes;
+    guard.idle = head.idle;
+    guard.closes = head.closes;
     if head.ours && (head.not_run || status == StatusCode::MISDIRECTED_REQUEST) {
         let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
-        let span = if misdirected { MISDIRECTED } else { FULL };
-        lease.ended = Ended::Refused;
-        lease.requests.targets.shut(&lease.id, span);
+        let span = if misdirected {
+            MISDIRECTED_EXCLUSION
+        } else {
+            FULL_EXCLUSION
+        };
+        guard.ended = Ended::Refused;
+        guard.requests.targets.exclude(&guard.id, span);
         return Outcome::NotRun;
     }
-    // Without the target's seal, for another request or with an encoding that nobody asked for,
-    // it is no answer to this one.
+    // An answer without the target's seal, to another request, or with an encoding that was not asked for
+    // is not an answer to this request.
     if !head.ours || !head.sealed || head.encoded {
-        info!("answer not taken", kv: {
-            request = call.head.id(), target = lease.id.to_string(), status = status.as_u16(),
+        info!("answer rejected", kv: {
+            request = call.head.id(), target = guard.id.to_string(), status = status.as_u16(),
             ours = head.ours, sealed = head.sealed, encoded = head.encoded
         });
-        lease.fail();
+        guard.fail();
         return Outcome::Unknown;
     }
     if status.is_server_error() {
-        lease.ended = Ended::Refused;
+        guard.ended = Ended::Refused;
         let repeats = call.route.repeat == Repeat::Idempotent;
         if repeats {
-            return Outcome::Failed(response, lease);
+            return Outcome::Failed(response, guard);
         }
     }
-    Outcome::Answer(response, lease)
+    Outcome::Answer(response, guard)
 }
 
-/// Gives an answer back to the caller as it comes.
+/// Returns an answer to the caller, whose body is passed on as it arrives.
 fn relay(
     call: &Rc<Call>,
     response: Response<Incoming>,
-    lease: Lease,
+    guard: AttemptGuard,
     tries: Tries,
 ) -> Response<AnswerBody> {
     let (mut head, body) = response.into_parts();
     strip(&mut head.headers);
     let resumable = call.route.repeat == Repeat::Resumable && head.status.is_success();
-    let relay = Relay::new(call.clone(), body, lease, tries, resumable);
+    let relay = Relay::new(call.clone(), body, guard, tries, resumable);
     Response::from_parts(head, AnswerBody::Relayed(Box::new(relay)))
 }
 
-/// The error of an answer that breaks off: the connection to the caller closes without an end
-/// that looks complete.
-pub fn broken(why: &'static str) -> io::Error {
+/// Creates the error of an answer that breaks off. The connection to the caller then closes in a way that
+/// does not look like the end of a complete answer.
+pub fn abort_error(why: &'static str) -> io::Error {
     io::Error::new(io::ErrorKind::ConnectionAborted, why)
 }
--- a/crates/filbertstack-gateway/src/request/connect.rs
+++ b/crates/filbertstack-gateway/src/request/connect.rs
@@ -1,4 +1,4 @@
-//! The connection on which a request goes to a target: a kept one where that is safe, or a new one.
+//! The connection for a request to a target: an idle one from the pool where that is safe, or a new one.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,69 +13,71 @@
 use crate::request::Requests;
 use crate::request::targets::Chosen;
 
-/// How long a connection to a target may take to open: links are milliseconds long, and a target
-/// that is cut off answers never.
-const CONNECT: Duration = Duration::from_millis(300);
+/// How long a connection to a target may take to open. Round trips take milliseconds, and a target behind
+/// a network partition never answers.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A kept connection that breaks so soon after a request was written to it had been closed by its target
-/// while it was idle. Taken for a failure of the target, it would cost one of the request's few attempts.
-const STALE: Duration = Duration::from_millis(100);
+/// A pooled connection that breaks within this time after a request was written to it counts as closed by
+/// the target while it was idle. Counted as a failure of the target, it would cost one of the request's
+/// few attempts.
+const STALE_WITHIN: Duration = Duration::from_millis(100);
 
 /// A connection to a target.
 pub struct Connected {
     /// The connection.
     pub connection: Connection,
-    /// Whether it was kept from an earlier request.
-    kept: bool,
-    since: Instant,
+    /// Whether it comes from the pool.
+    pooled: bool,
+    taken_at: Instant,
 }
 
 impl Connected {
-    /// Takes a kept connection to `addr`, or opens one.
+    /// Takes an idle connection to `addr` from the pool, or opens a new one.
     ///
-    /// What may run once only goes on a new connection: on a kept one the target may have dropped it
-    /// without a word, or an answer to an earlier request may come first, and either would leave it
-    /// unknown whether this one ran.
+    /// A request that may run only once always gets a new connection. The target may have closed a pooled
+    /// one without notice, or an answer to an earlier request may arrive first on it; in both cases it
+    /// would be unknown whether this request ran.
     ///
     /// # Errors
-    /// [`CallFailure::Connect`]: nothing was sent.
+    /// [`CallFailure::Connect`] if no connection can be opened; nothing was sent then.
     pub async fn to(
         requests: &Rc<Requests>,
         call: &Call,
         addr: SocketAddr,
     ) -> Result<Self, CallFailure> {
-        let kept = call.may_repeat().then(|| requests.pool.take(addr));
-        if let Some(connection) = kept.flatten() {
+        let pooled = call.may_repeat().then(|| requests.pool.take(addr));
+        if let Some(connection) = pooled.flatten() {
             return Ok(Self::new(connection, true));
         }
-        let opened = Connection::open(addr, CONNECT.min(call.left())).await?;
+        let opened = Connection::open(addr, CONNECT_TIMEOUT.min(call.left())).await?;
         Ok(Self::new(opened, false))
     }
 
-    fn new(connection: Connection, kept: bool) -> Self {
+    fn new(connection: Connection, pooled: bool) -> Self {
         Self {
             connection,
-            kept,
-            since: Instant::now(),
+            pooled,
+            taken_at: Instant::now(),
         }
     }
 
-    /// Whether the target had closed the connection, on which a request has just broken off.
+    /// Returns whether the target had probably closed this connection while it was idle. It is called
+    /// after a request on it has failed.
     pub fn was_closed(&self) -> bool {
-        self.kept && self.since.elapsed() < STALE
+        self.pooled && self.taken_at.elapsed() < STALE_WITHIN
     }
 
-    /// Opens a new connection in its place, out of the budget of repeated sends. Returns whether it
-    /// is there.
+    /// Replaces the connection by a new one, which costs one repeated send of the budget. Returns whether
+    /// that succeeded.
     pub async fn replace(&mut self, requests: &Rc<Requests>, call: &Call, chosen: &Chosen) -> bool {
         if !requests.spend(&call.service) {
             return false;
         }
-        let patience = CONNECT.min(call.left());
-        let Ok(opened) = Connection::open(chosen.addr, patience).await else {
+        let max_wait = CONNECT_TIMEOUT.min(call.left());
+        let Ok(opened) = Connection::open(chosen.addr, max_wait).await else {
             return false;
         };
-        info!("kept connection was closed, sent on a new one", kv: {
+        info!("pooled connection was closed by the target, sending on a new one", kv: {
             request = call.head.id(), target = chosen.id.to_string()
         });
         *self = Self::new(opened, false);
--- a/crates/filbertstack-gateway/src/request/events.rs
+++ b/crates/filbertstack-gateway/src/request/events.rs
@@ -1,79 +1,82 @@
-//! The events of a stream, taken apart only as far as resuming needs.
+//! Splitting of a stream into whole events, and the id of the last one, as needed to resume the stream.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// What ends an event.
-const END: &[u8] = b"\n\n";
+/// The bytes that end an event.
+const EVENT_END: &[u8] = b"\n\n";
 
-/// The line of an event that bears its id.
-const ID: &[u8] = b"id:";
+/// The start of the line that holds the id of an event.
+const ID_FIELD: &[u8] = b"id:";
 
-/// The longest event that is held back until it is whole, in bytes. A longer one goes on in parts
-/// and can't be resumed.
-const LONGEST: usize = 256 << 10;
+/// The longest event, in bytes, that is buffered until it is whole. A longer one is passed on in parts,
+/// and a stream that breaks off within it can't be resumed cleanly.
+const MAX_EVENT: usize = 256 << 10;
 
-/// The events that went to the caller, and the beginning of the next.
+/// Passes on the whole events of a stream and buffers the beginning of the next one.
 #[derive(Debug, Default)]
-pub struct Events {
-    half: BytesMut,
-    last: Option<u64>,
+pub struct EventBuffer {
+    partial: BytesMut,
+    last_id: Option<u64>,
 }
 
-impl Events {
-    /// The events after `last`, which the caller holds already.
-    pub fn after(last: Option<u64>) -> Self {
+impl EventBuffer {
+    /// Creates the buffer of a stream whose caller already has the events up to the id `last_id`.
+    pub fn after(last_id: Option<u64>) -> Self {
         Self {
-            half: BytesMut::new(),
-            last,
+            partial: BytesMut::new(),
+            last_id,
         }
     }
 
-    /// Takes bytes in and returns the whole events among them.
+    /// Adds bytes of the stream and returns the events that are whole now.
     pub fn push(&mut self, data: Bytes) -> Bytes {
-        if self.half.is_empty() && data.ends_with(END) {
-            self.note(&data);
+        if self.partial.is_empty() && data.ends_with(EVENT_END) {
+            self.note_id(&data);
             return data;
         }
-        self.half.extend_from_slice(&data);
-        let Some(end) = find_last_end(&self.half) else {
-            if self.half.len() > LONGEST {
-                return self.half.split().freeze();
+        self.partial.extend_from_slice(&data);
+        let Some(end) = find_last_end(&self.partial) else {
+            if self.partial.len() > MAX_EVENT {
+                return self.partial.split().freeze();
             }
             return Bytes::new();
         };
-        let whole = self.half.split_to(end).freeze();
-        self.note(&whole);
+        let whole = self.partial.split_to(end).freeze();
+        self.note_id(&whole);
         whole
     }
 
-    fn note(&mut self, whole: &[u8]) {
+    /// Records the id of the last event in `whole`.
+    fn note_id(&mut self, whole: &[u8]) {
         let lines = whole.split(|byte| *byte == b'\n').rev();
-        let mut ids = lines.filter_map(|line| line.strip_prefix(ID));
+        let mut ids = lines.filter_map(|line| line.strip_prefix(ID_FIELD));
         let id = ids.find_map(|id| std::str::from_utf8(id).ok());
         if let Some(id) = id.and_then(|id| id.trim().parse().ok()) {
-            self.last = Some(id);
+            self.last_id = Some(id);
         }
     }
 
-    /// The id of the last event that went to the caller.
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    /// Returns the id of the last event that was passed on.
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
-    /// Whether a part of an event is held back.
-    pub fn is_half(&self) -> bool {
-        !self.half.is_empty()
+    /// Returns whether a part of an event is buffered.
+    pub fn has_partial(&self) -> bool {
+        !self.partial.is_empty()
     }
 
-    /// Forgets the part of an event whose rest will not come.
-    pub fn drop_half(&mut self) {
-        self.half.clear();
+    /// Discards the buffered part of an event, whose rest will not arrive.
+    pub fn drop_partial(&mut self) {
+        self.partial.clear();
     }
 }
 
-/// Where the last whole event ends.
+/// Returns the position after the last whole event.
 fn find_last_end(bytes: &[u8]) -> Option<usize> {
-    let at = bytes.windows(END.len()).rposition(|pair| pair == END)?;
-    Some(at + END.len())
+    let at = bytes
+        .windows(EVENT_END.len())
+        .rposition(|pair| pair == EVENT_END)?;
+    Some(at + EVENT_END.len())
 }
--- a/crates/filbertstack-gateway/src/request/mod.rs
+++ b/crates/filbertstack-gateway/src/request/mod.rs
@@ -1,6 +1,6 @@
-//! The way of a caller's request: [`Requests`] takes it in, finds its route and its caller's
-//! organisation, and [`attempt`] sends it to one target after another until there is an answer
-//! that may go back, which [`relay`] carries to the caller.
+//! Forwarding of callers' requests: [`Requests`] reads a request and finds its route and its caller's
+//! organisation, [`attempt`] sends it to one target after another until one gives an answer that may
+//! be returned, and [`relay`] streams that answer to the caller.
 
 pub mod answer;
 pub mod attempt;
@@ -53,110 +53,115 @@
 use crate::request::pool::Pool;
 use crate::request::targets::Targets;
 
-/// What a caller waits that does not say so: as long as the route allows.
-const NO_PATIENCE: Duration = Duration::MAX;
+/// The timeout of a request that names none: the timeout of its route applies.
+const NO_TIMEOUT: Duration = Duration::MAX;
 
-/// For how long callers wait for the next event of a stream, the first included: this long, or so many
-/// goals or pauses of the route if that is longer. Callers agree on it with the operators.
-const GAP: Duration = Duration::from_secs(2);
+/// The least time that callers wait for the next event of a stream, the first included. They wait for
+/// [`GAP_GOALS`] times the route's goal or [`GAP_PAUSES`] of its pauses if that is longer. Callers and
+/// operators agree on these values.
+const MIN_GAP: Duration = Duration::from_secs(2);
 const GAP_GOALS: u32 = 4;
 const GAP_PAUSES: u32 = 8;
 
-/// For how long a leaving entry takes streams: callers were told other entries two seconds ago by
-/// then, and what is taken later would be cut off by the end of the process when its engine is slow.
-const TAKES: Duration = Duration::from_millis(2_800);
+/// How long a leaving entry accepts requests that may outlast it. The directory has named other entries
+/// for two seconds by then, and the end of the process would cut off later requests if their engine is
+/// slow.
+const ACCEPT_TIME: Duration = Duration::from_millis(2_800);
 
-/// When to come back who met a leaving entry: at once, as others are there.
-const ELSEWHERE: Duration = Duration::from_millis(50);
+/// The time after which a caller may retry that a leaving entry refused: almost at once, as other entries
+/// accept requests.
+const RETRY_ELSEWHERE: Duration = Duration::from_millis(50);
 
-/// Callers' requests at one entry.
+/// Handles the requests of callers at one entry.
 pub struct Requests {
     node: Rc<Node>,
     targets: Targets,
     repeats: RefCell<Repeats>,
     pool: Pool,
     rng: RefCell<ChaCha8Rng>,
-    under_way: Rc<Cell<usize>>,
+    in_flight: Rc<Cell<usize>>,
     recovery: RefCell<Recovery>,
-    /// How many requests wait for a service to come back.
+    /// The number of requests that wait for a service to become available.
     waiting: Rc<Cell<usize>>,
-    /// From when on a leaving entry takes no streams, and when it ends.
+    /// The time from which a leaving entry refuses requests that may outlast it, and the time at which it
+    /// ends.
     leaving: Cell<Option<(Instant, Instant)>>,
     metrics: Rc<Metrics>,
 }
 
-/// One request, taken in whole.
+/// One request, with its whole body.
 pub struct Call {
-    /// What its headers say.
+    /// The product's own headers, parsed.
     pub head: CallHead,
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its path and query, unchanged.
+    /// The path and query, unchanged.
     pub target: Uri,
-    /// Its headers, unchanged.
+    /// The headers, unchanged.
     pub headers: HeaderMap,
-    /// Its body, whole.
+    /// The whole body.
     pub body: Bytes,
-    /// The route that it takes.
+    /// The route.
     pub route: Arc<Route>,
-    /// The service that it goes to.
+    /// The service to which the route sends it.
     pub service: Arc<str>,
-    /// The caller's organisation, if the route wants one.
+    /// The organisation that holds the caller's key. `None` without a known key, as only public routes
+    /// and configurations without keys allow.
     pub organisation: Option<Arc<str>>,
-    /// When it came.
-    pub came: Instant,
-    /// Whether it waited until it was known what is declared.
+    /// The time at which it arrived.
+    pub arrived_at: Instant,
+    /// Whether it had to wait until this entry knew the declared state.
     pub waited: bool,
-    /// When it must have its final answer.
+    /// The time by which its answer must be complete.
     pub deadline: Instant,
-    /// Counts it among those that are being served.
-    pub under_way: UnderWay,
+    /// Counts it among the requests in progress.
+    pub in_flight: InFlight,
 }
 
-/// Counts one request for as long as it lives.
-pub struct UnderWay(Rc<Cell<usize>>);
+/// Counts one request until it is dropped.
+pub struct InFlight(Rc<Cell<usize>>);
 
-impl UnderWay {
+impl InFlight {
     fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl Call {
-    /// The time left to its deadline.
+    /// Returns the time left until its deadline.
     pub fn left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// How long its caller waits for the first bytes of an answer before it leaves.
-    pub fn gap(&self) -> Duration {
+    /// Returns how long its caller waits for the next event before it disconnects.
+    pub fn event_gap(&self) -> Duration {
         let route = &self.route;
         let pauses = route
             .pause
             .map_or(Duration::ZERO, |pause| pause * GAP_PAUSES);
-        GAP.max(route.goal * GAP_GOALS).max(pauses)
+        MIN_GAP.max(route.goal * GAP_GOALS).max(pauses)
     }
 
-    /// Prompt tokens to be read; 0 for a plain call.
+    /// Returns the number of tokens of its prompt; 0 for a request without a prompt.
     pub fn prompt(&self) -> u32 {
         self.head.tokens.map_or(0, |(prompt, _)| prompt)
     }
 
-    /// Whether it may run again when it is not known whether it ran.
+    /// Returns whether it may run again when it is unknown whether it ran.
     pub fn may_repeat(&self) -> bool {
         self.route.repeat != Repeat::Once
     }
 }
 
 impl Requests {
-    /// Requests of callers of `node`.
+    /// Creates the handler for the requests at `node`.
     pub fn new(node: Rc<Node>, metrics: Rc<Metrics>) -> Rc<Self> {
         let bounds = node.settings.bounds;
         let allowance = Allowance {
@@ -170,7 +175,7 @@
             repeats: RefCell::new(Repeats::new(allowance, 1)),
             pool: Pool::default(),
             rng: RefCell::new(rng),
-            under_way: Rc::default(),
+            in_flight: Rc::default(),
             recovery: RefCell::new(Recovery::new(node.clock.now())),
             waiting: Rc::default(),
             leaving: Cell::new(None),
@@ -179,44 +184,44 @@
         })
     }
 
-    /// The targets, to be kept in line with the registry.
+    /// Returns the targets, which the caller refreshes from the registry.
     pub fn targets(&self) -> &Targets {
         &self.targets
     }
 
-    /// Learns how many entries share the budget of repeated sends.
+    /// Sets how many entries share the budget of repeated sends.
     pub fn share(&self, entries: u32) {
         self.repeats.borrow_mut().share(entries);
     }
 
-    /// Notes that the process ends within `grace`.
+    /// Records that the process ends within `grace`.
     pub fn leave(&self, grace: Duration) {
         let now = Instant::now();
-        self.leaving.set(Some((now + TAKES, now + grace)));
+        self.leaving.set(Some((now + ACCEPT_TIME, now + grace)));
     }
 
-    /// Whether the process ends before a request that comes now and may last until `deadline`.
+    /// Returns whether the process refuses a request with this deadline, as it may end before it.
     fn ends_before(&self, deadline: Instant) -> bool {
         let leaving = self.leaving.get();
-        leaving.is_some_and(|(takes, ends)| Instant::now() >= takes && deadline > ends)
+        leaving.is_some_and(|(refuse_from, ends)| Instant::now() >= refuse_from && deadline > ends)
     }
 
-    /// How many requests are being served.
-    pub fn under_way(&self) -> usize {
-        self.under_way.get()
+    /// Returns the number of requests in progress.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.get()
     }
 
-    /// Closes kept connections that have been idle for too long.
+    /// Closes pooled connections that have been idle for too long.
     pub fn prune_idle(&self) {
         self.pool.prune_idle();
     }
 
-    /// Takes one repeated send for `service` from the budget; false if there is none left.
+    /// Takes one repeated send for `service` from the budget. Returns false if none is left.
     fn spend(&self, service: &Arc<str>) -> bool {
         self.repeats.borrow_mut().spend(service)
     }
 
-    /// Whether a repeated send for `service` is left in the budget.
+    /// Returns whether a repeated send for `service` is left in the budget.
     fn may_spend(&self, service: &Arc<str>) -> bool {
         self.repeats.borrow().may_spend(service)
     }
@@ -226,21 +231,21 @@
         request: Request<Incoming>,
         head: CallHead,
     ) -> Result<Response<AnswerBody>, Refusal> {
-        let came = Instant::now();
-        let under_way = UnderWay::new(&self.under_way);
+        let arrived_at = Instant::now();
+        let in_flight = InFlight::new(&self.in_flight);
         let waited = !self.node.declared.is_known();
         if waited {
-            waiting::declared(self, came, head.patience).await?;
+            waiting::wait_declared(self, arrived_at, head.patience).await?;
         }
         let catalogue = self.node.declared.catalogue();
         let (parts, body) = request.into_parts();
         let route = find_route(&catalogue, &parts.headers, &parts.uri)?;
         let organisation = find_organisation(&catalogue, &route, &head)?;
-        let service = self.split(&route);
-        let patience = head.patience.unwrap_or(NO_PATIENCE).min(route.timeout);
-        let deadline = came + patience;
+        let service = self.draw_service(&route);
+        let timeout = head.patience.unwrap_or(NO_TIMEOUT).min(route.timeout);
+        let deadline = arrived_at + timeout;
         if self.ends_before(deadline) {
-            return Err(Refusal::busy("this entry is leaving", ELSEWHERE));
+            return Err(Refusal::busy("this entry is leaving", RETRY_ELSEWHERE));
         }
         let body = read_body(body, catalogue.limits().body, deadline).await?;
         self.repeats.borrow_mut().earn(&service);
@@ -253,26 +258,26 @@
             route,
             service,
             organisation,
-            came,
+            arrived_at,
             waited,
             deadline,
-            under_way,
+            in_flight,
         });
         let answer = timeout_at(deadline, attempt::run(self, &call)).await;
         answer.unwrap_or(Err(Refusal::late()))
     }
 
-    /// The service of a route that splits its requests, by weight.
-    fn split(&self, route: &Route) -> Arc<str> {
-        let all: u32 = route.backends.iter().map(|b| b.weight).sum();
-        let mut drawn = self.rng.borrow_mut().random_range(0..all.max(1));
+    /// Draws the service for a request from those of its route, by their weights.
+    fn draw_service(&self, route: &Route) -> Arc<str> {
+        let total: u32 = route.backends.iter().map(|b| b.weight).sum();
+        let mut remaining = self.rng.borrow_mut().random_range(0..total.max(1));
         for backend in &route.backends {
-            if drawn < backend.weight {
+            if remaining < backend.weight {
                 return backend.service.clone();
             }
-            drawn -= backend.weight;
+            remaining -= backend.weight;
         }
-        // Not reached: a catalogue holds no route whose weights add up to 0.
+        // Not reached: a catalogue has no route whose weights add up to 0.
         route.backends[0].service.clone()
     }
 }
@@ -292,7 +297,7 @@
     ))
 }
 
-/// Whose request it is. The key decides alone: what the caller says of its organisation does not.
+/// Returns the organisation of the caller. Only the key decides it, not the name that the caller sends.
 fn find_organisation(
     catalogue: &Catalogue,
     route: &Route,
@@ -312,15 +317,16 @@
     }
 }
 
-/// Reads the whole body first: an attempt can then be repeated, and a target that answers before
-/// it has read a long body still gets the rest of that body, and nothing else, on its connection.
+/// Reads the whole body before the first attempt. An attempt can then be repeated, and a target that
+/// answers before it has read a long body still receives the rest of that body, and nothing else, on its
+/// connection.
 async fn read_body(body: Incoming, limit: usize, deadline: Instant) -> Result<Bytes, Refusal> {
     let read = timeout_at(deadline, Limited::new(body, limit).collect()).await;
     let read = read.map_err(|_| Refusal::own(StatusCode::REQUEST_TIMEOUT, "the body is late"))?;
     read.map(http_body_util::Collected::to_bytes)
         .map_err(|error| {
-            let long = error.is::<LengthLimitError>();
-            let status = if long {
+            let too_long = error.is::<LengthLimitError>();
+            let status = if too_long {
                 StatusCode::PAYLOAD_TOO_LARGE
             } else {
                 StatusCode::BAD_REQUEST
@@ -337,8 +343,8 @@
         let (attempt, id) = (head.attempt.clone(), head.id().to_owned());
         let prompt = head.tokens.map_or(0, |(prompt, _)| prompt);
         let answer = self.handle(request, head).await;
-        let under_way = i64::try_from(self.under_way()).unwrap_or(i64::MAX);
-        self.metrics.entry.in_flight.set(under_way);
+        let in_flight = i64::try_from(self.in_flight()).unwrap_or(i64::MAX);
+        self.metrics.entry.in_flight.set(in_flight);
         match answer {
             Ok(response) => response,
             Err(refusal) => {
@@ -358,8 +364,8 @@
         self.node.declared.catalogue().limits().head
     }
 
-    /// Kept connections stay open as long as callers may leave them idle; a head that is slower
-    /// than that ends its connection.
+    /// Returns how long callers may leave connections idle. A request whose head takes longer ends its
+    /// connection.
     fn idle_timeout(&self) -> Duration {
         self.node.declared.catalogue().limits().idle
     }
--- a/crates/filbertstack-gateway/src/request/pool.rs
+++ b/crates/filbertstack-gateway/src/request/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to targets.
+//! A pool of idle connections to targets.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,55 +9,56 @@
 
 use crate::client::Connection;
 
-/// How long a connection is kept that its target says nothing of. Targets drop idle connections
-/// without a word, and what is sent next on one is lost: few keep them for less than this.
-const KEPT: Duration = Duration::from_secs(4);
+/// How long an idle connection is kept if its target names no limit. Targets close idle connections
+/// without notice, and a request sent on a closed one is lost. Few targets close them sooner than this.
+const DEFAULT_KEEP: Duration = Duration::from_secs(4);
 
-/// What a kept connection's use must come before the target's own limit: the way there.
-const MARGIN: Duration = Duration::from_millis(500);
+/// How long before the target's own limit an idle connection is discarded, so that a request still
+/// reaches the target in time.
+const KEEP_MARGIN: Duration = Duration::from_millis(500);
 
-/// The most idle connections to one target: its slots are shared by all entries.
-const MOST: usize = 8;
+/// The most idle connections to one target. It is low because all entries share the target's slots.
+const MAX_IDLE: usize = 8;
 
 struct Idle {
     connection: Connection,
     until: Instant,
 }
 
-/// Idle connections by address.
+/// The idle connections, by the address of their target.
 #[derive(Default)]
 pub struct Pool {
     idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
 }
 
 impl Pool {
-    /// A kept connection to `addr` that can take a request, the one used last.
+    /// Takes the idle connection to `addr` that was used last and can carry a request.
     pub fn take(&self, addr: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&addr)?;
+        let connections = idle.get_mut(&addr)?;
         let now = Instant::now();
-        kept.retain(|idle| idle.until > now && idle.connection.is_ready());
-        kept.pop().map(|idle| idle.connection)
+        connections.retain(|idle| idle.until > now && idle.connection.is_ready());
+        connections.pop().map(|idle| idle.connection)
     }
 
-    /// Keeps a connection for as long as its target said, or else as is usual.
-    pub fn put(&self, addr: SocketAddr, connection: Connection, said: Option<Duration>) {
-        let span = said.map_or(KEPT, |said| said.saturating_sub(MARGIN));
+    /// Keeps a connection for as long as its target allows, or for the default time if it names no limit.
+    pub fn put(&self, addr: SocketAddr, connection: Connection, allowed: Option<Duration>) {
+        let keep = allowed.map_or(DEFAULT_KEEP, |allowed| allowed.saturating_sub(KEEP_MARGIN));
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(addr).or_default();
-        if kept.len() < MOST && !span.is_zero() {
-            let until = Instant::now() + span;
-            kept.push(Idle { connection, until });
+        let connections = idle.entry(addr).or_default();
+        if connections.len() < MAX_IDLE && !keep.is_zero() {
+            let until = Instant::now() + keep;
+            connections.push(Idle { connection, until });
         }
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn prune_idle(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|_, kept| {
-            kept.retain(|idle| idle.until > now);
-            !kept.is_empty()
+        idle.retain(|_, connections| {
+            connections.retain(|idle| idle.until > now);
+            !connections.is_empty()
         });
     }
 }
--- a/crates/filbertstack-gateway/src/request/relay.rs
+++ b/crates/filbertstack-gateway/src/request/relay.rs
@@ -1,8 +1,8 @@
-//! An answer on its way from a target to the caller.
+//! Passing on of an answer from a target to the caller.
 //!
-//! Bytes go on as they come. A stream that may be resumed goes on by whole events: when its
-//! target is lost, another goes on after the last event that the caller has, and nothing of a
-//! half event of the first must have gone out before.
+//! Bytes are passed on as they arrive. A stream that may be resumed is passed on in whole events: if its
+//! target is lost, another target continues after the last event that the caller has, and the caller must
+//! not have received a part of the following event before.
 
 use std::io;
 use std::pin::Pin;
@@ -23,313 +23,325 @@
 
 use crate::request::Call;
 use crate::request::Requests;
-use crate::request::attempt::FORSAKEN;
-use crate::request::attempt::Lease;
+use crate::request::attempt::ABANDON_AFTER;
+use crate::request::attempt::AttemptGuard;
 use crate::request::attempt::Outcome;
 use crate::request::attempt::Resume;
 use crate::request::attempt::Tries;
-use crate::request::attempt::broken;
+use crate::request::attempt::abort_error;
 use crate::request::attempt::choose;
 use crate::request::attempt::send;
-use crate::request::events::Events;
+use crate::request::events::EventBuffer;
 use crate::request::targets::Chosen;
 
-/// How many of the route's pauses a stream may be silent before another target goes on with it.
-/// Callers leave after eight; an engine that reads many prompts at once is silent for two.
+/// How many of the route's pauses a stream may be silent before another target resumes it. Callers
+/// disconnect after eight; an engine that reads many prompts at once is silent for two.
 const SILENT_PAUSES: u32 = 4;
 
-/// The same where nobody hears the target any more: it is frozen or cut off.
-const MISSED_PAUSES: u32 = 2;
+/// How many of the route's pauses a stream may be silent if its target is silent to all requests: the
+/// target is frozen or partitioned.
+const UNREACHABLE_PAUSES: u32 = 2;
 
-/// How often it is looked again whether another target can go on with a stream: some reports.
-const LOOK: Duration = Duration::from_millis(150);
+/// How often a silent stream checks whether another target can resume it: a little more than the interval
+/// of load reports.
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How long after its last event a stream waits for a target that goes on with it. Its caller leaves
-/// after two seconds, and the next event comes some hundred milliseconds after a target was found.
-const WAIT: Duration = Duration::from_millis(1_800);
+/// How long after its last event a stream waits for a target that can resume it. Its caller disconnects
+/// after two seconds, and the next event arrives some hundred milliseconds after a target was found.
+const RESUME_WAIT: Duration = Duration::from_millis(1_800);
 
-/// Why a stream is not resumed that would cost more repeated sends than there are.
+/// The reason why a stream is not resumed when no repeated send is left in the budget.
 const OUT_OF_BUDGET: &str = "the budget of repeated sends is used up";
 
-/// The pause of a route that names none.
-const USUAL_PAUSE: Duration = Duration::from_millis(300);
+/// The pause of a route that declares none.
+const DEFAULT_PAUSE: Duration = Duration::from_millis(300);
 
-/// The time left below which a stream isn't resumed: reading the prompt anew takes it.
-const TOO_LATE: Duration = Duration::from_millis(150);
+/// The time left until the deadline below which a stream is not resumed: reading the prompt again takes
+/// that long.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(150);
 
-/// What a poll leads to: bytes, the end (`None`) or the break of the answer.
-type Step = Option<Result<Frame<Bytes>, io::Error>>;
+/// The result of a poll: bytes, the end (`None`) or the error that breaks off the answer.
+type PollItem = Option<Result<Frame<Bytes>, io::Error>>;
 
-/// Another target goes on, or why none does.
-type Resuming = Pin<Box<dyn Future<Output = Result<Resumed, &'static str>>>>;
+/// The search for a target that resumes the stream. Its error is the reason why none does.
+type ResumeFuture = Pin<Box<dyn Future<Output = Result<Resumed, &'static str>>>>;
 
 struct Resumed {
     body: Incoming,
-    lease: Lease,
+    guard: AttemptGuard,
     tries: Tries,
 }
 
 enum Source {
     /// A target is answering.
-    Target(Incoming, Lease),
-    /// Another target is being asked to go on.
-    Resuming(Resuming),
-    /// Nothing more comes.
+    Target(Incoming, AttemptGuard),
+    /// Another target is being asked to resume the stream.
+    Resuming(ResumeFuture),
+    /// Nothing more arrives.
     Ended,
 }
 
-/// Whether a poll can end.
-enum Next {
-    /// It ends with this.
-    Ready(Step),
-    /// What came can't go on yet: the source is polled again.
+/// The progress of a poll.
+enum Progress {
+    /// The poll ends with this result.
+    Ready(PollItem),
+    /// There is nothing to pass on yet: the source is polled again.
     Again,
 }
 
-/// The body of an answer that is being relayed.
+/// The body of an answer that is being passed on.
 pub struct Relay {
     call: Rc<Call>,
     requests: Rc<Requests>,
     source: Source,
     tries: Tries,
-    events: Option<Events>,
+    events: Option<EventBuffer>,
     deadline: Pin<Box<Sleep>>,
-    /// When the last bytes came.
-    heard: Instant,
-    /// Ends when it is to be looked whether the target is silent.
-    silence: Option<Pin<Box<Sleep>>>,
+    /// The time at which the last bytes arrived.
+    last_bytes_at: Instant,
+    /// Ends when the silence of the target is to be checked.
+    silence_check: Option<Pin<Box<Sleep>>>,
 }
 
 impl Relay {
-    /// Relays `body` from the target that `lease` is a place at.
+    /// Creates the body that passes on `body` from the target of `guard`.
     pub fn new(
         call: Rc<Call>,
         body: Incoming,
-        lease: Lease,
+        guard: AttemptGuard,
         tries: Tries,
         resumable: bool,
     ) -> Self {
-        let requests = lease.requests();
+        let requests = guard.requests();
         let deadline = Box::pin(sleep_until(call.deadline));
-        let heard = Instant::now();
-        let silence =
-            resumable.then(|| Box::pin(sleep_until(heard + pauses(&call, MISSED_PAUSES))));
+        let last_bytes_at = Instant::now();
+        let silence_check = resumable.then(|| {
+            Box::pin(sleep_until(
+                last_bytes_at + pauses(&call, UNREACHABLE_PAUSES),
+            ))
+        });
         Self {
-            events: resumable.then(|| Events::after(call.head.resumes)),
+            events: resumable.then(|| EventBuffer::after(call.head.resumes)),
             requests,
-            source: Source::Target(body, lease),
+            source: Source::Target(body, guard),
             tries,
             deadline,
-            heard,
-            silence,
+            last_bytes_at,
+            silence_check,
             call,
         }
     }
 
-    /// The next bytes for the caller.
-    pub fn poll_frame(&mut self, cx: &mut Context<'_>) -> Poll<Step> {
+    /// Polls for the next bytes for the caller.
+    pub fn poll_frame(&mut self, cx: &mut Context<'_>) -> Poll<PollItem> {
         if self.deadline.as_mut().poll(cx).is_ready() {
             self.source = Source::Ended;
-            return Poll::Ready(Some(Err(broken("the time has run out"))));
+            return Poll::Ready(Some(Err(abort_error("the time has run out"))));
         }
         loop {
             let step = match &mut self.source {
                 Source::Ended => return Poll::Ready(None),
                 Source::Resuming(resuming) => {
                     let resumed = std::task::ready!(resuming.as_mut().poll(cx));
-                    self.go_on(resumed)
+                    self.handle_resumed(resumed)
                 }
                 Source::Target(body, _) => match Pin::new(body).poll_frame(cx) {
-                    Poll::Ready(frame) => self.take(frame),
+                    Poll::Ready(frame) => self.handle_frame(frame),
                     Poll::Pending => std::task::ready!(self.poll_silence(cx)),
                 },
             };
-            if let Next::Ready(step) = step {
+            if let Progress::Ready(step) = step {
                 return Poll::Ready(step);
             }
         }
     }
 
-    /// Takes what the target sent.
-    fn take(&mut self, frame: Option<Result<Frame<Bytes>, hyper::Error>>) -> Next {
+    /// Handles a frame, the end or an error from the target.
+    fn handle_frame(&mut self, frame: Option<Result<Frame<Bytes>, hyper::Error>>) -> Progress {
         match frame {
             Some(Ok(frame)) => {
-                // Trailers end here: they concern one connection only.
+                // Trailers are dropped: they apply to one connection only.
                 let Ok(data) = frame.into_data() else {
-                    return Next::Again;
+                    return Progress::Again;
                 };
-                if let Source::Target(_, lease) = &mut self.source {
-                    lease.hear();
+                if let Source::Target(_, guard) = &mut self.source {
+                    guard.record_bytes();
                 }
-                let data = self.pass(data);
+                let data = self.filter_events(data);
                 self.finish_if_whole();
                 if data.is_empty() {
-                    return Next::Again;
+                    return Progress::Again;
                 }
-                Next::Ready(Some(Ok(Frame::data(data))))
+                Progress::Ready(Some(Ok(Frame::data(data))))
             }
-            Some(Err(_)) => self.lost("the target broke off"),
-            None if self.events.as_ref().is_some_and(Events::is_half) => {
-                self.lost("the target ended in mid event")
+            Some(Err(_)) => self.handle_loss("the target broke off"),
+            None if self.events.as_ref().is_some_and(EventBuffer::has_partial) => {
+                self.handle_loss("the target ended in mid event")
             }
             None => {
-                if let Source::Target(_, lease) = &mut self.source {
-                    lease.finish();
+                if let Source::Target(_, guard) = &mut self.source {
+                    guard.finish();
                 }
                 self.source = Source::Ended;
-                Next::Ready(None)
+                Progress::Ready(None)
             }
         }
     }
 
-    /// Ends with the last byte of an answer whose length is known. Whoever sends it on asks for
-    /// nothing after that byte: left to the next poll, the connection would not be kept, and the
-    /// target would count as left by its caller.
+    /// Finishes with the last byte of an answer whose length is known. The server does not poll again after
+    /// that byte. Without this, the connection would not go back to the pool, and the attempt would count
+    /// as one whose caller left.
     fn finish_if_whole(&mut self) {
-        let half = self.events.as_ref().is_some_and(Events::is_half);
-        if let Source::Target(body, lease) = &mut self.source
+        let has_partial = self.events.as_ref().is_some_and(EventBuffer::has_partial);
+        if let Source::Target(body, guard) = &mut self.source
             && body.is_end_stream()
-            && !half
+            && !has_partial
         {
-            lease.finish();
+            guard.finish();
             self.source = Source::Ended;
         }
     }
 
-    fn pass(&mut self, data: Bytes) -> Bytes {
+    /// Returns the bytes to pass on: whole events if the stream may be resumed, or else all of `data`.
+    fn filter_events(&mut self, data: Bytes) -> Bytes {
         let Some(events) = &mut self.events else {
             return data;
         };
-        self.heard = Instant::now();
-        if let Some(silence) = &mut self.silence {
-            let look = self.heard + pauses(&self.call, MISSED_PAUSES);
-            silence.as_mut().reset(look);
+        self.last_bytes_at = Instant::now();
+        if let Some(silence_check) = &mut self.silence_check {
+            let check_at = self.last_bytes_at + pauses(&self.call, UNREACHABLE_PAUSES);
+            silence_check.as_mut().reset(check_at);
         }
         events.push(data)
     }
 
-    /// Gives up a target that is silent for too long, once another can go on.
-    fn poll_silence(&mut self, cx: &mut Context<'_>) -> Poll<Next> {
-        let Some(silence) = &mut self.silence else {
+    /// Gives up a target that has been silent for too long, once another can resume the stream.
+    fn poll_silence(&mut self, cx: &mut Context<'_>) -> Poll<Progress> {
+        let Some(silence_check) = &mut self.silence_check else {
             return Poll::Pending;
         };
-        std::task::ready!(silence.as_mut().poll(cx));
-        if self.is_forsaken() || (self.is_given_up() && self.can_go_on()) {
-            return Poll::Ready(self.lost("the target is silent"));
+        std::task::ready!(silence_check.as_mut().poll(cx));
+        if self.must_abandon() || (self.is_too_silent() && self.can_resume()) {
+            return Poll::Ready(self.handle_loss("the target is silent"));
         }
-        // The target may still go on, or another come free.
-        if let Some(silence) = &mut self.silence {
-            silence.as_mut().reset(Instant::now() + LOOK);
+        // The target may continue, or another one may become free.
+        if let Some(silence_check) = &mut self.silence_check {
+            silence_check
+                .as_mut()
+                .reset(Instant::now() + CHECK_INTERVAL);
         }
         self.poll_silence(cx)
     }
 
-    /// Whether nothing has come for so long that another target should go on.
-    fn is_given_up(&self) -> bool {
-        let Source::Target(_, lease) = &self.source else {
+    /// Returns whether the target has been silent for so long that another one should resume the stream.
+    fn is_too_silent(&self) -> bool {
+        let Source::Target(_, guard) = &self.source else {
             return false;
         };
-        self.heard.elapsed() >= pauses(&self.call, SILENT_PAUSES)
-            || self.requests.targets().is_silent(lease.target())
+        self.last_bytes_at.elapsed() >= pauses(&self.call, SILENT_PAUSES)
+            || self.requests.targets().is_silent(guard.target())
     }
 
-    /// Whether nobody hears the target any more, and the caller is about to leave.
-    fn is_forsaken(&self) -> bool {
-        let Source::Target(_, lease) = &self.source else {
+    /// Returns whether the target is silent to all requests and the caller is about to disconnect.
+    fn must_abandon(&self) -> bool {
+        let Source::Target(_, guard) = &self.source else {
             return false;
         };
-        self.heard.elapsed() >= FORSAKEN && self.requests.targets().is_silent(lease.target())
+        self.last_bytes_at.elapsed() >= ABANDON_AFTER
+            && self.requests.targets().is_silent(guard.target())
     }
 
-    /// Whether another target could go on now, within attempts and budget.
-    fn can_go_on(&self) -> bool {
+    /// Returns whether another target could resume the stream now, within the attempts and the budget.
+    fn can_resume(&self) -> bool {
         self.tries.sent < self.call.route.attempts
             && self.requests.may_spend(&self.call.service)
             && choose(&self.requests, &self.call, &self.tries).is_ok()
     }
 
-    /// Goes on without the target: another resumes the stream, or it ends without looking whole.
-    fn lost(&mut self, why: &'static str) -> Next {
+    /// Handles the loss of the target: another target resumes the stream, or the answer breaks off.
+    fn handle_loss(&mut self, why: &'static str) -> Progress {
         let source = std::mem::replace(&mut self.source, Source::Ended);
-        if let Source::Target(body, mut lease) = source {
+        if let Source::Target(body, mut guard) = source {
             info!("answer broke off", kv: {
-                request = self.call.head.id(), target = lease.target().to_string(), why = why,
+                request = self.call.head.id(), target = guard.target().to_string(), why = why,
                 resumable = self.events.is_some()
             });
-            lease.fail();
-            drop((body, lease));
+            guard.fail();
+            drop((body, guard));
         }
         let Some(events) = &mut self.events else {
-            return Next::Ready(Some(Err(broken(why))));
+            return Progress::Ready(Some(Err(abort_error(why))));
         };
-        events.drop_half();
+        events.drop_partial();
         let resuming = resume(
             self.requests.clone(),
             self.call.clone(),
             std::mem::take(&mut self.tries),
             Resume {
-                after: events.last(),
-                heard: self.heard,
+                after: events.last_id(),
+                last_bytes_at: self.last_bytes_at,
             },
         );
         self.source = Source::Resuming(Box::pin(resuming));
-        Next::Again
+        Progress::Again
     }
 
-    fn go_on(&mut self, resumed: Result<Resumed, &'static str>) -> Next {
+    /// Switches to the target that resumes the stream, or breaks off the answer if there is none.
+    fn handle_resumed(&mut self, resumed: Result<Resumed, &'static str>) -> Progress {
         let resumed = match resumed {
             Ok(resumed) => resumed,
             Err(why) => {
                 info!("stream not resumed", kv: { request = self.call.head.id(), why = why });
                 self.source = Source::Ended;
-                return Next::Ready(Some(Err(broken(why))));
+                return Progress::Ready(Some(Err(abort_error(why))));
             }
         };
         self.requests.metrics.entry.retries.add("resumed", 1);
         info!("stream resumed", kv: {
-            request = self.call.head.id(), target = resumed.lease.target().to_string(),
-            after = self.events.as_ref().and_then(Events::last).unwrap_or(0)
+            request = self.call.head.id(), target = resumed.guard.target().to_string(),
+            after = self.events.as_ref().and_then(EventBuffer::last_id).unwrap_or(0)
         });
         self.tries = resumed.tries;
-        self.source = Source::Target(resumed.body, resumed.lease);
-        self.heard = Instant::now();
-        if let Some(silence) = &mut self.silence {
-            let look = self.heard + pauses(&self.call, MISSED_PAUSES);
-            silence.as_mut().reset(look);
+        self.source = Source::Target(resumed.body, resumed.guard);
+        self.last_bytes_at = Instant::now();
+        if let Some(silence_check) = &mut self.silence_check {
+            let check_at = self.last_bytes_at + pauses(&self.call, UNREACHABLE_PAUSES);
+            silence_check.as_mut().reset(check_at);
         }
-        Next::Again
+        Progress::Again
     }
 }
 
-/// So many of the longest pauses between two events that are on time.
+/// Returns the length of `count` of the route's longest pauses between two events.
 fn pauses(call: &Call, count: u32) -> Duration {
-    call.route.pause.unwrap_or(USUAL_PAUSE) * count
+    call.route.pause.unwrap_or(DEFAULT_PAUSE) * count
 }
 
-/// Asks one target after another to go on with a stream. Where none can at once, as when
-/// all engines load new weights together, it is looked again for a while: their work is over within
-/// about a second, and callers still wait then.
+/// Asks one target after another to resume a stream. If none can at once, such as while all engines load
+/// new weights together, it checks again for a while: they finish within about a second, and the caller
+/// still waits then.
 async fn resume(
     requests: Rc<Requests>,
     call: Rc<Call>,
     mut tries: Tries,
     resume: Resume,
 ) -> Result<Resumed, &'static str> {
-    let until = (resume.heard + WAIT).min(call.deadline - TOO_LATE);
+    let until = (resume.last_bytes_at + RESUME_WAIT).min(call.deadline - MIN_TIME_LEFT);
     while tries.sent < call.route.attempts {
         let chosen = await_target(&requests, &call, &tries, until).await?;
         let outcome = send(&requests, &call, &chosen, &mut tries, Some(resume)).await;
-        if let Outcome::Answer(response, lease) = outcome
+        if let Outcome::Answer(response, guard) = outcome
             && response.status().is_success()
         {
             let body = response.into_body();
-            return Ok(Resumed { body, lease, tries });
+            return Ok(Resumed { body, guard, tries });
         }
     }
     Err("the route allows no more attempts")
 }
 
-/// A target that can go on with a stream, and the repeated send for it, by `until`.
+/// Waits for a target that can resume a stream, until `until` at the latest, and takes the repeated send
+/// for it from the budget.
 async fn await_target(
     requests: &Rc<Requests>,
     call: &Call,
@@ -346,9 +358,9 @@
         } else {
             OUT_OF_BUDGET
         };
-        if Instant::now() + LOOK > until {
+        if Instant::now() + CHECK_INTERVAL > until {
             return Err(why);
         }
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -1,4 +1,4 @@
-//! The targets of one entry: what the registry says of them, and the load of their engines.
+//! The targets of one entry, with their state from the registry and the load of their engines.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -35,50 +35,50 @@
 pub struct Targets {
     node: Rc<Node>,
     dispatcher: RefCell<Dispatcher>,
-    places: RefCell<BTreeMap<TargetId, Place>>,
-    /// The engines among them by their packed addresses, as their loads name them.
+    endpoints: RefCell<BTreeMap<TargetId, Endpoint>>,
+    /// The engines among them by their packed addresses, as load reports identify them.
     engines: RefCell<BTreeMap<u64, TargetId>>,
 }
 
-/// Where a target serves, and the version of weights that it must show.
+/// The address of a target and the version of the weights that its answers must come from.
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct Endpoint {
     addr: SocketAddr,
     version: Option<u64>,
-    /// Until when requests may wait there, where a newer version is named.
-    until: Option<Millis>,
+    /// The time until which requests may stay there, if a newer version is declared.
+    valid_until: Option<Millis>,
 }
 
-/// A target that was chosen.
+/// A target that was chosen for a request.
 #[derive(Clone, Debug)]
 pub struct Chosen {
-    /// Its instance id.
+    /// The id of its instance.
     pub id: TargetId,
-    /// Where it serves.
+    /// The address where it serves.
     pub addr: SocketAddr,
-    /// The version of weights that it must hold, where an older one may no longer answer.
+    /// The version of the weights that it must serve, if older versions may no longer answer.
     pub version: Option<u64>,
-    /// How long the request may wait there, where a newer version of the weights is named.
-    pub patience: Option<Duration>,
-    /// The predicted milliseconds to the first event.
+    /// How long the request may stay there, if a newer version of the weights is declared.
+    pub time_limit: Option<Duration>,
+    /// The predicted time to the first event, in milliseconds.
     pub predicted: f64,
-    /// The age of the load report that the prediction rests on.
+    /// The age of the load report behind the prediction; `None` without a report.
     pub report_age: Option<Millis>,
 }
 
 impl Targets {
-    /// No targets yet.
+    /// Creates the state without any target.
     pub fn new(node: Rc<Node>, dispatcher: Dispatcher) -> Self {
         Self {
             node,
             dispatcher: RefCell::new(dispatcher),
-            places: RefCell::default(),
+            endpoints: RefCell::default(),
             engines: RefCell::default(),
         }
     }
 
-    /// Takes over what the registry and the declared state say now. Of the engines of a large service
-    /// this entry uses its subset.
+    /// Replaces the targets by those of the current registry and declared state. Of the engines of a large
+    /// service, this entry uses only a subset.
     pub fn refresh(&self) {
         let rows = self.node.people.present();
         let now = self.node.clock.now();
@@ -92,17 +92,17 @@
         let latest: Vec<_> = latest(&rows).collect();
         let beside = self.beside(&rows, &latest);
         let used = self.used(&latest, &beside);
-        let census = Census::new(&self.node.settings.node.zone, &rows, &latest, &used);
+        let zone_counts = ZoneCounts::new(&self.node.settings.node.zone, &rows, &latest, &used);
         let mut offered = Vec::new();
-        let mut places = BTreeMap::new();
+        let mut endpoints = BTreeMap::new();
         let mut engines = BTreeMap::new();
         for (id, row, addr) in latest {
             let agent = agents.get(row.addr.as_str()).copied();
             let sharers = Sharers {
                 beside: beside.get(&addr).copied().unwrap_or(0),
-                ..census.sharers(row)
+                ..zone_counts.sharers(row)
             };
-            let (target, place) = self.offered((id, row, addr), agent, sharers, now);
+            let (target, endpoint) = self.describe((id, row, addr), agent, sharers, now);
             if target.engine.is_some() {
                 if !used.contains(&addr) {
                     continue;
@@ -110,15 +110,16 @@
                 engines.extend(pack_addr(addr).map(|packed| (packed, id.clone())));
             }
             offered.push(target);
-            places.insert(id.clone(), place);
+            endpoints.insert(id.clone(), endpoint);
         }
         self.node.loads.want(engines.keys().copied().collect());
         self.dispatcher.borrow_mut().offer(offered);
-        *self.places.borrow_mut() = places;
+        *self.endpoints.borrow_mut() = endpoints;
         *self.engines.borrow_mut() = engines;
     }
 
-    /// The addresses of the targets beside this entry, and for each how many entries are.
+    /// Returns the addresses of the targets [beside](subset::beside) this entry, each with the number of
+    /// entries beside it.
     fn beside(
         &self,
         rows: &[(Arc<str>, Rc<Kind>, Stamp)],
@@ -146,7 +147,7 @@
         beside
     }
 
-    /// The addresses of the targets that this entry uses of each service.
+    /// Returns the addresses of the targets that this entry uses, of all services.
     fn used(
         &self,
         latest: &[(&TargetId, &TargetRow, SocketAddr)],
@@ -170,30 +171,30 @@
         used.collect()
     }
 
-    /// Takes in the loads of engines.
+    /// Passes load reports of engines to the dispatcher.
     pub fn report(&self, rows: &[LoadRow]) {
         let now = self.node.clock.now();
         let engines = self.engines.borrow();
         let mut dispatcher = self.dispatcher.borrow_mut();
         for row in rows {
             if let Some(id) = engines.get(&row.engine) {
-                dispatcher.report(now, id, load(row));
+                dispatcher.report(now, id, to_load(row));
             }
         }
     }
 
-    /// The target as the policy sees it, and its place.
-    fn offered(
+    /// Returns the target as the dispatcher needs it, and its endpoint.
+    fn describe(
         &self,
         (id, row, addr): (&TargetId, &TargetRow, SocketAddr),
         agent: Option<&AgentRow>,
         sharers: Sharers,
         now: Millis,
-    ) -> (Offered, Place) {
+    ) -> (Offered, Endpoint) {
         let catalogue = self.node.declared.catalogue();
         let service = catalogue.service(&row.service);
         let engine = service.and_then(|s| s.engine.clone()).map(Arc::new);
-        // The agent beside the engine knows first.
+        // The agent beside the engine knows its version before the engine's own heartbeat reports it.
         let version = agent.map_or(row.version, |agent| agent.version);
         let ages = engine.as_deref().map(|e| self.ages(e, now));
         let ages = ages.unwrap_or_default();
@@ -211,15 +212,15 @@
             engine,
             open: serves && !row.draining,
         };
-        let place = Place {
+        let endpoint = Endpoint {
             addr,
             version: (floor > 0).then_some(version),
-            until: patience.map(|patience| now + patience),
+            valid_until: patience.map(|patience| now + patience),
         };
-        (offered, place)
+        (offered, endpoint)
     }
 
-    /// The versions of an engine's weights that were named, and how long ago.
+    /// Returns the versions of an engine's weights that were declared, and how long ago.
     fn ages(&self, engine: &EngineModel, now: Millis) -> Vec<(u64, Millis)> {
         let named = engine.models.first().map(|m| self.node.declared.named(m));
         let named = named.unwrap_or_default().into_iter();
@@ -227,8 +228,8 @@
         ages.collect()
     }
 
-    /// Counts a request for `service` that comes.
-    pub fn come(&self, service: &Arc<str>) {
+    /// Counts a request for `service` that arrives.
+    pub fn count_arrival(&self, service: &Arc<str>) {
         let now = self.node.clock.now();
         self.dispatcher.borrow_mut().come(now, service);
     }
@@ -236,83 +237,84 @@
     /// Chooses a target for a request.
     ///
     /// # Errors
-    /// [`Refused`] if none can serve it in time.
+    /// [`Refused`] if no target can serve it in time.
     pub fn choose(&self, wanted: &Wanted<'_>) -> Result<Chosen, Refused> {
         let now = self.node.clock.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
         let id = dispatcher.choose(now, wanted)?;
         let (predicted, report_age) = dispatcher.grounds(now, &id, wanted.prompt);
-        let place = self.places.borrow().get(&id).copied();
-        // Both are replaced together, so a target that is offered has a place.
-        let place = place.ok_or(Refused::NoTarget {
+        let endpoint = self.endpoints.borrow().get(&id).copied();
+        // Targets and endpoints are replaced together, so each chosen target has an endpoint.
+        let endpoint = endpoint.ok_or(Refused::NoTarget {
             after: Millis::secs(1),
         })?;
         Ok(Chosen {
             id,
-            addr: place.addr,
-            version: place.version,
-            patience: place.until.map(|until| until.since(now).into()),
+            addr: endpoint.addr,
+            version: endpoint.version,
+            time_limit: endpoint.valid_until.map(|until| until.since(now).into()),
             predicted,
             report_age,
         })
     }
 
-    /// Counts a request that is sent.
-    pub fn sent(&self, id: &str, prompt: u32) {
+    /// Records a request that is sent to a target.
+    pub fn record_sent(&self, id: &str, prompt: u32) {
         let now = self.node.clock.now();
         self.dispatcher.borrow_mut().sent(now, id, prompt);
     }
 
-    /// Counts a first event.
-    pub fn began(&self, id: &str, prompt: u32) {
+    /// Records the first event of an answer.
+    pub fn record_first(&self, id: &str, prompt: u32) {
         let now = self.node.clock.now();
         self.dispatcher.borrow_mut().began(now, id, prompt);
     }
 
-    /// Notes that bytes of an answer came.
-    pub fn heard(&self, id: &str) {
+    /// Records that bytes of an answer arrived from a target.
+    pub fn record_bytes(&self, id: &str) {
         let now = self.node.clock.now();
         self.dispatcher.borrow_mut().hear(now, id);
     }
 
-    /// Whether a target is silent though others are heard, or gone.
+    /// Returns whether a target is gone, or silent while other targets answer.
     pub fn is_silent(&self, id: &str) -> bool {
         let now = self.node.clock.now();
         self.dispatcher.borrow().is_silent(now, id)
     }
 
-    /// Counts the end of a request; `unread` is its prompt if no event had come.
-    pub fn ended(&self, id: &str, unread: u32, ended: Ended) {
+    /// Records the end of a request at a target. `unread` is the number of tokens of its prompt if no event
+    /// had arrived, or else 0.
+    pub fn record_end(&self, id: &str, unread: u32, ended: Ended) {
         let now = self.node.clock.now();
         self.dispatcher.borrow_mut().ended(now, id, unread, ended);
     }
 
-    /// Takes a target out for a while.
-    pub fn shut(&self, id: &str, span: Millis) {
+    /// Excludes a target for a while.
+    pub fn exclude(&self, id: &str, span: Millis) {
         let now = self.node.clock.now();
         self.dispatcher.borrow_mut().shut(now, id, span);
     }
 }
 
-/// How many entries and targets there are, and how many targets this entry uses: of all zones, and of
-/// its own.
-struct Census<'a> {
+/// The numbers of entries, of targets and of targets that this entry uses: each in all zones, and in the
+/// zone of this entry.
+struct ZoneCounts<'a> {
     zone: &'a str,
     entries: [u32; 2],
-    /// By service.
+    /// The targets, by service.
     targets: BTreeMap<&'a str, [u32; 2]>,
-    /// Those that this entry uses, by service.
+    /// The targets that this entry uses, by service.
     used: BTreeMap<&'a str, [u32; 2]>,
 }
 
-impl<'a> Census<'a> {
+impl<'a> ZoneCounts<'a> {
     fn new(
         zone: &'a str,
         rows: &[(Arc<str>, Rc<Kind>, Stamp)],
         latest: &[(&TargetId, &'a TargetRow, SocketAddr)],
         used: &BTreeSet<SocketAddr>,
     ) -> Self {
-        let mut census = Self {
+        let mut zone_counts = Self {
             zone,
             entries: [0; 2],
             targets: BTreeMap::new(),
@@ -320,17 +322,17 @@
         };
         for (_, kind, _) in rows {
             if let Kind::Entry(row) = &**kind {
-                count(&mut census.entries, row.zone == zone);
+                count(&mut zone_counts.entries, row.zone == zone);
             }
         }
         for (_, row, addr) in latest {
             let near = row.zone == zone;
-            count(census.targets.entry(&row.service).or_default(), near);
+            count(zone_counts.targets.entry(&row.service).or_default(), near);
             if used.contains(addr) {
-                count(census.used.entry(&row.service).or_default(), near);
+                count(zone_counts.used.entry(&row.service).or_default(), near);
             }
         }
-        census
+        zone_counts
     }
 
     fn sharers(&self, row: &TargetRow) -> Sharers {
@@ -348,14 +350,14 @@
     }
 }
 
-/// Counts one among all, and among those `near`.
+/// Counts one in all zones, and also in the zone of this entry if it is `near`.
 fn count(counts: &mut [u32; 2], near: bool) {
     counts[0] += 1;
     counts[1] += u32::from(near);
 }
 
-/// The targets that are there. Of two at one address the one that started last is: the other has
-/// ended, or its address could not have been given away.
+/// Returns the registered targets. Of two at one address it returns the one that started last: the other
+/// must have ended, as its address was assigned again.
 fn latest(
     rows: &[(Arc<str>, Rc<Kind>, Stamp)],
 ) -> impl Iterator<Item = (&TargetId, &TargetRow, SocketAddr)> {
@@ -377,7 +379,7 @@
         .map(|(addr, (_, id, row))| (id, row, addr))
 }
 
-fn load(row: &LoadRow) -> Load {
+fn to_load(row: &LoadRow) -> Load {
     Load {
         running: row.running,
         waiting: row.waiting,
--- a/crates/filbertstack-gateway/src/request/waiting.rs
+++ b/crates/filbertstack-gateway/src/request/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a service that nobody serves for the moment.
+//! Requests that wait while no target of their service is available.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,69 +14,71 @@
 use crate::request::Call;
 use crate::request::Requests;
 use crate::request::answer::Refusal;
-use crate::request::attempt::LOOK;
+use crate::request::attempt::CHECK_INTERVAL;
 use crate::request::targets::Chosen;
 
-/// When to come back to an entry that does not know what is declared yet.
-const UNKNOWING: Duration = Duration::from_millis(300);
+/// The time after which a caller may retry at an entry that does not know the declared state yet.
+const RETRY_UNDECLARED: Duration = Duration::from_millis(300);
 
-/// Counts one request that waits.
-struct Waiting(Rc<Cell<usize>>);
+/// Counts one waiting request until it is dropped.
+struct WaitingGuard(Rc<Cell<usize>>);
 
-impl Waiting {
+impl WaitingGuard {
     fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Waits until it is known what is declared, if a request that came at `came` and has `time` may wait.
+/// Waits until the entry knows the declared state, for a request that came in at `arrived_at` with the time
+/// limit `timeout`.
 ///
 /// # Errors
-/// A [`Refusal`] that says when to come back.
-pub async fn declared(
+/// A [`Refusal`] with a time to retry, if the request may not wait or waited in vain.
+pub async fn wait_declared(
     requests: &Requests,
-    came: Instant,
-    time: Option<Duration>,
+    arrived_at: Instant,
+    timeout: Option<Duration>,
 ) -> Result<(), Refusal> {
-    let refusal = || Refusal::busy("nothing is declared here yet", UNKNOWING);
-    let until = until(requests, None, came, time.ok_or_else(refusal)?);
-    let until = until.ok_or_else(refusal)?;
-    let _waiting = Waiting::new(&requests.waiting);
+    let refusal = || Refusal::busy("nothing is declared here yet", RETRY_UNDECLARED);
+    let wait_until = wait_until(requests, None, arrived_at, timeout.ok_or_else(refusal)?);
+    let wait_until = wait_until.ok_or_else(refusal)?;
+    let _guard = WaitingGuard::new(&requests.waiting);
     let state = &requests.node.declared;
-    let mut news = state.watch();
+    let mut changes = state.watch();
     while !state.is_known() {
-        let told = timeout_at(until, news.changed()).await;
-        told.map_err(|_| refusal())?.map_err(|_| refusal())?;
+        let change = timeout_at(wait_until, changes.changed()).await;
+        change.map_err(|_| refusal())?.map_err(|_| refusal())?;
     }
     Ok(())
 }
 
-/// Chooses the first target of a request; where none takes work for the moment, as soon as one does.
+/// Chooses the first target of a request. If no target takes requests at the moment, it waits until one
+/// does.
 ///
 /// # Errors
-/// [`Refused`], with the time after which the caller may come back.
-pub async fn first(requests: &Requests, call: &Call) -> Result<Chosen, Refused> {
-    requests.targets.come(&call.service);
+/// [`Refused`] with a time to retry, if the request may not wait or waited in vain.
+pub async fn choose_first(requests: &Requests, call: &Call) -> Result<Chosen, Refused> {
+    requests.targets.count_arrival(&call.service);
     let refused = match choose_in_time(requests, call) {
         Ok(chosen) => return Ok(chosen),
         Err(refused) => refused,
     };
     let recovers = call.waited || matches!(refused, Refused::NoTarget { .. });
-    let time = call.deadline.saturating_duration_since(call.came);
-    let until = until(requests, Some(&call.service), call.came, time);
-    let Some(until) = until.filter(|_| recovers) else {
+    let timeout = call.deadline.saturating_duration_since(call.arrived_at);
+    let wait_until = wait_until(requests, Some(&call.service), call.arrived_at, timeout);
+    let Some(wait_until) = wait_until.filter(|_| recovers) else {
         return Err(refused);
     };
-    let _waiting = Waiting::new(&requests.waiting);
-    while Instant::now() < until {
-        sleep(LOOK).await;
+    let _guard = WaitingGuard::new(&requests.waiting);
+    while Instant::now() < wait_until {
+        sleep(CHECK_INTERVAL).await;
         let chosen = if goal_left(call).is_zero() {
             choose_late(requests, call)
         } else {
@@ -89,9 +91,9 @@
     Err(refused)
 }
 
-/// The time in which an answer that begins is worth most.
+/// Returns the time left until the route's goal for the first event.
 fn goal_left(call: &Call) -> Duration {
-    call.route.goal.saturating_sub(call.came.elapsed())
+    call.route.goal.saturating_sub(call.arrived_at.elapsed())
 }
 
 fn choose_in_time(requests: &Requests, call: &Call) -> Result<Chosen, Refused> {
@@ -101,7 +103,8 @@
     Ok(chosen)
 }
 
-/// Chooses a target for a request that is late as it has waited, beside those that come.
+/// Chooses a target for a request that has waited past its goal, if the rate limit for such requests allows
+/// it beside newly arriving ones.
 fn choose_late(requests: &Requests, call: &Call) -> Option<Chosen> {
     let now = requests.node.clock.now();
     if !requests.recovery.borrow().may_send(now) {
@@ -121,16 +124,16 @@
     })
 }
 
-/// Until when a request waits; `None` if it does not.
-fn until(
+/// Returns the time until which a request may wait; `None` if it may not wait.
+fn wait_until(
     requests: &Requests,
     service: Option<&str>,
-    came: Instant,
-    time: Duration,
+    arrived_at: Instant,
+    timeout: Duration,
 ) -> Option<Instant> {
     let now = requests.node.clock.now();
     let waiting = requests.waiting.get();
     let recovery = requests.recovery.borrow();
-    let wait = recovery.patience(now, service, Millis::from(time), waiting)?;
-    Some(came + Duration::from(wait))
+    let max_wait = recovery.patience(now, service, Millis::from(timeout), waiting)?;
+    Some(arrived_at + Duration::from(max_wait))
 }
--- a/crates/filbertstack-gateway/tests/events.rs
+++ b/crates/filbertstack-gateway/tests/events.rs
@@ -1,37 +1,37 @@
-//! Streams taken apart as far as resuming needs.
+//! Tests of the splitting of streams into whole events, as needed to resume a stream.
 
 use bytes::Bytes;
-use filbertstack_gateway::request::events::Events;
+use filbertstack_gateway::request::events::EventBuffer;
 use proptest::prelude::*;
 
-/// A target breaks off in mid event. The half must not have gone to the caller, or the rest that
-/// another target sends would be joined to it.
+/// A target breaks off in the middle of an event. The part must not have been passed on to the caller, or
+/// the events that another target sends would be joined to it.
 #[test]
-fn only_whole_events_go_on() {
-    let mut events = Events::after(None);
+fn only_whole_events_are_passed_on() {
+    let mut events = EventBuffer::after(None);
     let out = events.push(Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda"));
     assert_eq!(&out[..], b"id: 1\ndata: a\n\n");
-    assert_eq!((events.last(), events.is_half()), (Some(1), true));
-    events.drop_half();
+    assert_eq!((events.last_id(), events.has_partial()), (Some(1), true));
+    events.drop_partial();
     let out = events.push(Bytes::from_static(b"id: 2\ndata: b\n\n"));
     assert_eq!(&out[..], b"id: 2\ndata: b\n\n");
-    assert_eq!((events.last(), events.is_half()), (Some(2), false));
+    assert_eq!((events.last_id(), events.has_partial()), (Some(2), false));
 }
 
 #[test]
-fn a_resumed_stream_begins_after_what_the_caller_holds() {
-    assert_eq!(Events::after(Some(12)).last(), Some(12));
+fn a_resumed_stream_begins_after_the_last_event_of_the_caller() {
+    assert_eq!(EventBuffer::after(Some(12)).last_id(), Some(12));
 }
 
 proptest! {
-    /// However the bytes are cut on their way, the same events come out in the same order.
+    /// The same events come out in the same order, wherever the bytes are split on their way.
     #[test]
-    fn cuts_do_not_matter(cuts in prop::collection::vec(1_usize..40, 1..80)) {
+    fn events_do_not_depend_on_how_bytes_are_split(cuts in prop::collection::vec(1_usize..40, 1..80)) {
         let texts: Vec<String> = (1..=30)
             .map(|n| format!("id: {n}\ndata: piece {n}\n\n"))
             .collect();
         let whole = texts.concat();
-        let mut events = Events::after(None);
+        let mut events = EventBuffer::after(None);
         let mut out = Vec::new();
         let mut rest = Bytes::from(whole.clone());
         for cut in cuts {
@@ -41,7 +41,7 @@
         }
         out.extend_from_slice(&events.push(rest));
         prop_assert_eq!(out, whole.into_bytes());
-        prop_assert_eq!(events.last(), Some(30));
-        prop_assert!(!events.is_half());
+        prop_assert_eq!(events.last_id(), Some(30));
+        prop_assert!(!events.has_partial());
     }
 }
