--- a/crates/filbertstack-gateway/tests/links.rs
+++ b/crates/filbertstack-gateway/tests/links.rs
@@ -1,4 +1,4 @@
-//! How links of the event loop end: what has arrived is still read.
+//! Tests of the end of links: frames that have arrived are still read.
 
 use std::future::poll_fn;
 use std::io::Read;
@@ -27,7 +27,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn read_frame(socket: &mut TcpStream) -> Frame {
     let mut length = [0; 4];
@@ -44,8 +44,9 @@
     socket.write_all(&sent).expect("the link stands");
 }
 
-/// Lets tasks that are ready run, but none that waits for its socket: that is not looked at.
-async fn let_others_run() {
+/// Lets the tasks that are ready run. Tasks that wait for a socket do not, as the runtime does not poll for
+/// input meanwhile.
+async fn yield_to_tasks() {
     let mut ran = false;
     poll_fn(|cx| {
         if ran {
@@ -58,15 +59,15 @@
     .await;
 }
 
-/// A peer that answers one question, once told to, and ends.
-fn peer(asked: Sender<()>, told: Receiver<()>, gone: Sender<()>) -> SocketAddr {
+/// Starts a peer that answers one question once it is signalled to, and then closes its connection.
+fn start_peer(asked: Sender<()>, answer_now: Receiver<()>, closed: Sender<()>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("bound");
     thread::spawn(move || {
         let (mut socket, _) = listener.accept().expect("it dials");
         let question = read_frame(&mut socket);
         asked.send(()).expect("the test waits");
-        told.recv_timeout(PATIENCE).expect("told");
+        answer_now.recv_timeout(TIMEOUT).expect("the test signals");
         let reply = Some(Reply::Done(Empty {}));
         let answer = Frame {
             id: question.id,
@@ -74,15 +75,15 @@
         };
         write_frame(&mut socket, &answer);
         drop(socket);
-        gone.send(()).expect("the test waits");
+        closed.send(()).expect("the test waits");
     });
     addr
 }
 
-// Whoever asked a peer that answers and ends gets the answer.
-// The answer waits in the socket while this end writes to a connection that is closed by then. A write
-// that fails says nothing of what the peer sent before it; with the link ended at once, the outcome of
-// what was asked would be unknown.
+// The asker gets the answer of a peer that answers and then closes its connection.
+// The answer waits in the socket while this end writes to the connection, which is closed by then. The
+// failed write says nothing about what the peer sent before. If it ended the link at once, the answer would
+// be lost and the outcome of the question unknown.
 #[test]
 fn an_answer_that_has_arrived_is_read_although_writing_fails() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -91,22 +92,25 @@
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let (asked, was_asked) = channel();
-        let (tell, told) = channel();
-        let (gone, has_gone) = channel();
+        let (signal_peer, answer_now) = channel();
+        let (closed, was_closed) = channel();
         let dialer = Dialer::default();
-        let link = dialer.link(peer(asked, told, gone)).await.expect("dialled");
+        let link = dialer
+            .link(start_peer(asked, answer_now, closed))
+            .await
+            .expect("dialled");
         let asking = link.clone();
         let question = Question::NodeStatus(Empty {});
-        let answer = spawn_local(async move { asking.ask(question, PATIENCE).await });
+        let answer = spawn_local(async move { asking.ask(question, TIMEOUT).await });
         while was_asked.try_recv().is_err() {
             sleep(Duration::from_millis(1)).await;
         }
-        tell.send(()).expect("the peer waits");
-        // Holds up this thread, and with it the reader, until the peer has ended.
-        has_gone.recv_timeout(PATIENCE).expect("it ends");
+        signal_peer.send(()).expect("the peer waits");
+        // Blocks this thread, and with it the task that reads the link, until the peer has closed.
+        was_closed.recv_timeout(TIMEOUT).expect("it closes");
         let telling = spawn_local(async move {
             while link.tell(Notification::Rows(Rows::default())) {
-                let_others_run().await;
+                yield_to_tasks().await;
             }
         });
         telling.await.expect("no panic");
--- a/crates/filbertstack-gateway/tests/server.rs
+++ b/crates/filbertstack-gateway/tests/server.rs
@@ -1,4 +1,4 @@
-//! Connections of callers while the process leaves.
+//! Tests of the HTTP server: connections of callers while the process stops.
 
 use std::io;
 use std::io::Read;
@@ -24,20 +24,20 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// More than the buffers of a connection hold.
-const LONG: usize = 16 << 20;
+/// The size of the body in bytes: more than the buffers of a connection hold.
+const BODY_BYTES: usize = 16 << 20;
 
-const LOOK: Duration = Duration::from_millis(5);
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Answers by one long body, which it hands over whole.
-struct Long;
+/// Answers every request with one long body, which it hands to the server at once.
+struct LongAnswer;
 
-impl Service for Long {
+impl Service for LongAnswer {
     type Body = MapErr<Full<Bytes>, fn(std::convert::Infallible) -> io::Error>;
 
     async fn answer(self: Rc<Self>, _: Request<Incoming>) -> Response<Self::Body> {
         let never: fn(std::convert::Infallible) -> io::Error = |never| match never {};
-        Response::new(Full::from(vec![b'x'; LONG]).map_err(never))
+        Response::new(Full::from(vec![b'x'; BODY_BYTES]).map_err(never))
     }
 
     fn head_limit(&self) -> usize {
@@ -49,21 +49,21 @@
     }
 }
 
-/// Reads an answer to its end, once told to.
-fn read_late(mut caller: TcpStream, told: oneshot::Receiver<()>) -> thread::JoinHandle<usize> {
+/// Reads an answer to its end, once it is signalled to.
+fn read_late(mut caller: TcpStream, signal: oneshot::Receiver<()>) -> thread::JoinHandle<usize> {
     thread::spawn(move || {
-        told.blocking_recv().expect("the test goes on");
+        signal.blocking_recv().expect("the test signals");
         let mut answer = Vec::new();
         caller.read_to_end(&mut answer).expect("the whole answer");
         answer.len()
     })
 }
 
-// A caller that reads slowly gets its whole answer from an entry that is stopped.
-// The answer's body has been handed over whole, so that no request is in progress any more; most of it
-// still waits in the entry for the caller to take it. Ended then, the entry cuts it off.
+// A caller that reads slowly gets its whole answer from an entry that is stopping.
+// The answer's body has been handed to the server, so no request is in progress any more, but most of it is
+// not sent yet. If the entry ended at that point, the caller would not get the rest.
 #[test]
-fn an_answer_that_the_caller_has_yet_to_take_is_counted() {
+fn an_answer_that_is_not_sent_yet_is_counted() {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
@@ -73,27 +73,27 @@
         let active = ActiveConnections::default();
         spawn_local(server::serve(
             listener,
-            Rc::new(Long),
+            Rc::new(LongAnswer),
             leaving,
             active.clone(),
         ));
         let mut caller = TcpStream::connect(addr).expect("connects");
         let idle = TcpStream::connect(addr).expect("connects");
-        let asked = caller.write_all(b"GET / HTTP/1.1\r\nhost: test\r\n\r\n");
-        asked.expect("sent");
+        let sent = caller.write_all(b"GET / HTTP/1.1\r\nhost: test\r\n\r\n");
+        sent.expect("sent");
         while active.count() == 0 {
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
         leave.send_replace(true);
-        sleep(LOOK).await;
-        assert_eq!(active.count(), 1, "the caller has taken nothing yet");
-        let (read, told) = oneshot::channel();
-        let reading = read_late(caller, told);
-        read.send(()).expect("it waits");
+        sleep(CHECK_INTERVAL).await;
+        assert_eq!(active.count(), 1, "the caller has read nothing yet");
+        let (start_reading, signal) = oneshot::channel();
+        let reader = read_late(caller, signal);
+        start_reading.send(()).expect("the reader waits");
         while active.count() > 0 {
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
-        assert!(reading.join().expect("reads") > LONG);
+        assert!(reader.join().expect("the answer is read") > BODY_BYTES);
         drop(idle);
     });
 }
--- a/crates/filbertstack-gateway/tests/settings.rs
+++ b/crates/filbertstack-gateway/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as a template leaves them: keys without a value where there is none.
+//! Tests of the settings: empty values, which templates write, and the report of faults.
 
 use filbertstack_core::ini::Document;
 use filbertstack_gateway::settings::Bounds;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn every_fault_is_told_with_its_line() {
+fn every_fault_is_reported_with_its_line() {
     let error = parse("[node]\nname = a\nlink = nowhere\nfirst-start = maybe\nother = 1\n");
     insta::assert_snapshot!(error.expect_err("faulty"), @r"
     node.ini:1: [node] lacks the key 'zone': add it
