--- a/crates/filbertstack-gateway/src/control/membership.rs
+++ b/crates/filbertstack-gateway/src/control/membership.rs
@@ -59,7 +59,7 @@
     let place = seeds.iter().position(|seed| *seed == own)?;
     let diskless = |seed: &SocketAddr| {
         let standing = heard.iter().find(|s| s.addr == seed.to_string());
-        standing.is_some_and(|s| s.node == 0)
+        standing.is_some_and(|s| s.node_id == 0)
     };
     if !seeds[..place].iter().all(diskless) {
         return None;
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -276,7 +276,7 @@
         NodeStatus {
             name: self.settings.node.name.clone(),
             addr: text(self.settings.node.link),
-            node: 0,
+            node_id: 0,
             cluster: 0,
             leader: String::new(),
             voters: self.voters().into_iter().map(text).collect(),
--- a/crates/filbertstack-gateway/src/control/voter.rs
+++ b/crates/filbertstack-gateway/src/control/voter.rs
@@ -262,7 +262,7 @@
         NodeStatus {
             name: self.settings.name.clone(),
             addr: self.settings.link.to_string(),
-            node: status.id.0,
+            node_id: status.id.0,
             cluster: status.cluster.map_or(0, |c| c.0),
             leader: leader.map(|l| l.to_string()).unwrap_or_default(),
             voters: membership
@@ -286,7 +286,7 @@
         let Ok(addr) = standing.addr.parse() else {
             return;
         };
-        let node = NodeId(standing.node);
+        let node = NodeId(standing.node_id);
         self.places.borrow_mut().insert(node, addr);
         let newcomer = Newcomer {
             node,
--- a/crates/filbertstack-gateway/src/link/messages.rs
+++ b/crates/filbertstack-gateway/src/link/messages.rs
@@ -109,7 +109,7 @@
     pub addr: String,
     /// The identity of its log; 0 without a disk.
     #[prost(fixed64, tag = "3")]
-    pub node: u64,
+    pub node_id: u64,
     /// The identity of its group of voters; 0 if none.
     #[prost(fixed64, tag = "4")]
     pub cluster: u64,
--- a/crates/filbertstack-gateway/tests/membership.rs
+++ b/crates/filbertstack-gateway/tests/membership.rs
@@ -20,7 +20,7 @@
     NodeStatus {
         name: format!("node-{n}"),
         addr: addr(n).to_string(),
-        node: if disk { n } else { 0 },
+        node_id: if disk { n } else { 0 },
         ..NodeStatus::default()
     }
 }
--- a/crates/filbertstack-gateway/tests/membership_model.rs
+++ b/crates/filbertstack-gateway/tests/membership_model.rs
@@ -159,7 +159,7 @@
         let members = self.group.iter().flat_map(|g| g.members().map(|m| m.node));
         NodeStatus {
             addr: addr(n).to_string(),
-            node: node.disk.unwrap_or(0),
+            node_id: node.disk.unwrap_or(0),
             cluster: u64::from(node.holds),
             leader: leader.map_or(String::new(), |l| addr(l).to_string()),
             voters: voters.iter().map(|v| addr(*v).to_string()).collect(),
