--- a/crates/filbertstack-gateway/src/client.rs
+++ b/crates/filbertstack-gateway/src/client.rs
@@ -22,7 +22,7 @@
 
 use filbertstack_platform::engine::Outgoing;
 
-use crate::link::tune;
+use crate::link::set_socket_options;
 
 /// The largest head of an answer, in bytes.
 const MAX_HEAD_BYTES: usize = 32 << 10;
@@ -31,7 +31,7 @@
 #[derive(Debug, Error)]
 pub enum CallFailure {
     /// The connection could not be opened: nothing was sent.
-    #[error("{addr} not reached: {source}; it is tried again")]
+    #[error("{addr} not reached: {source}; the call will be retried")]
     Connect {
         /// The address of the far end.
         addr: SocketAddr,
@@ -39,16 +39,16 @@
         source: io::Error,
     },
     /// The connection broke after something may have been sent.
-    #[error("the connection broke: {0}; whether the call was carried out is not known")]
+    #[error("the connection failed: {0}; it is unknown whether the call was executed")]
     Broken(#[from] hyper::Error),
     /// No answer arrived in time.
-    #[error("no answer came in time; whether the call was carried out is not known")]
+    #[error("no answer arrived in time; it is unknown whether the call was executed")]
     Timeout,
     /// The answer has a status other than success.
     #[error("answered {0}")]
     Status(http::StatusCode),
     /// The answer is too long or incomplete.
-    #[error("the answer broke off or is too long: {0}; ask again")]
+    #[error("the answer is incomplete or too long: {0}; retry the call")]
     Body(String),
 }
 
@@ -82,7 +82,7 @@
         let stream = timeout(max_wait, TcpStream::connect(addr)).await;
         let stream = stream.map_err(|_| failed(io::ErrorKind::TimedOut.into()))?;
         let stream = stream.map_err(failed)?;
-        tune(&stream);
+        set_socket_options(&stream);
         // Without lingering, a dropped connection is reset. Bytes that wait behind a partition or a
         // slow network would otherwise reach the target seconds later, and it would run the request
         // of a caller who has left.
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -68,7 +68,9 @@
 #[derive(Debug, Error)]
 pub enum EntryError {
     /// An address can't be bound.
-    #[error("{addr} can't be served: {source}; stop what holds it or change the settings")]
+    #[error(
+        "{addr} can't be bound: {source}; stop the process that uses it or change the settings"
+    )]
     Bind {
         /// The address.
         addr: SocketAddr,
@@ -79,7 +81,7 @@
     #[error(transparent)]
     Log(#[from] StartError),
     /// The signal handlers can't be installed.
-    #[error("signals can't be taken: {0}")]
+    #[error("signal handlers can't be installed: {0}")]
     Signals(io::Error),
 }
 
@@ -199,7 +201,7 @@
         let entries = rows
             .iter()
             .filter(|(_, k, _)| matches!(**k, Kind::Entry(_)));
-        requests.share(u32::try_from(entries.count()).unwrap_or(u32::MAX));
+        requests.set_entries(u32::try_from(entries.count()).unwrap_or(u32::MAX));
         tokio::select! {
             _ = people.changed() => {}
             _ = declared.changed() => {}
--- a/crates/filbertstack-gateway/src/entry/server.rs
+++ b/crates/filbertstack-gateway/src/entry/server.rs
@@ -24,7 +24,7 @@
 
 use crate::ACCEPT_PAUSE;
 use crate::BACKLOG;
-use crate::link::tune;
+use crate::link::set_socket_options;
 
 /// Answers HTTP requests.
 pub trait Service: 'static {
@@ -115,7 +115,7 @@
     active: ActiveConnections,
 ) {
     let guard = OnceCell::new();
-    tune(&stream);
+    set_socket_options(&stream);
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
--- a/crates/filbertstack-gateway/src/link/mod.rs
+++ b/crates/filbertstack-gateway/src/link/mod.rs
@@ -84,7 +84,7 @@
 }
 
 /// Sets the socket options of connections between instances.
-pub fn tune(stream: &TcpStream) {
+pub fn set_socket_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     // An option fails only where the system lacks it; the timeouts of the questions still hold then.
     let _ = socket.set_tcp_nodelay(true);
@@ -104,7 +104,8 @@
     last_received: Rc<Cell<Instant>>,
     /// The number of frames that were queued and are not written yet.
     unsent: watch::Receiver<usize>,
-    added: Rc<watch::Sender<usize>>,
+    /// The sending end of `unsent`.
+    unsent_count: Rc<watch::Sender<usize>>,
 }
 
 impl Sender {
@@ -151,7 +152,7 @@
         let body = Some(body);
         let sent = self.frames.try_send(Frame { id, body }).is_ok();
         if sent {
-            self.added.send_modify(|count| *count += 1);
+            self.unsent_count.send_modify(|count| *count += 1);
         }
         sent
     }
@@ -203,12 +204,12 @@
 
 /// Starts a link on a connection. A task of its own writes the frames that the sender queues.
 fn start_link(stream: TcpStream) -> (Sender, Reader) {
-    tune(&stream);
+    set_socket_options(&stream);
     let (read, write) = stream.into_split();
     let (frames, queue) = mpsc::channel(QUEUE_FRAMES);
-    let (added, unsent) = watch::channel(0);
-    let added = Rc::new(added);
-    tokio::task::spawn_local(write_frames(write, queue, added.clone()));
+    let (unsent_count, unsent) = watch::channel(0);
+    let unsent_count = Rc::new(unsent_count);
+    tokio::task::spawn_local(write_frames(write, queue, unsent_count.clone()));
     let sender = Sender {
         frames,
         pending: Pending::default(),
@@ -216,7 +217,7 @@
         ended: Rc::default(),
         last_received: Rc::new(Cell::new(Instant::now())),
         unsent,
-        added,
+        unsent_count,
     };
     (sender, FramedRead::new(read, codec()))
 }
--- a/crates/filbertstack-gateway/src/request/answer.rs
+++ b/crates/filbertstack-gateway/src/request/answer.rs
@@ -68,7 +68,7 @@
     /// The HTTP status.
     pub status: StatusCode,
     /// The time after which the caller may retry; set only if the request certainly has not run.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// The reason, for the caller, logs and metrics.
     pub why: &'static str,
 }
@@ -78,16 +78,16 @@
     pub fn own(status: StatusCode, why: &'static str) -> Self {
         Self {
             status,
-            after: None,
+            retry_after: None,
             why,
         }
     }
 
-    /// Refuses a request that has not run and never will. The caller may retry after `after`.
-    pub fn busy(why: &'static str, after: Duration) -> Self {
+    /// Refuses a request that has not run and never will. The caller may retry after `retry_after`.
+    pub fn busy(why: &'static str, retry_after: Duration) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
-            after: Some(after),
+            retry_after: Some(retry_after),
             why,
         }
     }
@@ -110,7 +110,7 @@
     /// Logs the refusal of the request `id` with a prompt of `prompt` tokens. `configuration` is the
     /// version of the configuration in force.
     pub fn log(&self, id: &str, prompt: u32, configuration: u64) {
-        let after = self.after.map_or(0, |a| a.as_millis());
+        let after = self.retry_after.map_or(0, |a| a.as_millis());
         spdlog::info!("refused", kv: {
             request = id, status = self.status.as_u16(), why = self.why, after_ms = after,
             prompt = prompt,
--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -96,11 +96,12 @@
     id: TargetId,
     addr: SocketAddr,
     connection: Option<Connection>,
-    idle: Option<Duration>,
-    closes: bool,
-    /// The tokens of the prompt that the target has not read yet; 0 once an event has arrived.
+    idle_limit: Option<Duration>,
+    closes_connection: bool,
+    /// The number of tokens of the prompt; 0 once the target has sent an event, as it has then read the
+    /// prompt to the end.
     unread_prompt: u32,
-    sent: Instant,
+    sent_at: Instant,
     /// The last time that the dispatcher was notified of bytes from the target.
     notified_at: Instant,
     /// The time to the first bytes of the answer's body; `None` until they arrive.
@@ -133,7 +134,7 @@
     /// Records the first bytes of the answer's body.
     fn record_first_bytes(&mut self) {
         if self.first_bytes.is_none() {
-            let first_bytes = self.sent.elapsed();
+            let first_bytes = self.sent_at.elapsed();
             self.first_bytes = Some(first_bytes);
             self.requests.metrics.entry.first_token.record(first_bytes);
         }
@@ -154,11 +155,13 @@
     /// use it. The connections of requests that may run only once are closed: such requests always open new
     /// ones, and a target resets connections beyond its limit, idle ones included.
     pub fn finish(&mut self) {
-        self.ended = Ended::Answered(Millis::from(self.sent.elapsed()));
-        let keep = !self.closes && self.call.may_repeat();
+        self.ended = Ended::Answered(Millis::from(self.sent_at.elapsed()));
+        let keep = !self.closes_connection && self.call.may_repeat();
         let kept = self.connection.take().filter(|_| keep);
         if let Some(connection) = kept {
-            self.requests.pool.put(self.addr, connection, self.idle);
+            self.requests
+                .pool
+                .put(self.addr, connection, self.idle_limit);
         }
     }
 }
@@ -171,7 +174,7 @@
             Ended::Failed => "failed",
             Ended::Left => "caller left",
         };
-        let took = self.sent.elapsed();
+        let took = self.sent_at.elapsed();
         self.requests.metrics.entry.duration.record(outcome, took);
         info!("attempt ended", kv: {
             request = self.call.head.id(), target = self.id.to_string(), outcome = outcome,
@@ -269,7 +272,7 @@
 /// # Errors
 /// A [`Refusal`] with a time to retry, if there is none.
 pub fn choose(requests: &Rc<Requests>, call: &Call, tries: &Tries) -> Result<Chosen, Refusal> {
-    let goal = call.route.goal.max(RETRY_GOAL).min(call.left());
+    let goal = call.route.goal.max(RETRY_GOAL).min(call.time_left());
     let wanted = Wanted {
         service: &call.service,
         prompt: call.prompt(),
@@ -311,10 +314,10 @@
         id: chosen.id.clone(),
         addr: chosen.addr,
         connection: None,
-        idle: None,
-        closes: false,
+        idle_limit: None,
+        closes_connection: false,
         unread_prompt: call.prompt(),
-        sent: Instant::now(),
+        sent_at: Instant::now(),
         notified_at: Instant::now(),
         first_bytes: None,
         status: 0,
@@ -331,7 +334,9 @@
             return Outcome::NotRun;
         }
     };
-    let left = call.left().min(chosen.time_limit.unwrap_or(Duration::MAX));
+    let left = call
+        .time_left()
+        .min(chosen.time_limit.unwrap_or(Duration::MAX));
     if left < MIN_TIME_LEFT {
         return Outcome::NotRun;
     }
@@ -424,7 +429,7 @@
     info!("sent", kv: {
         request = call.head.id(), target = chosen.id.to_string(), attempt = tries.sent,
         waited_ms = call.arrived_at.elapsed().as_millis(), prompt = call.prompt(),
-        predicted_ms = chosen.predicted.round(),
+        predicted_ms = chosen.predicted_ms.round(),
         report_age_ms = age.unwrap_or(-1),
         configuration = requests.node.declared.version(), weights = chosen.version.unwrap_or(0)
     });
@@ -457,8 +462,8 @@
     let status = response.status();
     guard.status = status.as_u16();
     let head = ReplyHead::read(response.headers(), call.head.attempt.as_ref());
-    guard.idle = head.idle;
-    guard.closes = head.closes;
+    guard.idle_limit = head.idle;
+    guard.closes_connection = head.closes;
     if head.ours && (head.not_run || status == StatusCode::MISDIRECTED_REQUEST) {
         let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
         let span = if misdirected {
--- a/crates/filbertstack-gateway/src/request/connect.rs
+++ b/crates/filbertstack-gateway/src/request/connect.rs
@@ -49,7 +49,7 @@
         if let Some(connection) = pooled.flatten() {
             return Ok(Self::new(connection, true));
         }
-        let opened = Connection::open(addr, CONNECT_TIMEOUT.min(call.left())).await?;
+        let opened = Connection::open(addr, CONNECT_TIMEOUT.min(call.time_left())).await?;
         Ok(Self::new(opened, false))
     }
 
@@ -73,7 +73,7 @@
         if !requests.spend(&call.service) {
             return false;
         }
-        let max_wait = CONNECT_TIMEOUT.min(call.left());
+        let max_wait = CONNECT_TIMEOUT.min(call.time_left());
         let Ok(opened) = Connection::open(chosen.addr, max_wait).await else {
             return false;
         };
--- a/crates/filbertstack-gateway/src/request/mod.rs
+++ b/crates/filbertstack-gateway/src/request/mod.rs
@@ -136,7 +136,7 @@
 
 impl Call {
     /// Returns the time left until its deadline.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Sets how many entries share the budget of repeated sends.
-    pub fn share(&self, entries: u32) {
+    pub fn set_entries(&self, entries: u32) {
         self.repeats.borrow_mut().share(entries);
     }
 
@@ -354,7 +354,11 @@
                 let body = AnswerBody::whole(Full::new(refusal.body()));
                 let mut response = Response::new(body);
                 *response.status_mut() = refusal.status;
-                own_answer(response.headers_mut(), attempt.as_ref(), refusal.after);
+                own_answer(
+                    response.headers_mut(),
+                    attempt.as_ref(),
+                    refusal.retry_after,
+                );
                 response
             }
         }
--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -61,7 +61,7 @@
     /// How long the request may stay there, if a newer version of the weights is declared.
     pub time_limit: Option<Duration>,
     /// The predicted time to the first event, in milliseconds.
-    pub predicted: f64,
+    pub predicted_ms: f64,
     /// The age of the load report behind the prediction; `None` without a report.
     pub report_age: Option<Millis>,
 }
@@ -242,7 +242,7 @@
         let now = self.node.clock.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
         let id = dispatcher.choose(now, wanted)?;
-        let (predicted, report_age) = dispatcher.grounds(now, &id, wanted.prompt);
+        let (predicted_ms, report_age) = dispatcher.grounds(now, &id, wanted.prompt);
         let endpoint = self.endpoints.borrow().get(&id).copied();
         // Targets and endpoints are replaced together, so each chosen target has an endpoint.
         let endpoint = endpoint.ok_or(Refused::NoTarget {
@@ -253,7 +253,7 @@
             addr: endpoint.addr,
             version: endpoint.version,
             time_limit: endpoint.valid_until.map(|until| until.since(now).into()),
-            predicted,
+            predicted_ms,
             report_age,
         })
     }
