--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -118,8 +118,8 @@
         *self.engines.borrow_mut() = engines;
     }
 
-    /// Returns the addresses of the targets [beside](subset::beside) this entry, each with the number of
-    /// entries beside it.
+    /// Returns the addresses of the targets beside this entry, as the policy's `subset` defines it, each
+    /// with the number of entries beside it.
     fn beside(
         &self,
         rows: &[(Arc<str>, Rc<Kind>, Stamp)],
