--- a/crates/filbertstack-gateway/src/control/declared.rs
+++ b/crates/filbertstack-gateway/src/control/declared.rs
@@ -26,9 +26,9 @@
 use crate::link::messages::DocumentPart;
 use crate::link::messages::Interest;
 use crate::link::messages::NamedWeights;
-use crate::link::messages::News;
+use crate::link::messages::Notification;
 use crate::link::messages::ServedModel;
-use crate::link::messages::addr;
+use crate::link::messages::decode_addr;
 
 /// The newest document and the latest versions of weights that this node knows.
 #[derive(Debug)]
@@ -115,7 +115,7 @@
     pub fn may_break_off(&self, model: &str) -> bool {
         let models = self.models.borrow();
         let mut served = models.iter().filter(|m| m.model == model).peekable();
-        served.peek().is_some() && served.all(|m| m.may_break)
+        served.peek().is_some() && served.all(|m| m.resumable)
     }
 
     /// Told whenever something changes.
@@ -124,12 +124,12 @@
     }
 
     /// What a follower that holds the document `version` needs to be told, in this order.
-    pub fn since(&self, version: u64, interest: Interest) -> Vec<News> {
+    pub fn since(&self, version: u64, interest: Interest) -> Vec<Notification> {
         let mut news = Vec::new();
         if interest == Interest::All && self.version() > version {
-            news.extend(self.parts().iter().cloned().map(News::Part));
+            news.extend(self.parts().iter().cloned().map(Notification::Part));
         }
-        news.push(News::Declared(self.declared()));
+        news.push(Notification::Declared(self.declared()));
         news
     }
 
@@ -168,7 +168,7 @@
 
     /// Takes in what the voter that is followed says.
     pub fn follow(&self, declared: Declared) {
-        let origins = declared.origins.iter().filter_map(|o| addr(o));
+        let origins = declared.origins.iter().filter_map(|o| decode_addr(o));
         let origins: Vec<SocketAddr> = origins.collect();
         if !origins.is_empty() {
             *self.origins.borrow_mut() = origins;
@@ -265,7 +265,7 @@
         engine.models.iter().map(|model| ServedModel {
             service: service.name.to_string(),
             model: model.to_string(),
-            may_break: catalogue.may_break_off(&service.name),
+            resumable: catalogue.may_break_off(&service.name),
         })
     });
     models.collect()
--- a/crates/filbertstack-gateway/src/control/membership.rs
+++ b/crates/filbertstack-gateway/src/control/membership.rs
@@ -9,7 +9,7 @@
 use filbertstack_log::Membership;
 use filbertstack_log::NodeId;
 
-use crate::link::messages::Standing;
+use crate::link::messages::NodeStatus;
 
 /// For how long a request to be taken in counts: some rounds in which it is made again.
 pub const NEWCOMER: Duration = Duration::from_secs(2);
@@ -48,10 +48,10 @@
     first: bool,
     own: SocketAddr,
     seeds: &[SocketAddr],
-    heard: &[Standing],
+    heard: &[NodeStatus],
 ) -> Option<u32> {
     // A seed without a disk is in no group, but may know one.
-    let knows = |s: &Standing| s.cluster != 0 || !s.leader.is_empty() || !s.voters.is_empty();
+    let knows = |s: &NodeStatus| s.cluster != 0 || !s.leader.is_empty() || !s.voters.is_empty();
     let grouped = heard.iter().any(knows);
     if !first || grouped {
         return None;
@@ -59,7 +59,7 @@
     let place = seeds.iter().position(|seed| *seed == own)?;
     let diskless = |seed: &SocketAddr| {
         let standing = heard.iter().find(|s| s.addr == seed.to_string());
-        standing.is_some_and(|s| s.node == 0)
+        standing.is_some_and(|s| s.node_id == 0)
     };
     if !seeds[..place].iter().all(diskless) {
         return None;
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -23,25 +23,25 @@
 use crate::control::unregistered::Unregistered;
 use crate::control::voter::Voter;
 use crate::link::Dialer;
-use crate::link::Given;
 use crate::link::Handler;
+use crate::link::HandlerReply;
 use crate::link::LinkError;
 use crate::link::Sender;
+use crate::link::messages::Empty;
 use crate::link::messages::Follow;
 use crate::link::messages::Hop;
 use crate::link::messages::Interest;
 use crate::link::messages::LoadRow;
 use crate::link::messages::Loads as Told;
-use crate::link::messages::News;
-use crate::link::messages::Nothing;
+use crate::link::messages::NodeStatus;
+use crate::link::messages::Notification;
 use crate::link::messages::Proposal;
-use crate::link::messages::Pulse;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
 use crate::link::messages::Row;
 use crate::link::messages::Rows;
-use crate::link::messages::Standing;
-use crate::link::messages::addr;
+use crate::link::messages::VoterHeartbeat;
+use crate::link::messages::decode_addr;
 use crate::reload::Seeds;
 use crate::settings::Settings;
 
@@ -181,11 +181,11 @@
         }
         let question = Question::Propose(Proposal {
             command,
-            passed: self.voter.is_some() || passed,
+            relayed: self.voter.is_some() || passed,
         });
         match self.ask_group(question, passed).await? {
             Reply::Done(_) => Ok(()),
-            _ => Err(LinkError::Unfit.into()),
+            _ => Err(LinkError::UnexpectedReply.into()),
         }
     }
 
@@ -203,11 +203,11 @@
             return Ok(voter.documents().document().clone());
         }
         let question = Question::Read(Hop {
-            passed: self.voter.is_some() || passed,
+            relayed: self.voter.is_some() || passed,
         });
         match self.ask_group(question, passed).await? {
             Reply::Document(document) => Ok(document),
-            _ => Err(LinkError::Unfit.into()),
+            _ => Err(LinkError::UnexpectedReply.into()),
         }
     }
 
@@ -223,7 +223,7 @@
         match self.ask_group(Question::List(upto), false).await? {
             Reply::List(list) => Ok(Some(list)),
             Reply::NotKept(_) => Ok(None),
-            _ => Err(LinkError::Unfit.into()),
+            _ => Err(LinkError::UnexpectedReply.into()),
         }
     }
 
@@ -233,7 +233,7 @@
         };
         match voter.documents().list(upto) {
             Some(list) => Reply::List(list.clone()),
-            None => Reply::NotKept(Nothing {}),
+            None => Reply::NotKept(Empty {}),
         }
     }
 
@@ -264,19 +264,19 @@
         let question = Question::Register(Rows { rows, whole: false });
         match self.ask_group(question, false).await? {
             Reply::Done(_) => Ok(()),
-            _ => Err(LinkError::Unfit.into()),
+            _ => Err(LinkError::UnexpectedReply.into()),
         }
     }
 
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> NodeStatus {
         if let Some(voter) = &self.voter {
             return voter.standing();
         }
         let text = |addr: SocketAddr| addr.to_string();
-        Standing {
+        NodeStatus {
             name: self.settings.node.name.clone(),
             addr: text(self.settings.node.link),
-            node: 0,
+            node_id: 0,
             cluster: 0,
             leader: String::new(),
             voters: self.voters().into_iter().map(text).collect(),
@@ -306,7 +306,7 @@
     pub fn tell_rows(&self, rows: Vec<Row>) {
         if let Some(voter) = self.followed.get() {
             self.dialer
-                .tell(voter, News::Rows(Rows { rows, whole: false }));
+                .tell(voter, Notification::Rows(Rows { rows, whole: false }));
         }
     }
 
@@ -314,14 +314,14 @@
     pub fn tell_load(&self, row: LoadRow) {
         if let Some(voter) = self.followed.get() {
             self.dialer
-                .tell(voter, News::Loads(Told { rows: vec![row] }));
+                .tell(voter, Notification::Loads(Told { rows: vec![row] }));
         }
     }
 
     /// The sign of life that followers get.
-    pub fn pulse(&self) -> News {
+    pub fn pulse(&self) -> Notification {
         let voter = self.voter.as_ref();
-        News::Pulse(Pulse {
+        Notification::VoterHeartbeat(VoterHeartbeat {
             current: self.is_current() && voter.is_some_and(|v| !v.is_leaving()),
             voters: voter.map_or_else(Vec::new, |v| v.standing().voters),
             document: self.declared.version(),
@@ -330,24 +330,24 @@
 }
 
 impl Handler for Node {
-    async fn answer(self: Rc<Self>, question: Question) -> Given {
+    async fn answer(self: Rc<Self>, question: Question) -> HandlerReply {
         let done = |result: Result<(), GroupError>| match result {
-            Ok(()) => Reply::Done(Nothing {}),
+            Ok(()) => Reply::Done(Empty {}),
             Err(error) => Reply::Failed(error.to_string()),
         };
         let reply = match question {
-            Question::Standing(_) => Reply::Standing(self.standing()),
+            Question::NodeStatus(_) => Reply::NodeStatus(self.standing()),
             Question::Join(standing) => match &self.voter {
                 Some(voter) if voter.leads() => {
                     voter.meet(&standing);
-                    Reply::Done(Nothing {})
+                    Reply::Done(Empty {})
                 }
                 _ => Reply::Failed("this node does not lead; ask the leader".into()),
             },
             Question::Propose(proposal) => {
-                done(self.pass_proposal(proposal.command, proposal.passed).await)
+                done(self.pass_proposal(proposal.command, proposal.relayed).await)
             }
-            Question::Read(hop) => match self.pass_read(hop.passed).await {
+            Question::Read(hop) => match self.pass_read(hop.relayed).await {
                 Ok(document) => Reply::Document(document),
                 Err(error) => Reply::Failed(error.to_string()),
             },
@@ -360,30 +360,33 @@
         reply.into()
     }
 
-    fn take(self: Rc<Self>, news: News, sender: &Sender) {
+    fn receive(self: Rc<Self>, news: Notification, sender: &Sender) {
         match news {
-            News::Log(message) => {
+            Notification::Log(message) => {
                 if let Some(voter) = &self.voter {
                     voter.deliver(message);
                 }
             }
-            News::Follow(follow) => self.attach(&follow, sender),
-            News::Rows(rows) if self.voter.is_some() => self.people.take(rows.rows, true),
-            News::Loads(loads) if self.voter.is_some() => self.loads.take(loads.rows, true),
-            News::Watch(watch) if self.voter.is_some() => {
+            Notification::Follow(follow) => self.attach(&follow, sender),
+            Notification::Rows(rows) if self.voter.is_some() => self.people.take(rows.rows, true),
+            Notification::Loads(loads) if self.voter.is_some() => self.loads.take(loads.rows, true),
+            Notification::Watch(watch) if self.voter.is_some() => {
                 let engines = watch.engines.into_iter().collect();
                 self.loads.follow(sender, Wants::Engines(engines));
             }
             // A voter tells its seeds who the voters are.
-            News::Pulse(pulse) => {
-                let voters: Vec<_> = pulse.voters.iter().filter_map(|v| addr(v)).collect();
+            Notification::VoterHeartbeat(pulse) => {
+                let voters: Vec<_> = pulse.voters.iter().filter_map(|v| decode_addr(v)).collect();
                 if let Some(voter) = &self.voter {
                     voter.learn_voters(&voters);
                 }
                 self.learn_voters(voters);
             }
-            News::Declared(_) | News::Part(_) | News::Rows(_) | News::Loads(_) | News::Watch(_) => {
-            }
+            Notification::Declared(_)
+            | Notification::Part(_)
+            | Notification::Rows(_)
+            | Notification::Loads(_)
+            | Notification::Watch(_) => {}
         }
     }
 }
--- a/crates/filbertstack-gateway/src/control/voter.rs
+++ b/crates/filbertstack-gateway/src/control/voter.rs
@@ -43,8 +43,8 @@
 use crate::control::shortage::Shortage;
 use crate::link::Dialer;
 use crate::link::messages::LogMessage;
-use crate::link::messages::News;
-use crate::link::messages::Standing;
+use crate::link::messages::NodeStatus;
+use crate::link::messages::Notification;
 use crate::reload::Seeds;
 use crate::settings::Node as NodeSettings;
 
@@ -251,7 +251,7 @@
     }
 
     /// Who this voter is.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> NodeStatus {
         let status = self.status();
         let leader = if self.leads() {
             Some(self.settings.link)
@@ -259,10 +259,10 @@
             self.leader()
         };
         let membership = &status.node.membership;
-        Standing {
+        NodeStatus {
             name: self.settings.name.clone(),
             addr: self.settings.link.to_string(),
-            node: status.id.0,
+            node_id: status.id.0,
             cluster: status.cluster.map_or(0, |c| c.0),
             leader: leader.map(|l| l.to_string()).unwrap_or_default(),
             voters: membership
@@ -282,11 +282,11 @@
     }
 
     /// Notes a node that wants to be taken in.
-    pub fn meet(&self, standing: &Standing) {
+    pub fn meet(&self, standing: &NodeStatus) {
         let Ok(addr) = standing.addr.parse() else {
             return;
         };
-        let node = NodeId(standing.node);
+        let node = NodeId(standing.node_id);
         self.places.borrow_mut().insert(node, addr);
         let newcomer = Newcomer {
             node,
@@ -354,7 +354,7 @@
         };
         let body = message.to_bytes().into();
         let from = self.settings.link.to_string();
-        let news = News::Log(LogMessage { from, body });
+        let news = Notification::Log(LogMessage { from, body });
         self.dialer.tell(addr, news);
     }
 }
--- a/crates/filbertstack-gateway/src/weights/cache.rs
+++ b/crates/filbertstack-gateway/src/weights/cache.rs
@@ -18,11 +18,11 @@
 use tokio::time::timeout;
 
 use crate::control::node::Node;
-use crate::link::Given;
 use crate::link::Handler;
+use crate::link::HandlerReply;
 use crate::link::Sender;
-use crate::link::messages::News;
-use crate::link::messages::Nothing;
+use crate::link::messages::Empty;
+use crate::link::messages::Notification;
 use crate::link::messages::PieceName;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
@@ -227,12 +227,12 @@
                 .any(|(_, row)| *row.model == *weights.model && row.version == weights.version)
     }
 
-    async fn piece(&self, name: &PieceName) -> Given {
+    async fn piece(&self, name: &PieceName) -> HandlerReply {
         let stock = self.stock(&weights::holding(&name.weights));
         let found = stock.and_then(|stock| stock.piece(name.number));
         let slot = self.uploads.clone().acquire_owned().await;
         match found.zip(slot.ok()) {
-            Some((bytes, slot)) => Given::slowly(Reply::Piece(bytes), slot),
+            Some((bytes, slot)) => HandlerReply::with_slot(Reply::Piece(bytes), slot),
             None => weights::not_here().into(),
         }
     }
@@ -243,7 +243,7 @@
             return weights::not_here();
         };
         match timeout(wait, stock.await_piece(name.number)).await {
-            Ok(true) => Reply::Done(Nothing {}),
+            Ok(true) => Reply::Done(Empty {}),
             Ok(false) | Err(_) => weights::not_here(),
         }
     }
@@ -251,7 +251,7 @@
     fn has_now(&self, name: &PieceName) -> Reply {
         let stock = self.stock(&weights::holding(&name.weights));
         if stock.is_some_and(|stock| stock.piece(name.number).is_some()) {
-            return Reply::Done(Nothing {});
+            return Reply::Done(Empty {});
         }
         weights::not_here()
     }
@@ -259,7 +259,7 @@
     /// The list of a version's pieces, if it is here or comes within `wait`.
     async fn manifest(&self, named: &Weights, wait: Duration) -> Reply {
         let Some(stock) = self.stock(&weights::holding(named)) else {
-            return Reply::NotKept(Nothing {});
+            return Reply::NotKept(Empty {});
         };
         let list = timeout(wait, stock.await_list()).await;
         weights::manifest(list.ok().flatten())
@@ -267,7 +267,7 @@
 }
 
 impl Handler for Cache {
-    async fn answer(self: Rc<Self>, question: Question) -> Given {
+    async fn answer(self: Rc<Self>, question: Question) -> HandlerReply {
         match question {
             Question::Piece(name) => self.piece(&name).await,
             Question::Has(name) => self.has(&name, OWNER_WAIT).await.into(),
@@ -277,7 +277,7 @@
         }
     }
 
-    fn take(self: Rc<Self>, news: News, sender: &Sender) {
-        self.node.clone().take(news, sender);
+    fn receive(self: Rc<Self>, news: Notification, sender: &Sender) {
+        self.node.clone().receive(news, sender);
     }
 }
