--- a/crates/filbertstack-agent/src/serve.rs
+++ b/crates/filbertstack-agent/src/serve.rs
@@ -9,7 +9,7 @@
 
 use filbertstack_core::Digest;
 use filbertstack_core::Millis;
-use filbertstack_policy::spread::serve::Ask as Upload;
+use filbertstack_policy::spread::serve::UploadRequest as Upload;
 use filbertstack_telemetry::Telemetry;
 use filbertstack_telemetry::traces::Field;
 use filbertstack_telemetry::traces::Hop;
--- a/crates/filbertstack-policy/src/spread/serve.rs
+++ b/crates/filbertstack-policy/src/spread/serve.rs
@@ -10,7 +10,7 @@
 
 /// A request for a chunk, as it waits at the instance that holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct UploadRequest {
     /// The chunk.
     pub chunk: ChunkIndex,
     /// Whether the requester brings the chunk into another region, by a token of the leader.
@@ -29,7 +29,8 @@
 /// requester with the fewest chunks, so that nobody falls behind; then the chunk
 /// with the fewest copies, so that each rare chunk doubles; then the one that was served longest
 /// ago, so that equals take turns.
-pub fn choose(asks: &[Ask]) -> Option<usize> {
-    let order = |&(at, ask): &(usize, &Ask)| (!ask.import, ask.held, ask.copies, ask.served, at);
+pub fn choose(asks: &[UploadRequest]) -> Option<usize> {
+    let order =
+        |&(at, ask): &(usize, &UploadRequest)| (!ask.import, ask.held, ask.copies, ask.served, at);
     asks.iter().enumerate().min_by_key(order).map(|(at, _)| at)
 }
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -16,7 +16,7 @@
 use filbertstack_policy::spread::pull::Seat;
 use filbertstack_policy::spread::pull::Turns;
 use filbertstack_policy::spread::pull::Upstream;
-use filbertstack_policy::spread::serve::Ask;
+use filbertstack_policy::spread::serve::UploadRequest;
 use filbertstack_policy::spread::serve::choose;
 
 const CONFIG: PullConfig = PullConfig {
@@ -238,7 +238,7 @@
 
 #[test]
 fn regions_then_laggards_then_rare_chunks_then_turns_are_served() {
-    let ask = |import, held, copies, served| Ask {
+    let ask = |import, held, copies, served| UploadRequest {
         chunk: 0,
         import,
         held,
--- a/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
@@ -137,10 +137,10 @@
         }
     }
 
-    pub(super) fn view(&self, at: usize, waiting: &Waiting) -> serve::Ask {
+    pub(super) fn view(&self, at: usize, waiting: &Waiting) -> serve::UploadRequest {
         let node = &self.nodes[at];
         let held = self.nodes[waiting.to].pull.held().count();
-        serve::Ask {
+        serve::UploadRequest {
             chunk: waiting.chunk,
             import: waiting.import,
             held: u32::try_from(held).unwrap(),
--- a/crates/filbertstack-weights/src/copy/uploads.rs
+++ b/crates/filbertstack-weights/src/copy/uploads.rs
@@ -11,7 +11,7 @@
 use slab::Slab;
 
 use filbertstack_policy::spread::serve;
-use filbertstack_policy::spread::serve::Ask;
+use filbertstack_policy::spread::serve::UploadRequest;
 
 /// The upload slots of an agent.
 #[derive(Debug)]
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 struct State {
     free: usize,
-    asks: Slab<Ask>,
+    asks: Slab<UploadRequest>,
 }
 
 /// A slot; dropping it lets the next requester in.
@@ -47,7 +47,7 @@
 
     /// Waits for a slot for at most `wait`; `None` if others went first, and the requester is to
     /// be told that this instance is busy.
-    pub fn enter(self: &Arc<Self>, ask: Ask, wait: Duration) -> Option<UploadSlot> {
+    pub fn enter(self: &Arc<Self>, ask: UploadRequest, wait: Duration) -> Option<UploadSlot> {
         let end = Instant::now() + wait;
         let mut state = self.lock();
         let key = state.asks.insert(ask);
--- a/crates/filbertstack-weights/tests/uploads.rs
+++ b/crates/filbertstack-weights/tests/uploads.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use filbertstack_core::Millis;
-use filbertstack_policy::spread::serve::Ask;
+use filbertstack_policy::spread::serve::UploadRequest;
 use filbertstack_weights::copy::Uploads;
 
 const LONG: Duration = Duration::from_secs(30);
 
-fn ask(held: u32) -> Ask {
-    Ask {
+fn ask(held: u32) -> UploadRequest {
+    UploadRequest {
         chunk: 0,
         import: false,
         held,
