--- a/crates/filbertstack-policy/src/spread/serve.rs
+++ b/crates/filbertstack-policy/src/spread/serve.rs
@@ -29,7 +29,7 @@
 /// requester with the fewest chunks, so that nobody falls behind; then the chunk
 /// with the fewest copies, so that each rare chunk doubles; then the one that was served longest
 /// ago, so that equals take turns.
-pub fn choose(asks: &[UploadRequest]) -> Option<usize> {
+pub fn next_upload(asks: &[UploadRequest]) -> Option<usize> {
     let order =
         |&(at, ask): &(usize, &UploadRequest)| (!ask.import, ask.held, ask.copies, ask.served, at);
     asks.iter().enumerate().min_by_key(order).map(|(at, _)| at)
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -17,7 +17,7 @@
 use filbertstack_policy::spread::pull::Turns;
 use filbertstack_policy::spread::pull::Upstream;
 use filbertstack_policy::spread::serve::UploadRequest;
-use filbertstack_policy::spread::serve::choose;
+use filbertstack_policy::spread::serve::next_upload;
 
 const CONFIG: PullConfig = PullConfig {
     slots: 2,
@@ -246,10 +246,10 @@
         served: Millis(served),
     };
     let plain = ask(false, 5, 3, 10);
-    assert_eq!(choose(&[]), None);
-    assert_eq!(choose(&[plain, ask(true, 9, 9, 99)]), Some(1));
-    assert_eq!(choose(&[plain, ask(false, 4, 9, 99)]), Some(1));
-    assert_eq!(choose(&[plain, ask(false, 5, 2, 99)]), Some(1));
-    assert_eq!(choose(&[plain, ask(false, 5, 3, 9)]), Some(1));
-    assert_eq!(choose(&[plain, plain]), Some(0));
+    assert_eq!(next_upload(&[]), None);
+    assert_eq!(next_upload(&[plain, ask(true, 9, 9, 99)]), Some(1));
+    assert_eq!(next_upload(&[plain, ask(false, 4, 9, 99)]), Some(1));
+    assert_eq!(next_upload(&[plain, ask(false, 5, 2, 99)]), Some(1));
+    assert_eq!(next_upload(&[plain, ask(false, 5, 3, 9)]), Some(1));
+    assert_eq!(next_upload(&[plain, plain]), Some(0));
 }
--- a/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
@@ -126,7 +126,7 @@
     pub(super) fn answer(&mut self, at: usize, mut asks: Vec<Waiting>) {
         while !asks.is_empty() && self.nodes[at].link.can_send() {
             let views: Vec<_> = asks.iter().map(|ask| self.view(at, ask)).collect();
-            let chosen = serve::choose(&views).expect("there are requests");
+            let chosen = serve::next_upload(&views).expect("there are requests");
             let waiting = asks.remove(chosen);
             self.begin(Some(at), &waiting);
         }
--- a/crates/filbertstack-weights/src/copy/uploads.rs
+++ b/crates/filbertstack-weights/src/copy/uploads.rs
@@ -85,7 +85,7 @@
 impl State {
     fn first(&self) -> Option<usize> {
         let (keys, asks): (Vec<_>, Vec<_>) = self.asks.iter().map(|(key, ask)| (key, *ask)).unzip();
-        serve::choose(&asks).map(|at| keys[at])
+        serve::next_upload(&asks).map(|at| keys[at])
     }
 }
 
