--- a/crates/filbertstack-agent/src/serve.rs
+++ b/crates/filbertstack-agent/src/serve.rs
@@ -66,7 +66,7 @@
     chunk: 0,
     import: false,
     held: 0,
-    served: Millis::ZERO,
+    last_served: Millis::ZERO,
     copies: 0,
 };
 
--- a/crates/filbertstack-policy/src/spread/serve.rs
+++ b/crates/filbertstack-policy/src/spread/serve.rs
@@ -18,7 +18,7 @@
     /// The chunks that the requester holds already; it says so itself.
     pub held: u32,
     /// When this instance last served the requester; zero if never.
-    pub served: Millis,
+    pub last_served: Millis,
     /// How many of this instance's neighbours hold the chunk, as far as announced.
     pub copies: u32,
 }
@@ -30,7 +30,8 @@
 /// with the fewest copies, so that each rare chunk doubles; then the one that was served longest
 /// ago, so that equals take turns.
 pub fn next_upload(asks: &[UploadRequest]) -> Option<usize> {
-    let order =
-        |&(at, ask): &(usize, &UploadRequest)| (!ask.import, ask.held, ask.copies, ask.served, at);
+    let order = |&(at, ask): &(usize, &UploadRequest)| {
+        (!ask.import, ask.held, ask.copies, ask.last_served, at)
+    };
     asks.iter().enumerate().min_by_key(order).map(|(at, _)| at)
 }
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -243,7 +243,7 @@
         import,
         held,
         copies,
-        served: Millis(served),
+        last_served: Millis(served),
     };
     let plain = ask(false, 5, 3, 10);
     assert_eq!(next_upload(&[]), None);
--- a/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
@@ -144,7 +144,7 @@
             chunk: waiting.chunk,
             import: waiting.import,
             held: u32::try_from(held).unwrap(),
-            served: node
+            last_served: node
                 .served
                 .get(&waiting.to)
                 .copied()
--- a/crates/filbertstack-weights/tests/uploads.rs
+++ b/crates/filbertstack-weights/tests/uploads.rs
@@ -15,7 +15,7 @@
         chunk: 0,
         import: false,
         held,
-        served: Millis::ZERO,
+        last_served: Millis::ZERO,
         copies: 1,
     }
 }
