--- a/crates/filbertstack-agent/src/mesh/copies.rs
+++ b/crates/filbertstack-agent/src/mesh/copies.rs
@@ -10,7 +10,7 @@
 use filbertstack_core::Digest;
 use filbertstack_policy::spread::ChunkSet;
 use filbertstack_policy::spread::pull::Near;
-use filbertstack_policy::spread::pull::Seat;
+use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_weights::Manifest;
 use filbertstack_weights::Store;
 use filbertstack_weights::copy::CopyEvent;
@@ -46,7 +46,7 @@
     greeted: bool,
     /// When the leader is asked for the manifest, if it has not come by then.
     patience: Option<Instant>,
-    upstreams: Vec<(SocketAddr, Seat)>,
+    upstreams: Vec<(SocketAddr, RingPosition)>,
     /// Chunks to bring in, and the agent to get them from if it is not the origin.
     grants: BTreeMap<u32, String>,
     /// Grants that the copier has.
@@ -181,7 +181,7 @@
         }
         row.number = part.number;
         let upstreams = part.upstreams.iter().filter_map(|upstream| {
-            let seat = Seat {
+            let seat = RingPosition {
                 near: if upstream.region {
                     Near::Region
                 } else {
@@ -246,7 +246,7 @@
     }
 
     /// All upstreams of all copies.
-    pub fn upstreams(&self) -> BTreeMap<SocketAddr, Seat> {
+    pub fn upstreams(&self) -> BTreeMap<SocketAddr, RingPosition> {
         let all = self.rows.values().flat_map(|row| row.upstreams.iter());
         all.copied().collect()
     }
--- a/crates/filbertstack-agent/src/mesh/peers.rs
+++ b/crates/filbertstack-agent/src/mesh/peers.rs
@@ -9,7 +9,7 @@
 use filbertstack_core::Digest;
 use filbertstack_policy::spread::ChunkSet;
 use filbertstack_policy::spread::pull::NeighbourKey;
-use filbertstack_policy::spread::pull::Seat;
+use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_weights::Copier;
 use filbertstack_wire::Dialer;
 use filbertstack_wire::Role;
@@ -26,14 +26,14 @@
 /// The upstreams that the copier has.
 #[derive(Debug, Default)]
 pub struct Peers {
-    seats: BTreeMap<SocketAddr, (Seat, NeighbourKey)>,
+    seats: BTreeMap<SocketAddr, (RingPosition, NeighbourKey)>,
 }
 
 impl Peers {
     /// Brings the copier's upstreams in line with `wanted`.
     pub fn seat(
         &mut self,
-        wanted: BTreeMap<SocketAddr, Seat>,
+        wanted: BTreeMap<SocketAddr, RingPosition>,
         dialer: &Arc<Dialer>,
         copier: &Copier,
     ) {
--- a/crates/filbertstack-policy/src/spread/plan.rs
+++ b/crates/filbertstack-policy/src/spread/plan.rs
@@ -20,7 +20,7 @@
 use filbertstack_core::names::ZoneName;
 
 use crate::spread::pull::Near;
-use crate::spread::pull::Seat;
+use crate::spread::pull::RingPosition;
 
 use ring::Ring;
 
@@ -68,7 +68,7 @@
     /// The upstream.
     pub target: TargetKey,
     /// Where it stands among the upstreams.
-    pub seat: Seat,
+    pub seat: RingPosition,
 }
 
 /// What came of a target's joining.
@@ -198,7 +198,7 @@
 
 impl Seated {
     fn link(self, near: Near) -> Link {
-        let seat = Seat {
+        let seat = RingPosition {
             near,
             place: self.place,
             places: self.places,
--- a/crates/filbertstack-policy/src/spread/pull.rs
+++ b/crates/filbertstack-policy/src/spread/pull.rs
@@ -25,7 +25,7 @@
 use neighbour::Neighbour;
 
 pub use neighbour::Near;
-pub use neighbour::Seat;
+pub use neighbour::RingPosition;
 pub use turns::Turns;
 
 new_key_type! {
@@ -205,7 +205,7 @@
     }
 
     /// Adds an upstream, which has announced nothing yet.
-    pub fn join(&mut self, seat: Seat) -> NeighbourKey {
+    pub fn join(&mut self, seat: RingPosition) -> NeighbourKey {
         let view = ChunkSet::new(self.held.len());
         self.neighbours.insert(Neighbour::new(seat, view))
     }
--- a/crates/filbertstack-policy/src/spread/pull/neighbour.rs
+++ b/crates/filbertstack-policy/src/spread/pull/neighbour.rs
@@ -41,7 +41,7 @@
 /// upstreams at one place are one stride away round the ring, so that each instance is preferred
 /// by exactly one other and no two ask the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct RingPosition {
     /// How far it is.
     pub near: Near,
     /// Its place.
@@ -50,7 +50,7 @@
     pub places: u32,
 }
 
-impl Seat {
+impl RingPosition {
     /// The turns until this place is preferred.
     fn wait(self, turn: u64) -> u64 {
         let places = u64::from(self.places.max(1));
@@ -69,7 +69,7 @@
 
 #[derive(Debug)]
 pub(super) struct Neighbour {
-    seat: Seat,
+    seat: RingPosition,
     /// The chunks it announced.
     pub(super) view: ChunkSet,
     flying: u32,
@@ -84,7 +84,7 @@
 }
 
 impl Neighbour {
-    pub(super) fn new(seat: Seat, view: ChunkSet) -> Self {
+    pub(super) fn new(seat: RingPosition, view: ChunkSet) -> Self {
         Self {
             seat,
             view,
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -13,7 +13,7 @@
 use filbertstack_policy::spread::pull::Pull;
 use filbertstack_policy::spread::pull::PullConfig;
 use filbertstack_policy::spread::pull::Request;
-use filbertstack_policy::spread::pull::Seat;
+use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_policy::spread::pull::Turns;
 use filbertstack_policy::spread::pull::Upstream;
 use filbertstack_policy::spread::serve::UploadRequest;
@@ -27,8 +27,8 @@
     turn: Millis(50),
 };
 
-fn seat(near: Near, place: u32, places: u32) -> Seat {
-    Seat {
+fn seat(near: Near, place: u32, places: u32) -> RingPosition {
+    RingPosition {
         near,
         place,
         places,
@@ -42,7 +42,7 @@
     pull
 }
 
-fn peer(pull: &mut Pull, seat: Seat, chunks: &[u32]) -> NeighbourKey {
+fn peer(pull: &mut Pull, seat: RingPosition, chunks: &[u32]) -> NeighbourKey {
     let key = pull.join(seat);
     for &chunk in chunks {
         pull.announce(key, chunk);
--- a/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
@@ -5,7 +5,7 @@
 use crate::spread_model::node::ROUND;
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::pull::Near;
-use filbertstack_policy::spread::pull::Seat;
+use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_policy::spread::tokens::Answer;
 use filbertstack_policy::spread::tokens::Grant;
 use filbertstack_policy::spread::tokens::ImportFrom;
@@ -83,7 +83,7 @@
             Answer::Ask(holder) => {
                 let holder = self.index[&holder];
                 let (near, place, places) = (Near::Region, 0, 1);
-                let seat = Seat {
+                let seat = RingPosition {
                     near,
                     place,
                     places,
--- a/crates/filbertstack-policy/tests/spread_model/mesh/targets.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/targets.rs
@@ -20,7 +20,7 @@
 use filbertstack_policy::spread::pull::Near;
 use filbertstack_policy::spread::pull::NeighbourKey;
 use filbertstack_policy::spread::pull::Pull;
-use filbertstack_policy::spread::pull::Seat;
+use filbertstack_policy::spread::pull::RingPosition;
 
 impl World {
     /// One in twenty of the targets, by chance.
@@ -74,7 +74,7 @@
     /// Gives a target the upstreams that the plan names now.
     pub(super) fn link(&mut self, at: usize) {
         self.leader += 1;
-        let ups: Vec<(usize, Seat)> = match self.mesh.graph {
+        let ups: Vec<(usize, RingPosition)> = match self.mesh.graph {
             Graph::Rings => {
                 let links = self.plan.upstreams(self.nodes[at].key).into_iter();
                 links
@@ -85,7 +85,7 @@
                 let mut others: Vec<_> = (0..self.nodes.len()).filter(|&o| o != at).collect();
                 others.shuffle(&mut self.rng);
                 let (near, place, places) = (Near::Region, 0, 1);
-                let seat = Seat {
+                let seat = RingPosition {
                     near,
                     place,
                     places,
@@ -111,7 +111,7 @@
         }
     }
 
-    pub(super) fn attach(&mut self, at: usize, up: usize, mut seat: Seat) {
+    pub(super) fn attach(&mut self, at: usize, up: usize, mut seat: RingPosition) {
         if !self.mesh.turns {
             seat.places = 1;
         }
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -13,7 +13,7 @@
 use filbertstack_policy::spread::pull::NeighbourKey;
 use filbertstack_policy::spread::pull::Pull;
 use filbertstack_policy::spread::pull::PullConfig;
-use filbertstack_policy::spread::pull::Seat;
+use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_policy::spread::pull::Upstream;
 
 use crate::copy::CopyEvent;
@@ -129,7 +129,7 @@
     }
 
     /// Adds an upstream.
-    pub fn add_peer(&mut self, source: Arc<dyn AnySource>, seat: Seat) -> NeighbourKey {
+    pub fn add_peer(&mut self, source: Arc<dyn AnySource>, seat: RingPosition) -> NeighbourKey {
         let key = self.pull.join(seat);
         self.peers.insert(key, source);
         key
--- a/crates/filbertstack-weights/src/copy/pool.rs
+++ b/crates/filbertstack-weights/src/copy/pool.rs
@@ -18,7 +18,7 @@
 use filbertstack_policy::spread::pace::Bucket;
 use filbertstack_policy::spread::pull::NeighbourKey;
 use filbertstack_policy::spread::pull::PullConfig;
-use filbertstack_policy::spread::pull::Seat;
+use filbertstack_policy::spread::pull::RingPosition;
 
 use crate::copy::CopyEvent;
 use crate::copy::Core;
@@ -103,7 +103,7 @@
     }
 
     /// See [`Core::add_peer`].
-    pub fn add_peer(&self, source: Arc<dyn AnySource>, seat: Seat) -> NeighbourKey {
+    pub fn add_peer(&self, source: Arc<dyn AnySource>, seat: RingPosition) -> NeighbourKey {
         self.shared.lock().core.add_peer(source, seat)
     }
 
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -15,7 +15,7 @@
 use filbertstack_policy::spread::plan::Target;
 use filbertstack_policy::spread::pull::Near;
 use filbertstack_policy::spread::pull::PullConfig;
-use filbertstack_policy::spread::pull::Seat;
+use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_policy::spread::tokens::Grant;
 use filbertstack_policy::spread::tokens::TokenConfig;
 use filbertstack_policy::spread::tokens::Tokens;
@@ -36,9 +36,9 @@
 /// No test waits this long unless it fails.
 const LONG: Duration = Duration::from_secs(30);
 
-fn seat(place: u32, places: u32) -> Seat {
+fn seat(place: u32, places: u32) -> RingPosition {
     let near = Near::Zone;
-    Seat {
+    RingPosition {
         near,
         place,
         places,
--- a/crates/filbertstack-weights/tests/lifecycle.rs
+++ b/crates/filbertstack-weights/tests/lifecycle.rs
@@ -25,7 +25,7 @@
 use filbertstack_policy::spread::pull::Fault;
 use filbertstack_policy::spread::pull::Near;
 use filbertstack_policy::spread::pull::PullConfig;
-use filbertstack_policy::spread::pull::Seat;
+use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_weights::Store;
 use filbertstack_weights::copy::Core;
 use filbertstack_weights::version::Draining;
@@ -213,7 +213,7 @@
                 let sample = &self.samples[at];
                 let peer = Arc::new(MemoryPeer::with(&sample.bytes, mood));
                 let (near, place, places) = (Near::Zone, 0, 1);
-                let seat = Seat {
+                let seat = RingPosition {
                     near,
                     place,
                     places,
