--- a/crates/filbertstack-agent/src/mesh/copies.rs
+++ b/crates/filbertstack-agent/src/mesh/copies.rs
@@ -9,7 +9,7 @@
 
 use filbertstack_core::Digest;
 use filbertstack_policy::spread::ChunkSet;
-use filbertstack_policy::spread::pull::Near;
+use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_weights::Manifest;
 use filbertstack_weights::Store;
@@ -183,9 +183,9 @@
         let upstreams = part.upstreams.iter().filter_map(|upstream| {
             let seat = RingPosition {
                 near: if upstream.region {
-                    Near::Region
+                    Proximity::Region
                 } else {
-                    Near::Zone
+                    Proximity::Zone
                 },
                 place: upstream.place,
                 places: upstream.places,
--- a/crates/filbertstack-entry/src/spread/copy.rs
+++ b/crates/filbertstack-entry/src/spread/copy.rs
@@ -16,7 +16,7 @@
 use filbertstack_policy::spread::plan::PlanConfig;
 use filbertstack_policy::spread::plan::Target;
 use filbertstack_policy::spread::plan::TargetKey;
-use filbertstack_policy::spread::pull::Near;
+use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::tokens::Answer;
 use filbertstack_policy::spread::tokens::Grant;
 use filbertstack_policy::spread::tokens::ImportFrom;
@@ -325,7 +325,7 @@
     fn upstream(&self, link: &Link) -> Option<SpreadUpstream> {
         Some(SpreadUpstream {
             addr: self.addr(link.target)?,
-            region: link.seat.near == Near::Region,
+            region: link.seat.near == Proximity::Region,
             place: link.seat.place,
             places: link.seat.places,
         })
--- a/crates/filbertstack-policy/src/spread/plan.rs
+++ b/crates/filbertstack-policy/src/spread/plan.rs
@@ -19,7 +19,7 @@
 use filbertstack_core::names::RegionName;
 use filbertstack_core::names::ZoneName;
 
-use crate::spread::pull::Near;
+use crate::spread::pull::Proximity;
 use crate::spread::pull::RingPosition;
 
 use ring::Ring;
@@ -181,10 +181,10 @@
     }
 }
 
-fn near(name: &RingName) -> Near {
+fn near(name: &RingName) -> Proximity {
     match name {
-        RingName::Zone(..) => Near::Zone,
-        RingName::Region(_) => Near::Region,
+        RingName::Zone(..) => Proximity::Zone,
+        RingName::Region(_) => Proximity::Region,
     }
 }
 
@@ -197,7 +197,7 @@
 }
 
 impl Seated {
-    fn link(self, near: Near) -> Link {
+    fn link(self, near: Proximity) -> Link {
         let seat = RingPosition {
             near,
             place: self.place,
--- a/crates/filbertstack-policy/src/spread/pull.rs
+++ b/crates/filbertstack-policy/src/spread/pull.rs
@@ -24,7 +24,7 @@
 
 use neighbour::Neighbour;
 
-pub use neighbour::Near;
+pub use neighbour::Proximity;
 pub use neighbour::RingPosition;
 pub use turns::Turns;
 
--- a/crates/filbertstack-policy/src/spread/pull/neighbour.rs
+++ b/crates/filbertstack-policy/src/spread/pull/neighbour.rs
@@ -28,7 +28,7 @@
 
 /// How far an upstream is, nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Near {
+pub enum Proximity {
     /// In the same availability zone.
     Zone,
     /// In another zone of the region.
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingPosition {
     /// How far it is.
-    pub near: Near,
+    pub near: Proximity,
     /// Its place.
     pub place: u32,
     /// The number of places in the ring.
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     slow: bool,
-    near: Near,
+    near: Proximity,
     wait: u64,
     asked: u64,
 }
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -8,8 +8,8 @@
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::chunks::ChunkSet;
 use filbertstack_policy::spread::pull::Fault;
-use filbertstack_policy::spread::pull::Near;
 use filbertstack_policy::spread::pull::NeighbourKey;
+use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::pull::Pull;
 use filbertstack_policy::spread::pull::PullConfig;
 use filbertstack_policy::spread::pull::Request;
@@ -27,7 +27,7 @@
     turn: Millis(50),
 };
 
-fn seat(near: Near, place: u32, places: u32) -> RingPosition {
+fn seat(near: Proximity, place: u32, places: u32) -> RingPosition {
     RingPosition {
         near,
         place,
@@ -101,8 +101,8 @@
 fn upstreams_take_turns_and_the_near_come_first() {
     let mut pull = pull(3);
     let all = [0, 1, 2];
-    let far = peer(&mut pull, seat(Near::Region, 0, 2), &all);
-    let near = [0, 1].map(|place| peer(&mut pull, seat(Near::Zone, place, 2), &all));
+    let far = peer(&mut pull, seat(Proximity::Region, 0, 2), &all);
+    let near = [0, 1].map(|place| peer(&mut pull, seat(Proximity::Zone, place, 2), &all));
     let mut asked = |now| {
         let request = pull.next(now).unwrap();
         pull.failed(request.flight, Fault::Busy { after: Millis(1) }, now);
@@ -119,8 +119,8 @@
 #[test]
 fn the_rarest_chunk_goes_first_and_none_twice() {
     let mut pull = pull(3);
-    let one = peer(&mut pull, seat(Near::Zone, 0, 2), &[0, 1, 2]);
-    let two = peer(&mut pull, seat(Near::Zone, 1, 2), &[0, 1]);
+    let one = peer(&mut pull, seat(Proximity::Zone, 0, 2), &[0, 1, 2]);
+    let two = peer(&mut pull, seat(Proximity::Zone, 1, 2), &[0, 1]);
     let first = pull.next(Millis::ZERO).unwrap();
     assert_eq!((first.from, first.chunk), (Upstream::Neighbour(one), 2));
     let second = pull.next(Millis::ZERO).unwrap();
@@ -137,7 +137,11 @@
 #[test]
 fn a_corrupting_upstream_rests_longer_each_time() {
     let mut pull = pull(8);
-    let bad = peer(&mut pull, seat(Near::Zone, 0, 1), &[0, 1, 2, 3, 4, 5, 6, 7]);
+    let bad = peer(
+        &mut pull,
+        seat(Proximity::Zone, 0, 1),
+        &[0, 1, 2, 3, 4, 5, 6, 7],
+    );
     let mut now = Millis::ZERO;
     let mut asked = Vec::new();
     let mut rests = Vec::new();
@@ -163,9 +167,9 @@
 #[test]
 fn a_late_last_chunk_is_requested_twice() {
     let mut pull = pull(1);
-    let slow = peer(&mut pull, seat(Near::Zone, 0, 2), &[0]);
+    let slow = peer(&mut pull, seat(Proximity::Zone, 0, 2), &[0]);
     let first = pull.next(Millis::ZERO).unwrap();
-    let other = peer(&mut pull, seat(Near::Zone, 1, 2), &[0]);
+    let other = peer(&mut pull, seat(Proximity::Zone, 1, 2), &[0]);
     assert_eq!(first.from, Upstream::Neighbour(slow));
     assert_eq!(pull.next(Millis::secs(3)), None);
     let second = pull.next(Millis::secs(4)).unwrap();
@@ -177,12 +181,12 @@
 #[test]
 fn what_takes_too_long_is_requested_elsewhere() {
     let mut pull = pull(1);
-    let stuck = peer(&mut pull, seat(Near::Zone, 0, 1), &[0]);
+    let stuck = peer(&mut pull, seat(Proximity::Zone, 0, 1), &[0]);
     let flight = pull.next(Millis::ZERO).unwrap().flight;
     assert!(pull.expire(Millis::secs(30)).is_empty());
     assert_eq!(pull.expire(Millis::secs(31)), [flight]);
     pull.leave(stuck);
-    let other = peer(&mut pull, seat(Near::Zone, 0, 1), &[0]);
+    let other = peer(&mut pull, seat(Proximity::Zone, 0, 1), &[0]);
     let next = pull.next(Millis::secs(31));
     assert_eq!(from(next), Some((Upstream::Neighbour(other), 0)));
 }
@@ -193,7 +197,7 @@
 fn a_slow_upstream_is_asked_last_but_for_what_it_alone_holds() {
     let mut pull = pull(13);
     let all: Vec<_> = (0..12).collect();
-    let keys = [0, 1, 2].map(|place| peer(&mut pull, seat(Near::Zone, place, 3), &all));
+    let keys = [0, 1, 2].map(|place| peer(&mut pull, seat(Proximity::Zone, place, 3), &all));
     for turn in 0..6 {
         let now = Millis(50 * turn);
         let request = pull.next(now).unwrap();
@@ -224,8 +228,8 @@
 #[test]
 fn an_upstream_that_leaves_takes_its_transfers_along() {
     let mut pull = pull(1);
-    let gone = peer(&mut pull, seat(Near::Zone, 0, 2), &[0]);
-    let other = peer(&mut pull, seat(Near::Zone, 1, 2), &[0]);
+    let gone = peer(&mut pull, seat(Proximity::Zone, 0, 2), &[0]);
+    let other = peer(&mut pull, seat(Proximity::Zone, 1, 2), &[0]);
     let request = pull.next(Millis::ZERO).unwrap();
     pull.leave(gone);
     assert_eq!(pull.copies(0), 1);
--- a/crates/filbertstack-policy/tests/spread_leader.rs
+++ b/crates/filbertstack-policy/tests/spread_leader.rs
@@ -12,7 +12,7 @@
 use filbertstack_policy::spread::plan::Target;
 use filbertstack_policy::spread::plan::TargetKey;
 use filbertstack_policy::spread::plan::strides;
-use filbertstack_policy::spread::pull::Near;
+use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::tokens::Answer;
 use filbertstack_policy::spread::tokens::ImportFrom;
 use filbertstack_policy::spread::tokens::TokenConfig;
@@ -127,8 +127,8 @@
         .zip(&links)
         .map(|(zone, link)| (zone == "z0", link.seat.near))
         .collect();
-    assert_eq!(near[..4], [(true, Near::Zone); 4]);
-    assert!(near[4..].contains(&(false, Near::Region)));
+    assert_eq!(near[..4], [(true, Proximity::Zone); 4]);
+    assert!(near[4..].contains(&(false, Proximity::Region)));
 }
 
 // Eleven entries ask for grants at once, again and again. Each chunk is granted once, few are out
--- a/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
@@ -4,7 +4,7 @@
 use crate::spread_model::mesh::World;
 use crate::spread_model::node::ROUND;
 use filbertstack_core::Millis;
-use filbertstack_policy::spread::pull::Near;
+use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_policy::spread::tokens::Answer;
 use filbertstack_policy::spread::tokens::Grant;
@@ -82,7 +82,7 @@
             Answer::Granted(grant) => self.take_grant(grant),
             Answer::Ask(holder) => {
                 let holder = self.index[&holder];
-                let (near, place, places) = (Near::Region, 0, 1);
+                let (near, place, places) = (Proximity::Region, 0, 1);
                 let seat = RingPosition {
                     near,
                     place,
--- a/crates/filbertstack-policy/tests/spread_model/mesh/targets.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/targets.rs
@@ -17,8 +17,8 @@
 use filbertstack_policy::spread::plan::Target;
 use filbertstack_policy::spread::plan::TargetKey;
 use filbertstack_policy::spread::pull::Fault;
-use filbertstack_policy::spread::pull::Near;
 use filbertstack_policy::spread::pull::NeighbourKey;
+use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::pull::Pull;
 use filbertstack_policy::spread::pull::RingPosition;
 
@@ -84,7 +84,7 @@
             Graph::Random(degree) => {
                 let mut others: Vec<_> = (0..self.nodes.len()).filter(|&o| o != at).collect();
                 others.shuffle(&mut self.rng);
-                let (near, place, places) = (Near::Region, 0, 1);
+                let (near, place, places) = (Proximity::Region, 0, 1);
                 let seat = RingPosition {
                     near,
                     place,
--- a/crates/filbertstack-policy/tests/spread_scenarios.rs
+++ b/crates/filbertstack-policy/tests/spread_scenarios.rs
@@ -109,7 +109,7 @@
     );
 }
 
-// Near the end of the origin's part, one target in five falls to a sixtieth of its speed, some with grants.
+// Proximity the end of the origin's part, one target in five falls to a sixtieth of its speed, some with grants.
 // Who weighs time has their chunks brought in again soon; who weighs origin bytes waits longer,
 // and pulls none of them twice.
 #[test]
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -13,7 +13,7 @@
 use filbertstack_policy::spread::plan::Plan;
 use filbertstack_policy::spread::plan::PlanConfig;
 use filbertstack_policy::spread::plan::Target;
-use filbertstack_policy::spread::pull::Near;
+use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::pull::PullConfig;
 use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_policy::spread::tokens::Grant;
@@ -37,7 +37,7 @@
 const LONG: Duration = Duration::from_secs(30);
 
 fn seat(place: u32, places: u32) -> RingPosition {
-    let near = Near::Zone;
+    let near = Proximity::Zone;
     RingPosition {
         near,
         place,
--- a/crates/filbertstack-weights/tests/lifecycle.rs
+++ b/crates/filbertstack-weights/tests/lifecycle.rs
@@ -23,7 +23,7 @@
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::chunks::ChunkSet;
 use filbertstack_policy::spread::pull::Fault;
-use filbertstack_policy::spread::pull::Near;
+use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::pull::PullConfig;
 use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_weights::Store;
@@ -212,7 +212,7 @@
             .map(|at| {
                 let sample = &self.samples[at];
                 let peer = Arc::new(MemoryPeer::with(&sample.bytes, mood));
-                let (near, place, places) = (Near::Zone, 0, 1);
+                let (near, place, places) = (Proximity::Zone, 0, 1);
                 let seat = RingPosition {
                     near,
                     place,
