--- a/crates/filbertstack-agent/src/mesh/copies.rs
+++ b/crates/filbertstack-agent/src/mesh/copies.rs
@@ -182,7 +182,7 @@
         row.number = part.number;
         let upstreams = part.upstreams.iter().filter_map(|upstream| {
             let seat = RingPosition {
-                near: if upstream.region {
+                proximity: if upstream.region {
                     Proximity::Region
                 } else {
                     Proximity::Zone
--- a/crates/filbertstack-entry/src/spread/copy.rs
+++ b/crates/filbertstack-entry/src/spread/copy.rs
@@ -325,7 +325,7 @@
     fn upstream(&self, link: &Link) -> Option<SpreadUpstream> {
         Some(SpreadUpstream {
             addr: self.addr(link.target)?,
-            region: link.seat.near == Proximity::Region,
+            region: link.seat.proximity == Proximity::Region,
             place: link.seat.place,
             places: link.seat.places,
         })
--- a/crates/filbertstack-policy/src/spread/plan.rs
+++ b/crates/filbertstack-policy/src/spread/plan.rs
@@ -172,16 +172,16 @@
             return Vec::new();
         };
         let names = self.ring_names(target).into_iter();
-        let rings = names.filter_map(|name| Some((near(&name), self.rings.get(&name)?)));
-        let seated = rings.flat_map(|(near, ring)| {
+        let rings = names.filter_map(|name| Some((proximity(&name), self.rings.get(&name)?)));
+        let seated = rings.flat_map(|(proximity, ring)| {
             let seats = side(ring, key, self.config.fanout).into_iter();
-            seats.map(move |seated| seated.link(near))
+            seats.map(move |seated| seated.link(proximity))
         });
         seated.collect()
     }
 }
 
-fn near(name: &RingName) -> Proximity {
+fn proximity(name: &RingName) -> Proximity {
     match name {
         RingName::Zone(..) => Proximity::Zone,
         RingName::Region(_) => Proximity::Region,
@@ -197,9 +197,9 @@
 }
 
 impl Seated {
-    fn link(self, near: Proximity) -> Link {
+    fn link(self, proximity: Proximity) -> Link {
         let seat = RingPosition {
-            near,
+            proximity,
             place: self.place,
             places: self.places,
         };
--- a/crates/filbertstack-policy/src/spread/pull/neighbour.rs
+++ b/crates/filbertstack-policy/src/spread/pull/neighbour.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingPosition {
     /// How far it is.
-    pub near: Proximity,
+    pub proximity: Proximity,
     /// Its place.
     pub place: u32,
     /// The number of places in the ring.
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     slow: bool,
-    near: Proximity,
+    proximity: Proximity,
     wait: u64,
     asked: u64,
 }
@@ -108,7 +108,7 @@
         let seat = self.seat;
         Rank {
             slow: self.slow,
-            near: seat.near,
+            proximity: seat.proximity,
             wait: seat.wait(turn),
             asked: self.asked,
         }
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -27,9 +27,9 @@
     turn: Millis(50),
 };
 
-fn seat(near: Proximity, place: u32, places: u32) -> RingPosition {
+fn seat(proximity: Proximity, place: u32, places: u32) -> RingPosition {
     RingPosition {
-        near,
+        proximity,
         place,
         places,
     }
--- a/crates/filbertstack-policy/tests/spread_leader.rs
+++ b/crates/filbertstack-policy/tests/spread_leader.rs
@@ -125,7 +125,7 @@
         .map(|link| plan.target(link.target).unwrap().zone.as_str());
     let near: Vec<_> = zones
         .zip(&links)
-        .map(|(zone, link)| (zone == "z0", link.seat.near))
+        .map(|(zone, link)| (zone == "z0", link.seat.proximity))
         .collect();
     assert_eq!(near[..4], [(true, Proximity::Zone); 4]);
     assert!(near[4..].contains(&(false, Proximity::Region)));
--- a/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
@@ -82,9 +82,9 @@
             Answer::Granted(grant) => self.take_grant(grant),
             Answer::Ask(holder) => {
                 let holder = self.index[&holder];
-                let (near, place, places) = (Proximity::Region, 0, 1);
+                let (proximity, place, places) = (Proximity::Region, 0, 1);
                 let seat = RingPosition {
-                    near,
+                    proximity,
                     place,
                     places,
                 };
--- a/crates/filbertstack-policy/tests/spread_model/mesh/targets.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/targets.rs
@@ -84,9 +84,9 @@
             Graph::Random(degree) => {
                 let mut others: Vec<_> = (0..self.nodes.len()).filter(|&o| o != at).collect();
                 others.shuffle(&mut self.rng);
-                let (near, place, places) = (Proximity::Region, 0, 1);
+                let (proximity, place, places) = (Proximity::Region, 0, 1);
                 let seat = RingPosition {
-                    near,
+                    proximity,
                     place,
                     places,
                 };
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -37,9 +37,9 @@
 const LONG: Duration = Duration::from_secs(30);
 
 fn seat(place: u32, places: u32) -> RingPosition {
-    let near = Proximity::Zone;
+    let proximity = Proximity::Zone;
     RingPosition {
-        near,
+        proximity,
         place,
         places,
     }
--- a/crates/filbertstack-weights/tests/lifecycle.rs
+++ b/crates/filbertstack-weights/tests/lifecycle.rs
@@ -212,9 +212,9 @@
             .map(|at| {
                 let sample = &self.samples[at];
                 let peer = Arc::new(MemoryPeer::with(&sample.bytes, mood));
-                let (near, place, places) = (Proximity::Zone, 0, 1);
+                let (proximity, place, places) = (Proximity::Zone, 0, 1);
                 let seat = RingPosition {
-                    near,
+                    proximity,
                     place,
                     places,
                 };
