--- a/crates/filbertstack-entry/src/spread/copy.rs
+++ b/crates/filbertstack-entry/src/spread/copy.rs
@@ -325,9 +325,9 @@
     fn upstream(&self, link: &Link) -> Option<SpreadUpstream> {
         Some(SpreadUpstream {
             addr: self.addr(link.target)?,
-            region: link.seat.proximity == Proximity::Region,
-            place: link.seat.place,
-            places: link.seat.places,
+            region: link.position.proximity == Proximity::Region,
+            place: link.position.place,
+            places: link.position.places,
         })
     }
 
--- a/crates/filbertstack-policy/src/spread/plan.rs
+++ b/crates/filbertstack-policy/src/spread/plan.rs
@@ -68,7 +68,7 @@
     /// The upstream.
     pub target: TargetKey,
     /// Where it stands among the upstreams.
-    pub seat: RingPosition,
+    pub position: RingPosition,
 }
 
 /// What came of a target's joining.
@@ -198,12 +198,12 @@
 
 impl Seated {
     fn link(self, proximity: Proximity) -> Link {
-        let seat = RingPosition {
+        let position = RingPosition {
             proximity,
             place: self.place,
             places: self.places,
         };
         let target = self.target;
-        Link { target, seat }
+        Link { target, position }
     }
 }
--- a/crates/filbertstack-policy/src/spread/pull.rs
+++ b/crates/filbertstack-policy/src/spread/pull.rs
@@ -205,9 +205,9 @@
     }
 
     /// Adds an upstream, which has announced nothing yet.
-    pub fn join(&mut self, seat: RingPosition) -> NeighbourKey {
+    pub fn join(&mut self, position: RingPosition) -> NeighbourKey {
         let view = ChunkSet::new(self.held.len());
-        self.neighbours.insert(Neighbour::new(seat, view))
+        self.neighbours.insert(Neighbour::new(position, view))
     }
 
     /// Removes an upstream; its transfers are requested elsewhere.
--- a/crates/filbertstack-policy/src/spread/pull/neighbour.rs
+++ b/crates/filbertstack-policy/src/spread/pull/neighbour.rs
@@ -69,7 +69,7 @@
 
 #[derive(Debug)]
 pub(super) struct Neighbour {
-    seat: RingPosition,
+    position: RingPosition,
     /// The chunks it announced.
     pub(super) view: ChunkSet,
     flying: u32,
@@ -84,9 +84,9 @@
 }
 
 impl Neighbour {
-    pub(super) fn new(seat: RingPosition, view: ChunkSet) -> Self {
+    pub(super) fn new(position: RingPosition, view: ChunkSet) -> Self {
         Self {
-            seat,
+            position,
             view,
             flying: 0,
             asked: 0,
@@ -105,11 +105,11 @@
     /// The order in which upstreams are asked: those at speed first, the near before the far,
     /// then by the turn, then the one asked longest ago.
     pub(super) fn rank(&self, turn: u64) -> Rank {
-        let seat = self.seat;
+        let position = self.position;
         Rank {
             slow: self.slow,
-            proximity: seat.proximity,
-            wait: seat.wait(turn),
+            proximity: position.proximity,
+            wait: position.wait(turn),
             asked: self.asked,
         }
     }
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -42,8 +42,8 @@
     pull
 }
 
-fn peer(pull: &mut Pull, seat: RingPosition, chunks: &[u32]) -> NeighbourKey {
-    let key = pull.join(seat);
+fn peer(pull: &mut Pull, position: RingPosition, chunks: &[u32]) -> NeighbourKey {
+    let key = pull.join(position);
     for &chunk in chunks {
         pull.announce(key, chunk);
     }
--- a/crates/filbertstack-policy/tests/spread_leader.rs
+++ b/crates/filbertstack-policy/tests/spread_leader.rs
@@ -65,7 +65,7 @@
         let ups = plan.upstreams(key);
         assert_eq!(ups.len(), 12);
         assert!(ups.iter().all(|link| link.target != key));
-        let places: BTreeSet<_> = ups.iter().map(|link| link.seat.place).collect();
+        let places: BTreeSet<_> = ups.iter().map(|link| link.position.place).collect();
         assert_eq!(places.len(), 12);
         for link in ups {
             *downs.entry(link.target).or_default() += 1;
@@ -125,7 +125,7 @@
         .map(|link| plan.target(link.target).unwrap().zone.as_str());
     let near: Vec<_> = zones
         .zip(&links)
-        .map(|(zone, link)| (zone == "z0", link.seat.proximity))
+        .map(|(zone, link)| (zone == "z0", link.position.proximity))
         .collect();
     assert_eq!(near[..4], [(true, Proximity::Zone); 4]);
     assert!(near[4..].contains(&(false, Proximity::Region)));
--- a/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
@@ -83,13 +83,13 @@
             Answer::Ask(holder) => {
                 let holder = self.index[&holder];
                 let (proximity, place, places) = (Proximity::Region, 0, 1);
-                let seat = RingPosition {
+                let position = RingPosition {
                     proximity,
                     place,
                     places,
                 };
                 if !self.nodes[at].ups.values().any(|&up| up == holder) {
-                    self.attach(at, holder, seat);
+                    self.attach(at, holder, position);
                 }
             }
             Answer::Wait { .. } | Answer::Unknown => {}
--- a/crates/filbertstack-policy/tests/spread_model/mesh/targets.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/targets.rs
@@ -78,20 +78,20 @@
             Graph::Rings => {
                 let links = self.plan.upstreams(self.nodes[at].key).into_iter();
                 links
-                    .map(|link| (self.index[&link.target], link.seat))
+                    .map(|link| (self.index[&link.target], link.position))
                     .collect()
             }
             Graph::Random(degree) => {
                 let mut others: Vec<_> = (0..self.nodes.len()).filter(|&o| o != at).collect();
                 others.shuffle(&mut self.rng);
                 let (proximity, place, places) = (Proximity::Region, 0, 1);
-                let seat = RingPosition {
+                let position = RingPosition {
                     proximity,
                     place,
                     places,
                 };
                 others.truncate(degree);
-                others.into_iter().map(|other| (other, seat)).collect()
+                others.into_iter().map(|other| (other, position)).collect()
             }
         };
         let stale: Vec<_> = self.nodes[at]
@@ -104,18 +104,18 @@
                 self.unlink(at, key);
             }
         }
-        for (up, seat) in ups {
+        for (up, position) in ups {
             if !self.nodes[at].ups.values().any(|&old| old == up) {
-                self.attach(at, up, seat);
+                self.attach(at, up, position);
             }
         }
     }
 
-    pub(super) fn attach(&mut self, at: usize, up: usize, mut seat: RingPosition) {
+    pub(super) fn attach(&mut self, at: usize, up: usize, mut position: RingPosition) {
         if !self.mesh.turns {
-            seat.places = 1;
+            position.places = 1;
         }
-        let key = self.nodes[at].pull.join(seat);
+        let key = self.nodes[at].pull.join(position);
         let held: Vec<_> = self.nodes[up].pull.held().iter().collect();
         for chunk in held {
             self.nodes[at].pull.announce(key, chunk);
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -353,7 +353,7 @@
         for link in plan.upstreams(keys[down]) {
             let up = at(link.target);
             let source = Arc::new(StorePeer(agents[up].store.clone()));
-            downs[up].push((down, agent.copier.add_peer(source, link.seat)));
+            downs[up].push((down, agent.copier.add_peer(source, link.position)));
         }
     }
     let send = |grants: Vec<Grant>| {
