--- a/crates/filbertstack-policy/src/spread/pull.rs
+++ b/crates/filbertstack-policy/src/spread/pull.rs
@@ -32,7 +32,7 @@
     /// An upstream of this instance.
     pub struct NeighbourKey;
     /// A transfer in progress.
-    pub struct FlightKey;
+    pub struct TransferKey;
 }
 
 /// What a failed transfer says of its source.
@@ -103,7 +103,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
     /// Names the transfer in [`Pull::landed`] and [`Pull::failed`].
-    pub flight: FlightKey,
+    pub flight: TransferKey,
     /// The upstream.
     pub from: Upstream,
     /// The chunk.
@@ -127,7 +127,7 @@
     wanted: ChunkSet,
     /// The chunks of the flights.
     coming: ChunkSet,
-    flights: SlotMap<FlightKey, Flight>,
+    flights: SlotMap<TransferKey, Flight>,
     neighbours: SlotMap<NeighbourKey, Neighbour>,
     /// How many neighbours announced each chunk.
     copies: Vec<u32>,
@@ -358,7 +358,7 @@
 
     /// Takes note that a transfer brought its chunk, verified, into the store; true if the chunk
     /// is new.
-    pub fn landed(&mut self, key: FlightKey, now: Millis) -> bool {
+    pub fn landed(&mut self, key: TransferKey, now: Millis) -> bool {
         let Some(flight) = self.take(key) else {
             return false;
         };
@@ -375,7 +375,7 @@
     ///
     /// A busy upstream is asked again when it said; one that did wrong rests for longer each
     /// time, and is not asked for the same chunk before it announces it again.
-    pub fn failed(&mut self, key: FlightKey, fault: Fault, now: Millis) {
+    pub fn failed(&mut self, key: TransferKey, fault: Fault, now: Millis) {
         let Some(flight) = self.take(key) else {
             return;
         };
@@ -394,7 +394,7 @@
     }
 
     /// Gives up the transfers that take too long; they are requested elsewhere.
-    pub fn expire(&mut self, now: Millis) -> Vec<FlightKey> {
+    pub fn expire(&mut self, now: Millis) -> Vec<TransferKey> {
         let late = |flight: &Flight| now.since(flight.since) > self.config.stall;
         let flights = self.flights.iter();
         let late: Vec<_> = flights
@@ -420,7 +420,7 @@
         wanted.min_by_key(|&chunk| (self.copies(chunk), mix(self.seed, chunk)))
     }
 
-    fn take(&mut self, key: FlightKey) -> Option<Flight> {
+    fn take(&mut self, key: TransferKey) -> Option<Flight> {
         let flight = self.flights.remove(key)?;
         let other = self.flights.values().any(|f| f.chunk == flight.chunk);
         if !other {
--- a/crates/filbertstack-policy/tests/spread_model/node.rs
+++ b/crates/filbertstack-policy/tests/spread_model/node.rs
@@ -4,9 +4,9 @@
 
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::plan::TargetKey;
-use filbertstack_policy::spread::pull::FlightKey;
 use filbertstack_policy::spread::pull::NeighbourKey;
 use filbertstack_policy::spread::pull::Pull;
+use filbertstack_policy::spread::pull::TransferKey;
 
 /// The time of a round.
 pub const ROUND: Millis = Millis(100);
@@ -67,14 +67,14 @@
     /// The sender; `None` for the origin.
     pub from: Option<usize>,
     pub to: usize,
-    pub flight: FlightKey,
+    pub flight: TransferKey,
     pub chunk: u32,
 }
 
 /// A request that waits at its upstream.
 pub struct Waiting {
     pub to: usize,
-    pub flight: FlightKey,
+    pub flight: TransferKey,
     pub chunk: u32,
     pub import: bool,
 }
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -9,11 +9,11 @@
 use filbertstack_policy::spread::chunks::ChunkIndex;
 use filbertstack_policy::spread::chunks::ChunkSet;
 use filbertstack_policy::spread::pull::Fault;
-use filbertstack_policy::spread::pull::FlightKey;
 use filbertstack_policy::spread::pull::NeighbourKey;
 use filbertstack_policy::spread::pull::Pull;
 use filbertstack_policy::spread::pull::PullConfig;
 use filbertstack_policy::spread::pull::RingPosition;
+use filbertstack_policy::spread::pull::TransferKey;
 use filbertstack_policy::spread::pull::Upstream;
 
 use crate::copy::CopyEvent;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct Job {
     /// Names it in [`Core::done`].
-    pub flight: FlightKey,
+    pub flight: TransferKey,
     /// What to fetch.
     pub want: Want,
     /// From where.
