--- a/crates/filbertstack-policy/src/spread/pull.rs
+++ b/crates/filbertstack-policy/src/spread/pull.rs
@@ -101,9 +101,9 @@
 
 /// One request to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Request {
+pub struct ChunkRequest {
     /// Names the transfer in [`Pull::landed`] and [`Pull::failed`].
-    pub flight: TransferKey,
+    pub transfer: TransferKey,
     /// The upstream.
     pub from: Upstream,
     /// The chunk.
@@ -111,7 +111,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Flight {
+struct Transfer {
     from: Upstream,
     chunk: ChunkIndex,
     since: Millis,
@@ -125,9 +125,9 @@
     turns: Turns,
     held: ChunkSet,
     wanted: ChunkSet,
-    /// The chunks of the flights.
+    /// The chunks of the transfers.
     coming: ChunkSet,
-    flights: SlotMap<TransferKey, Flight>,
+    transfers: SlotMap<TransferKey, Transfer>,
     neighbours: SlotMap<NeighbourKey, Neighbour>,
     /// How many neighbours announced each chunk.
     copies: Vec<u32>,
@@ -149,7 +149,7 @@
             held: ChunkSet::default(),
             wanted: ChunkSet::default(),
             coming: ChunkSet::default(),
-            flights: SlotMap::with_key(),
+            transfers: SlotMap::with_key(),
             neighbours: SlotMap::with_key(),
             copies: Vec::new(),
             imports: VecDeque::new(),
@@ -190,7 +190,7 @@
         self.held.remove(chunk);
     }
 
-    /// Forgets all of `chunk`, so that its index can name another; false while it is in flight.
+    /// Forgets all of `chunk`, so that its index can name another; false while it is in transfer.
     pub fn clear(&mut self, chunk: ChunkIndex) -> bool {
         if self.coming.contains(chunk) {
             return false;
@@ -219,11 +219,13 @@
             self.copies[chunk as usize] -= 1;
         }
         let from = Upstream::Neighbour(key);
-        let flights = self.flights.iter();
-        let flights: Vec<_> = flights.filter(|(_, flight)| flight.from == from).collect();
-        let keys: Vec<_> = flights.into_iter().map(|(key, _)| key).collect();
-        for flight in keys {
-            self.take(flight);
+        let transfers = self.transfers.iter();
+        let transfers: Vec<_> = transfers
+            .filter(|(_, transfer)| transfer.from == from)
+            .collect();
+        let keys: Vec<_> = transfers.into_iter().map(|(key, _)| key).collect();
+        for transfer in keys {
+            self.take(transfer);
         }
     }
 
@@ -265,8 +267,8 @@
 
     /// The next request, which is in flight from now on; `None` while there is nothing to request
     /// or no free slot.
-    pub fn next(&mut self, now: Millis) -> Option<Request> {
-        if self.flights.len() >= self.config.slots || self.is_complete() {
+    pub fn next(&mut self, now: Millis) -> Option<ChunkRequest> {
+        if self.transfers.len() >= self.config.slots || self.is_complete() {
             return None;
         }
         let found = self.next_import().or_else(|| self.next_sole(now));
@@ -283,16 +285,16 @@
             self.neighbours[key].depart(self.asked);
         }
         let since = now;
-        let flight = self.flights.insert(Flight { from, chunk, since });
-        Some(Request {
-            flight,
+        let transfer = self.transfers.insert(Transfer { from, chunk, since });
+        Some(ChunkRequest {
+            transfer,
             from,
             chunk,
         })
     }
 
     fn note_idle(&mut self, now: Millis) {
-        if !self.flights.is_empty() {
+        if !self.transfers.is_empty() {
             self.idle = None;
         } else if self.idle.is_none() {
             self.idle = Some(now);
@@ -344,31 +346,31 @@
 
     /// A second transfer of a chunk that one slow upstream holds up at the end of a copy.
     fn next_double(&self, now: Millis) -> Option<(Upstream, ChunkIndex)> {
-        let slow = |flight: &&Flight| now.since(flight.since) > self.config.double;
-        let mut late = self.flights.values().filter(slow);
-        late.find_map(|flight| {
-            let others = self.flights.values();
-            let flights = others.filter(|other| other.chunk == flight.chunk).count();
-            let has = |n: &Neighbour| n.is_free(now) && n.view.contains(flight.chunk);
+        let slow = |transfer: &&Transfer| now.since(transfer.since) > self.config.double;
+        let mut late = self.transfers.values().filter(slow);
+        late.find_map(|transfer| {
+            let others = self.transfers.values();
+            let transfers = others.filter(|other| other.chunk == transfer.chunk).count();
+            let has = |n: &Neighbour| n.is_free(now) && n.view.contains(transfer.chunk);
             let other = self.neighbours.iter().find(|(_, n)| has(n));
-            let (key, _) = other.filter(|_| flights == 1)?;
-            Some((Upstream::Neighbour(key), flight.chunk))
+            let (key, _) = other.filter(|_| transfers == 1)?;
+            Some((Upstream::Neighbour(key), transfer.chunk))
         })
     }
 
     /// Takes note that a transfer brought its chunk, verified, into the store; true if the chunk
     /// is new.
     pub fn landed(&mut self, key: TransferKey, now: Millis) -> bool {
-        let Some(flight) = self.take(key) else {
+        let Some(transfer) = self.take(key) else {
             return false;
         };
-        if let Upstream::Neighbour(from) = flight.from {
+        if let Upstream::Neighbour(from) = transfer.from {
             if let Some(neighbour) = self.neighbours.get_mut(from) {
-                neighbour.served(now.since(flight.since));
+                neighbour.served(now.since(transfer.since));
             }
             self.compare_speeds();
         }
-        self.held.insert(flight.chunk)
+        self.held.insert(transfer.chunk)
     }
 
     /// Takes note that a transfer failed.
@@ -376,17 +378,17 @@
     /// A busy upstream is asked again when it said; one that did wrong rests for longer each
     /// time, and is not asked for the same chunk before it announces it again.
     pub fn failed(&mut self, key: TransferKey, fault: Fault, now: Millis) {
-        let Some(flight) = self.take(key) else {
+        let Some(transfer) = self.take(key) else {
             return;
         };
-        let Upstream::Neighbour(from) = flight.from else {
+        let Upstream::Neighbour(from) = transfer.from else {
             return;
         };
         if matches!(
             fault,
             Fault::Missing | Fault::Stale | Fault::Wrong | Fault::Corrupt
         ) {
-            self.retract(from, flight.chunk);
+            self.retract(from, transfer.chunk);
         }
         if let Some(neighbour) = self.neighbours.get_mut(from) {
             neighbour.failed(fault, now);
@@ -395,10 +397,10 @@
 
     /// Gives up the transfers that take too long; they are requested elsewhere.
     pub fn expire(&mut self, now: Millis) -> Vec<TransferKey> {
-        let late = |flight: &Flight| now.since(flight.since) > self.config.stall;
-        let flights = self.flights.iter();
-        let late: Vec<_> = flights
-            .filter(|(_, flight)| late(flight))
+        let late = |transfer: &Transfer| now.since(transfer.since) > self.config.stall;
+        let transfers = self.transfers.iter();
+        let late: Vec<_> = transfers
+            .filter(|(_, transfer)| late(transfer))
             .map(|(key, _)| key)
             .collect();
         for &key in &late {
@@ -420,18 +422,18 @@
         wanted.min_by_key(|&chunk| (self.copies(chunk), mix(self.seed, chunk)))
     }
 
-    fn take(&mut self, key: TransferKey) -> Option<Flight> {
-        let flight = self.flights.remove(key)?;
-        let other = self.flights.values().any(|f| f.chunk == flight.chunk);
+    fn take(&mut self, key: TransferKey) -> Option<Transfer> {
+        let transfer = self.transfers.remove(key)?;
+        let other = self.transfers.values().any(|f| f.chunk == transfer.chunk);
         if !other {
-            self.coming.remove(flight.chunk);
+            self.coming.remove(transfer.chunk);
         }
-        if let Upstream::Neighbour(from) = flight.from
+        if let Upstream::Neighbour(from) = transfer.from
             && let Some(neighbour) = self.neighbours.get_mut(from)
         {
             neighbour.arrive();
         }
-        Some(flight)
+        Some(transfer)
     }
 
     fn compare_speeds(&mut self) {
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -7,12 +7,12 @@
 
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::chunks::ChunkSet;
+use filbertstack_policy::spread::pull::ChunkRequest;
 use filbertstack_policy::spread::pull::Fault;
 use filbertstack_policy::spread::pull::NeighbourKey;
 use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::pull::Pull;
 use filbertstack_policy::spread::pull::PullConfig;
-use filbertstack_policy::spread::pull::Request;
 use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_policy::spread::pull::Turns;
 use filbertstack_policy::spread::pull::Upstream;
@@ -50,7 +50,7 @@
     key
 }
 
-fn from(request: Option<Request>) -> Option<(Upstream, u32)> {
+fn from(request: Option<ChunkRequest>) -> Option<(Upstream, u32)> {
     request.map(|request| (request.from, request.chunk))
 }
 
@@ -105,7 +105,7 @@
     let near = [0, 1].map(|place| peer(&mut pull, seat(Proximity::Zone, place, 2), &all));
     let mut asked = |now| {
         let request = pull.next(now).unwrap();
-        pull.failed(request.flight, Fault::Busy { after: Millis(1) }, now);
+        pull.failed(request.transfer, Fault::Busy { after: Millis(1) }, now);
         request.from
     };
     assert_eq!(asked(Millis(0)), Upstream::Neighbour(near[0]));
@@ -125,10 +125,10 @@
     assert_eq!((first.from, first.chunk), (Upstream::Neighbour(one), 2));
     let second = pull.next(Millis::ZERO).unwrap();
     assert_eq!(second.from, Upstream::Neighbour(two));
-    assert!(pull.landed(first.flight, Millis(10)) && pull.landed(second.flight, Millis(10)));
+    assert!(pull.landed(first.transfer, Millis(10)) && pull.landed(second.transfer, Millis(10)));
     let third = pull.next(Millis(50)).unwrap();
     assert_ne!(third.chunk, second.chunk);
-    pull.landed(third.flight, Millis(60));
+    pull.landed(third.transfer, Millis(60));
     assert!(pull.is_complete() && pull.next(Millis(100)).is_none());
 }
 
@@ -155,7 +155,7 @@
         };
         rests.push(now.since(since));
         asked.push(request.chunk);
-        pull.failed(request.flight, Fault::Corrupt, now);
+        pull.failed(request.transfer, Fault::Corrupt, now);
     }
     assert_eq!(rests, [0, 500, 1000, 2000].map(Millis));
     assert_eq!(asked.iter().collect::<BTreeSet<_>>().len(), 4);
@@ -174,17 +174,17 @@
     assert_eq!(pull.next(Millis::secs(3)), None);
     let second = pull.next(Millis::secs(4)).unwrap();
     assert_eq!(from(Some(second)), Some((Upstream::Neighbour(other), 0)));
-    assert!(pull.landed(second.flight, Millis::secs(5)));
-    assert!(!pull.landed(first.flight, Millis::secs(6)));
+    assert!(pull.landed(second.transfer, Millis::secs(5)));
+    assert!(!pull.landed(first.transfer, Millis::secs(6)));
 }
 
 #[test]
 fn what_takes_too_long_is_requested_elsewhere() {
     let mut pull = pull(1);
     let stuck = peer(&mut pull, seat(Proximity::Zone, 0, 1), &[0]);
-    let flight = pull.next(Millis::ZERO).unwrap().flight;
+    let transfer = pull.next(Millis::ZERO).unwrap().transfer;
     assert!(pull.expire(Millis::secs(30)).is_empty());
-    assert_eq!(pull.expire(Millis::secs(31)), [flight]);
+    assert_eq!(pull.expire(Millis::secs(31)), [transfer]);
     pull.leave(stuck);
     let other = peer(&mut pull, seat(Proximity::Zone, 0, 1), &[0]);
     let next = pull.next(Millis::secs(31));
@@ -202,7 +202,7 @@
         let now = Millis(50 * turn);
         let request = pull.next(now).unwrap();
         let slow = request.from == Upstream::Neighbour(keys[0]);
-        pull.landed(request.flight, now + Millis(if slow { 400 } else { 40 }));
+        pull.landed(request.transfer, now + Millis(if slow { 400 } else { 40 }));
     }
     let next = pull.next(Millis(50 * 6)).unwrap();
     assert_eq!(next.from, Upstream::Neighbour(keys[1]));
@@ -233,7 +233,7 @@
     let request = pull.next(Millis::ZERO).unwrap();
     pull.leave(gone);
     assert_eq!(pull.copies(0), 1);
-    assert!(!pull.landed(request.flight, Millis(10)));
+    assert!(!pull.landed(request.transfer, Millis(10)));
     assert_eq!(
         from(pull.next(Millis(10))),
         Some((Upstream::Neighbour(other), 0))
--- a/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
@@ -61,7 +61,7 @@
             at: self.round + rounds,
             from,
             to: waiting.to,
-            flight: waiting.flight,
+            key: waiting.transfer,
             chunk: waiting.chunk,
         });
     }
@@ -101,7 +101,7 @@
         };
         let waiting = Waiting {
             to: at,
-            flight: request.flight,
+            transfer: request.transfer,
             chunk: request.chunk,
             import,
         };
@@ -117,7 +117,7 @@
     pub(super) fn refuse(&mut self, waiting: &Waiting, fault: Fault) {
         let now = self.now(waiting.to);
         let node = &mut self.nodes[waiting.to];
-        node.pull.failed(waiting.flight, fault, now);
+        node.pull.failed(waiting.transfer, fault, now);
         if waiting.import {
             node.pull.import(waiting.chunk);
         }
@@ -162,13 +162,13 @@
             let mixed = self.setting.faults == Faults::Mixed;
             if mixed && self.rng.random_range(0..100) == 0 {
                 let node = &mut self.nodes[to];
-                node.pull.failed(transfer.flight, Fault::Corrupt, now);
+                node.pull.failed(transfer.key, Fault::Corrupt, now);
                 if transfer.from.is_none() {
                     node.pull.import(transfer.chunk);
                 }
                 continue;
             }
-            if self.nodes[to].pull.landed(transfer.flight, now) {
+            if self.nodes[to].pull.landed(transfer.key, now) {
                 self.announce(to, transfer.chunk);
             } else {
                 self.wasted += 1;
--- a/crates/filbertstack-policy/tests/spread_model/mesh/targets.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/targets.rs
@@ -190,7 +190,7 @@
             let now = self.now(transfer.to);
             self.nodes[transfer.to]
                 .pull
-                .failed(transfer.flight, Fault::Down, now);
+                .failed(transfer.key, Fault::Down, now);
         }
     }
 }
--- a/crates/filbertstack-policy/tests/spread_model/node.rs
+++ b/crates/filbertstack-policy/tests/spread_model/node.rs
@@ -67,14 +67,14 @@
     /// The sender; `None` for the origin.
     pub from: Option<usize>,
     pub to: usize,
-    pub flight: TransferKey,
+    pub key: TransferKey,
     pub chunk: u32,
 }
 
 /// A request that waits at its upstream.
 pub struct Waiting {
     pub to: usize,
-    pub flight: TransferKey,
+    pub transfer: TransferKey,
     pub chunk: u32,
     pub import: bool,
 }
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -226,14 +226,14 @@
             let want = self.catalogue.want(request.chunk, root).cloned();
             if let (Some(source), Some(want)) = (source, want) {
                 return Some(Job {
-                    flight: request.flight,
+                    flight: request.transfer,
                     want,
                     source,
                     index: request.chunk,
                     from: request.from,
                 });
             }
-            self.pull.failed(request.flight, Fault::Missing, now);
+            self.pull.failed(request.transfer, Fault::Missing, now);
         }
     }
 
