--- a/crates/filbertstack-policy/src/spread/pull.rs
+++ b/crates/filbertstack-policy/src/spread/pull.rs
@@ -102,7 +102,7 @@
 /// One request to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChunkRequest {
-    /// Names the transfer in [`Pull::landed`] and [`Pull::failed`].
+    /// Names the transfer in [`Pull::completed`] and [`Pull::failed`].
     pub transfer: TransferKey,
     /// The upstream.
     pub from: Upstream,
@@ -360,7 +360,7 @@
 
     /// Takes note that a transfer brought its chunk, verified, into the store; true if the chunk
     /// is new.
-    pub fn landed(&mut self, key: TransferKey, now: Millis) -> bool {
+    pub fn completed(&mut self, key: TransferKey, now: Millis) -> bool {
         let Some(transfer) = self.take(key) else {
             return false;
         };
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -125,10 +125,12 @@
     assert_eq!((first.from, first.chunk), (Upstream::Neighbour(one), 2));
     let second = pull.next(Millis::ZERO).unwrap();
     assert_eq!(second.from, Upstream::Neighbour(two));
-    assert!(pull.landed(first.transfer, Millis(10)) && pull.landed(second.transfer, Millis(10)));
+    assert!(
+        pull.completed(first.transfer, Millis(10)) && pull.completed(second.transfer, Millis(10))
+    );
     let third = pull.next(Millis(50)).unwrap();
     assert_ne!(third.chunk, second.chunk);
-    pull.landed(third.transfer, Millis(60));
+    pull.completed(third.transfer, Millis(60));
     assert!(pull.is_complete() && pull.next(Millis(100)).is_none());
 }
 
@@ -174,8 +176,8 @@
     assert_eq!(pull.next(Millis::secs(3)), None);
     let second = pull.next(Millis::secs(4)).unwrap();
     assert_eq!(from(Some(second)), Some((Upstream::Neighbour(other), 0)));
-    assert!(pull.landed(second.transfer, Millis::secs(5)));
-    assert!(!pull.landed(first.transfer, Millis::secs(6)));
+    assert!(pull.completed(second.transfer, Millis::secs(5)));
+    assert!(!pull.completed(first.transfer, Millis::secs(6)));
 }
 
 #[test]
@@ -202,7 +204,7 @@
         let now = Millis(50 * turn);
         let request = pull.next(now).unwrap();
         let slow = request.from == Upstream::Neighbour(keys[0]);
-        pull.landed(request.transfer, now + Millis(if slow { 400 } else { 40 }));
+        pull.completed(request.transfer, now + Millis(if slow { 400 } else { 40 }));
     }
     let next = pull.next(Millis(50 * 6)).unwrap();
     assert_eq!(next.from, Upstream::Neighbour(keys[1]));
@@ -233,7 +235,7 @@
     let request = pull.next(Millis::ZERO).unwrap();
     pull.leave(gone);
     assert_eq!(pull.copies(0), 1);
-    assert!(!pull.landed(request.transfer, Millis(10)));
+    assert!(!pull.completed(request.transfer, Millis(10)));
     assert_eq!(
         from(pull.next(Millis(10))),
         Some((Upstream::Neighbour(other), 0))
--- a/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
@@ -168,7 +168,7 @@
                 }
                 continue;
             }
-            if self.nodes[to].pull.landed(transfer.key, now) {
+            if self.nodes[to].pull.completed(transfer.key, now) {
                 self.announce(to, transfer.chunk);
             } else {
                 self.wasted += 1;
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -257,7 +257,9 @@
         let chunk = job.want.chunk.digest;
         // A fetch that was given up, or whose version was forgotten, may end all the same: the
         // index can name another chunk by then.
-        if !self.pull.landed(job.flight, now) || self.catalogue.index_of(chunk) != Some(job.index) {
+        if !self.pull.completed(job.flight, now)
+            || self.catalogue.index_of(chunk) != Some(job.index)
+        {
             return Vec::new();
         }
         // It may have come from a peer before its grant was used: the leader is told all the same.
