--- a/crates/filbertstack-policy/src/spread/pull.rs
+++ b/crates/filbertstack-policy/src/spread/pull.rs
@@ -464,10 +464,10 @@
     }
 
     /// The upstreams that failed so often that the leader is to name others in their place.
-    pub fn worn(&self) -> Vec<NeighbourKey> {
+    pub fn failing(&self) -> Vec<NeighbourKey> {
         let neighbours = self.neighbours.iter();
-        let worn = neighbours.filter(|(_, neighbour)| neighbour.is_worn());
-        worn.map(|(key, _)| key).collect()
+        let failing = neighbours.filter(|(_, neighbour)| neighbour.is_failing());
+        failing.map(|(key, _)| key).collect()
     }
 }
 
--- a/crates/filbertstack-policy/src/spread/pull/neighbour.rs
+++ b/crates/filbertstack-policy/src/spread/pull/neighbour.rs
@@ -165,7 +165,7 @@
         self.slow
     }
 
-    pub(super) fn is_worn(&self) -> bool {
+    pub(super) fn is_failing(&self) -> bool {
         self.strikes >= WORN
     }
 }
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -161,7 +161,7 @@
     }
     assert_eq!(rests, [0, 500, 1000, 2000].map(Millis));
     assert_eq!(asked.iter().collect::<BTreeSet<_>>().len(), 4);
-    assert_eq!(pull.worn(), [bad]);
+    assert_eq!(pull.failing(), [bad]);
 }
 
 // The last chunk is in flight from an upstream that all but stands still. It is requested a second
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -304,7 +304,7 @@
     }
 
     fn worn_out(&mut self) -> Vec<CopyEvent> {
-        let worn = self.pull.worn();
+        let worn = self.pull.failing();
         let new = worn.iter().filter(|key| !self.worn.contains(key));
         let events = new.map(|&peer| CopyEvent::Worn { peer }).collect();
         self.worn = worn;
