--- a/crates/filbertstack-policy/src/spread/pull.rs
+++ b/crates/filbertstack-policy/src/spread/pull.rs
@@ -230,7 +230,7 @@
     }
 
     /// Takes note of the mesh clock that a neighbour's message carried.
-    pub fn hear(&mut self, clock: Millis, now: Millis) {
+    pub fn observe_clock(&mut self, clock: Millis, now: Millis) {
         self.turns.hear(clock, now);
     }
 
--- a/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
@@ -184,7 +184,7 @@
         for (down, key) in downs {
             let now = self.now(down);
             self.nodes[down].pull.announce(key, chunk);
-            self.nodes[down].pull.hear(clock, now);
+            self.nodes[down].pull.observe_clock(clock, now);
         }
         if self.nodes[at].sources.remove(&chunk).is_some() && self.leaderless == 0 {
             self.leader += 1;
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -163,7 +163,7 @@
 
     /// Takes note of the mesh clock in a peer's message.
     pub fn hear(&mut self, clock: Millis, now: Millis) {
-        self.pull.hear(clock, now);
+        self.pull.observe_clock(clock, now);
     }
 
     /// The mesh clock for this agent's messages.
