--- a/crates/filbertstack-policy/src/spread/pull.rs
+++ b/crates/filbertstack-policy/src/spread/pull.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PullConfig {
     /// The most transfers at once.
-    pub slots: usize,
+    pub max_transfers: usize,
     /// A transfer that takes longer is given up, a backstop behind the source's own limits.
     pub stall: Millis,
     /// A transfer that takes longer may be doubled from another upstream when nothing else is
@@ -80,7 +80,7 @@
     /// trips, so that clocks a round trip apart agree on it nearly always.
     fn default() -> Self {
         Self {
-            slots: 4,
+            max_transfers: 4,
             stall: Millis::secs(30),
             double: Millis::secs(3),
             patience: Millis::secs(5),
@@ -268,7 +268,7 @@
     /// The next request, which is in flight from now on; `None` while there is nothing to request
     /// or no free slot.
     pub fn next(&mut self, now: Millis) -> Option<ChunkRequest> {
-        if self.transfers.len() >= self.config.slots || self.is_complete() {
+        if self.transfers.len() >= self.config.max_transfers || self.is_complete() {
             return None;
         }
         let found = self.next_import().or_else(|| self.next_sole(now));
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -20,7 +20,7 @@
 use filbertstack_policy::spread::serve::next_upload;
 
 const CONFIG: PullConfig = PullConfig {
-    slots: 2,
+    max_transfers: 2,
     stall: Millis::secs(30),
     double: Millis::secs(3),
     patience: Millis::secs(5),
--- a/crates/filbertstack-policy/tests/spread_model/mesh.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh.rs
@@ -274,7 +274,7 @@
 
 fn limits() -> PullConfig {
     PullConfig {
-        slots: 4,
+        max_transfers: 4,
         stall: Millis(300 * ROUND.0),
         double: Millis(3 * ROUND.0),
         patience: Millis(10 * ROUND.0),
--- a/crates/filbertstack-weights/src/copy/pool.rs
+++ b/crates/filbertstack-weights/src/copy/pool.rs
@@ -84,7 +84,7 @@
             let shared = shared.clone();
             thread::spawn(move || shared.work())
         };
-        let threads = (0..config.pull.slots).map(start).collect();
+        let threads = (0..config.pull.max_transfers).map(start).collect();
         Self { shared, threads }
     }
 
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -171,7 +171,7 @@
 fn no_chunk_is_under_way_twice() {
     let (one, two) = (sample(1), sample(2));
     let config = PullConfig {
-        slots: 64,
+        max_transfers: 64,
         ..PullConfig::default()
     };
     let mut core = Core::new(Arc::new(Store::memory(100_000)), config, 1);
