--- a/crates/filbertstack-policy/src/spread/pull.rs
+++ b/crates/filbertstack-policy/src/spread/pull.rs
@@ -71,7 +71,7 @@
     pub patience: Millis,
     /// The span of a turn: about the time of a chunk on an instance's link, and long beside a
     /// round trip.
-    pub turn: Millis,
+    pub turn_length: Millis,
 }
 
 impl Default for PullConfig {
@@ -84,7 +84,7 @@
             stall: Millis::secs(30),
             double: Millis::secs(3),
             patience: Millis::secs(5),
-            turn: Millis(50),
+            turn_length: Millis(50),
         }
     }
 }
@@ -145,7 +145,7 @@
         Self {
             config,
             seed,
-            turns: Turns::new(config.turn),
+            turns: Turns::new(config.turn_length),
             held: ChunkSet::default(),
             wanted: ChunkSet::default(),
             coming: ChunkSet::default(),
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -24,7 +24,7 @@
     stall: Millis::secs(30),
     double: Millis::secs(3),
     patience: Millis::secs(5),
-    turn: Millis(50),
+    turn_length: Millis(50),
 };
 
 fn seat(proximity: Proximity, place: u32, places: u32) -> RingPosition {
--- a/crates/filbertstack-policy/tests/spread_model/mesh.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh.rs
@@ -278,7 +278,7 @@
         stall: Millis(300 * ROUND.0),
         double: Millis(3 * ROUND.0),
         patience: Millis(10 * ROUND.0),
-        turn: ROUND,
+        turn_length: ROUND,
     }
 }
 
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -58,7 +58,7 @@
 
 /// Makes the fetches one after the other, a turn each, for two minutes.
 fn drive(core: &mut Core, store: &Store) -> Vec<CopyEvent> {
-    let turn = PullConfig::default().turn;
+    let turn = PullConfig::default().turn_length;
     let mut events = Vec::new();
     let mut now = Millis::ZERO;
     while now < Millis::secs(120) {
