--- a/crates/filbertstack-policy/src/spread/pull.rs
+++ b/crates/filbertstack-policy/src/spread/pull.rs
@@ -6,7 +6,7 @@
 //! nothing to give each other. So upstreams take turns, and the chunk that fewest of them hold
 //! goes first.
 //!
-//! [`Pull`] covers all versions on an instance: its indices are places in the agent's catalogue of
+//! [`PullScheduler`] covers all versions on an instance: its indices are places in the agent's catalogue of
 //! distinct chunks, so that a chunk of two versions is requested once.
 
 mod neighbour;
@@ -102,7 +102,7 @@
 /// One request to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChunkRequest {
-    /// Names the transfer in [`Pull::completed`] and [`Pull::failed`].
+    /// Names the transfer in [`PullScheduler::completed`] and [`PullScheduler::failed`].
     pub transfer: TransferKey,
     /// The upstream.
     pub from: Upstream,
@@ -119,7 +119,7 @@
 
 /// The requests of one agent.
 #[derive(Debug)]
-pub struct Pull {
+pub struct PullScheduler {
     config: PullConfig,
     seed: u64,
     turns: Turns,
@@ -138,7 +138,7 @@
     idle: Option<Millis>,
 }
 
-impl Pull {
+impl PullScheduler {
     /// The requests of an agent that wants nothing yet; `seed` differs between agents, so that
     /// equals do not all choose alike.
     pub fn new(config: PullConfig, seed: u64) -> Self {
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -11,8 +11,8 @@
 use filbertstack_policy::spread::pull::Fault;
 use filbertstack_policy::spread::pull::NeighbourKey;
 use filbertstack_policy::spread::pull::Proximity;
-use filbertstack_policy::spread::pull::Pull;
 use filbertstack_policy::spread::pull::PullConfig;
+use filbertstack_policy::spread::pull::PullScheduler;
 use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_policy::spread::pull::Turns;
 use filbertstack_policy::spread::pull::Upstream;
@@ -35,14 +35,14 @@
     }
 }
 
-fn pull(chunks: u32) -> Pull {
-    let mut pull = Pull::new(CONFIG, 1);
+fn pull(chunks: u32) -> PullScheduler {
+    let mut pull = PullScheduler::new(CONFIG, 1);
     pull.grow(chunks as usize);
     (0..chunks).for_each(|chunk| pull.want(chunk));
     pull
 }
 
-fn peer(pull: &mut Pull, position: RingPosition, chunks: &[u32]) -> NeighbourKey {
+fn peer(pull: &mut PullScheduler, position: RingPosition, chunks: &[u32]) -> NeighbourKey {
     let key = pull.join(position);
     for &chunk in chunks {
         pull.announce(key, chunk);
--- a/crates/filbertstack-policy/tests/spread_model/mesh/targets.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/targets.rs
@@ -19,7 +19,7 @@
 use filbertstack_policy::spread::pull::Fault;
 use filbertstack_policy::spread::pull::NeighbourKey;
 use filbertstack_policy::spread::pull::Proximity;
-use filbertstack_policy::spread::pull::Pull;
+use filbertstack_policy::spread::pull::PullScheduler;
 use filbertstack_policy::spread::pull::RingPosition;
 
 impl World {
@@ -47,7 +47,7 @@
         self.index.insert(key, at);
         self.tokens
             .join(key, &format!("r{region}").parse().unwrap());
-        let mut pull = Pull::new(super::limits(), self.setting.seed + at as u64);
+        let mut pull = PullScheduler::new(super::limits(), self.setting.seed + at as u64);
         pull.grow(self.wanted.len());
         for chunk in (0..).zip(&self.wanted).filter(|(_, wanted)| **wanted) {
             pull.want(chunk.0);
--- a/crates/filbertstack-policy/tests/spread_model/node.rs
+++ b/crates/filbertstack-policy/tests/spread_model/node.rs
@@ -5,7 +5,7 @@
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::plan::TargetKey;
 use filbertstack_policy::spread::pull::NeighbourKey;
-use filbertstack_policy::spread::pull::Pull;
+use filbertstack_policy::spread::pull::PullScheduler;
 use filbertstack_policy::spread::pull::TransferKey;
 
 /// The time of a round.
@@ -13,7 +13,7 @@
 
 /// A target.
 pub struct Node {
-    pub pull: Pull,
+    pub pull: PullScheduler,
     pub key: TargetKey,
     pub region: usize,
     pub zone: usize,
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -10,8 +10,8 @@
 use filbertstack_policy::spread::chunks::ChunkSet;
 use filbertstack_policy::spread::pull::Fault;
 use filbertstack_policy::spread::pull::NeighbourKey;
-use filbertstack_policy::spread::pull::Pull;
 use filbertstack_policy::spread::pull::PullConfig;
+use filbertstack_policy::spread::pull::PullScheduler;
 use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_policy::spread::pull::TransferKey;
 use filbertstack_policy::spread::pull::Upstream;
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct Core {
     store: Arc<Store>,
-    pull: Pull,
+    pull: PullScheduler,
     catalogue: Catalogue,
     peers: HashMap<NeighbourKey, Arc<dyn AnySource>>,
     grants: HashMap<ChunkIndex, Grant>,
@@ -65,7 +65,7 @@
     pub fn new(store: Arc<Store>, config: PullConfig, seed: u64) -> Self {
         Self {
             store,
-            pull: Pull::new(config, seed),
+            pull: PullScheduler::new(config, seed),
             catalogue: Catalogue::default(),
             peers: HashMap::new(),
             grants: HashMap::new(),
