--- a/crates/filbertstack-policy/src/spread.rs
+++ b/crates/filbertstack-policy/src/spread.rs
@@ -9,7 +9,7 @@
 //!
 //! - [`plan`]: the leader gives each target a few upstreams, O(1) for each target, and again when
 //!   one joins, leaves or is given up.
-//! - [`tokens`]: the leader grants who may pull a chunk from outside a region, so that a chunk
+//! - [`grants`]: the leader grants who may pull a chunk from outside a region, so that a chunk
 //!   leaves the origin once whoever asks.
 //! - [`pull`]: each agent decides what to request next from which upstream, from what its
 //!   upstreams announced and how they fared.
@@ -20,10 +20,10 @@
 //! docs/design/weights.md weighs the ways and gives the figures.
 
 pub mod chunks;
+pub mod grants;
 pub mod pace;
 pub mod plan;
 pub mod pull;
 pub mod serve;
-pub mod tokens;
 
 pub use chunks::ChunkSet;
--- a/crates/filbertstack-policy/tests/spread_leader.rs
+++ b/crates/filbertstack-policy/tests/spread_leader.rs
@@ -7,16 +7,16 @@
 use filbertstack_core::Millis;
 use filbertstack_core::declare::Weigh;
 use filbertstack_core::names::RegionName;
+use filbertstack_policy::spread::grants::Answer;
+use filbertstack_policy::spread::grants::ImportFrom;
+use filbertstack_policy::spread::grants::TokenConfig;
+use filbertstack_policy::spread::grants::Tokens;
 use filbertstack_policy::spread::plan::Plan;
 use filbertstack_policy::spread::plan::PlanConfig;
 use filbertstack_policy::spread::plan::Target;
 use filbertstack_policy::spread::plan::TargetKey;
 use filbertstack_policy::spread::plan::strides;
 use filbertstack_policy::spread::pull::Proximity;
-use filbertstack_policy::spread::tokens::Answer;
-use filbertstack_policy::spread::tokens::ImportFrom;
-use filbertstack_policy::spread::tokens::TokenConfig;
-use filbertstack_policy::spread::tokens::Tokens;
 
 fn target(at: usize, zone: usize) -> Target {
     Target {
--- a/crates/filbertstack-policy/tests/spread_model/mesh.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh.rs
@@ -13,12 +13,12 @@
 use filbertstack_core::Digest;
 use filbertstack_core::Millis;
 use filbertstack_core::declare::Weigh;
+use filbertstack_policy::spread::grants::TokenConfig;
+use filbertstack_policy::spread::grants::Tokens;
 use filbertstack_policy::spread::plan::Plan;
 use filbertstack_policy::spread::plan::PlanConfig;
 use filbertstack_policy::spread::plan::TargetKey;
 use filbertstack_policy::spread::pull::PullConfig;
-use filbertstack_policy::spread::tokens::TokenConfig;
-use filbertstack_policy::spread::tokens::Tokens;
 
 use super::Faults;
 use super::Outcome;
--- a/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
@@ -4,12 +4,12 @@
 use crate::spread_model::mesh::World;
 use crate::spread_model::node::ROUND;
 use filbertstack_core::Millis;
+use filbertstack_policy::spread::grants::Answer;
+use filbertstack_policy::spread::grants::Grant;
+use filbertstack_policy::spread::grants::ImportFrom;
+use filbertstack_policy::spread::grants::Tokens;
 use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::pull::RingPosition;
-use filbertstack_policy::spread::tokens::Answer;
-use filbertstack_policy::spread::tokens::Grant;
-use filbertstack_policy::spread::tokens::ImportFrom;
-use filbertstack_policy::spread::tokens::Tokens;
 
 impl World {
     /// The leader learns of the lost, and names others in their place.
