--- a/crates/filbertstack-entry/src/spread/copy.rs
+++ b/crates/filbertstack-entry/src/spread/copy.rs
@@ -12,8 +12,8 @@
 use filbertstack_policy::spread::ChunkSet;
 use filbertstack_policy::spread::grants::Answer;
 use filbertstack_policy::spread::grants::Grant;
+use filbertstack_policy::spread::grants::GrantConfig;
 use filbertstack_policy::spread::grants::ImportFrom;
-use filbertstack_policy::spread::grants::TokenConfig;
 use filbertstack_policy::spread::grants::Tokens;
 use filbertstack_policy::spread::plan::Joined;
 use filbertstack_policy::spread::plan::Link;
@@ -81,8 +81,8 @@
                 .chain([(id(root, MANIFEST), MANIFEST)])
                 .collect(),
             plan: Plan::new(PlanConfig::default()),
-            tokens: Tokens::new(TokenConfig::of(weigh)),
-            manifests: Tokens::new(TokenConfig::of(weigh)),
+            tokens: Tokens::new(GrantConfig::of(weigh)),
+            manifests: Tokens::new(GrantConfig::of(weigh)),
             rows: BTreeMap::new(),
             names: BTreeMap::new(),
             wanted: BTreeSet::new(),
--- a/crates/filbertstack-policy/src/spread/grants.rs
+++ b/crates/filbertstack-policy/src/spread/grants.rs
@@ -28,7 +28,7 @@
 
 /// The limits of the grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TokenConfig {
+pub struct GrantConfig {
     /// What the copy is planned for.
     pub weigh: Weigh,
     /// The grants out at a time in each region.
@@ -37,7 +37,7 @@
     pub lease: Millis,
 }
 
-impl TokenConfig {
+impl GrantConfig {
     /// The figures for a deployment.
     ///
     /// Four grants are two transfers on the origin's link, which is twice an instance's, and as
@@ -95,7 +95,7 @@
 /// The grants of one deployment's targets, as the leader keeps them.
 #[derive(Debug)]
 pub struct Tokens {
-    config: TokenConfig,
+    config: GrantConfig,
     regions: BTreeMap<RegionName, Region>,
     homes: BTreeMap<TargetKey, RegionName>,
     /// The region that each chunk reaches first.
@@ -105,7 +105,7 @@
 
 impl Tokens {
     /// No grants yet.
-    pub fn new(config: TokenConfig) -> Self {
+    pub fn new(config: GrantConfig) -> Self {
         Self {
             config,
             regions: BTreeMap::new(),
--- a/crates/filbertstack-policy/tests/spread_leader.rs
+++ b/crates/filbertstack-policy/tests/spread_leader.rs
@@ -8,8 +8,8 @@
 use filbertstack_core::declare::Weigh;
 use filbertstack_core::names::RegionName;
 use filbertstack_policy::spread::grants::Answer;
+use filbertstack_policy::spread::grants::GrantConfig;
 use filbertstack_policy::spread::grants::ImportFrom;
-use filbertstack_policy::spread::grants::TokenConfig;
 use filbertstack_policy::spread::grants::Tokens;
 use filbertstack_policy::spread::plan::Plan;
 use filbertstack_policy::spread::plan::PlanConfig;
@@ -38,7 +38,7 @@
 
 fn tokens(weigh: Weigh, regions: &[&str]) -> (Tokens, Vec<TargetKey>) {
     let (_, keys) = ring(3 * regions.len());
-    let mut tokens = Tokens::new(TokenConfig::of(weigh));
+    let mut tokens = Tokens::new(GrantConfig::of(weigh));
     for (at, key) in keys.iter().enumerate() {
         let region: RegionName = regions[at / 3].parse().unwrap();
         tokens.join(*key, &region);
--- a/crates/filbertstack-policy/tests/spread_model/mesh.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh.rs
@@ -13,7 +13,7 @@
 use filbertstack_core::Digest;
 use filbertstack_core::Millis;
 use filbertstack_core::declare::Weigh;
-use filbertstack_policy::spread::grants::TokenConfig;
+use filbertstack_policy::spread::grants::GrantConfig;
 use filbertstack_policy::spread::grants::Tokens;
 use filbertstack_policy::spread::plan::Plan;
 use filbertstack_policy::spread::plan::PlanConfig;
@@ -282,13 +282,13 @@
     }
 }
 
-fn tokens(weigh: Weigh) -> TokenConfig {
+fn tokens(weigh: Weigh) -> GrantConfig {
     let lease = match weigh {
         Weigh::Time => Millis(30 * ROUND.0),
         Weigh::Origin => Millis(90 * ROUND.0),
     };
-    TokenConfig {
+    GrantConfig {
         lease,
-        ..TokenConfig::of(weigh)
+        ..GrantConfig::of(weigh)
     }
 }
