--- a/crates/filbertstack-entry/src/spread/copy.rs
+++ b/crates/filbertstack-entry/src/spread/copy.rs
@@ -13,8 +13,8 @@
 use filbertstack_policy::spread::grants::Answer;
 use filbertstack_policy::spread::grants::Grant;
 use filbertstack_policy::spread::grants::GrantConfig;
+use filbertstack_policy::spread::grants::Grants;
 use filbertstack_policy::spread::grants::ImportFrom;
-use filbertstack_policy::spread::grants::Tokens;
 use filbertstack_policy::spread::plan::Joined;
 use filbertstack_policy::spread::plan::Link;
 use filbertstack_policy::spread::plan::Plan;
@@ -55,10 +55,10 @@
     ids: Vec<Digest>,
     places: BTreeMap<Digest, u32>,
     plan: Plan,
-    tokens: Tokens,
+    tokens: Grants,
     /// The manifest's grants, apart from the chunks': an agent without a manifest can use no grant
     /// of a chunk, and a window full of such grants would keep the manifest out for ever.
-    manifests: Tokens,
+    manifests: Grants,
     rows: BTreeMap<Arc<str>, Row>,
     names: BTreeMap<TargetKey, Arc<str>>,
     wanted: BTreeSet<Arc<str>>,
@@ -81,8 +81,8 @@
                 .chain([(id(root, MANIFEST), MANIFEST)])
                 .collect(),
             plan: Plan::new(PlanConfig::default()),
-            tokens: Tokens::new(GrantConfig::of(weigh)),
-            manifests: Tokens::new(GrantConfig::of(weigh)),
+            tokens: Grants::new(GrantConfig::of(weigh)),
+            manifests: Grants::new(GrantConfig::of(weigh)),
             rows: BTreeMap::new(),
             names: BTreeMap::new(),
             wanted: BTreeSet::new(),
@@ -272,7 +272,7 @@
     }
 
     /// The grants that those of `place` are among.
-    const fn tokens(&mut self, place: u32) -> &mut Tokens {
+    const fn tokens(&mut self, place: u32) -> &mut Grants {
         if place == MANIFEST {
             &mut self.manifests
         } else {
--- a/crates/filbertstack-policy/src/spread/grants.rs
+++ b/crates/filbertstack-policy/src/spread/grants.rs
@@ -94,7 +94,7 @@
 
 /// The grants of one deployment's targets, as the leader keeps them.
 #[derive(Debug)]
-pub struct Tokens {
+pub struct Grants {
     config: GrantConfig,
     regions: BTreeMap<RegionName, Region>,
     homes: BTreeMap<TargetKey, RegionName>,
@@ -103,7 +103,7 @@
     origin: u64,
 }
 
-impl Tokens {
+impl Grants {
     /// No grants yet.
     pub fn new(config: GrantConfig) -> Self {
         Self {
--- a/crates/filbertstack-policy/tests/spread_leader.rs
+++ b/crates/filbertstack-policy/tests/spread_leader.rs
@@ -9,8 +9,8 @@
 use filbertstack_core::names::RegionName;
 use filbertstack_policy::spread::grants::Answer;
 use filbertstack_policy::spread::grants::GrantConfig;
+use filbertstack_policy::spread::grants::Grants;
 use filbertstack_policy::spread::grants::ImportFrom;
-use filbertstack_policy::spread::grants::Tokens;
 use filbertstack_policy::spread::plan::Plan;
 use filbertstack_policy::spread::plan::PlanConfig;
 use filbertstack_policy::spread::plan::Target;
@@ -36,9 +36,9 @@
     (0..count).map(|at| Digest::of(&at.to_le_bytes())).collect()
 }
 
-fn tokens(weigh: Weigh, regions: &[&str]) -> (Tokens, Vec<TargetKey>) {
+fn tokens(weigh: Weigh, regions: &[&str]) -> (Grants, Vec<TargetKey>) {
     let (_, keys) = ring(3 * regions.len());
-    let mut tokens = Tokens::new(GrantConfig::of(weigh));
+    let mut tokens = Grants::new(GrantConfig::of(weigh));
     for (at, key) in keys.iter().enumerate() {
         let region: RegionName = regions[at / 3].parse().unwrap();
         tokens.join(*key, &region);
--- a/crates/filbertstack-policy/tests/spread_model/mesh.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh.rs
@@ -14,7 +14,7 @@
 use filbertstack_core::Millis;
 use filbertstack_core::declare::Weigh;
 use filbertstack_policy::spread::grants::GrantConfig;
-use filbertstack_policy::spread::grants::Tokens;
+use filbertstack_policy::spread::grants::Grants;
 use filbertstack_policy::spread::plan::Plan;
 use filbertstack_policy::spread::plan::PlanConfig;
 use filbertstack_policy::spread::plan::TargetKey;
@@ -127,7 +127,7 @@
     rng: ChaCha8Rng,
     pub nodes: Vec<Node>,
     plan: Plan,
-    tokens: Tokens,
+    tokens: Grants,
     index: BTreeMap<TargetKey, usize>,
     chunks: BTreeMap<Digest, u32>,
     digests: Vec<Digest>,
@@ -190,7 +190,7 @@
                 zone_first: mesh.zone_first,
                 ..PlanConfig::default()
             }),
-            tokens: Tokens::new(tokens(mesh.weigh)),
+            tokens: Grants::new(tokens(mesh.weigh)),
             index: BTreeMap::new(),
             chunks,
             digests,
--- a/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
@@ -6,8 +6,8 @@
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::grants::Answer;
 use filbertstack_policy::spread::grants::Grant;
+use filbertstack_policy::spread::grants::Grants;
 use filbertstack_policy::spread::grants::ImportFrom;
-use filbertstack_policy::spread::grants::Tokens;
 use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::pull::RingPosition;
 
@@ -99,7 +99,7 @@
     /// A new leader knows the declarations and the targets, and hears what each holds.
     pub(super) fn replace_leader(&mut self) {
         let now = self.leader_now();
-        self.tokens = Tokens::new(super::tokens(self.mesh.weigh));
+        self.tokens = Grants::new(super::tokens(self.mesh.weigh));
         for node in self.nodes.iter().filter(|node| node.alive) {
             let region = format!("r{}", node.region).parse().unwrap();
             self.tokens.join(node.key, &region);
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -12,7 +12,7 @@
 use filbertstack_policy::spread::chunks::ChunkSet;
 use filbertstack_policy::spread::grants::Grant;
 use filbertstack_policy::spread::grants::GrantConfig;
-use filbertstack_policy::spread::grants::Tokens;
+use filbertstack_policy::spread::grants::Grants;
 use filbertstack_policy::spread::plan::Plan;
 use filbertstack_policy::spread::plan::PlanConfig;
 use filbertstack_policy::spread::plan::Target;
@@ -335,7 +335,7 @@
     let origin = Arc::new(MemoryPeer::new(&sample.bytes));
     let agents: Vec<_> = (0..11).map(agent).collect();
     let mut plan = Plan::new(PlanConfig::default());
-    let mut tokens = Tokens::new(GrantConfig::of(Weigh::Origin));
+    let mut tokens = Grants::new(GrantConfig::of(Weigh::Origin));
     let target = |at: usize| Target {
         name: format!("t{at}").parse().unwrap(),
         zone: "van-a".parse().unwrap(),
