--- a/crates/filbertstack-entry/src/spread/copy.rs
+++ b/crates/filbertstack-entry/src/spread/copy.rs
@@ -138,7 +138,7 @@
         let key = row.key;
         self.whole = Some(key);
         for &id in &self.ids {
-            self.tokens.landed(id, key, now);
+            self.tokens.completed(id, key, now);
         }
         self.landed(key, MANIFEST, now);
     }
@@ -237,7 +237,7 @@
     fn landed(&mut self, key: TargetKey, place: u32, now: Millis) {
         self.end_grant(key, place);
         let chunk = id(self.root, place);
-        self.tokens(place).landed(chunk, key, now);
+        self.tokens(place).completed(chunk, key, now);
     }
 
     fn end_grant(&mut self, key: TargetKey, place: u32) {
--- a/crates/filbertstack-policy/src/spread/grants.rs
+++ b/crates/filbertstack-policy/src/spread/grants.rs
@@ -251,12 +251,12 @@
     }
 
     /// Takes note that a target has the chunk of its grant.
-    pub fn landed(&mut self, chunk: Digest, by: TargetKey, now: Millis) {
+    pub fn completed(&mut self, chunk: Digest, by: TargetKey, now: Millis) {
         let Some(home) = self.homes.get(&by).cloned() else {
             return;
         };
         if self.chunks.contains_key(&chunk) {
-            self.region(&home).landed(chunk, by, now);
+            self.region(&home).completed(chunk, by, now);
         }
     }
 
--- a/crates/filbertstack-policy/src/spread/grants/region.rs
+++ b/crates/filbertstack-policy/src/spread/grants/region.rs
@@ -213,7 +213,7 @@
         }
     }
 
-    pub(super) fn landed(&mut self, chunk: Digest, by: TargetKey, now: Millis) {
+    pub(super) fn completed(&mut self, chunk: Digest, by: TargetKey, now: Millis) {
         if let Some(&Import::Granted { to, since, .. }) = self.imports.get(&chunk)
             && to == Some(by)
         {
--- a/crates/filbertstack-policy/tests/spread_leader.rs
+++ b/crates/filbertstack-policy/tests/spread_leader.rs
@@ -149,7 +149,7 @@
     while let Some(grant) = out.pop() {
         assert_eq!(grant.from, ImportFrom::Origin);
         granted.push(grant.chunk);
-        tokens.landed(grant.chunk, grant.to, Millis(100));
+        tokens.completed(grant.chunk, grant.to, Millis(100));
         out.extend(tokens.grant(Millis(100)));
     }
     granted.sort_unstable();
@@ -182,7 +182,7 @@
     tokens.publish(digests(1));
     let grants = tokens.grant(Millis::ZERO);
     assert_eq!(grants.len(), 1);
-    tokens.landed(grants[0].chunk, grants[0].to, Millis(100));
+    tokens.completed(grants[0].chunk, grants[0].to, Millis(100));
     let next = tokens.grant(Millis(100));
     assert_eq!(next.len(), 1);
     assert_eq!(next[0].from, ImportFrom::Peer(grants[0].to));
@@ -202,7 +202,7 @@
         Answer::Wait { .. }
     ));
     let grant = tokens.grant(Millis::ZERO)[0];
-    tokens.landed(chunk, grant.to, Millis(100));
+    tokens.completed(chunk, grant.to, Millis(100));
     let others: Vec<_> = keys
         .iter()
         .copied()
@@ -215,7 +215,7 @@
     assert_eq!(tokens.ask(chunk, others[0], at(2)), Answer::Wait { after });
     let again = tokens.ask(chunk, others[0], at(11));
     assert!(matches!(again, Answer::Granted(again) if again.to == others[0]));
-    tokens.landed(chunk, others[0], at(12));
+    tokens.completed(chunk, others[0], at(12));
     tokens.leave(others[0], at(60));
     assert!(matches!(
         tokens.ask(chunk, others[1], at(13)),
@@ -233,7 +233,7 @@
         let (mut tokens, _) = tokens(weigh, &["van"]);
         tokens.publish(digests(1));
         let grant = tokens.grant(Millis::ZERO)[0];
-        tokens.landed(grant.chunk, grant.to, Millis(100));
+        tokens.completed(grant.chunk, grant.to, Millis(100));
         tokens.leave(grant.to, Millis(200));
         assert_eq!(tokens.grant(Millis(200)).len(), again);
     }
@@ -245,9 +245,9 @@
 fn a_new_leader_repeats_no_grant() {
     let (mut tokens, keys) = tokens(Weigh::Time, &["van"]);
     tokens.recover(digests(3), Millis::ZERO);
-    tokens.landed(digests(3)[0], keys[0], Millis(10));
+    tokens.completed(digests(3)[0], keys[0], Millis(10));
     assert!(tokens.grant(Millis(9_999)).is_empty());
-    tokens.landed(digests(3)[1], keys[1], Millis(9_999));
+    tokens.completed(digests(3)[1], keys[1], Millis(9_999));
     let granted = tokens.grant(Millis::secs(10));
     let chunks: Vec<_> = granted.iter().map(|grant| grant.chunk).collect();
     assert_eq!(chunks, [digests(3)[2]]);
@@ -260,7 +260,7 @@
     let out = tokens.grant(Millis::ZERO);
     tokens.retire(digests(10));
     assert!(tokens.grant(Millis::secs(60)).is_empty());
-    tokens.landed(out[0].chunk, out[0].to, Millis::secs(61));
+    tokens.completed(out[0].chunk, out[0].to, Millis::secs(61));
     tokens.publish(digests(10));
     assert_eq!(tokens.grant(Millis::secs(61)).len(), 4);
 }
--- a/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
@@ -64,7 +64,7 @@
         self.nodes[to].sources.insert(chunk, from);
         if !self.nodes[to].pull.import(chunk) {
             let now = self.leader_now();
-            self.tokens.landed(grant.chunk, grant.to, now);
+            self.tokens.completed(grant.chunk, grant.to, now);
         }
     }
 
@@ -112,7 +112,7 @@
             self.leader += 1;
             for chunk in node.pull.held().iter() {
                 self.tokens
-                    .landed(self.digests[chunk as usize], node.key, now);
+                    .completed(self.digests[chunk as usize], node.key, now);
             }
         }
     }
--- a/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/links.rs
@@ -190,7 +190,7 @@
             self.leader += 1;
             let now = self.leader_now();
             let digest = self.digests[chunk as usize];
-            self.tokens.landed(digest, self.nodes[at].key, now);
+            self.tokens.completed(digest, self.nodes[at].key, now);
         }
         if self.nodes[at].pull.is_complete() {
             self.nodes[at].done = Some(self.round);
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -372,7 +372,7 @@
             match event {
                 CopyEvent::Landed { chunk, granted } => {
                     if granted {
-                        tokens.landed(chunk, keys[up], Millis::ZERO);
+                        tokens.completed(chunk, keys[up], Millis::ZERO);
                         send(tokens.grant(Millis::ZERO));
                     }
                     let held = agent.copier.holding(root).unwrap();
