--- a/crates/filbertstack-agent/src/pacing.rs
+++ b/crates/filbertstack-agent/src/pacing.rs
@@ -11,8 +11,8 @@
 
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::pace::Live;
-use filbertstack_policy::spread::pace::Pace;
 use filbertstack_policy::spread::pace::PaceConfig;
+use filbertstack_policy::spread::pace::PaceController;
 
 use crate::desk::Desk;
 use crate::gate::Gate;
@@ -71,7 +71,7 @@
 impl Pacer {
     /// Runs until stopped.
     pub fn run(&self) {
-        let mut pace = Pace::new(PaceConfig::of(self.link));
+        let mut pace = PaceController::new(PaceConfig::of(self.link));
         let mut last = 0;
         while !self.stopped.load(Ordering::Relaxed) {
             let live = Live {
--- a/crates/filbertstack-policy/src/spread/pace.rs
+++ b/crates/filbertstack-policy/src/spread/pace.rs
@@ -67,14 +67,14 @@
 
 /// The limit on weights at one instance.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct PaceController {
     config: PaceConfig,
     rate: u64,
     /// The latency of requests while weights are not in their way.
     base: Option<Millis>,
 }
 
-impl Pace {
+impl PaceController {
     /// The limit of an instance that has not seen live requests yet.
     pub fn new(config: PaceConfig) -> Self {
         Self {
--- a/crates/filbertstack-policy/tests/spread_pace.rs
+++ b/crates/filbertstack-policy/tests/spread_pace.rs
@@ -3,8 +3,8 @@
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::pace::Bucket;
 use filbertstack_policy::spread::pace::Live;
-use filbertstack_policy::spread::pace::Pace;
 use filbertstack_policy::spread::pace::PaceConfig;
+use filbertstack_policy::spread::pace::PaceController;
 
 const LINK: u64 = 1_000_000_000;
 
@@ -21,8 +21,8 @@
     }
 }
 
-fn settled() -> Pace {
-    let mut pace = Pace::new(PaceConfig::of(LINK));
+fn settled() -> PaceController {
+    let mut pace = PaceController::new(PaceConfig::of(LINK));
     for _ in 0..50 {
         pace.observe(live(latency(0, 0)), false);
     }
