--- a/crates/filbertstack-agent/src/pacing.rs
+++ b/crates/filbertstack-agent/src/pacing.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use filbertstack_core::Millis;
-use filbertstack_policy::spread::pace::Live;
+use filbertstack_policy::spread::pace::LiveTraffic;
 use filbertstack_policy::spread::pace::PaceConfig;
 use filbertstack_policy::spread::pace::PaceController;
 
@@ -74,7 +74,7 @@
         let mut pace = PaceController::new(PaceConfig::of(self.link));
         let mut last = 0;
         while !self.stopped.load(Ordering::Relaxed) {
-            let live = Live {
+            let live = LiveTraffic {
                 inflight: self.gate.running(),
                 latency: self.firsts.take_p95(),
             };
--- a/crates/filbertstack-policy/src/spread/pace.rs
+++ b/crates/filbertstack-policy/src/spread/pace.rs
@@ -13,7 +13,7 @@
 
 /// What live requests on the instance saw of late.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Live {
+pub struct LiveTraffic {
     /// The requests in flight.
     pub inflight: u32,
     /// The 95th percentile of the time to the first byte in the last interval; `None` if none
@@ -88,7 +88,7 @@
     ///
     /// `copying` says whether weights moved in the interval. Without live requests weights get
     /// the whole link.
-    pub fn observe(&mut self, live: Live, copying: bool) -> u64 {
+    pub fn observe(&mut self, live: LiveTraffic, copying: bool) -> u64 {
         if live.inflight == 0 && live.latency.is_none() {
             return self.config.link;
         }
--- a/crates/filbertstack-policy/tests/spread_pace.rs
+++ b/crates/filbertstack-policy/tests/spread_pace.rs
@@ -2,7 +2,7 @@
 
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::pace::Bucket;
-use filbertstack_policy::spread::pace::Live;
+use filbertstack_policy::spread::pace::LiveTraffic;
 use filbertstack_policy::spread::pace::PaceConfig;
 use filbertstack_policy::spread::pace::PaceController;
 
@@ -14,8 +14,8 @@
     Millis(20 + 2 * used / (LINK - used))
 }
 
-fn live(latency: Millis) -> Live {
-    Live {
+fn live(latency: Millis) -> LiveTraffic {
+    LiveTraffic {
         inflight: 10,
         latency: Some(latency),
     }
@@ -32,7 +32,7 @@
 #[test]
 fn without_requests_weights_get_the_whole_link() {
     let mut pace = settled();
-    assert_eq!(pace.observe(Live::default(), true), LINK);
+    assert_eq!(pace.observe(LiveTraffic::default(), true), LINK);
 }
 
 // A burst of live requests takes half of the link during a copy. Weights give way within two
