--- a/crates/filbertstack-agent/src/pacing.rs
+++ b/crates/filbertstack-agent/src/pacing.rs
@@ -71,7 +71,7 @@
 impl Pacer {
     /// Runs until stopped.
     pub fn run(&self) {
-        let mut pace = PaceController::new(PaceConfig::of(self.link));
+        let mut pace = PaceController::new(PaceConfig::for_link(self.link));
         let mut last = 0;
         while !self.stopped.load(Ordering::Relaxed) {
             let live = LiveTraffic {
--- a/crates/filbertstack-policy/src/spread/pace.rs
+++ b/crates/filbertstack-policy/src/spread/pace.rs
@@ -43,7 +43,7 @@
     /// of slack is the noise of a 95th percentile over some hundred requests. Steps of 5 % climb
     /// back in 18 intervals, a few seconds, after a burst. 10 % at least brings a copy in five
     /// windows, the time that is accepted for a slow link.
-    pub fn of(link: u64) -> Self {
+    pub fn for_link(link: u64) -> Self {
         Self {
             link,
             least: 10,
--- a/crates/filbertstack-policy/tests/spread_pace.rs
+++ b/crates/filbertstack-policy/tests/spread_pace.rs
@@ -22,7 +22,7 @@
 }
 
 fn settled() -> PaceController {
-    let mut pace = PaceController::new(PaceConfig::of(LINK));
+    let mut pace = PaceController::new(PaceConfig::for_link(LINK));
     for _ in 0..50 {
         pace.observe(live(latency(0, 0)), false);
     }
