--- a/crates/filbertstack-policy/src/spread/pace.rs
+++ b/crates/filbertstack-policy/src/spread/pace.rs
@@ -130,13 +130,13 @@
 
 /// Spreads bytes over time at a rate: a token bucket that lends one transfer.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: u64,
     /// When the bytes taken so far are paid for.
     paid: Millis,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A bucket of `rate` bytes a second.
     pub fn new(rate: u64) -> Self {
         Self {
--- a/crates/filbertstack-policy/tests/spread_pace.rs
+++ b/crates/filbertstack-policy/tests/spread_pace.rs
@@ -1,10 +1,10 @@
 //! Weights beside live requests, on a link whose queue grows with its load.
 
 use filbertstack_core::Millis;
-use filbertstack_policy::spread::pace::Bucket;
 use filbertstack_policy::spread::pace::LiveTraffic;
 use filbertstack_policy::spread::pace::PaceConfig;
 use filbertstack_policy::spread::pace::PaceController;
+use filbertstack_policy::spread::pace::TokenBucket;
 
 const LINK: u64 = 1_000_000_000;
 
@@ -91,7 +91,7 @@
 
 #[test]
 fn a_bucket_spreads_bytes_at_its_rate() {
-    let mut bucket = Bucket::new(1000);
+    let mut bucket = TokenBucket::new(1000);
     assert_eq!(bucket.take(500, Millis(100)), Millis::ZERO);
     assert_eq!(bucket.take(500, Millis(100)), Millis(500));
     bucket.set_rate(2000);
--- a/crates/filbertstack-weights/src/copy/pool.rs
+++ b/crates/filbertstack-weights/src/copy/pool.rs
@@ -15,7 +15,7 @@
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::chunks::ChunkIndex;
 use filbertstack_policy::spread::chunks::ChunkSet;
-use filbertstack_policy::spread::pace::Bucket;
+use filbertstack_policy::spread::pace::TokenBucket;
 use filbertstack_policy::spread::pull::NeighbourKey;
 use filbertstack_policy::spread::pull::PullConfig;
 use filbertstack_policy::spread::pull::RingPosition;
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 struct State {
     core: Core,
-    bucket: Bucket,
+    bucket: TokenBucket,
     events: Sender<CopyEvent>,
     stop: bool,
 }
@@ -70,7 +70,7 @@
     pub fn start(store: Arc<Store>, config: CopyConfig, events: Sender<CopyEvent>) -> Self {
         let state = State {
             core: Core::new(store.clone(), config.pull, config.seed),
-            bucket: Bucket::new(config.rate),
+            bucket: TokenBucket::new(config.rate),
             events,
             stop: false,
         };
