--- a/crates/filbertstack-entry/src/spread/copy.rs
+++ b/crates/filbertstack-entry/src/spread/copy.rs
@@ -15,8 +15,8 @@
 use filbertstack_policy::spread::grants::GrantConfig;
 use filbertstack_policy::spread::grants::Grants;
 use filbertstack_policy::spread::grants::ImportFrom;
+use filbertstack_policy::spread::plan::AssignedUpstream;
 use filbertstack_policy::spread::plan::Joined;
-use filbertstack_policy::spread::plan::Link;
 use filbertstack_policy::spread::plan::Plan;
 use filbertstack_policy::spread::plan::PlanConfig;
 use filbertstack_policy::spread::plan::Target;
@@ -322,7 +322,7 @@
         Some(row.addr.to_string())
     }
 
-    fn upstream(&self, link: &Link) -> Option<SpreadUpstream> {
+    fn upstream(&self, link: &AssignedUpstream) -> Option<SpreadUpstream> {
         Some(SpreadUpstream {
             addr: self.addr(link.target)?,
             region: link.position.proximity == Proximity::Region,
--- a/crates/filbertstack-policy/src/spread/plan.rs
+++ b/crates/filbertstack-policy/src/spread/plan.rs
@@ -64,7 +64,7 @@
 
 /// An upstream as the leader names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Link {
+pub struct AssignedUpstream {
     /// The upstream.
     pub target: TargetKey,
     /// Where it stands among the upstreams.
@@ -152,7 +152,7 @@
     }
 
     /// The upstreams of a target, the near ones first.
-    pub fn upstreams(&self, key: TargetKey) -> Vec<Link> {
+    pub fn upstreams(&self, key: TargetKey) -> Vec<AssignedUpstream> {
         let mut seen = BTreeSet::new();
         let mut links = self.links(key, Ring::before);
         links.retain(|link| seen.insert(link.target));
@@ -167,7 +167,11 @@
         unique.into_iter().filter(is_upstream).collect()
     }
 
-    fn links(&self, key: TargetKey, side: fn(&Ring, TargetKey, usize) -> Vec<Seated>) -> Vec<Link> {
+    fn links(
+        &self,
+        key: TargetKey,
+        side: fn(&Ring, TargetKey, usize) -> Vec<Seated>,
+    ) -> Vec<AssignedUpstream> {
         let Some(target) = self.targets.get(key) else {
             return Vec::new();
         };
@@ -197,13 +201,13 @@
 }
 
 impl Seated {
-    fn link(self, proximity: Proximity) -> Link {
+    fn link(self, proximity: Proximity) -> AssignedUpstream {
         let position = RingPosition {
             proximity,
             place: self.place,
             places: self.places,
         };
         let target = self.target;
-        Link { target, position }
+        AssignedUpstream { target, position }
     }
 }
