--- a/crates/filbertstack-entry/src/spread/copy.rs
+++ b/crates/filbertstack-entry/src/spread/copy.rs
@@ -252,7 +252,7 @@
         let chunk = id(self.root, place);
         match self.tokens(place).ask(chunk, key, now) {
             Answer::Granted(grant) => self.give(grant),
-            Answer::Ask(holder) => {
+            Answer::Holder(holder) => {
                 if let Some(row) = self.row(key)
                     && row.extra.insert(holder)
                 {
--- a/crates/filbertstack-policy/src/spread/grants.rs
+++ b/crates/filbertstack-policy/src/spread/grants.rs
@@ -82,7 +82,7 @@
     /// It may bring it in itself.
     Granted(Grant),
     /// This instance has brought it in: take it as an upstream.
-    Ask(TargetKey),
+    Holder(TargetKey),
     /// It is on its way: ask again after this long.
     Wait {
         /// The wait.
@@ -289,7 +289,7 @@
                 let (first, count) = asked.unwrap_or((now, 0));
                 match ((first + lease).since(now), count) {
                     (Millis::ZERO, _) => self.grant_again(&home, chunk, by, now),
-                    (_, ..=SENT) => Answer::Ask(holder),
+                    (_, ..=SENT) => Answer::Holder(holder),
                     (after, _) => Answer::Wait { after },
                 }
             }
--- a/crates/filbertstack-policy/tests/spread_leader.rs
+++ b/crates/filbertstack-policy/tests/spread_leader.rs
@@ -209,8 +209,14 @@
         .filter(|key| *key != grant.to)
         .collect();
     let at = |secs| Millis::secs(secs);
-    assert_eq!(tokens.ask(chunk, others[0], at(1)), Answer::Ask(grant.to));
-    assert_eq!(tokens.ask(chunk, others[1], at(1)), Answer::Ask(grant.to));
+    assert_eq!(
+        tokens.ask(chunk, others[0], at(1)),
+        Answer::Holder(grant.to)
+    );
+    assert_eq!(
+        tokens.ask(chunk, others[1], at(1)),
+        Answer::Holder(grant.to)
+    );
     let after = at(9);
     assert_eq!(tokens.ask(chunk, others[0], at(2)), Answer::Wait { after });
     let again = tokens.ask(chunk, others[0], at(11));
--- a/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
@@ -80,7 +80,7 @@
         let digest = self.digests[chunk as usize];
         match self.tokens.ask(digest, self.nodes[at].key, now) {
             Answer::Granted(grant) => self.take_grant(grant),
-            Answer::Ask(holder) => {
+            Answer::Holder(holder) => {
                 let holder = self.index[&holder];
                 let (proximity, place, places) = (Proximity::Region, 0, 1);
                 let position = RingPosition {
