--- a/crates/filbertstack-policy/src/spread.rs
+++ b/crates/filbertstack-policy/src/spread.rs
@@ -1,23 +1,24 @@
-//! Who fetches which chunk of a version from whom.
+//! Distribution of weights: which instance fetches which chunk of a version, and from which source.
 //!
-//! Load pattern: a new version is wanted by hundreds of instances at one moment, while the
-//! origin's link carries about four copies and each instance's link about two in the window that
-//! operators wait. Without a plan every instance asks the origin, and a thousand of them wait 250
-//! windows; with whole copies handed down a tree the inner instances' links are the limit.
+//! Load pattern: hundreds of instances want a new version at the same time. Within the window that
+//! operators accept as waiting time, the origin's link carries about four copies and an instance's
+//! link about two. Without a plan, every instance asks the origin, and a thousand instances wait
+//! 250 windows. If whole copies pass down a tree instead, the links of the inner instances are the
+//! limit.
 //!
-//! The work is split so that nothing needs every node to know every other:
+//! The work is divided so that no node has to know all others:
 //!
-//! - [`plan`]: the leader gives each target a few upstreams, O(1) for each target, and again when
-//!   one joins, leaves or is given up.
-//! - [`grants`]: the leader grants who may pull a chunk from outside a region, so that a chunk
-//!   leaves the origin once whoever asks.
-//! - [`pull`]: each agent decides what to request next from which upstream, from what its
-//!   upstreams announced and how they fared.
-//! - [`serve`]: each agent decides which of the requests that wait gets its next upload slot.
-//! - [`pace`]: each agent decides how much of its link weights may take beside live requests.
-//! - [`chunks`]: sets of chunks, as agents hold and announce them.
+//! - [`plan`]: the leader assigns a few upstreams to each target, at a cost of O(1) per target, and
+//!   assigns them again when a target joins, leaves or is given up.
+//! - [`grants`]: the leader grants the right to fetch a chunk from outside a region, so that a
+//!   chunk leaves the origin only once, however many instances ask for it.
+//! - [`pull`]: each agent decides which chunk to request next from which upstream, based on what
+//!   its upstreams announced and how reliable and fast they were.
+//! - [`serve`]: each agent decides which waiting request gets its next upload slot.
+//! - [`pace`]: each agent decides how much of its link weights may use beside live requests.
+//! - [`chunks`]: the sets of chunks that agents hold and announce.
 //!
-//! docs/design/weights.md weighs the ways and gives the figures.
+//! docs/design/weights.md compares the alternatives and gives the figures.
 
 pub mod chunks;
 pub mod grants;
--- a/crates/filbertstack-policy/src/spread/chunks.rs
+++ b/crates/filbertstack-policy/src/spread/chunks.rs
@@ -1,24 +1,24 @@
-//! Sets of chunks by their index.
+//! Sets of chunks, identified by their index.
 
 use thiserror::Error;
 
-/// The bits of a word.
-const BITS: usize = 64;
+/// The number of bits in a word.
+const WORD_BITS: usize = 64;
 
-/// The index of a chunk in a manifest, or in an agent's catalogue of several.
+/// The index of a chunk in a manifest, or in an agent's catalogue of several manifests.
 pub type ChunkIndex = u32;
 
-/// An announced set that does not fit the version.
+/// An announced set does not fit the version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("a set of {got} bytes does not fit {len} chunks: the sender announces another version")]
 pub struct SetError {
-    /// The chunks of the version.
+    /// The number of chunks of the version.
     pub len: usize,
-    /// The bytes that came.
+    /// The number of bytes received.
     pub got: usize,
 }
 
-/// A set of chunk indices below a fixed length.
+/// A set of chunk indices below an upper bound, stored as a bitmap.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChunkSet {
     words: Vec<u64>,
@@ -27,16 +27,16 @@
 }
 
 impl ChunkSet {
-    /// The empty set of indices below `len`.
+    /// Creates an empty set of indices below `len`.
     pub fn new(len: usize) -> Self {
         Self {
-            words: vec![0; len.div_ceil(BITS)],
+            words: vec![0; len.div_ceil(WORD_BITS)],
             len,
             count: 0,
         }
     }
 
-    /// The set of all indices below `len`.
+    /// Creates a set of all indices below `len`.
     pub fn full(len: usize) -> Self {
         let mut set = Self::new(len);
         for at in 0..len {
@@ -45,97 +45,102 @@
         set
     }
 
-    /// Raises the length to `len`; the new indices are not in the set.
+    /// Raises the upper bound to `len`. The new indices are not in the set.
     pub fn grow(&mut self, len: usize) {
         self.len = self.len.max(len);
-        self.words.resize(self.len.div_ceil(BITS), 0);
+        self.words.resize(self.len.div_ceil(WORD_BITS), 0);
     }
 
-    /// The bound of the indices.
+    /// Returns the upper bound of the indices.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// The number of indices in the set.
+    /// Returns the number of indices in the set.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// Whether no index is in the set.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Whether `chunk` is in the set.
+    /// Returns whether `chunk` is in the set.
     pub fn contains(&self, chunk: ChunkIndex) -> bool {
         let at = chunk as usize;
-        let word = self.words.get(at / BITS);
-        word.is_some_and(|word| word >> (at % BITS) & 1 == 1)
+        let word = self.words.get(at / WORD_BITS);
+        word.is_some_and(|word| word >> (at % WORD_BITS) & 1 == 1)
     }
 
-    /// Adds `chunk`; false if it was in the set or is out of bounds.
+    /// Adds `chunk`. Returns false if it was in the set already or is out of bounds.
     pub fn insert(&mut self, chunk: ChunkIndex) -> bool {
         let at = chunk as usize;
         if at >= self.len || self.contains(chunk) {
             return false;
         }
-        self.words[at / BITS] |= 1 << (at % BITS);
+        self.words[at / WORD_BITS] |= 1 << (at % WORD_BITS);
         self.count += 1;
         true
     }
 
-    /// Takes `chunk` out; false if it was not in the set.
+    /// Removes `chunk`. Returns false if it was not in the set.
     pub fn remove(&mut self, chunk: ChunkIndex) -> bool {
         if !self.contains(chunk) {
             return false;
         }
         let at = chunk as usize;
-        self.words[at / BITS] &= !(1 << (at % BITS));
+        self.words[at / WORD_BITS] &= !(1 << (at % WORD_BITS));
         self.count -= 1;
         true
     }
 
-    /// The indices in the set, rising.
+    /// Returns the indices in the set in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = ChunkIndex> {
-        self.words.iter().enumerate().flat_map(|(at, &word)| Ones {
-            word,
-            base: index(at * BITS),
-        })
+        self.words
+            .iter()
+            .enumerate()
+            .flat_map(|(at, &word)| SetBits {
+                word,
+                base: index(at * WORD_BITS),
+            })
     }
 
-    /// The indices in this set, in `wanted` and in neither of the others, rising.
+    /// Returns the indices that are in this set and in `wanted`, but neither in `held` nor in
+    /// `in_flight`, in ascending order.
     pub fn useful<'s>(
         &'s self,
         wanted: &'s Self,
         held: &'s Self,
-        coming: &'s Self,
+        in_flight: &'s Self,
     ) -> impl Iterator<Item = ChunkIndex> + 's {
         let sets = self.words.iter().zip(&wanted.words);
-        let sets = sets.zip(held.words.iter().zip(&coming.words));
+        let sets = sets.zip(held.words.iter().zip(&in_flight.words));
         sets.enumerate()
-            .flat_map(|(at, ((has, wants), (held, coming)))| Ones {
-                word: has & wants & !held & !coming,
-                base: index(at * BITS),
+            .flat_map(|(at, ((has, wants), (held, in_flight)))| SetBits {
+                word: has & wants & !held & !in_flight,
+                base: index(at * WORD_BITS),
             })
     }
 
-    /// Whether every index of `other` is in this set.
+    /// Returns whether this set contains every index of `other`.
     pub fn covers(&self, other: &Self) -> bool {
         let rest = other.words.iter().enumerate();
         rest.map(|(at, word)| word & !self.words.get(at).copied().unwrap_or(0))
             .all(|missing| missing == 0)
     }
 
-    /// The set as bytes, eight indices in each, the lowest in the lowest bit.
+    /// Returns the set as a bitmap: eight indices per byte, the lowest index in the lowest bit.
     pub fn to_bytes(&self) -> Vec<u8> {
         let bytes = self.words.iter().flat_map(|word| word.to_le_bytes());
         bytes.take(self.len.div_ceil(8)).collect()
     }
 
-    /// Reads a set of indices below `len`.
+    /// Parses a bitmap of indices below `len`.
     ///
     /// # Errors
-    /// [`SetError`] if the bytes are too many or too few, or name an index out of bounds.
+    /// Returns [`SetError`] if there are too many or too few bytes, or if an index is out of
+    /// bounds.
     pub fn from_bytes(len: usize, bytes: &[u8]) -> Result<Self, SetError> {
         let wrong = SetError {
             len,
@@ -145,14 +150,14 @@
             return Err(wrong);
         }
         let mut set = Self::new(len);
-        for (at, part) in bytes.chunks(BITS / 8).enumerate() {
-            let mut word = [0; BITS / 8];
+        for (at, part) in bytes.chunks(WORD_BITS / 8).enumerate() {
+            let mut word = [0; WORD_BITS / 8];
             word[..part.len()].copy_from_slice(part);
             set.words[at] = u64::from_le_bytes(word);
         }
-        let spare = set.words.len() * BITS - len;
+        let spare = set.words.len() * WORD_BITS - len;
         let last = set.words.last().copied().unwrap_or(0);
-        if spare > 0 && last >> (BITS - spare) != 0 {
+        if spare > 0 && last >> (WORD_BITS - spare) != 0 {
             return Err(wrong);
         }
         set.count = set.iter().count();
@@ -164,13 +169,13 @@
     ChunkIndex::try_from(at).unwrap_or(ChunkIndex::MAX)
 }
 
-/// The set bits of one word.
-struct Ones {
+/// Iterates over the set bits of one word.
+struct SetBits {
     word: u64,
     base: ChunkIndex,
 }
 
-impl Iterator for Ones {
+impl Iterator for SetBits {
     type Item = ChunkIndex;
 
     fn next(&mut self) -> Option<ChunkIndex> {
