--- a/crates/filbertstack-policy/src/spread/pull.rs
+++ b/crates/filbertstack-policy/src/spread/pull.rs
@@ -1,13 +1,13 @@
-//! What an agent requests next, and from which upstream.
+//! The requests of an agent: which chunk to request next, and from which upstream.
 //!
-//! Load pattern: all instances of a pool want the same chunks at the same moment. An agent knows
-//! only what its few upstreams announced. Asking them in a fixed order would leave most upload
-//! slots idle; asking for chunks in a fixed order would make all agents hold the same ones, with
-//! nothing to give each other. So upstreams take turns, and the chunk that fewest of them hold
-//! goes first.
+//! Load pattern: all instances of a pool want the same chunks at the same time. An agent knows only
+//! what its few upstreams announced. If agents asked their upstreams in a fixed order, most upload
+//! slots would be idle. If they requested chunks in a fixed order, all of them would hold the same
+//! chunks and have none to exchange. So upstreams take turns, and the chunk that the fewest
+//! upstreams hold is requested first.
 //!
-//! [`PullScheduler`] covers all versions on an instance: its indices are places in the agent's catalogue of
-//! distinct chunks, so that a chunk of two versions is requested once.
+//! [`PullScheduler`] covers all versions on an instance. Its indices refer to the agent's catalogue
+//! of distinct chunks, so that a chunk of two versions is requested only once.
 
 mod neighbour;
 mod turns;
@@ -26,85 +26,89 @@
 
 pub use neighbour::Proximity;
 pub use neighbour::RingPosition;
-pub use turns::Turns;
+pub use turns::TurnClock;
 
 new_key_type! {
-    /// An upstream of this instance.
+    /// The key of an upstream of this instance.
     pub struct NeighbourKey;
-    /// A transfer in progress.
+    /// The key of a transfer in progress.
     pub struct TransferKey;
 }
 
-/// What a failed transfer says of its source.
+/// The fault of a source that made a transfer fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It has no free slot now.
+    /// The source has no free slot now.
     Busy {
-        /// When to ask again.
+        /// The time to wait before asking again.
         after: Millis,
     },
-    /// It does not hold the chunk.
+    /// The source does not hold the chunk.
     Missing,
-    /// It was too slow or stood still.
+    /// The transfer was too slow or stalled.
     Stalled,
-    /// It cannot be reached or broke off.
+    /// The source cannot be reached, or the connection broke.
     Down,
-    /// It serves another version of the file.
+    /// The source serves another version of the file.
     Stale,
-    /// It answered with another range or length than asked for.
+    /// The source answered with another range or length than requested.
     Wrong,
-    /// It sent bytes that are not the chunk.
+    /// The source sent bytes that do not match the chunk.
     Corrupt,
 }
 
 /// The limits of an agent's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PullConfig {
-    /// The most transfers at once.
+    /// The maximum number of concurrent transfers.
     pub max_transfers: usize,
-    /// A transfer that takes longer is given up, a backstop behind the source's own limits.
-    pub stall: Millis,
-    /// A transfer that takes longer may be doubled from another upstream when nothing else is
-    /// left to request.
-    pub double: Millis,
-    /// An agent that found nothing to request for this long asks the leader.
-    pub patience: Millis,
-    /// The span of a turn: about the time of a chunk on an instance's link, and long beside a
-    /// round trip.
+    /// The time after which a transfer is given up. It is a fallback behind the source's own
+    /// limits.
+    pub transfer_timeout: Millis,
+    /// The time after which a chunk may be requested from a second upstream, if there is nothing
+    /// else left to request.
+    pub duplicate_after: Millis,
+    /// The time without a possible request after which the agent asks the leader.
+    pub escalate_after: Millis,
+    /// The length of a turn. It is about the transfer time of a chunk on an instance's link, and
+    /// long compared with a round trip.
     pub turn_length: Millis,
 }
 
 impl Default for PullConfig {
-    /// Four slots hide a round trip of 2 ms behind a chunk of 4 MiB at 10 Gbit/s (3.4 ms). 30 s
-    /// for a chunk is 1 Mbit/s, under which an upstream is of no help. A turn of 50 ms is 25 round
-    /// trips, so that clocks a round trip apart agree on it nearly always.
+    /// Returns the default limits.
+    ///
+    /// Four transfers hide a round trip of 2 ms behind a chunk of 4 MiB at 10 Gbit/s (3.4 ms). A
+    /// timeout of 30 s per chunk corresponds to 1 Mbit/s, and a slower upstream is of no use. A
+    /// turn of 50 ms is 25 round trips, so that clocks that differ by a round trip nearly always
+    /// agree on the turn.
     fn default() -> Self {
         Self {
             max_transfers: 4,
-            stall: Millis::secs(30),
-            double: Millis::secs(3),
-            patience: Millis::secs(5),
+            transfer_timeout: Millis::secs(30),
+            duplicate_after: Millis::secs(3),
+            escalate_after: Millis::secs(5),
             turn_length: Millis(50),
         }
     }
 }
 
-/// Where a chunk is requested.
+/// The source of a requested chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Upstream {
-    /// At a neighbour.
+    /// An upstream in the mesh.
     Neighbour(NeighbourKey),
-    /// Outside of the mesh, as a token of the leader allows: the weight store, the origin or an
+    /// A source outside the mesh that the leader granted: the weight store, the origin or an
     /// instance of another region.
     Import,
 }
 
-/// One request to send.
+/// A request to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChunkRequest {
-    /// Names the transfer in [`PullScheduler::completed`] and [`PullScheduler::failed`].
+    /// The key of the transfer for [`PullScheduler::completed`] and [`PullScheduler::failed`].
     pub transfer: TransferKey,
-    /// The upstream.
+    /// The source of the chunk.
     pub from: Upstream,
     /// The chunk.
     pub chunk: ChunkIndex,
@@ -117,82 +121,83 @@
     since: Millis,
 }
 
-/// The requests of one agent.
+/// The scheduler of one agent's requests.
 #[derive(Debug)]
 pub struct PullScheduler {
     config: PullConfig,
     seed: u64,
-    turns: Turns,
+    turns: TurnClock,
     held: ChunkSet,
     wanted: ChunkSet,
-    /// The chunks of the transfers.
-    coming: ChunkSet,
+    /// The chunks of the transfers in progress.
+    in_flight: ChunkSet,
     transfers: SlotMap<TransferKey, Transfer>,
     neighbours: SlotMap<NeighbourKey, Neighbour>,
-    /// How many neighbours announced each chunk.
+    /// The number of neighbours that announced each chunk.
     copies: Vec<u32>,
     imports: VecDeque<ChunkIndex>,
-    /// Counts the requests, so that upstreams of equal rank are asked by turns.
-    asked: u64,
-    /// Since when nothing could be requested while something was missing.
-    idle: Option<Millis>,
+    /// The number of requests so far. It lets upstreams of equal rank take turns.
+    request_count: u64,
+    /// The time since which no request was possible although chunks were missing.
+    idle_since: Option<Millis>,
 }
 
 impl PullScheduler {
-    /// The requests of an agent that wants nothing yet; `seed` differs between agents, so that
-    /// equals do not all choose alike.
+    /// Creates a scheduler without wanted chunks. `seed` differs between agents, so that they break
+    /// ties differently.
     pub fn new(config: PullConfig, seed: u64) -> Self {
         Self {
             config,
             seed,
-            turns: Turns::new(config.turn_length),
+            turns: TurnClock::new(config.turn_length),
             held: ChunkSet::default(),
             wanted: ChunkSet::default(),
-            coming: ChunkSet::default(),
+            in_flight: ChunkSet::default(),
             transfers: SlotMap::with_key(),
             neighbours: SlotMap::with_key(),
             copies: Vec::new(),
             imports: VecDeque::new(),
-            asked: 0,
-            idle: None,
+            request_count: 0,
+            idle_since: None,
         }
     }
 
-    /// Raises the catalogue to `len` chunks.
+    /// Extends the catalogue to `len` chunks.
     pub fn grow(&mut self, len: usize) {
         self.held.grow(len);
         self.wanted.grow(len);
-        self.coming.grow(len);
+        self.in_flight.grow(len);
         self.copies.resize(self.held.len(), 0);
         for neighbour in self.neighbours.values_mut() {
-            neighbour.view.grow(len);
+            neighbour.announced.grow(len);
         }
     }
 
-    /// Wants `chunk` from now on.
+    /// Marks `chunk` as wanted.
     pub fn want(&mut self, chunk: ChunkIndex) {
         self.wanted.insert(chunk);
     }
 
-    /// Wants `chunk` no more; a transfer of it under way may end.
+    /// Marks `chunk` as no longer wanted. A transfer in progress may complete.
     pub fn unwant(&mut self, chunk: ChunkIndex) {
         self.wanted.remove(chunk);
         self.imports.retain(|&import| import != chunk);
     }
 
-    /// Takes note that `chunk` is in the store, wherever it came from.
+    /// Records that `chunk` is in the store, whatever its source was.
     pub fn hold(&mut self, chunk: ChunkIndex) {
         self.held.insert(chunk);
     }
 
-    /// Takes note that `chunk` is not in the store any more.
+    /// Records that `chunk` is no longer in the store.
     pub fn lose(&mut self, chunk: ChunkIndex) {
         self.held.remove(chunk);
     }
 
-    /// Forgets all of `chunk`, so that its index can name another; false while it is in transfer.
+    /// Removes all state of `chunk`, so that its index can be reused for another chunk. Returns
+    /// false while a transfer of it is in progress.
     pub fn clear(&mut self, chunk: ChunkIndex) -> bool {
-        if self.coming.contains(chunk) {
+        if self.in_flight.contains(chunk) {
             return false;
         }
         self.unwant(chunk);
@@ -204,18 +209,18 @@
         true
     }
 
-    /// Adds an upstream, which has announced nothing yet.
+    /// Adds an upstream, which has not announced any chunk yet.
     pub fn join(&mut self, position: RingPosition) -> NeighbourKey {
-        let view = ChunkSet::new(self.held.len());
-        self.neighbours.insert(Neighbour::new(position, view))
+        let announced = ChunkSet::new(self.held.len());
+        self.neighbours.insert(Neighbour::new(position, announced))
     }
 
-    /// Removes an upstream; its transfers are requested elsewhere.
+    /// Removes an upstream. The chunks of its transfers are requested elsewhere.
     pub fn leave(&mut self, key: NeighbourKey) {
         let Some(gone) = self.neighbours.remove(key) else {
             return;
         };
-        for chunk in gone.view.iter() {
+        for chunk in gone.announced.iter() {
             self.copies[chunk as usize] -= 1;
         }
         let from = Upstream::Neighbour(key);
@@ -225,38 +230,38 @@
             .collect();
         let keys: Vec<_> = transfers.into_iter().map(|(key, _)| key).collect();
         for transfer in keys {
-            self.take(transfer);
+            self.end_transfer(transfer);
         }
     }
 
-    /// Takes note of the mesh clock that a neighbour's message carried.
+    /// Takes the mesh clock from a neighbour's message.
     pub fn observe_clock(&mut self, clock: Millis, now: Millis) {
-        self.turns.hear(clock, now);
+        self.turns.observe(clock, now);
     }
 
-    /// The mesh clock for this agent's own messages.
+    /// Returns the mesh clock for this agent's own messages.
     pub fn clock(&self, now: Millis) -> Millis {
         self.turns.clock(now)
     }
 
-    /// Takes note that an upstream holds `chunk`.
+    /// Records that an upstream holds `chunk`.
     pub fn announce(&mut self, key: NeighbourKey, chunk: ChunkIndex) {
         let neighbour = self.neighbours.get_mut(key);
-        if neighbour.is_some_and(|neighbour| neighbour.view.insert(chunk)) {
+        if neighbour.is_some_and(|neighbour| neighbour.announced.insert(chunk)) {
             self.copies[chunk as usize] += 1;
         }
     }
 
-    /// Takes note that an upstream does not hold `chunk`.
+    /// Records that an upstream does not hold `chunk`.
     pub fn retract(&mut self, key: NeighbourKey, chunk: ChunkIndex) {
         let neighbour = self.neighbours.get_mut(key);
-        if neighbour.is_some_and(|neighbour| neighbour.view.remove(chunk)) {
+        if neighbour.is_some_and(|neighbour| neighbour.announced.remove(chunk)) {
             self.copies[chunk as usize] -= 1;
         }
     }
 
-    /// Allows this agent to bring `chunk` in from outside, as a token of the leader says; false if
-    /// it holds the chunk already and is to tell the leader so.
+    /// Allows this agent to fetch `chunk` from outside, as granted by the leader. Returns false if
+    /// the agent holds the chunk already and should report that to the leader.
     pub fn import(&mut self, chunk: ChunkIndex) -> bool {
         let missing = !self.held.contains(chunk);
         if missing {
@@ -265,24 +270,24 @@
         missing
     }
 
-    /// The next request, which is in flight from now on; `None` while there is nothing to request
-    /// or no free slot.
+    /// Returns the next request, which counts as in flight from now on. Returns `None` if there is
+    /// nothing to request or no free slot.
     pub fn next(&mut self, now: Millis) -> Option<ChunkRequest> {
         if self.transfers.len() >= self.config.max_transfers || self.is_complete() {
             return None;
         }
         let found = self.next_import().or_else(|| self.next_sole(now));
         let found = found.or_else(|| self.next_neighbour(now));
-        let found = found.or_else(|| self.next_double(now));
+        let found = found.or_else(|| self.next_duplicate(now));
         let Some((from, chunk)) = found else {
             self.note_idle(now);
             return None;
         };
-        self.idle = None;
-        self.coming.insert(chunk);
+        self.idle_since = None;
+        self.in_flight.insert(chunk);
         if let Upstream::Neighbour(key) = from {
-            self.asked += 1;
-            self.neighbours[key].depart(self.asked);
+            self.request_count += 1;
+            self.neighbours[key].start_transfer(self.request_count);
         }
         let since = now;
         let transfer = self.transfers.insert(Transfer { from, chunk, since });
@@ -295,25 +300,26 @@
 
     fn note_idle(&mut self, now: Millis) {
         if !self.transfers.is_empty() {
-            self.idle = None;
-        } else if self.idle.is_none() {
-            self.idle = Some(now);
+            self.idle_since = None;
+        } else if self.idle_since.is_none() {
+            self.idle_since = Some(now);
         }
     }
 
     fn next_import(&mut self) -> Option<(Upstream, ChunkIndex)> {
         while let Some(chunk) = self.imports.pop_front() {
-            if !self.held.contains(chunk) && !self.coming.contains(chunk) {
+            if !self.held.contains(chunk) && !self.in_flight.contains(chunk) {
                 return Some((Upstream::Import, chunk));
             }
         }
         None
     }
 
-    /// A chunk that only one upstream holds, and that one is slow.
+    /// Finds a chunk that only one, slow upstream holds.
     ///
-    /// Asked last, it would keep the chunk until nothing else is left to request: the symptom is
-    /// that all agents wait for the same chunk at the end. Its slow transfer leaves room beside it.
+    /// Slow upstreams are asked last, so this chunk would otherwise be left until nothing else
+    /// remains. The symptom is that all agents wait for the same chunk at the end. Its slow
+    /// transfer leaves room for others in parallel.
     fn next_sole(&self, now: Millis) -> Option<(Upstream, ChunkIndex)> {
         let slow = self.neighbours.iter().filter(|(_, n)| n.is_slow());
         let mut free = slow.filter(|(_, n)| n.is_free(now));
@@ -335,50 +341,53 @@
         })
     }
 
-    /// The chunk to get from a neighbour: the one that fewest neighbours hold, equals by chance.
+    /// Returns the chunk to request from a neighbour: the one that the fewest neighbours hold. Ties
+    /// are broken at random.
     ///
-    /// Without the chance all agents would take equals in the same order and hold the same ones.
+    /// Without randomness all agents would choose equal chunks in the same order and hold the same
+    /// ones.
     fn rarest(&self, neighbour: &Neighbour) -> Option<ChunkIndex> {
-        let view = &neighbour.view;
-        let useful = view.useful(&self.wanted, &self.held, &self.coming);
+        let announced = &neighbour.announced;
+        let useful = announced.useful(&self.wanted, &self.held, &self.in_flight);
         useful.min_by_key(|&chunk| (self.copies[chunk as usize], mix(self.seed, chunk)))
     }
 
-    /// A second transfer of a chunk that one slow upstream holds up at the end of a copy.
-    fn next_double(&self, now: Millis) -> Option<(Upstream, ChunkIndex)> {
-        let slow = |transfer: &&Transfer| now.since(transfer.since) > self.config.double;
+    /// Finds a second source for a chunk that one slow upstream delays at the end of a copy.
+    fn next_duplicate(&self, now: Millis) -> Option<(Upstream, ChunkIndex)> {
+        let slow = |transfer: &&Transfer| now.since(transfer.since) > self.config.duplicate_after;
         let mut late = self.transfers.values().filter(slow);
         late.find_map(|transfer| {
             let others = self.transfers.values();
             let transfers = others.filter(|other| other.chunk == transfer.chunk).count();
-            let has = |n: &Neighbour| n.is_free(now) && n.view.contains(transfer.chunk);
+            let has = |n: &Neighbour| n.is_free(now) && n.announced.contains(transfer.chunk);
             let other = self.neighbours.iter().find(|(_, n)| has(n));
             let (key, _) = other.filter(|_| transfers == 1)?;
             Some((Upstream::Neighbour(key), transfer.chunk))
         })
     }
 
-    /// Takes note that a transfer brought its chunk, verified, into the store; true if the chunk
-    /// is new.
+    /// Records that a transfer completed and its chunk is verified and stored. Returns true if the
+    /// chunk is new.
     pub fn completed(&mut self, key: TransferKey, now: Millis) -> bool {
-        let Some(transfer) = self.take(key) else {
+        let Some(transfer) = self.end_transfer(key) else {
             return false;
         };
         if let Upstream::Neighbour(from) = transfer.from {
             if let Some(neighbour) = self.neighbours.get_mut(from) {
-                neighbour.served(now.since(transfer.since));
+                neighbour.record_chunk(now.since(transfer.since));
             }
-            self.compare_speeds();
+            self.mark_slow();
         }
         self.held.insert(transfer.chunk)
     }
 
-    /// Takes note that a transfer failed.
+    /// Records that a transfer failed.
     ///
-    /// A busy upstream is asked again when it said; one that did wrong rests for longer each
-    /// time, and is not asked for the same chunk before it announces it again.
+    /// A busy upstream is asked again after the time that it gave. A faulty one pauses for longer
+    /// each time. If it did not deliver a valid chunk, it is not asked for that chunk until it
+    /// announces it again.
     pub fn failed(&mut self, key: TransferKey, fault: Fault, now: Millis) {
-        let Some(transfer) = self.take(key) else {
+        let Some(transfer) = self.end_transfer(key) else {
             return;
         };
         let Upstream::Neighbour(from) = transfer.from else {
@@ -391,13 +400,13 @@
             self.retract(from, transfer.chunk);
         }
         if let Some(neighbour) = self.neighbours.get_mut(from) {
-            neighbour.failed(fault, now);
+            neighbour.record_fault(fault, now);
         }
     }
 
-    /// Gives up the transfers that take too long; they are requested elsewhere.
+    /// Gives up the transfers that take too long. Their chunks are requested elsewhere.
     pub fn expire(&mut self, now: Millis) -> Vec<TransferKey> {
-        let late = |transfer: &Transfer| now.since(transfer.since) > self.config.stall;
+        let late = |transfer: &Transfer| now.since(transfer.since) > self.config.transfer_timeout;
         let transfers = self.transfers.iter();
         let late: Vec<_> = transfers
             .filter(|(_, transfer)| late(transfer))
@@ -409,61 +418,61 @@
         late
     }
 
-    /// A wanted chunk that no neighbour could give for [`PullConfig::patience`]: the leader is to
-    /// be asked for it. The next one comes after as long again.
+    /// Returns a wanted chunk that no neighbour provided for [`PullConfig::escalate_after`], to ask
+    /// the leader for it. The next one is returned after the same time again.
     pub fn escalate(&mut self, now: Millis) -> Option<ChunkIndex> {
-        let since = self.idle?;
-        if self.is_complete() || now.since(since) < self.config.patience {
+        let since = self.idle_since?;
+        if self.is_complete() || now.since(since) < self.config.escalate_after {
             return None;
         }
-        self.idle = Some(now);
+        self.idle_since = Some(now);
         let missing = |&chunk: &ChunkIndex| !self.held.contains(chunk);
         let wanted = self.wanted.iter().filter(missing);
         wanted.min_by_key(|&chunk| (self.copies(chunk), mix(self.seed, chunk)))
     }
 
-    fn take(&mut self, key: TransferKey) -> Option<Transfer> {
+    fn end_transfer(&mut self, key: TransferKey) -> Option<Transfer> {
         let transfer = self.transfers.remove(key)?;
         let other = self.transfers.values().any(|f| f.chunk == transfer.chunk);
         if !other {
-            self.coming.remove(transfer.chunk);
+            self.in_flight.remove(transfer.chunk);
         }
         if let Upstream::Neighbour(from) = transfer.from
             && let Some(neighbour) = self.neighbours.get_mut(from)
         {
-            neighbour.arrive();
+            neighbour.end_transfer();
         }
         Some(transfer)
     }
 
-    fn compare_speeds(&mut self) {
-        let known = self.neighbours.values().filter_map(Neighbour::pace);
-        let mut paces: Vec<_> = known.collect();
-        paces.sort_unstable();
-        let Some(&median) = paces.get(paces.len() / 2) else {
+    fn mark_slow(&mut self) {
+        let known = self.neighbours.values().filter_map(Neighbour::mean_time);
+        let mut times: Vec<_> = known.collect();
+        times.sort_unstable();
+        let Some(&median) = times.get(times.len() / 2) else {
             return;
         };
         for neighbour in self.neighbours.values_mut() {
-            neighbour.compare(median);
+            neighbour.compare_speed(median);
         }
     }
 
-    /// The chunks held.
+    /// Returns the chunks that the agent holds.
     pub fn held(&self) -> &ChunkSet {
         &self.held
     }
 
-    /// Whether every chunk wanted is held.
+    /// Returns whether the agent holds every wanted chunk.
     pub fn is_complete(&self) -> bool {
         self.held.covers(&self.wanted)
     }
 
-    /// How many neighbours announced `chunk`.
+    /// Returns the number of neighbours that announced `chunk`.
     pub fn copies(&self, chunk: ChunkIndex) -> u32 {
         self.copies.get(chunk as usize).copied().unwrap_or(0)
     }
 
-    /// The upstreams that failed so often that the leader is to name others in their place.
+    /// Returns the upstreams that failed so often that the leader should assign others instead.
     pub fn failing(&self) -> Vec<NeighbourKey> {
         let neighbours = self.neighbours.iter();
         let failing = neighbours.filter(|(_, neighbour)| neighbour.is_failing());
@@ -471,7 +480,7 @@
     }
 }
 
-/// Spreads `chunk` over all numbers, differently for each seed (Stafford's 64-bit finaliser).
+/// Hashes `chunk` with Stafford's 64-bit finaliser, differently for each seed.
 fn mix(seed: u64, chunk: ChunkIndex) -> u64 {
     let mut x = seed ^ u64::from(chunk).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/filbertstack-policy/src/spread/pull/neighbour.rs
+++ b/crates/filbertstack-policy/src/spread/pull/neighbour.rs
@@ -1,164 +1,164 @@
-//! What an agent knows of one upstream.
+//! An agent's record of one upstream.
 
 use filbertstack_core::Millis;
 
 use crate::spread::chunks::ChunkSet;
 use crate::spread::pull::Fault;
 
-/// The first rest after a fault; it doubles with each further one.
+/// The pause after a first fault. It doubles with each further fault.
 ///
-/// One corrupted chunk in a hundred is ordinary on a bad day, so that the first rest only costs
-/// the upstream a turn or two.
-const REST: Millis = Millis(500);
+/// One corrupted chunk in a hundred is normal on a bad day, so the first pause costs the upstream
+/// only a turn or two.
+const FIRST_PAUSE: Millis = Millis(500);
 
-/// The longest rest.
-const MAX_REST: Millis = Millis::secs(60);
+/// The upper limit of a pause.
+const MAX_PAUSE: Millis = Millis::secs(60);
 
-/// Strikes after which an upstream is to be replaced.
-const WORN: u32 = 4;
+/// The number of strikes after which an upstream should be replaced.
+const MAX_STRIKES: u32 = 4;
 
-/// Good chunks in a row that take one strike back.
-const FORGIVE: u32 = 4;
+/// The number of good chunks in a row that cancels one strike.
+const GOOD_PER_STRIKE: u32 = 4;
 
-/// An upstream that takes this many times the median of all is asked last.
-const SLOW: u64 = 3;
+/// An upstream whose chunks take this many times the median is asked last.
+const SLOW_FACTOR: u64 = 3;
 
-/// The weight of the newest time of a chunk: one in four.
-const SMOOTH: u64 = 4;
+/// The divisor of the moving average: the newest time of a chunk counts for one quarter.
+const SMOOTHING: u64 = 4;
 
-/// How far an upstream is, nearest first.
+/// The distance of an upstream, nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Proximity {
-    /// In the same availability zone.
+    /// The upstream is in the same availability zone.
     Zone,
-    /// In another zone of the region.
+    /// The upstream is in another zone of the region.
     Region,
 }
 
-/// Where an upstream stands among those of its ring, the same place at every instance.
+/// The position of an upstream among those of its ring. It is numbered alike on every instance.
 ///
-/// At turn `t` every instance prefers the upstream at place `t` modulo the number of places. All
-/// upstreams at one place are one stride away round the ring, so that each instance is preferred
-/// by exactly one other and no two ask the same.
+/// In turn `t`, every instance prefers the upstream at place `t` modulo the number of places. All
+/// upstreams with the same place are the same stride away round the ring, so each instance is
+/// preferred by exactly one other, and no two instances ask the same upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingPosition {
-    /// How far it is.
+    /// The distance of the upstream.
     pub proximity: Proximity,
-    /// Its place.
+    /// The place, counted from zero.
     pub place: u32,
     /// The number of places in the ring.
     pub places: u32,
 }
 
 impl RingPosition {
-    /// The turns until this place is preferred.
-    fn wait(self, turn: u64) -> u64 {
+    /// Returns the number of turns until this place is preferred.
+    fn turns_until(self, turn: u64) -> u64 {
         let places = u64::from(self.places.max(1));
         (u64::from(self.place) % places + places - turn % places) % places
     }
 }
 
-/// The order of upstreams, the lowest first.
+/// The sort key of upstreams. The lowest is asked first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     slow: bool,
     proximity: Proximity,
-    wait: u64,
-    asked: u64,
+    turns: u64,
+    last_request: u64,
 }
 
 #[derive(Debug)]
 pub(super) struct Neighbour {
     position: RingPosition,
-    /// The chunks it announced.
-    pub(super) view: ChunkSet,
-    flying: u32,
-    /// The count of requests at its last one.
-    asked: u64,
-    /// It is not asked before.
-    rest: Millis,
+    /// The chunks that the upstream announced.
+    pub(super) announced: ChunkSet,
+    in_flight: u32,
+    /// The agent's request count at the last request to this upstream.
+    last_request: u64,
+    /// The upstream is not asked before this time.
+    paused_until: Millis,
     strikes: u32,
-    good: u32,
-    pace: Option<Millis>,
+    good_chunks: u32,
+    mean_time: Option<Millis>,
     slow: bool,
 }
 
 impl Neighbour {
-    pub(super) fn new(position: RingPosition, view: ChunkSet) -> Self {
+    pub(super) fn new(position: RingPosition, announced: ChunkSet) -> Self {
         Self {
             position,
-            view,
-            flying: 0,
-            asked: 0,
-            rest: Millis::ZERO,
+            announced,
+            in_flight: 0,
+            last_request: 0,
+            paused_until: Millis::ZERO,
             strikes: 0,
-            good: 0,
-            pace: None,
+            good_chunks: 0,
+            mean_time: None,
             slow: false,
         }
     }
 
     pub(super) fn is_free(&self, now: Millis) -> bool {
-        self.flying == 0 && self.rest <= now
+        self.in_flight == 0 && self.paused_until <= now
     }
 
-    /// The order in which upstreams are asked: those at speed first, the near before the far,
-    /// then by the turn, then the one asked longest ago.
+    /// Returns the sort key of the upstream: fast ones come first, then the nearest, then the one
+    /// whose turn is next, then the one that was asked least recently.
     pub(super) fn rank(&self, turn: u64) -> Rank {
         let position = self.position;
         Rank {
             slow: self.slow,
             proximity: position.proximity,
-            wait: position.wait(turn),
-            asked: self.asked,
+            turns: position.turns_until(turn),
+            last_request: self.last_request,
         }
     }
 
-    pub(super) fn depart(&mut self, asked: u64) {
-        self.asked = asked;
-        self.flying += 1;
+    pub(super) fn start_transfer(&mut self, last_request: u64) {
+        self.last_request = last_request;
+        self.in_flight += 1;
     }
 
-    pub(super) fn arrive(&mut self) {
-        self.flying -= 1;
+    pub(super) fn end_transfer(&mut self) {
+        self.in_flight -= 1;
     }
 
-    pub(super) fn served(&mut self, took: Millis) {
-        let pace = self.pace.unwrap_or(took).0;
-        self.pace = Some(Millis((pace * (SMOOTH - 1) + took.0) / SMOOTH));
-        self.good += 1;
-        if self.good >= FORGIVE {
-            self.good = 0;
+    pub(super) fn record_chunk(&mut self, took: Millis) {
+        let mean_time = self.mean_time.unwrap_or(took).0;
+        self.mean_time = Some(Millis((mean_time * (SMOOTHING - 1) + took.0) / SMOOTHING));
+        self.good_chunks += 1;
+        if self.good_chunks >= GOOD_PER_STRIKE {
+            self.good_chunks = 0;
             self.strikes = self.strikes.saturating_sub(1);
         }
     }
 
-    pub(super) fn failed(&mut self, fault: Fault, now: Millis) {
-        let rest = match fault {
+    pub(super) fn record_fault(&mut self, fault: Fault, now: Millis) {
+        let pause = match fault {
             Fault::Busy { after } => after,
             Fault::Missing => Millis::ZERO,
             Fault::Stalled | Fault::Down | Fault::Stale | Fault::Wrong | Fault::Corrupt => {
                 self.strike()
             }
         };
-        self.rest = now + rest;
+        self.paused_until = now + pause;
     }
 
     fn strike(&mut self) -> Millis {
-        let rest = Millis(REST.0 << self.strikes.min(10)).min(MAX_REST);
+        let pause = Millis(FIRST_PAUSE.0 << self.strikes.min(10)).min(MAX_PAUSE);
         self.strikes += 1;
-        self.good = 0;
-        rest
+        self.good_chunks = 0;
+        pause
     }
 
-    pub(super) fn pace(&self) -> Option<Millis> {
-        self.pace
+    pub(super) fn mean_time(&self) -> Option<Millis> {
+        self.mean_time
     }
 
-    pub(super) fn compare(&mut self, median: Millis) {
+    pub(super) fn compare_speed(&mut self, median: Millis) {
         self.slow = self
-            .pace
-            .is_some_and(|pace| pace.0 > SLOW * median.0.max(1));
+            .mean_time
+            .is_some_and(|mean_time| mean_time.0 > SLOW_FACTOR * median.0.max(1));
     }
 
     pub(super) fn is_slow(&self) -> bool {
@@ -166,6 +166,6 @@
     }
 
     pub(super) fn is_failing(&self) -> bool {
-        self.strikes >= WORN
+        self.strikes >= MAX_STRIKES
     }
 }
--- a/crates/filbertstack-policy/src/spread/pull/turns.rs
+++ b/crates/filbertstack-policy/src/spread/pull/turns.rs
@@ -1,42 +1,45 @@
-//! The turns that all instances of a mesh take together.
+//! The turns that all instances of a mesh take in step.
 //!
-//! If every instance asked any of its upstreams, a third of the upload slots would be asked by
-//! nobody and others by three. When all prefer the same place of the ring at the same time, each
-//! is asked by one. That takes a common idea of time, but no common clock: each message carries
-//! the sender's mesh clock, and whoever is behind catches up. The fastest clock leads; that it is
-//! wrong does no harm, for only agreement counts.
+//! If every instance asked any of its upstreams, a third of the upload slots would get no request
+//! and others would get three. If all instances prefer the same place of the ring at the same time,
+//! each instance gets one request. That takes agreement on the time, but no synchronised clocks:
+//! each message carries the sender's mesh clock, and a receiver that is behind moves its own
+//! forward. The fastest clock wins. It does no harm that this clock is wrong, because only
+//! agreement matters.
 
 use filbertstack_core::Millis;
 
-/// A mesh clock, cut into turns.
+/// A mesh clock, divided into turns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turns {
-    span: Millis,
-    /// How far the mesh clock is ahead of this process's own.
-    ahead: Millis,
+pub struct TurnClock {
+    length: Millis,
+    /// The lead of the mesh clock over the clock of this process.
+    offset: Millis,
 }
 
-impl Turns {
-    /// A mesh clock that agrees with the process's own until another is heard.
-    pub fn new(span: Millis) -> Self {
+impl TurnClock {
+    /// Creates a mesh clock that equals the clock of this process until a message carries a later
+    /// one.
+    pub fn new(length: Millis) -> Self {
         Self {
-            span: span.max(Millis(1)),
-            ahead: Millis::ZERO,
+            length: length.max(Millis(1)),
+            offset: Millis::ZERO,
         }
     }
 
-    /// Takes note of the clock in a neighbour's message; one that is behind changes nothing.
-    pub fn hear(&mut self, clock: Millis, now: Millis) {
-        self.ahead = self.ahead.max(clock.since(now));
+    /// Moves the mesh clock forward to the clock in a neighbour's message. An earlier clock has no
+    /// effect.
+    pub fn observe(&mut self, clock: Millis, now: Millis) {
+        self.offset = self.offset.max(clock.since(now));
     }
 
-    /// The mesh clock.
+    /// Returns the mesh clock.
     pub fn clock(&self, now: Millis) -> Millis {
-        now + self.ahead
+        now + self.offset
     }
 
-    /// The number of the turn.
+    /// Returns the number of the current turn.
     pub fn turn(&self, now: Millis) -> u64 {
-        self.clock(now).0 / self.span.0
+        self.clock(now).0 / self.length.0
     }
 }
--- a/crates/filbertstack-policy/tests/spread_agent.rs
+++ b/crates/filbertstack-policy/tests/spread_agent.rs
@@ -14,16 +14,16 @@
 use filbertstack_policy::spread::pull::PullConfig;
 use filbertstack_policy::spread::pull::PullScheduler;
 use filbertstack_policy::spread::pull::RingPosition;
-use filbertstack_policy::spread::pull::Turns;
+use filbertstack_policy::spread::pull::TurnClock;
 use filbertstack_policy::spread::pull::Upstream;
 use filbertstack_policy::spread::serve::UploadRequest;
 use filbertstack_policy::spread::serve::next_upload;
 
 const CONFIG: PullConfig = PullConfig {
     max_transfers: 2,
-    stall: Millis::secs(30),
-    double: Millis::secs(3),
-    patience: Millis::secs(5),
+    transfer_timeout: Millis::secs(30),
+    duplicate_after: Millis::secs(3),
+    escalate_after: Millis::secs(5),
     turn_length: Millis(50),
 };
 
@@ -89,11 +89,11 @@
 
 #[test]
 fn the_fastest_mesh_clock_leads() {
-    let mut turns = Turns::new(Millis(50));
+    let mut turns = TurnClock::new(Millis(50));
     assert_eq!(turns.turn(Millis(149)), 2);
-    turns.hear(Millis(420), Millis(100));
+    turns.observe(Millis(420), Millis(100));
     assert_eq!(turns.clock(Millis(110)), Millis(430));
-    turns.hear(Millis(200), Millis(120));
+    turns.observe(Millis(200), Millis(120));
     assert_eq!(turns.turn(Millis(110)), 8);
 }
 
--- a/crates/filbertstack-policy/tests/spread_model/mesh.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh.rs
@@ -275,9 +275,9 @@
 fn limits() -> PullConfig {
     PullConfig {
         max_transfers: 4,
-        stall: Millis(300 * ROUND.0),
-        double: Millis(3 * ROUND.0),
-        patience: Millis(10 * ROUND.0),
+        transfer_timeout: Millis(300 * ROUND.0),
+        duplicate_after: Millis(3 * ROUND.0),
+        escalate_after: Millis(10 * ROUND.0),
         turn_length: ROUND,
     }
 }
