--- a/crates/filbertstack-policy/src/spread/plan.rs
+++ b/crates/filbertstack-policy/src/spread/plan.rs
@@ -1,11 +1,11 @@
-//! Which upstreams each target gets: a few, from the leader, O(1) for each target.
+//! The upstreams of each target. The leader assigns a few per target, at a cost of O(1) each.
 //!
-//! The targets of a region stand in a ring. Each has as upstreams the targets at fixed strides
-//! before it, and so serves the ones at the same strides after it: everybody uploads as much as
-//! they download, and no instance is asked by more than a few. The strides are powers of two
-//! below the ring's length, so that a chunk reaches all of it in logarithmically many hops.
-//! When regions have several zones and links between zones are dear, each zone has a ring of its
-//! own before the region's.
+//! The targets of a region form a ring. The upstreams of a target are the targets at fixed strides
+//! before it, so it serves the targets at the same strides after it. Each target uploads as much as
+//! it downloads, and only a few others send requests to an instance. The strides are powers of two
+//! below the length of the ring, so that a chunk reaches the whole ring in a logarithmic number of
+//! hops. If a region has several zones and traffic between zones is expensive, each zone has its
+//! own ring, which is preferred to the region's ring.
 
 mod ring;
 
@@ -27,33 +27,33 @@
 pub use ring::strides;
 
 new_key_type! {
-    /// A target in the leader's plan.
+    /// The key of a target in the leader's plan.
     pub struct TargetKey;
 }
 
-/// A target's place in the world.
+/// The name and location of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its name.
+    /// The name of the target.
     pub name: InstanceName,
-    /// Its availability zone.
+    /// The availability zone of the target.
     pub zone: ZoneName,
-    /// Its region.
+    /// The region of the target.
     pub region: RegionName,
 }
 
-/// The shape of the plan.
+/// The parameters of the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlanConfig {
-    /// The upstreams of a target in one ring.
+    /// The number of upstreams of a target in one ring.
     pub fanout: usize,
-    /// Whether each zone has a ring of its own, preferred to the region's.
+    /// Whether each zone has its own ring, which is preferred to the region's ring.
     pub zone_first: bool,
 }
 
 impl Default for PlanConfig {
-    /// Twelve strides keep a ring of 1,000 within three or four hops, and an agent's announcements
-    /// at 12 a chunk.
+    /// Returns a fanout of 12: with twelve strides, a chunk crosses a ring of 1,000 targets in
+    /// three or four hops, and an agent sends 12 announcements per chunk.
     fn default() -> Self {
         Self {
             fanout: 12,
@@ -62,23 +62,23 @@
     }
 }
 
-/// An upstream as the leader names it.
+/// An upstream that the leader assigns to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AssignedUpstream {
     /// The upstream.
     pub target: TargetKey,
-    /// Where it stands among the upstreams.
+    /// The position of the upstream in its ring.
     pub position: RingPosition,
 }
 
-/// What came of a target's joining.
+/// The result of adding a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Joined {
-    /// The target.
+    /// The key of the new target.
     pub key: TargetKey,
-    /// The targets that are to get new links, beside the new one: a dozen that have it as an
-    /// upstream, or all of a ring whose strides changed, which happens when its length passes a
-    /// power of two.
+    /// The other targets that need new upstreams. These are about a dozen targets that have the new
+    /// one as an upstream, or all targets of a ring whose strides changed. The latter happens when
+    /// the length of the ring passes a power of two.
     pub relink: Vec<TargetKey>,
 }
 
@@ -97,7 +97,7 @@
 }
 
 impl Plan {
-    /// A plan without targets.
+    /// Creates a plan without targets.
     pub fn new(config: PlanConfig) -> Self {
         Self {
             config,
@@ -125,7 +125,7 @@
         Joined { key, relink }
     }
 
-    /// Removes a target; the targets that had it as an upstream need new links.
+    /// Removes a target. Returns the targets that had it as an upstream and need new ones.
     pub fn leave(&mut self, key: TargetKey) -> Vec<TargetKey> {
         let orphans = self.downstreams(key);
         if let Some(target) = self.targets.remove(key) {
@@ -146,12 +146,12 @@
         }
     }
 
-    /// The target of a key.
+    /// Returns the target with a key.
     pub fn target(&self, key: TargetKey) -> Option<&Target> {
         self.targets.get(key)
     }
 
-    /// The upstreams of a target, the near ones first.
+    /// Returns the upstreams of a target, the nearest first.
     pub fn upstreams(&self, key: TargetKey) -> Vec<AssignedUpstream> {
         let mut seen = BTreeSet::new();
         let mut links = self.links(key, Ring::before);
@@ -159,7 +159,7 @@
         links
     }
 
-    /// The targets that have `key` as an upstream.
+    /// Returns the targets that have `key` as an upstream.
     pub fn downstreams(&self, key: TargetKey) -> Vec<TargetKey> {
         let links = self.links(key, Ring::after);
         let unique: BTreeSet<_> = links.into_iter().map(|link| link.target).collect();
@@ -170,18 +170,18 @@
     fn links(
         &self,
         key: TargetKey,
-        side: fn(&Ring, TargetKey, usize) -> Vec<Seated>,
+        side: fn(&Ring, TargetKey, usize) -> Vec<RingLink>,
     ) -> Vec<AssignedUpstream> {
         let Some(target) = self.targets.get(key) else {
             return Vec::new();
         };
         let names = self.ring_names(target).into_iter();
         let rings = names.filter_map(|name| Some((proximity(&name), self.rings.get(&name)?)));
-        let seated = rings.flat_map(|(proximity, ring)| {
-            let seats = side(ring, key, self.config.fanout).into_iter();
-            seats.map(move |seated| seated.link(proximity))
+        let assigned = rings.flat_map(|(proximity, ring)| {
+            let ring_links = side(ring, key, self.config.fanout).into_iter();
+            ring_links.map(move |link| link.assign(proximity))
         });
-        seated.collect()
+        assigned.collect()
     }
 }
 
@@ -192,16 +192,16 @@
     }
 }
 
-/// A target at a stride from another in one ring.
+/// A target at a stride from another target in one ring.
 #[derive(Clone, Copy, Debug)]
-struct Seated {
+struct RingLink {
     target: TargetKey,
     place: u32,
     places: u32,
 }
 
-impl Seated {
-    fn link(self, proximity: Proximity) -> AssignedUpstream {
+impl RingLink {
+    fn assign(self, proximity: Proximity) -> AssignedUpstream {
         let position = RingPosition {
             proximity,
             place: self.place,
--- a/crates/filbertstack-policy/src/spread/plan/ring.rs
+++ b/crates/filbertstack-policy/src/spread/plan/ring.rs
@@ -1,14 +1,14 @@
-//! A ring of targets with places that stay when others leave.
+//! A ring of targets. Each target keeps its place when others leave.
 
 use std::collections::BTreeMap;
 
-use crate::spread::plan::Seated;
+use crate::spread::plan::RingLink;
 use crate::spread::plan::TargetKey;
 
-/// The strides of a ring of `len` places, `fanout` at most: the powers of two, and three times
-/// each while there is room.
+/// Returns the strides of a ring of `len` places, `fanout` at most: the powers of two first, then
+/// three times each of them, then any others.
 ///
-/// With the powers of two alone, a chunk that every holder passes on at each turn reaches `len`
+/// With the powers of two alone, a chunk that every holder passes on in each turn reaches `len`
 /// instances in as many turns as `len` has binary digits.
 pub fn strides(len: usize, fanout: usize) -> Vec<usize> {
     let powers = (0..usize::BITS).map(|bit| 1 << bit);
@@ -33,7 +33,7 @@
 }
 
 impl Ring {
-    /// Takes the place of one that left, or a new one at the end.
+    /// Gives the target a free place, or a new one at the end.
     pub(super) fn join(&mut self, key: TargetKey) {
         let place = self.free.pop().unwrap_or_else(|| {
             self.slots.push(None);
@@ -43,7 +43,7 @@
         self.places.insert(key, place);
     }
 
-    /// The places, those of targets that left included.
+    /// Returns the number of places, including those of targets that left.
     pub(super) fn len(&self) -> usize {
         self.slots.len()
     }
@@ -59,43 +59,45 @@
         }
     }
 
-    /// The targets at the strides before `key`; over a gap the next one before it.
-    pub(super) fn before(&self, key: TargetKey, fanout: usize) -> Vec<Seated> {
+    /// Returns the targets at the strides before `key`. If a place is empty, the nearest target
+    /// before it is taken.
+    pub(super) fn before(&self, key: TargetKey, fanout: usize) -> Vec<RingLink> {
         let len = self.slots.len();
         self.at_strides(key, fanout, |place, stride| (place + len - stride) % len)
     }
 
-    /// The targets at the strides after `key`, and those that reach it over a gap.
-    pub(super) fn after(&self, key: TargetKey, fanout: usize) -> Vec<Seated> {
+    /// Returns the targets at the strides after `key`, and those that may reach `key` across empty
+    /// places.
+    pub(super) fn after(&self, key: TargetKey, fanout: usize) -> Vec<RingLink> {
         let len = self.slots.len();
         let Some(&place) = self.places.get(&key) else {
             return Vec::new();
         };
-        // Whoever counts back into the gap after `key` comes to `key`.
+        // A target that counts back to an empty place directly after `key` ends up at `key`.
         let gap = (1..len).take_while(|at| self.slots[(place + at) % len].is_none());
         let gap = gap.count();
         let mut found = Vec::new();
         for reach in 0..=gap {
             let ahead = |place: usize, stride: usize| (place + stride + reach) % len;
-            let at = self.exact(place, fanout, ahead);
+            let at = self.exact_strides(place, fanout, ahead);
             found.extend(at);
         }
         found
     }
 
-    fn exact(
+    fn exact_strides(
         &self,
         place: usize,
         fanout: usize,
         step: impl Fn(usize, usize) -> usize,
-    ) -> Vec<Seated> {
+    ) -> Vec<RingLink> {
         let strides = strides(self.slots.len(), fanout);
-        let places = count(strides.len());
-        let seats = strides.into_iter().enumerate();
-        let found = seats.filter_map(|(at, stride)| {
+        let places = to_u32(strides.len());
+        let numbered = strides.into_iter().enumerate();
+        let found = numbered.filter_map(|(at, stride)| {
             let target = self.slots[step(place, stride)]?;
-            let place = count(at);
-            Some(Seated {
+            let place = to_u32(at);
+            Some(RingLink {
                 target,
                 place,
                 places,
@@ -109,22 +111,22 @@
         key: TargetKey,
         fanout: usize,
         step: impl Fn(usize, usize) -> usize,
-    ) -> Vec<Seated> {
+    ) -> Vec<RingLink> {
         let Some(&from) = self.places.get(&key) else {
             return Vec::new();
         };
         let strides = strides(self.slots.len(), fanout);
-        let places = count(strides.len());
-        let seats = strides.into_iter().enumerate();
-        let found = seats.filter_map(|(at, stride)| {
+        let places = to_u32(strides.len());
+        let numbered = strides.into_iter().enumerate();
+        let found = numbered.filter_map(|(at, stride)| {
             let target = self.nearest_before(step(from, stride))?;
-            let place = count(at);
-            let seated = Seated {
+            let place = to_u32(at);
+            let link = RingLink {
                 target,
                 place,
                 places,
             };
-            (target != key).then_some(seated)
+            (target != key).then_some(link)
         });
         found.collect()
     }
@@ -135,6 +137,6 @@
     }
 }
 
-fn count(at: usize) -> u32 {
+fn to_u32(at: usize) -> u32 {
     u32::try_from(at).unwrap_or(u32::MAX)
 }
