--- a/crates/filbertstack-policy/src/spread/grants.rs
+++ b/crates/filbertstack-policy/src/spread/grants.rs
@@ -1,13 +1,14 @@
-//! Who may bring a chunk in from outside of a region.
+//! The grants to fetch chunks from outside a region.
 //!
 //! Load pattern: all instances of a pool, or eleven entries on their behalf, want the same chunk
-//! and none of them has it. Without a grant each would pull it from the origin, whose link carries
-//! four copies in the window. The leader grants each chunk once a region: one region's grant is
-//! for the origin (or the weight store before it), the others' for an instance that has it. So one
-//! copy leaves the origin and one crosses into each further region, whatever the number of targets.
+//! and none of them has it. Without grants each would fetch it from the origin, whose link carries
+//! four copies in the window. The leader grants each chunk once per region. The grant of one region
+//! is for the origin (or the weight store in front of it), and those of the other regions are for
+//! an instance that has the chunk. So one copy leaves the origin and one crosses into each further
+//! region, whatever the number of targets.
 //!
-//! A few grants are out at a time. With all of them out at once the origin would serve all chunks
-//! slowly together and none could be passed on before the end.
+//! Only a few grants are outstanding at a time. If all were outstanding at once, the origin would
+//! serve all chunks slowly in parallel, and no chunk could be passed on before the end.
 
 mod region;
 
@@ -23,26 +24,28 @@
 use region::Import;
 use region::Region;
 
-/// The agents that are sent to one that brought a chunk in: each passes it on in turn.
-const SENT: u32 = 2;
+/// The number of agents that are referred to an instance that holds a chunk. Each of them passes
+/// the chunk on in turn.
+const MAX_REFERRALS: u32 = 2;
 
 /// The limits of the grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantConfig {
-    /// What the copy is planned for.
+    /// The objective of the copy: a short time, or few bytes from the origin.
     pub weigh: Weigh,
-    /// The grants out at a time in each region.
-    pub window: usize,
-    /// How long a target may take to bring a chunk in.
+    /// The number of outstanding grants in each region.
+    pub max_outstanding: usize,
+    /// The time that a target has for fetching a granted chunk.
     pub lease: Millis,
 }
 
 impl GrantConfig {
-    /// The figures for a deployment.
+    /// Returns the limits for a deployment with this objective.
     ///
-    /// Four grants are two transfers on the origin's link, which is twice an instance's, and as
-    /// many on their way. 10 s are a hundred times the time of a chunk of 4 MiB at 320 Mbit/s.
-    /// Who weighs origin bytes waits three times as long before a chunk is pulled a second time.
+    /// Four grants are two transfers on the origin's link, which is twice as fast as an instance's,
+    /// and two more on their way. 10 s are a hundred times the transfer time of a 4 MiB chunk at
+    /// 320 Mbit/s. When origin bytes weigh more, the lease is three times as long, so that a chunk
+    /// is fetched a second time only after that.
     pub fn of(weigh: Weigh) -> Self {
         let lease = match weigh {
             Weigh::Time => Millis::secs(10),
@@ -50,103 +53,107 @@
         };
         Self {
             weigh,
-            window: 4,
+            max_outstanding: 4,
             lease,
         }
     }
 }
 
-/// Where a grant lets its holder get the chunk.
+/// The source that a grant allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ImportFrom {
-    /// The weight store, or the origin if the store has it not.
+    /// The weight store, or the origin if the store does not have the chunk.
     Origin,
     /// An instance of another region.
     Peer(TargetKey),
 }
 
-/// The permission to bring one chunk into a region.
+/// The permission to fetch one chunk into a region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Who may.
+    /// The target that may fetch the chunk.
     pub to: TargetKey,
     /// The chunk.
     pub chunk: Digest,
-    /// From where.
+    /// The source of the chunk.
     pub from: ImportFrom,
 }
 
-/// What an agent is told that finds a chunk nowhere.
+/// The reply to an agent that finds no source for a chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It may bring it in itself.
+    /// The agent may fetch the chunk itself.
     Granted(Grant),
-    /// This instance has brought it in: take it as an upstream.
+    /// This instance holds the chunk, and the agent should use it as an upstream.
     Holder(TargetKey),
-    /// It is on its way: ask again after this long.
+    /// The chunk is on its way, and the agent should ask again later.
     Wait {
-        /// The wait.
+        /// The time to wait before asking again.
         after: Millis,
     },
-    /// No version that is declared has this chunk.
+    /// No declared version has this chunk.
     Unknown,
 }
 
-/// The grants of one deployment's targets, as the leader keeps them.
+/// The leader's record of the grants to the targets of one deployment.
 #[derive(Debug)]
 pub struct Grants {
     config: GrantConfig,
     regions: BTreeMap<RegionName, Region>,
     homes: BTreeMap<TargetKey, RegionName>,
-    /// The region that each chunk reaches first.
-    chunks: BTreeMap<Digest, Option<RegionName>>,
-    origin: u64,
+    /// The region that gets each chunk from the origin, if one is chosen already.
+    first_regions: BTreeMap<Digest, Option<RegionName>>,
+    from_origin: u64,
 }
 
 impl Grants {
-    /// No grants yet.
+    /// Creates a record without targets, chunks or grants.
     pub fn new(config: GrantConfig) -> Self {
         Self {
             config,
             regions: BTreeMap::new(),
             homes: BTreeMap::new(),
-            chunks: BTreeMap::new(),
-            origin: 0,
+            first_regions: BTreeMap::new(),
+            from_origin: 0,
         }
     }
 
     /// Adds a target.
     pub fn join(&mut self, target: TargetKey, region: &RegionName) {
         self.homes.insert(target, region.clone());
-        let chunks = &self.chunks;
-        let fresh = || Region::new(chunks.keys().copied());
-        let region = self.regions.entry(region.clone()).or_insert_with(fresh);
+        let known = &self.first_regions;
+        let new_region = || Region::new(known.keys().copied());
+        let region = self
+            .regions
+            .entry(region.clone())
+            .or_insert_with(new_region);
         region.join(target);
     }
 
-    /// Removes a target; what it was to bring in is granted to others.
+    /// Removes a target. Its grants pass to other targets.
     ///
-    /// Chunks that it brought in a moment ago may be lost with it. Who weighs time has them granted
-    /// anew at once: else all targets would find out at the end of their copies and wait for the
-    /// same few chunks together. Who weighs origin bytes waits for that.
+    /// Chunks that it fetched a moment ago may be lost with it. If time weighs more, they are
+    /// granted again at once. Otherwise all targets would notice the loss at the end of their
+    /// copies and wait for the same few chunks together. If origin bytes weigh more, the chunks are
+    /// granted only after an agent asks for them.
     pub fn leave(&mut self, target: TargetKey, now: Millis) {
-        let fresh = match self.config.weigh {
+        let recent = match self.config.weigh {
             Weigh::Time => self.config.lease,
             Weigh::Origin => Millis::ZERO,
         };
         let home = self.homes.remove(&target);
         if let Some(region) = home.and_then(|home| self.regions.get_mut(&home)) {
-            region.leave(target, now, fresh);
+            region.leave(target, now, recent);
         }
     }
 
-    /// Adds the chunks of a version; those known already change nothing.
+    /// Adds the chunks of a version. Known chunks stay as they are.
     pub fn publish(&mut self, chunks: impl IntoIterator<Item = Digest>) {
         for chunk in chunks {
-            if self.chunks.contains_key(&chunk) {
+            if self.first_regions.contains_key(&chunk) {
                 continue;
             }
-            self.chunks.insert(chunk, None);
+            self.first_regions.insert(chunk, None);
             for region in self.regions.values_mut() {
                 region.publish(chunk);
             }
@@ -155,35 +162,36 @@
 
     /// Adds the chunks of a version that an earlier leader may have granted already.
     ///
-    /// A new leader knows no grant. It takes each chunk as granted until a lease from now, in
-    /// which the agents report what has landed; so that a change of leaders costs no second copy.
+    /// A new leader does not know the earlier grants. It treats each chunk as granted for the
+    /// duration of one lease, during which the agents report the chunks that they hold. A change of
+    /// leader thus causes no second copy.
     pub fn recover(&mut self, chunks: impl IntoIterator<Item = Digest>, now: Millis) {
         let until = now + self.config.lease;
         for chunk in chunks {
-            self.chunks.entry(chunk).or_insert(None);
+            self.first_regions.entry(chunk).or_insert(None);
             for region in self.regions.values_mut() {
                 region.recover(chunk, until);
             }
         }
     }
 
-    /// Removes the chunks of a version that is wanted no more.
+    /// Removes the chunks of a version that is no longer wanted.
     pub fn retire(&mut self, chunks: impl IntoIterator<Item = Digest>) {
         for chunk in chunks {
-            self.chunks.remove(&chunk);
+            self.first_regions.remove(&chunk);
             for region in self.regions.values_mut() {
                 region.retire(chunk);
             }
         }
     }
 
-    /// The grants to send now.
+    /// Returns the grants to send now.
     pub fn grant(&mut self, now: Millis) -> Vec<Grant> {
         let mut grants = Vec::new();
         let names: Vec<_> = self.regions.keys().cloned().collect();
         for name in names {
             self.region(&name).expire(now);
-            while let Some(grant) = self.grant_one(&name, now) {
+            while let Some(grant) = self.grant_next(&name, now) {
                 grants.push(grant);
             }
         }
@@ -192,12 +200,12 @@
 
     fn region(&mut self, name: &RegionName) -> &mut Region {
         let region = self.regions.get_mut(name);
-        region.expect("a region stays once a target has joined it")
+        region.expect("a region is kept after its first target joined")
     }
 
-    fn grant_one(&mut self, name: &RegionName, now: Millis) -> Option<Grant> {
-        let window = self.config.window;
-        if self.region(name).out() >= window {
+    fn grant_next(&mut self, name: &RegionName, now: Millis) -> Option<Grant> {
+        let max_outstanding = self.config.max_outstanding;
+        if self.region(name).outstanding() >= max_outstanding {
             return None;
         }
         let waiting: Vec<_> = self.region(name).queue().collect();
@@ -205,10 +213,10 @@
             .into_iter()
             .find_map(|chunk| Some((chunk, self.source(name, chunk)?)))?;
         let to = self.region(name).next_target()?;
-        Some(self.give(name, to, chunk, from, now))
+        Some(self.issue(name, to, chunk, from, now))
     }
 
-    fn give(
+    fn issue(
         &mut self,
         name: &RegionName,
         to: TargetKey,
@@ -217,17 +225,18 @@
         now: Millis,
     ) -> Grant {
         if from == ImportFrom::Origin {
-            self.origin += 1;
-            self.chunks.insert(chunk, Some(name.clone()));
+            self.from_origin += 1;
+            self.first_regions.insert(chunk, Some(name.clone()));
         }
         let until = now + self.config.lease;
-        self.region(name).give(chunk, to, now, until);
+        self.region(name).issue(chunk, to, now, until);
         Grant { to, chunk, from }
     }
 
-    /// Where a region may get a chunk now; `None` while another region is bringing it in.
+    /// Returns the source from which a region may fetch a chunk now, or `None` while another region
+    /// is fetching it.
     fn source(&self, name: &RegionName, chunk: Digest) -> Option<ImportFrom> {
-        let first = self.chunks.get(&chunk)?;
+        let first = self.first_regions.get(&chunk)?;
         if first.as_ref().is_none_or(|first| first == name) {
             return Some(
                 self.holder(chunk)
@@ -244,37 +253,37 @@
         )
     }
 
-    /// A live target of any region that has brought the chunk in.
+    /// Returns a live target of any region that has fetched the chunk.
     fn holder(&self, chunk: Digest) -> Option<TargetKey> {
         let mut regions = self.regions.values();
         regions.find_map(|region| region.holder(chunk))
     }
 
-    /// Takes note that a target has the chunk of its grant.
+    /// Records that a target holds a chunk.
     pub fn completed(&mut self, chunk: Digest, by: TargetKey, now: Millis) {
         let Some(home) = self.homes.get(&by).cloned() else {
             return;
         };
-        if self.chunks.contains_key(&chunk) {
+        if self.first_regions.contains_key(&chunk) {
             self.region(&home).completed(chunk, by, now);
         }
     }
 
-    /// Takes note that a target could not use its grant.
+    /// Records that a target could not use its grant.
     pub fn failed(&mut self, chunk: Digest, by: TargetKey) {
         if let Some(home) = self.homes.get(&by).cloned() {
             self.region(&home).failed(chunk, by);
         }
     }
 
-    /// Answers an agent that finds a chunk nowhere.
+    /// Replies to an agent that finds no source for a chunk.
     ///
-    /// The first that ask for a chunk that has landed are sent to the instance that holds it. It
-    /// is brought in again only if agents still ask a lease later, for a hundred agents that ask
-    /// at once say no more than one.
+    /// If the chunk has arrived, the first agents that ask are referred to the instance that holds
+    /// it. The chunk is fetched again only if agents still ask one lease later, because a hundred
+    /// agents that ask at once are no stronger sign of a loss than a single one.
     pub fn ask(&mut self, chunk: Digest, by: TargetKey, now: Millis) -> Answer {
         let home = self.homes.get(&by).cloned();
-        let (Some(home), true) = (home, self.chunks.contains_key(&chunk)) else {
+        let (Some(home), true) = (home, self.first_regions.contains_key(&chunk)) else {
             return Answer::Unknown;
         };
         let lease = self.config.lease;
@@ -283,17 +292,17 @@
             Import::Granted { until, .. } => Answer::Wait {
                 after: until.since(now).max(Millis(1)),
             },
-            Import::Landed {
+            Import::Arrived {
                 by: holder, asked, ..
             } if holder != by => {
                 let (first, count) = asked.unwrap_or((now, 0));
                 match ((first + lease).since(now), count) {
                     (Millis::ZERO, _) => self.grant_again(&home, chunk, by, now),
-                    (_, ..=SENT) => Answer::Holder(holder),
+                    (_, ..=MAX_REFERRALS) => Answer::Holder(holder),
                     (after, _) => Answer::Wait { after },
                 }
             }
-            Import::Landed { .. } | Import::Lost => self.grant_again(&home, chunk, by, now),
+            Import::Arrived { .. } | Import::Lost => self.grant_again(&home, chunk, by, now),
         }
     }
 
@@ -309,11 +318,11 @@
             let after = self.config.lease;
             return Answer::Wait { after };
         };
-        Answer::Granted(self.give(home, by, chunk, from, now))
+        Answer::Granted(self.issue(home, by, chunk, from, now))
     }
 
-    /// The grants given for the origin so far.
+    /// Returns the number of grants issued for the origin so far.
     pub fn origin_grants(&self) -> u64 {
-        self.origin
+        self.from_origin
     }
 }
--- a/crates/filbertstack-policy/src/spread/grants/region.rs
+++ b/crates/filbertstack-policy/src/spread/grants/region.rs
@@ -1,4 +1,4 @@
-//! The chunks of one region: which are wanted, on their way, or in.
+//! The state of each chunk in one region: queued, granted, arrived or lost.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -8,45 +8,46 @@
 
 use crate::spread::plan::TargetKey;
 
-/// A target that takes this many times the smoothed time of all brings in no further chunks while
-/// others can.
-const SLOW: u64 = 3;
+/// A target that takes this many times the smoothed time of all targets gets no further grants
+/// while other targets can take them.
+const SLOW_FACTOR: u64 = 3;
 
-/// The weight of the newest time: one in eight.
-const SMOOTH: u64 = 8;
+/// The divisor of the moving average: the newest time counts for one eighth.
+const SMOOTHING: u64 = 8;
 
-/// How far a chunk has come into a region.
+/// The state of a chunk's import into a region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Import {
-    /// It waits for a grant.
+    /// The chunk waits for a grant.
     Queued,
-    /// A target is to bring it in.
+    /// A target has a grant to fetch the chunk.
     Granted {
-        /// The target; `None` if an earlier leader granted it.
+        /// The target, or `None` if an earlier leader issued the grant.
         to: Option<TargetKey>,
-        /// When it was granted.
+        /// The time at which the grant was issued.
         since: Millis,
-        /// When the grant runs out.
+        /// The time at which the grant expires.
         until: Millis,
     },
-    /// A target has brought it in.
-    Landed {
+    /// A target has fetched the chunk into the region.
+    Arrived {
         /// The target.
         by: TargetKey,
-        /// When it had it.
+        /// The time at which the target had the chunk.
         at: Millis,
-        /// When it was first asked for since, and how often.
+        /// The time of the first request for the chunk since it arrived, and the number of
+        /// requests.
         asked: Option<(Millis, u32)>,
     },
-    /// The target that had brought it in is gone; others may have got it from there.
+    /// The target that fetched the chunk is gone. Other targets may have a copy from it.
     Lost,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Member {
     key: TargetKey,
-    /// The grants it holds.
-    out: usize,
+    /// The number of grants that the member holds.
+    outstanding: usize,
     slow: bool,
 }
 
@@ -55,9 +56,9 @@
     members: Vec<Member>,
     imports: BTreeMap<Digest, Import>,
     queue: VecDeque<Digest>,
-    out: usize,
+    outstanding: usize,
     cursor: usize,
-    pace: Option<u64>,
+    mean_time: Option<u64>,
 }
 
 impl Region {
@@ -66,26 +67,32 @@
             members: Vec::new(),
             imports: BTreeMap::new(),
             queue: VecDeque::new(),
-            out: 0,
+            outstanding: 0,
             cursor: 0,
-            pace: None,
+            mean_time: None,
         };
         chunks.for_each(|chunk| region.publish(chunk));
         region
     }
 
     pub(super) fn join(&mut self, key: TargetKey) {
-        let (out, slow) = (0, false);
-        self.members.push(Member { key, out, slow });
+        let (outstanding, slow) = (0, false);
+        self.members.push(Member {
+            key,
+            outstanding,
+            slow,
+        });
     }
 
-    /// Removes a member. Chunks that it brought in less than `fresh` ago are queued again.
-    pub(super) fn leave(&mut self, key: TargetKey, now: Millis, fresh: Millis) {
+    /// Removes a member. The chunks that it fetched less than `recent` ago are queued again.
+    pub(super) fn leave(&mut self, key: TargetKey, now: Millis, recent: Millis) {
         let imports = self.imports.iter();
         let touched: Vec<_> = imports
             .filter_map(|(&chunk, &import)| match import {
                 Import::Granted { to, .. } if to == Some(key) => Some((chunk, true)),
-                Import::Landed { by, at, .. } if by == key => Some((chunk, now.since(at) < fresh)),
+                Import::Arrived { by, at, .. } if by == key => {
+                    Some((chunk, now.since(at) < recent))
+                }
                 _ => None,
             })
             .collect();
@@ -108,7 +115,7 @@
         let (to, since) = (None, Millis::ZERO);
         let granted = Import::Granted { to, since, until };
         if self.imports.insert(chunk, granted).is_none() {
-            self.out += 1;
+            self.outstanding += 1;
         }
     }
 
@@ -118,7 +125,7 @@
         self.queue.retain(|&queued| queued != chunk);
     }
 
-    /// Puts back the chunks whose grants ran out.
+    /// Queues the chunks of expired grants again.
     pub(super) fn expire(&mut self, now: Millis) {
         let late =
             |import: &Import| matches!(import, Import::Granted { until, .. } if *until <= now);
@@ -133,7 +140,8 @@
         }
     }
 
-    /// Whoever let a grant run out gets the next ones last: it would hold up those too.
+    /// Marks the holder of an expired grant as slow, so that it gets further grants last. It would
+    /// delay those chunks too.
     fn mark_slow(&mut self, chunk: Digest) {
         let Some(&Import::Granted { to, .. }) = self.imports.get(&chunk) else {
             return;
@@ -144,7 +152,8 @@
         }
     }
 
-    /// The chunk goes to the head: others that came later have been passed on already.
+    /// Puts the chunk at the head of the queue, since chunks that were queued after it have been
+    /// granted already.
     fn requeue(&mut self, chunk: Digest) {
         self.end_grant(chunk);
         self.imports.insert(chunk, Import::Queued);
@@ -155,37 +164,38 @@
         let Some(&Import::Granted { to, .. }) = self.imports.get(&chunk) else {
             return;
         };
-        self.out -= 1;
+        self.outstanding -= 1;
         let mut members = self.members.iter_mut();
         if let Some(member) = members.find(|member| Some(member.key) == to) {
-            member.out -= 1;
+            member.outstanding -= 1;
         }
     }
 
-    pub(super) fn out(&self) -> usize {
-        self.out
+    pub(super) fn outstanding(&self) -> usize {
+        self.outstanding
     }
 
     pub(super) fn queue(&self) -> impl Iterator<Item = Digest> {
         self.queue.iter().copied()
     }
 
-    /// The target for the next grant: round the members, those at speed and free first.
+    /// Selects the target for the next grant. It goes round the members, and prefers fast ones and
+    /// those with the fewest grants.
     ///
-    /// The step through the members is near the golden section of their number, so that the few
-    /// grants out at a time are far apart in the ring and their chunks spread apart.
+    /// The step is close to the golden section of the number of members. The few outstanding grants
+    /// are thus far apart in the ring, and their chunks spread from distant places.
     pub(super) fn next_target(&mut self) -> Option<TargetKey> {
         let len = self.members.len();
         let step = (len * 5 / 8).max(1);
         let step = (step..=len + 1).find(|&step| gcd(step, len) == 1)?;
         let places = (1..=len).map(|turn| (self.cursor + turn * step) % len);
-        let rank = |&at: &usize| (self.members[at].slow, self.members[at].out);
+        let rank = |&at: &usize| (self.members[at].slow, self.members[at].outstanding);
         let at = places.min_by_key(rank)?;
         self.cursor = at;
         Some(self.members[at].key)
     }
 
-    pub(super) fn give(&mut self, chunk: Digest, to: TargetKey, now: Millis, until: Millis) {
+    pub(super) fn issue(&mut self, chunk: Digest, to: TargetKey, now: Millis, until: Millis) {
         self.queue.retain(|&queued| queued != chunk);
         let granted = Import::Granted {
             to: Some(to),
@@ -193,13 +203,13 @@
             until,
         };
         self.imports.insert(chunk, granted);
-        self.out += 1;
+        self.outstanding += 1;
         if let Some(member) = self.members.iter_mut().find(|member| member.key == to) {
-            member.out += 1;
+            member.outstanding += 1;
         }
     }
 
-    /// Whether a grant that is out, or still to come, will bring the chunk in.
+    /// Returns whether an outstanding or future grant will bring the chunk into the region.
     pub(super) fn is_expected(&self, chunk: Digest) -> bool {
         let import = self.imports.get(&chunk);
         let expected = matches!(import, Some(Import::Queued | Import::Granted { .. }));
@@ -208,7 +218,7 @@
 
     pub(super) fn holder(&self, chunk: Digest) -> Option<TargetKey> {
         match self.imports.get(&chunk) {
-            Some(&Import::Landed { by, .. }) => Some(by),
+            Some(&Import::Arrived { by, .. }) => Some(by),
             _ => None,
         }
     }
@@ -217,16 +227,16 @@
         if let Some(&Import::Granted { to, since, .. }) = self.imports.get(&chunk)
             && to == Some(by)
         {
-            self.compare(by, now.since(since).0);
+            self.record_time(by, now.since(since).0);
         }
-        if matches!(self.imports.get(&chunk), Some(Import::Landed { .. })) {
+        if matches!(self.imports.get(&chunk), Some(Import::Arrived { .. })) {
             return;
         }
         self.end_grant(chunk);
         self.queue.retain(|&queued| queued != chunk);
         self.imports.insert(
             chunk,
-            Import::Landed {
+            Import::Arrived {
                 by,
                 at: now,
                 asked: None,
@@ -234,14 +244,14 @@
         );
     }
 
-    fn compare(&mut self, by: TargetKey, took: u64) {
-        let pace = self.pace.unwrap_or(took);
-        let slow = took > SLOW * pace.max(1);
+    fn record_time(&mut self, by: TargetKey, took: u64) {
+        let mean_time = self.mean_time.unwrap_or(took);
+        let slow = took > SLOW_FACTOR * mean_time.max(1);
         if let Some(member) = self.members.iter_mut().find(|member| member.key == by) {
             member.slow = slow;
         }
         if !slow {
-            self.pace = Some((pace * (SMOOTH - 1) + took) / SMOOTH);
+            self.mean_time = Some((mean_time * (SMOOTHING - 1) + took) / SMOOTHING);
         }
     }
 
@@ -253,17 +263,17 @@
         }
     }
 
-    /// Counts a request for the chunk; how far it has come.
+    /// Counts a request for the chunk, and returns the state of its import.
     pub(super) fn ask(&mut self, chunk: Digest, now: Millis) -> Import {
         let import = self.imports.entry(chunk).or_insert(Import::Queued);
-        if let Import::Landed { asked, .. } = import {
+        if let Import::Arrived { asked, .. } = import {
             let (first, count) = asked.unwrap_or((now, 0));
             *asked = Some((first, count + 1));
         }
         *import
     }
 
-    /// Forgets who brought the chunk in, for it is to be brought in again.
+    /// Forgets which target fetched the chunk, because it is about to be fetched again.
     pub(super) fn forget(&mut self, chunk: Digest) {
         self.imports.insert(chunk, Import::Lost);
     }
