--- a/crates/filbertstack-policy/src/spread/pace.rs
+++ b/crates/filbertstack-policy/src/spread/pace.rs
@@ -1,160 +1,172 @@
-//! How much of an instance's link weights may take while live requests use it.
+//! The rate limit on weights, so that they leave room for live requests on an instance's link.
 //!
-//! Load pattern: a new version is copied to machines that go on answering. Answers are small, a
-//! few kilobytes a second each, but they wait in the same queues as chunks. Without a limit a copy
-//! at line rate fills those queues and each token waits behind megabytes: the symptom is a time to
-//! first token that doubles on all instances at once, just when a model changes.
+//! Load pattern: a new version is copied to instances that continue to serve requests. Answers are
+//! small, a few kilobytes per second each, but they wait in the same queues as chunks. Without a
+//! limit, a copy at line rate fills those queues and each token waits behind megabytes of weights.
+//! The symptom is that the time to first token doubles on all instances at once, just when a model
+//! changes.
 //!
-//! The limit falls by half as soon as live requests are slower than without a copy, and rises by a
-//! small step while they are not, as congestion control does: quick to yield, slow to take. It
-//! never falls under a floor, for a copy that stands still keeps the old model in use for ever.
+//! The limit is halved as soon as live requests are slower than without a copy, and rises by a
+//! small step while they are not, as in congestion control (additive increase, multiplicative
+//! decrease). It never falls below a minimum, because a copy without progress would keep the old
+//! model in service indefinitely.
 
 use filbertstack_core::Millis;
 
-/// What live requests on the instance saw of late.
+/// Measurements of the live requests on the instance during the last interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LiveTraffic {
-    /// The requests in flight.
+    /// The number of requests in flight.
     pub inflight: u32,
-    /// The 95th percentile of the time to the first byte in the last interval; `None` if none
-    /// ended in it.
+    /// The 95th percentile of the time to the first byte in the last interval, or `None` if there
+    /// was no measurement.
     pub latency: Option<Millis>,
 }
 
-/// The figures of the limit.
+/// The parameters of the rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PaceConfig {
-    /// What the link carries, in bytes a second.
-    pub link: u64,
-    /// The share that weights get at least, in percent.
-    pub least: u64,
-    /// The share that weights get at most while requests are in flight, in percent.
-    pub most: u64,
-    /// The step up in each interval, in percent of the link.
-    pub step: u64,
-    /// How much slower requests may be than without a copy before weights yield, in percent.
-    pub slack: u64,
+    /// The capacity of the link in bytes per second.
+    pub link_rate: u64,
+    /// The minimum share of the link for weights, in percent.
+    pub min_percent: u64,
+    /// The maximum share of the link for weights while requests are in flight, in percent.
+    pub max_percent: u64,
+    /// The increase per interval, in percent of the link.
+    pub step_percent: u64,
+    /// The increase in latency over the baseline, in percent, up to which the limit is not lowered.
+    pub slack_percent: u64,
 }
 
 impl PaceConfig {
-    /// The figures for a link of `link` bytes a second.
+    /// Returns the parameters for a link of `link_rate` bytes per second.
     ///
-    /// 90 % leaves a tenth of the link: the tokens of a full engine take under a hundredth. 10 %
-    /// of slack is the noise of a 95th percentile over some hundred requests. Steps of 5 % climb
-    /// back in 18 intervals, a few seconds, after a burst. 10 % at least brings a copy in five
-    /// windows, the time that is accepted for a slow link.
-    pub fn for_link(link: u64) -> Self {
+    /// 90 % leaves a tenth of the link free, while the tokens of a fully loaded engine take less
+    /// than a hundredth. 10 % of slack covers the noise of a 95th percentile over a few hundred
+    /// requests. Steps of 5 % recover in 18 intervals, a few seconds, after a burst. The minimum of
+    /// 10 % completes a copy in five windows, the time that is accepted for a slow link.
+    pub fn for_link(link_rate: u64) -> Self {
         Self {
-            link,
-            least: 10,
-            most: 90,
-            step: 5,
-            slack: 10,
+            link_rate,
+            min_percent: 10,
+            max_percent: 90,
+            step_percent: 5,
+            slack_percent: 10,
         }
     }
 
     fn share(self, percent: u64) -> u64 {
-        self.link / 100 * percent
+        self.link_rate / 100 * percent
     }
 }
 
-/// The weight of the newest latency in the base: one in sixteen.
-const SMOOTH: u64 = 16;
+/// The divisor of the moving average: the newest latency counts for one sixteenth.
+const SMOOTHING: u64 = 16;
 
-/// A difference below this is not acted on, whatever its share: an engine's step takes 7 ms, so
-/// that callers do not see less.
-const GRAIN: Millis = Millis(5);
+/// The smallest increase in latency that lowers the limit, whatever its percentage. An engine's
+/// step takes 7 ms, so callers do not notice less.
+const MIN_INCREASE: Millis = Millis(5);
 
-/// The limit on weights at one instance.
+/// The controller of the rate limit on weights at one instance.
 #[derive(Clone, Copy, Debug)]
 pub struct PaceController {
     config: PaceConfig,
     rate: u64,
-    /// The latency of requests while weights are not in their way.
-    base: Option<Millis>,
+    /// The latency of requests without a copy.
+    baseline: Option<Millis>,
 }
 
 impl PaceController {
-    /// The limit of an instance that has not seen live requests yet.
+    /// Creates the controller of an instance without live requests so far.
     pub fn new(config: PaceConfig) -> Self {
         Self {
             config,
-            rate: config.share(config.most),
-            base: None,
+            rate: config.share(config.max_percent),
+            baseline: None,
         }
     }
 
-    /// Takes what was seen in the last interval; the limit for the next, in bytes a second.
+    /// Takes the measurements of the last interval, and returns the limit for the next one in bytes
+    /// per second.
     ///
-    /// `copying` says whether weights moved in the interval. Without live requests weights get
-    /// the whole link.
+    /// `copying` states whether weights were copied in the interval. Without live requests, weights
+    /// get the whole link.
     pub fn observe(&mut self, live: LiveTraffic, copying: bool) -> u64 {
         if live.inflight == 0 && live.latency.is_none() {
-            return self.config.link;
+            return self.config.link_rate;
         }
         if let Some(latency) = live.latency {
             if !copying {
-                self.learn(latency);
+                self.update_baseline(latency);
             }
-            self.adjust(latency);
+            self.adjust_rate(latency);
         }
         self.rate
     }
 
-    /// A base is learnt without a copy only: else it would rise with the harm that the copy does,
-    /// and nothing would ever yield.
-    fn learn(&mut self, latency: Millis) {
-        let base = self.base.unwrap_or(latency).0;
-        self.base = Some(Millis((base * (SMOOTH - 1) + latency.0).div_ceil(SMOOTH)));
+    /// Updates the baseline. This is called only without a copy in progress: otherwise the baseline
+    /// would rise with the delay that the copy causes, and the limit would never fall.
+    fn update_baseline(&mut self, latency: Millis) {
+        let baseline = self.baseline.unwrap_or(latency).0;
+        self.baseline = Some(Millis(
+            (baseline * (SMOOTHING - 1) + latency.0).div_ceil(SMOOTHING),
+        ));
     }
 
-    fn adjust(&mut self, latency: Millis) {
+    fn adjust_rate(&mut self, latency: Millis) {
         let config = self.config;
-        // A process that begins in the middle of a copy starts from the least it has seen.
-        let base = self.base.map_or(latency, |base| base.min(latency));
-        self.base = Some(base);
-        let limit = Millis(base.0 * (100 + config.slack) / 100).max(base + GRAIN);
+        // A process that starts during a copy uses the lowest latency so far.
+        let baseline = self
+            .baseline
+            .map_or(latency, |baseline| baseline.min(latency));
+        self.baseline = Some(baseline);
+        let limit =
+            Millis(baseline.0 * (100 + config.slack_percent) / 100).max(baseline + MIN_INCREASE);
         let rate = if latency > limit {
             self.rate / 2
         } else {
-            self.rate + config.share(config.step)
+            self.rate + config.share(config.step_percent)
         };
-        self.rate = rate.clamp(config.share(config.least), config.share(config.most));
+        self.rate = rate.clamp(
+            config.share(config.min_percent),
+            config.share(config.max_percent),
+        );
     }
 
-    /// The limit now, in bytes a second.
+    /// Returns the current limit in bytes per second.
     pub fn rate(&self) -> u64 {
         self.rate
     }
 }
 
-/// Spreads bytes over time at a rate: a token bucket that lends one transfer.
+/// A token bucket that spreads transfers over time at a rate. It admits one transfer ahead of its
+/// time.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     rate: u64,
-    /// When the bytes taken so far are paid for.
-    paid: Millis,
+    /// The time until which the rate is used up by the bytes taken so far.
+    paid_until: Millis,
 }
 
 impl TokenBucket {
-    /// A bucket of `rate` bytes a second.
+    /// Creates a bucket with a rate of `rate` bytes per second.
     pub fn new(rate: u64) -> Self {
         Self {
             rate: rate.max(1),
-            paid: Millis::ZERO,
+            paid_until: Millis::ZERO,
         }
     }
 
-    /// Changes the rate for what is taken from now on.
+    /// Changes the rate for bytes taken from now on.
     pub fn set_rate(&mut self, rate: u64) {
         self.rate = rate.max(1);
     }
 
-    /// Takes `bytes`; how long to wait before they are moved.
+    /// Takes `bytes`, and returns the time to wait before transferring them.
     pub fn take(&mut self, bytes: u64, now: Millis) -> Millis {
-        let start = self.paid.max(now);
+        let start = self.paid_until.max(now);
         let span = bytes.saturating_mul(1000) / self.rate;
-        self.paid = start + Millis(span);
+        self.paid_until = start + Millis(span);
         start.since(now)
     }
 }
