--- a/crates/filbertstack-policy/tests/spread_pace.rs
+++ b/crates/filbertstack-policy/tests/spread_pace.rs
@@ -1,4 +1,5 @@
-//! Weights beside live requests, on a link whose queue grows with its load.
+//! Tests of the rate limit on weights beside live requests, on a link whose queue grows with its
+//! load.
 
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::pace::LiveTraffic;
@@ -8,38 +9,39 @@
 
 const LINK: u64 = 1_000_000_000;
 
-/// The latency of requests on the link: 20 ms, and a wait that grows as the link fills up.
+/// Returns the latency of requests on the link: 20 ms, plus a queueing delay that grows as the link
+/// fills up.
 fn latency(weights: u64, live: u64) -> Millis {
     let used = (weights + live).min(LINK * 99 / 100);
     Millis(20 + 2 * used / (LINK - used))
 }
 
-fn live(latency: Millis) -> LiveTraffic {
+fn traffic(latency: Millis) -> LiveTraffic {
     LiveTraffic {
         inflight: 10,
         latency: Some(latency),
     }
 }
 
-fn settled() -> PaceController {
+fn settled_controller() -> PaceController {
     let mut pace = PaceController::new(PaceConfig::for_link(LINK));
     for _ in 0..50 {
-        pace.observe(live(latency(0, 0)), false);
+        pace.observe(traffic(latency(0, 0)), false);
     }
     pace
 }
 
 #[test]
 fn without_requests_weights_get_the_whole_link() {
-    let mut pace = settled();
+    let mut pace = settled_controller();
     assert_eq!(pace.observe(LiveTraffic::default(), true), LINK);
 }
 
-// A burst of live requests takes half of the link during a copy. Weights give way within two
-// intervals, callers see little of it, and weights take back what the burst leaves.
+// A burst of live requests takes half of the link during a copy. The limit yields within two
+// intervals, the burst causes little delay, and the limit recovers afterwards.
 #[test]
-fn a_burst_is_given_way_and_taken_back_from() {
-    let mut pace = settled();
+fn limit_yields_to_a_burst_and_recovers() {
+    let mut pace = settled_controller();
     let mut seen = Vec::new();
     for interval in 0..120 {
         let burst = if (40..80).contains(&interval) {
@@ -49,7 +51,7 @@
         };
         let latency = latency(pace.rate(), burst);
         seen.push((latency, pace.rate()));
-        pace.observe(live(latency), true);
+        pace.observe(traffic(latency), true);
     }
     let worst = |range: std::ops::Range<usize>| seen[range].iter().map(|(l, _)| l.0).max().unwrap();
     let mean = |range: std::ops::Range<usize>| {
@@ -60,37 +62,38 @@
             .sum::<u64>()
             / count
     };
-    // At 90 % beside the burst the wait would be 198 ms for as long as it lasts.
+    // At a limit of 90 % the queueing delay would be 198 ms for the whole burst.
     assert_eq!(latency(LINK * 9 / 10, LINK / 2), Millis(218));
     insta::assert_debug_snapshot!((worst(43..80), mean(43..80), mean(90..120)));
     assert!(worst(43..80) <= 30, "{seen:?}");
     assert!(mean(43..80) >= 15 && mean(90..120) >= 40, "{seen:?}");
 }
 
-// Requests are slow for a reason that is not the copy. It falls to its floor and goes on there.
+// Requests are slow for another reason than the copy. The limit falls to its minimum and the copy
+// continues at that rate.
 #[test]
-fn a_copy_never_stands_still() {
-    let mut pace = settled();
+fn limit_never_falls_below_the_minimum() {
+    let mut pace = settled_controller();
     for _ in 0..100 {
-        pace.observe(live(Millis(500)), true);
+        pace.observe(traffic(Millis(500)), true);
     }
     assert_eq!(pace.rate(), LINK / 10);
 }
 
-// The base is learnt without a copy only. If it followed the latency under a copy, the harm would
-// become the norm within some intervals and weights would yield no more.
+// The baseline is updated only without a copy. If it followed the latency during a copy, it would
+// include the delay that the copy causes after a few intervals, and the limit would no longer fall.
 #[test]
-fn the_harm_of_a_long_copy_does_not_become_the_norm() {
-    let mut pace = settled();
+fn baseline_ignores_latency_during_a_copy() {
+    let mut pace = settled_controller();
     for _ in 0..1000 {
         let slow = latency(pace.rate(), LINK / 2);
-        pace.observe(live(slow), true);
+        pace.observe(traffic(slow), true);
     }
     assert!(latency(pace.rate(), LINK / 2).0 <= 30);
 }
 
 #[test]
-fn a_bucket_spreads_bytes_at_its_rate() {
+fn token_bucket_keeps_its_rate() {
     let mut bucket = TokenBucket::new(1000);
     assert_eq!(bucket.take(500, Millis(100)), Millis::ZERO);
     assert_eq!(bucket.take(500, Millis(100)), Millis(500));
