--- a/crates/filbertstack-policy/examples/spread_ways.rs
+++ b/crates/filbertstack-policy/examples/spread_ways.rs
@@ -1,4 +1,4 @@
-//! Prints the table of all ways, and draws it into the folder that is named.
+//! Prints a table that compares all strategies, and writes plots into the given folder.
 //!
 //! `cargo run --release -p filbertstack-policy --example spread_ways -- docs/plots`
 
@@ -13,27 +13,29 @@
 use spread_model::Faults;
 use spread_model::Outcome;
 use spread_model::Setting;
-use spread_model::report::HEAD;
+use spread_model::report::HEADER;
 use spread_model::report::row;
-use spread_model::ways::WAYS;
-use spread_model::ways::Way;
+use spread_model::strategies::STRATEGIES;
+use spread_model::strategies::Strategy;
 
 const SIZES: [usize; 4] = [10, 100, 300, 1000];
 
-/// A line of a plot: the way's name and its points.
+/// A line of a plot: the name of a strategy and its results by the number of targets.
 struct Line {
     name: &'static str,
     outcomes: Vec<(usize, Outcome)>,
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
-    println!("{HEAD}");
+    println!("{HEADER}");
     for faults in [Faults::None, Faults::Mixed] {
         for shared in [false, true] {
-            let ways = WAYS
+            let strategies = STRATEGIES
                 .iter()
-                .filter(|way| faults == Faults::None || way.takes_faults());
-            let lines: Vec<_> = ways.map(|way| measure(way, shared, faults)).collect();
+                .filter(|strategy| faults == Faults::None || strategy.takes_faults());
+            let lines: Vec<_> = strategies
+                .map(|strategy| measure(strategy, shared, faults))
+                .collect();
             if let (Some(dir), false, Faults::None) = (std::env::args().nth(1), shared, faults) {
                 draw_all(Path::new(&dir), &lines)?;
             }
@@ -42,15 +44,15 @@
     Ok(())
 }
 
-fn measure(way: &Way, shared: bool, faults: Faults) -> Line {
+fn measure(strategy: &Strategy, shared: bool, faults: Faults) -> Line {
     let mut outcomes = Vec::new();
     for n in SIZES {
         let setting = Setting::new(n, shared, faults);
-        let outcome = way.run(&setting);
-        println!("{}", row(way.name, &setting, &outcome));
+        let outcome = strategy.run(&setting);
+        println!("{}", row(strategy.name, &setting, &outcome));
         outcomes.push((n, outcome));
     }
-    let name = way.name;
+    let name = strategy.name;
     Line { name, outcomes }
 }
 
@@ -61,7 +63,7 @@
     })?;
     let origin = "Copies that leave the origin (links of separate directions)";
     draw(&dir.join("weights-origin.svg"), origin, lines, |outcome| {
-        outcome.origin
+        outcome.origin_copies
     })
 }
 
@@ -85,7 +87,7 @@
         let points = line
             .outcomes
             .iter()
-            .map(|(n, o)| (spread_model::count(*n), value(o)));
+            .map(|(n, o)| (spread_model::usize_to_f64(*n), value(o)));
         let series = LineSeries::new(points, color.stroke_width(2)).point_size(3);
         let drawn = chart.draw_series(series)?.label(line.name);
         drawn.legend(move |(x, y)| Rectangle::new([(x, y - 3), (x + 12, y + 3)], color.filled()));
--- a/crates/filbertstack-policy/tests/spread_model/mesh.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh.rs
@@ -1,4 +1,5 @@
-//! The mesh: every target decides for itself what to request next, by the real policy code.
+//! A simulation of the mesh, in which every target decides on its next requests with the policy
+//! code.
 
 mod leader;
 mod links;
@@ -22,54 +23,55 @@
 
 use super::Faults;
 use super::Outcome;
-use super::SLOW;
+use super::SLOW_ROUNDS;
 use super::Setting;
-use super::count;
-use super::node::Node;
-use super::node::ROUND;
-use super::node::Transfer;
-use super::node::Waiting;
-use super::real;
+use super::target::ModelTarget;
+use super::target::PendingRequest;
+use super::target::ROUND;
+use super::target::Transfer;
+use super::u64_to_f64;
+use super::usize_to_f64;
 
-/// The rounds after which the leader notices that a target is lost.
-const NOTICE: u64 = 20;
+/// The number of rounds until the leader notices that a target is lost.
+const NOTICE_ROUNDS: u64 = 20;
 
-/// How the mesh is linked and timed.
+/// The links and the timing of the mesh.
 #[derive(Clone, Copy, Debug)]
-pub struct Mesh {
-    /// Who is linked to whom.
+pub struct MeshConfig {
+    /// The graph of the upstreams.
     pub graph: Graph,
-    /// Whether upstreams take turns by the mesh clock; else the one asked longest ago is next.
+    /// Whether upstreams take turns by the mesh clock. Otherwise the upstream that was asked least
+    /// recently is next.
     pub turns: bool,
-    /// The requests that fit into a round one after the other, when the first are refused.
-    pub steps: usize,
-    /// How many agents in a hundred take a round for the one before.
-    pub late: u32,
-    /// What the copy is planned for.
+    /// The number of exchanges that fit into a round, for targets whose first requests are refused.
+    pub exchanges: usize,
+    /// The percentage of agents whose clock is one round behind.
+    pub late_percent: u32,
+    /// The objective of the copy: a short time, or few bytes from the origin.
     pub weigh: Weigh,
-    /// The regions, and the zones in each.
+    /// The number of regions, followed by the number of zones in each.
     pub regions: usize,
     pub zones: usize,
     pub zone_first: bool,
 }
 
-/// Who is linked to whom.
+/// The graph of the upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Graph {
-    /// By the plan's rings.
+    /// The upstreams of the plan's rings.
     Rings,
-    /// To this many others by chance.
+    /// This many upstreams at random.
     Random(usize),
 }
 
-impl Mesh {
-    /// The way that is chosen.
+impl MeshConfig {
+    /// Returns the strategy that the product uses.
     pub fn chosen() -> Self {
         Self {
             graph: Graph::Rings,
             turns: true,
-            steps: 4,
-            late: 0,
+            exchanges: 4,
+            late_percent: 0,
             weigh: Weigh::Time,
             regions: 1,
             zones: 1,
@@ -77,24 +79,25 @@
         }
     }
 
-    /// The same links, where the upstream asked longest ago is next.
-    pub fn turnless() -> Self {
+    /// Returns the chosen strategy without turns: the upstream that was asked least recently is
+    /// next.
+    pub fn without_turns() -> Self {
         Self {
             turns: false,
             ..Self::chosen()
         }
     }
 
-    /// The chosen way among agents of which so many in a hundred take a round for the one before.
-    pub fn late(late: u32) -> Self {
+    /// Returns the chosen strategy with a percentage of agents whose clock is one round behind.
+    pub fn with_late(late_percent: u32) -> Self {
         Self {
-            late,
+            late_percent,
             ..Self::chosen()
         }
     }
 
-    /// Rarest first among eight random neighbours.
-    pub fn plain() -> Self {
+    /// Returns a strategy that requests the rarest chunk first from eight random upstreams.
+    pub fn random() -> Self {
         Self {
             graph: Graph::Random(8),
             turns: false,
@@ -103,176 +106,176 @@
     }
 }
 
-/// What happens in a run, beside the faults.
+/// An event during a simulation, in addition to the faults.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// This many targets join.
     Join(usize),
     /// These chunks are wanted too.
     Publish(std::ops::Range<u32>),
-    /// These chunks are wanted no more.
+    /// These chunks are no longer wanted.
     Retire(std::ops::Range<u32>),
-    /// The leader is lost for so many rounds, and the next one knows nothing.
-    Lead(u64),
+    /// The leader is lost for this many rounds, and the next one has no state.
+    LoseLeader(u64),
     /// These targets are lost.
-    Lose(Vec<usize>),
-    /// One in so many targets takes so many rounds for a transfer from now on.
-    Crawl(usize, u64),
+    LoseTargets(Vec<usize>),
+    /// One in this many targets takes this many rounds per transfer from now on.
+    SlowDown(usize, u64),
 }
 
-/// A run of the mesh.
-pub struct World {
+/// A simulation of the mesh.
+pub struct Simulation {
     setting: Setting,
-    mesh: Mesh,
+    mesh: MeshConfig,
     rng: ChaCha8Rng,
-    pub nodes: Vec<Node>,
+    pub targets: Vec<ModelTarget>,
     plan: Plan,
-    tokens: Grants,
-    index: BTreeMap<TargetKey, usize>,
-    chunks: BTreeMap<Digest, u32>,
+    grants: Grants,
+    target_index: BTreeMap<TargetKey, usize>,
+    chunk_index: BTreeMap<Digest, u32>,
     digests: Vec<Digest>,
     wanted: Vec<bool>,
     transfers: Vec<Transfer>,
-    origin: VecDeque<Waiting>,
-    lost: Vec<(u64, usize)>,
-    leaderless: u64,
+    origin_queue: VecDeque<PendingRequest>,
+    losses: Vec<(u64, usize)>,
+    leaderless_rounds: u64,
     pub round: u64,
-    sent: u64,
-    regions: u64,
-    zones: u64,
-    leader: u64,
-    chat: u64,
+    origin_sent: u64,
+    region_crossings: u64,
+    zone_crossings: u64,
+    leader_messages: u64,
+    agent_messages: u64,
     wasted: u64,
 }
 
-/// Runs the mesh to its end.
-pub fn run(mesh: Mesh, setting: &Setting, events: &[(u64, Event)]) -> Outcome {
+/// Runs a simulation of the mesh to its end.
+pub fn run(mesh: MeshConfig, setting: &Setting, events: &[(u64, Event)]) -> Outcome {
     let published = events.iter().map(|(_, event)| match event {
         Event::Publish(range) => range.end,
         _ => 0,
     });
     let catalogue = published.max().unwrap_or(0).max(setting.chunks);
-    let mut world = World::new(mesh, setting, catalogue);
+    let mut simulation = Simulation::new(mesh, setting, catalogue);
     let mut time = None;
     let last = events.iter().map(|(round, _)| *round).max().unwrap_or(0);
-    // The slowest link needs five windows for a copy, twice that if its upload is not spared.
+    // The slowest link needs five windows for a copy, and twice that if it also uploads as much.
     let end = 30 * u64::from(setting.chunks);
-    while world.round < end {
-        let round = world.round;
+    while simulation.round < end {
+        let round = simulation.round;
         for (_, event) in events.iter().filter(|(at, _)| *at == round) {
-            world.happen(event);
+            simulation.apply(event);
         }
-        world.step();
-        let over = world.round > last;
-        if over && time.is_none() && world.is_done(false) {
-            time = Some(world.round);
+        simulation.step();
+        let over = simulation.round > last;
+        if over && time.is_none() && simulation.is_done(false) {
+            time = Some(simulation.round);
         }
-        if over && world.is_done(true) {
+        if over && simulation.is_done(true) {
             break;
         }
     }
     let fast = time.expect("the copy ends while the model runs");
-    world.outcome(fast)
+    simulation.outcome(fast)
 }
 
-impl World {
-    fn new(mesh: Mesh, setting: &Setting, catalogue: u32) -> Self {
+impl Simulation {
+    fn new(mesh: MeshConfig, setting: &Setting, catalogue: u32) -> Self {
         let digests: Vec<_> = (0..catalogue)
             .map(|chunk| Digest::of(&chunk.to_le_bytes()))
             .collect();
-        let chunks = digests.iter().copied().zip(0..).collect();
-        let mut world = Self {
+        let chunk_index = digests.iter().copied().zip(0..).collect();
+        let mut simulation = Self {
             setting: *setting,
             mesh,
             rng: ChaCha8Rng::seed_from_u64(setting.seed),
-            nodes: Vec::new(),
+            targets: Vec::new(),
             plan: Plan::new(PlanConfig {
                 zone_first: mesh.zone_first,
                 ..PlanConfig::default()
             }),
-            tokens: Grants::new(tokens(mesh.weigh)),
-            index: BTreeMap::new(),
-            chunks,
+            grants: Grants::new(grant_limits(mesh.weigh)),
+            target_index: BTreeMap::new(),
+            chunk_index,
             digests,
             wanted: vec![false; catalogue as usize],
             transfers: Vec::new(),
-            origin: VecDeque::new(),
-            lost: Vec::new(),
-            leaderless: 0,
+            origin_queue: VecDeque::new(),
+            losses: Vec::new(),
+            leaderless_rounds: 0,
             round: 0,
-            sent: 0,
-            regions: 0,
-            zones: 0,
-            leader: 0,
-            chat: 0,
+            origin_sent: 0,
+            region_crossings: 0,
+            zone_crossings: 0,
+            leader_messages: 0,
+            agent_messages: 0,
             wasted: 0,
         };
         for _ in 0..setting.targets {
-            world.join();
+            simulation.join();
         }
         let all: Vec<_> = (0..setting.targets).collect();
         for at in all {
-            world.link(at);
+            simulation.update_upstreams(at);
         }
-        world.publish(0..setting.chunks);
+        simulation.publish(0..setting.chunks);
         if setting.faults == Faults::Mixed {
-            let slow = world.pick();
+            let slow = simulation.sample_targets();
             for at in slow {
-                world.nodes[at].slow = SLOW;
+                simulation.targets[at].transfer_rounds = SLOW_ROUNDS;
             }
         }
-        world
+        simulation
     }
 
     pub fn now(&self, at: usize) -> Millis {
-        Millis(self.round * ROUND.0 + ROUND.0 / 2) + self.nodes[at].skew
+        Millis(self.round * ROUND.0 + ROUND.0 / 2) + self.targets[at].skew
     }
 
     pub fn step(&mut self) {
-        if self.setting.faults == Faults::Mixed && self.round == self.setting.midway() {
-            let lost = self.pick();
-            self.happen(&Event::Lose(lost));
+        if self.setting.faults == Faults::Mixed && self.round == self.setting.loss_round() {
+            let lost = self.sample_targets();
+            self.apply(&Event::LoseTargets(lost));
         }
-        self.lead();
-        self.open_links();
+        self.run_leader();
+        self.reset_links();
         self.serve_origin();
-        for step in 0..self.mesh.steps {
-            if !self.negotiate(step + 1 == self.mesh.steps) {
+        for step in 0..self.mesh.exchanges {
+            if !self.exchange(step + 1 == self.mesh.exchanges) {
                 break;
             }
         }
         self.round += 1;
-        self.arrive();
+        self.complete_transfers();
     }
 
     pub fn is_done(&self, slow: bool) -> bool {
-        let due = |node: &&Node| node.alive && (slow || node.slow == 1);
-        let mut due = self.nodes.iter().filter(due);
-        due.all(|node| node.pull.is_complete())
+        let due = |target: &&ModelTarget| target.alive && (slow || target.transfer_rounds == 1);
+        let mut due = self.targets.iter().filter(due);
+        due.all(|target| target.pull.is_complete())
     }
 
     fn outcome(&self, fast: u64) -> Outcome {
         let chunks = f64::from(self.setting.chunks);
-        let n = count(self.nodes.len());
-        let copies = |sent: u64| real(sent) / chunks;
-        let time = real(fast) / self.setting.window();
-        let slow = real(self.round) / self.setting.window();
+        let n = usize_to_f64(self.targets.len());
+        let copies = |sent: u64| u64_to_f64(sent) / chunks;
+        let time = u64_to_f64(fast) / self.setting.window();
+        let slow = u64_to_f64(self.round) / self.setting.window();
         Outcome {
             time,
             ratio: time / self.setting.floor(),
-            slow: self.is_done(true).then_some(slow),
-            origin: copies(self.sent),
-            regions: copies(self.regions),
-            zones: copies(self.zones - self.regions),
-            leader: real(self.leader) / n,
-            chat: real(self.chat) / n / chunks,
-            without: 0,
-            wasted: copies(self.wasted),
+            time_with_slow: self.is_done(true).then_some(slow),
+            origin_copies: copies(self.origin_sent),
+            region_copies: copies(self.region_crossings),
+            zone_copies: copies(self.zone_crossings - self.region_crossings),
+            leader_messages: u64_to_f64(self.leader_messages) / n,
+            agent_messages: u64_to_f64(self.agent_messages) / n / chunks,
+            incomplete: 0,
+            wasted_copies: copies(self.wasted),
         }
     }
 }
 
-fn limits() -> PullConfig {
+fn pull_limits() -> PullConfig {
     PullConfig {
         max_transfers: 4,
         transfer_timeout: Millis(300 * ROUND.0),
@@ -282,7 +285,7 @@
     }
 }
 
-fn tokens(weigh: Weigh) -> GrantConfig {
+fn grant_limits(weigh: Weigh) -> GrantConfig {
     let lease = match weigh {
         Weigh::Time => Millis(30 * ROUND.0),
         Weigh::Origin => Millis(90 * ROUND.0),
--- a/crates/filbertstack-policy/tests/spread_model/mod.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mod.rs
@@ -1,44 +1,44 @@
-//! A round model of links, to compare ways of spreading a version.
+//! A round-based model of links, to compare strategies for spreading a version.
 //!
-//! A round is the time in which an instance's link carries one chunk in and one out. With links of
-//! separate directions the origin sends two chunks in it: it carries four copies in the window in
-//! which an instance carries two. With shared links an instance's two chunks may be in or out, a
-//! round lasts twice as long, and the origin sends four. A transfer that begins in a round has
-//! arrived at its end; at a slow instance it takes ten.
+//! A round is the time in which an instance's link carries one chunk in and one chunk out. If the
+//! directions of a link are separate, the origin sends two chunks per round: it carries four copies
+//! in the window in which an instance carries two. If they share the link, an instance's two chunks
+//! may go in or out, a round lasts twice as long, and the origin sends four. A transfer that starts
+//! in a round arrives at its end. At a slow instance it takes ten rounds.
 
 #![allow(dead_code, reason = "each suite uses its own part of the model")]
 
 pub mod mesh;
-pub mod node;
 pub mod push;
 pub mod report;
-pub mod ways;
+pub mod strategies;
+pub mod target;
 
-/// The rounds of a transfer at an instance whose link has a tenth of the speed.
-pub const SLOW: u64 = 10;
+/// The number of rounds per transfer at an instance whose link has a tenth of the speed.
+pub const SLOW_ROUNDS: u64 = 10;
 
-/// What is to be spread, and over which links.
+/// The version to spread and the links that carry it.
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
-    /// The targets at the start.
+    /// The number of targets at the start.
     pub targets: usize,
-    /// The chunks of the version.
+    /// The number of chunks of the version.
     pub chunks: u32,
-    /// Whether in and out share an instance's link.
+    /// Whether both directions share an instance's link.
     pub shared: bool,
-    /// What fails.
+    /// The faults during the run.
     pub faults: Faults,
-    /// The seed of all chance.
+    /// The seed of the random numbers.
     pub seed: u64,
 }
 
-/// What fails in a run.
+/// The faults during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Faults {
-    /// Nothing.
+    /// No faults.
     None,
-    /// One in twenty instances is lost when half the floor's time has passed, one in a hundred
-    /// transfers is corrupted, one in twenty links has a tenth of its speed.
+    /// One in twenty instances is lost after half the floor's time, one in a hundred transfers is
+    /// corrupted and one in twenty links has a tenth of its speed.
     Mixed,
 }
 
@@ -53,24 +53,24 @@
         }
     }
 
-    /// The rounds of a window.
+    /// Returns the number of rounds in a window.
     pub fn window(&self) -> f64 {
         let directions = if self.shared { 1.0 } else { 2.0 };
         directions * f64::from(self.chunks)
     }
 
-    /// The chunks that the origin sends in a round.
-    pub fn origin(&self) -> usize {
+    /// Returns the number of chunks that the origin sends per round.
+    pub fn origin_capacity(&self) -> usize {
         if self.shared { 4 } else { 2 }
     }
 
-    /// The least time in windows in which every target can have the version.
+    /// Returns the minimum time, in windows, in which every target can have the version.
     ///
-    /// Separate directions: `max(1/4, 1/2, N / (4 + 2N))`. Shared: the chunks received, and those
-    /// that other instances send, pass the instances' links: `(2N - copies) / 2N`, with the 1.05
-    /// origin copies that are allowed.
+    /// With separate directions it is `max(1/4, 1/2, N / (4 + 2N))`. With shared links, the
+    /// instances' links carry all chunks received and those that other instances send: `(2N -
+    /// copies) / 2N`, with the 1.05 origin copies that are allowed.
     pub fn floor(&self) -> f64 {
-        let n = count(self.targets);
+        let n = usize_to_f64(self.targets);
         if self.shared {
             (2.0 * n - 1.05) / (2.0 * n)
         } else {
@@ -78,44 +78,46 @@
         }
     }
 
-    /// The round in which instances are lost.
-    pub fn midway(&self) -> u64 {
+    /// Returns the round in which instances are lost.
+    pub fn loss_round(&self) -> u64 {
         let rounds = self.floor() * self.window() / 2.0;
         let mut found = 1..u64::from(4 * self.chunks);
-        found.find(|&round| real(round) >= rounds).unwrap_or(1)
+        found
+            .find(|&round| u64_to_f64(round) >= rounds)
+            .unwrap_or(1)
     }
 }
 
-/// What a run showed.
+/// The results of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
-    /// Windows until every surviving target at full speed had the version.
+    /// The time in windows until every surviving target at full speed has the version.
     pub time: f64,
-    /// The same over the floor.
+    /// The time relative to the floor.
     pub ratio: f64,
-    /// Windows until every surviving target had it, those with slow links too; none if the run
-    /// ended before.
-    pub slow: Option<f64>,
-    /// Copies that left the origin.
-    pub origin: f64,
-    /// Copies that crossed from one region into another.
-    pub regions: f64,
-    /// Copies that crossed from one zone into another of its region.
-    pub zones: f64,
-    /// Messages to and from the leader for each target.
-    pub leader: f64,
-    /// Messages between agents for each target and chunk, announcements and requests.
-    pub chat: f64,
-    /// Surviving targets that will never have it.
-    pub without: usize,
-    /// Chunks that arrived more than once, in copies.
-    pub wasted: f64,
+    /// The time in windows until every surviving target has the version, including those with slow
+    /// links, or `None` if the run ended before.
+    pub time_with_slow: Option<f64>,
+    /// The number of copies that left the origin.
+    pub origin_copies: f64,
+    /// The number of copies that crossed from one region into another.
+    pub region_copies: f64,
+    /// The number of copies that crossed from one zone into another in the same region.
+    pub zone_copies: f64,
+    /// The number of messages to and from the leader per target.
+    pub leader_messages: f64,
+    /// The number of announcements and requests between agents per target and chunk.
+    pub agent_messages: f64,
+    /// The number of surviving targets that will never have the version.
+    pub incomplete: usize,
+    /// The chunks that arrived more than once, counted in copies.
+    pub wasted_copies: f64,
 }
 
-pub fn count(number: usize) -> f64 {
+pub fn usize_to_f64(number: usize) -> f64 {
     f64::from(u32::try_from(number).unwrap())
 }
 
-pub fn real(number: u64) -> f64 {
+pub fn u64_to_f64(number: u64) -> f64 {
     f64::from(u32::try_from(number).unwrap())
 }
--- a/crates/filbertstack-policy/tests/spread_model/report.rs
+++ b/crates/filbertstack-policy/tests/spread_model/report.rs
@@ -1,15 +1,15 @@
-//! Tables of outcomes.
+//! Tables of results.
 
 use super::Faults;
 use super::Outcome;
 use super::Setting;
 
-/// The head of a table of [`row`]s.
-pub const HEAD: &str = "way               links  faults    N   time W  x floor  slow W  origin  \
+/// The header of a table of [`row`]s.
+pub const HEADER: &str = "way               links  faults    N   time W  x floor  slow W  origin  \
                         without  leader  chat";
 
-/// One line of a table.
-pub fn row(way: &str, setting: &Setting, outcome: &Outcome) -> String {
+/// Returns one row of a table.
+pub fn row(strategy: &str, setting: &Setting, outcome: &Outcome) -> String {
     let links = if setting.shared { "shared" } else { "apart" };
     let faults = if setting.faults == Faults::None {
         "-"
@@ -17,16 +17,16 @@
         "mixed"
     };
     let slow = outcome
-        .slow
+        .time_with_slow
         .map_or("-".to_owned(), |slow| format!("{slow:.2}"));
     format!(
-        "{way:<17} {links:<6} {faults:<6} {:>4} {:>8.3} {:>8.3} {slow:>7} {:>7.2} {:>8} {:>7.1} {:>5.1}",
+        "{strategy:<17} {links:<6} {faults:<6} {:>4} {:>8.3} {:>8.3} {slow:>7} {:>7.2} {:>8} {:>7.1} {:>5.1}",
         setting.targets,
         outcome.time,
         outcome.ratio,
-        outcome.origin,
-        outcome.without,
-        outcome.leader,
-        outcome.chat
+        outcome.origin_copies,
+        outcome.incomplete,
+        outcome.leader_messages,
+        outcome.agent_messages
     )
 }
--- a/crates/filbertstack-policy/tests/spread_model/strategies.rs
+++ b/crates/filbertstack-policy/tests/spread_model/strategies.rs
@@ -1,48 +1,49 @@
-//! The ways that are compared.
+//! The strategies that are compared.
 
 use super::Outcome;
 use super::Setting;
 use super::mesh;
-use super::mesh::Mesh;
+use super::mesh::MeshConfig;
 use super::push;
 use super::push::Push;
 
-/// A way with its name.
-pub struct Way {
+/// A strategy and its name.
+pub struct Strategy {
     pub name: &'static str,
     pub kind: Kind,
 }
 
 pub enum Kind {
     Push(Push),
-    Mesh(fn() -> Mesh),
+    Mesh(fn() -> MeshConfig),
 }
 
-/// All ways, the chosen one last but for its variants.
-pub const WAYS: [Way; 9] = [
+/// All strategies. The chosen one comes last, followed only by its variants.
+pub const STRATEGIES: [Strategy; 9] = [
     push("origin only", Push::Origin),
     push("whole-copy tree", Push::Tree),
     push("chain", Push::Chain),
     push("striped trees", Push::Stripes(2)),
-    mesh("random mesh", Mesh::plain),
-    mesh("rings, no turns", Mesh::turnless),
-    mesh("rings", Mesh::chosen),
-    mesh("rings, 10% late", || Mesh::late(10)),
-    mesh("rings, 25% late", || Mesh::late(25)),
+    mesh("random mesh", MeshConfig::random),
+    mesh("rings, no turns", MeshConfig::without_turns),
+    mesh("rings", MeshConfig::chosen),
+    mesh("rings, 10% late", || MeshConfig::with_late(10)),
+    mesh("rings, 25% late", || MeshConfig::with_late(25)),
 ];
 
-const fn push(name: &'static str, push: Push) -> Way {
+const fn push(name: &'static str, push: Push) -> Strategy {
     let kind = Kind::Push(push);
-    Way { name, kind }
+    Strategy { name, kind }
 }
 
-const fn mesh(name: &'static str, mesh: fn() -> Mesh) -> Way {
+const fn mesh(name: &'static str, mesh: fn() -> MeshConfig) -> Strategy {
     let kind = Kind::Mesh(mesh);
-    Way { name, kind }
+    Strategy { name, kind }
 }
 
-impl Way {
-    /// Whether a run with faults says something: the origin alone is the same for each target.
+impl Strategy {
+    /// Returns whether a run with faults is meaningful. With the origin alone, it is the same for
+    /// each target.
     pub fn takes_faults(&self) -> bool {
         !matches!(self.kind, Kind::Push(Push::Origin))
     }
--- a/crates/filbertstack-policy/tests/spread_model/target.rs
+++ b/crates/filbertstack-policy/tests/spread_model/target.rs
@@ -1,4 +1,4 @@
-//! One target of the model: the real decisions of an agent, and its link.
+//! A target of the model: an agent with its policy code, and its link.
 
 use std::collections::BTreeMap;
 
@@ -8,33 +8,33 @@
 use filbertstack_policy::spread::pull::PullScheduler;
 use filbertstack_policy::spread::pull::TransferKey;
 
-/// The time of a round.
+/// The duration of a round.
 pub const ROUND: Millis = Millis(100);
 
-/// A target.
-pub struct Node {
+/// A target of the model.
+pub struct ModelTarget {
     pub pull: PullScheduler,
     pub key: TargetKey,
     pub region: usize,
     pub zone: usize,
-    /// How far its clock is ahead of the others'.
+    /// The lead of its clock over the simulated time.
     pub skew: Millis,
-    /// The rounds of a transfer: one at full speed.
-    pub slow: u64,
+    /// The number of rounds per transfer, which is one at full speed.
+    pub transfer_rounds: u64,
     pub alive: bool,
-    /// Its upstreams, as it knows them.
-    pub ups: BTreeMap<NeighbourKey, usize>,
-    /// The targets it is an upstream of, with their key for it.
-    pub downs: Vec<(usize, NeighbourKey)>,
-    /// When it last served each downstream.
-    pub served: BTreeMap<usize, Millis>,
-    /// Where each chunk with a token is to be had: a node, or the origin.
+    /// The upstreams by the target's own keys.
+    pub upstreams: BTreeMap<NeighbourKey, usize>,
+    /// The targets that have this one as an upstream, with their keys for it.
+    pub downstreams: Vec<(usize, NeighbourKey)>,
+    /// The time at which each downstream was last served.
+    pub last_served: BTreeMap<usize, Millis>,
+    /// The source of each granted chunk: a target, or `None` for the origin.
     pub sources: BTreeMap<u32, Option<usize>>,
     pub link: Link,
-    pub done: Option<u64>,
+    pub done_round: Option<u64>,
 }
 
-/// What a node's link can still carry in a round.
+/// The use of a target's link in the current round.
 #[derive(Clone, Copy, Default)]
 pub struct Link {
     pub shared: bool,
@@ -43,28 +43,28 @@
 }
 
 impl Link {
-    pub fn can_receive(&self, spare: bool) -> bool {
-        // One in and one out, so that receiving leaves room for sending; what is left of a shared
-        // link at the end of a round may go to either.
-        let most = if self.shared && spare {
+    pub fn can_receive(&self, use_spare: bool) -> bool {
+        // A link carries one chunk in and one out, so that receiving leaves room for sending. The
+        // rest of a shared link at the end of a round may go to either direction.
+        let limit = if self.shared && use_spare {
             2 - self.sent
         } else {
             1
         };
-        self.received < most
+        self.received < limit
     }
 
     pub fn can_send(&self) -> bool {
-        let most = if self.shared { 2 - self.received } else { 1 };
-        self.sent < most
+        let limit = if self.shared { 2 - self.received } else { 1 };
+        self.sent < limit
     }
 }
 
-/// A transfer under way.
+/// A transfer in progress.
 pub struct Transfer {
-    /// The round at whose end it arrives.
+    /// The round at whose end the transfer arrives.
     pub at: u64,
-    /// The sender; `None` for the origin.
+    /// The sender, or `None` for the origin.
     pub from: Option<usize>,
     pub to: usize,
     pub key: TransferKey,
@@ -72,7 +72,7 @@
 }
 
 /// A request that waits at its upstream.
-pub struct Waiting {
+pub struct PendingRequest {
     pub to: usize,
     pub transfer: TransferKey,
     pub chunk: u32,
--- a/crates/filbertstack-policy/tests/spread_scenarios.rs
+++ b/crates/filbertstack-policy/tests/spread_scenarios.rs
@@ -1,5 +1,6 @@
-//! What happens during a copy: regions and zones, a second version, a rollback, joins, a lost
-//! leader; and what weighing time or origin bytes buys.
+//! Tests of events during a copy: regions and zones, a second version, a rollback, joins and the
+//! loss of the leader. They also compare copies that weigh time with copies that weigh origin
+//! bytes.
 
 mod spread_model;
 
@@ -10,117 +11,119 @@
 use spread_model::Setting;
 use spread_model::mesh;
 use spread_model::mesh::Event;
-use spread_model::mesh::Mesh;
+use spread_model::mesh::MeshConfig;
 
-fn run(targets: usize, mesh: Mesh, events: &[(u64, Event)]) -> Outcome {
+fn run(targets: usize, mesh: MeshConfig, events: &[(u64, Event)]) -> Outcome {
     mesh::run(mesh, &Setting::new(targets, false, Faults::None), events)
 }
 
-// Six regions want a version at once. One copy leaves the origin and one crosses into each other
-// region, in little more time than one region needs.
+// Six regions want a version at the same time. One copy leaves the origin and one crosses into each
+// other region, in little more time than one region needs.
 #[test]
 fn one_copy_crosses_into_each_region() {
-    let far = Mesh {
+    let far = MeshConfig {
         regions: 6,
-        ..Mesh::chosen()
+        ..MeshConfig::chosen()
     };
     let outcome = run(300, far, &[]);
-    insta::assert_debug_snapshot!((outcome.time, outcome.origin, outcome.regions));
+    insta::assert_debug_snapshot!((outcome.time, outcome.origin_copies, outcome.region_copies));
     assert!(
-        outcome.origin <= 1.05 && outcome.regions <= 5.25,
+        outcome.origin_copies <= 1.05 && outcome.region_copies <= 5.25,
         "{outcome:?}"
     );
     assert!(outcome.ratio <= 1.2, "{outcome:?}");
 }
 
-// Two zones of one region. With rings of their own most chunks stay in their zone; without, half
-// of them cross.
+// A region has two zones. If each zone has its own ring, most chunks stay in their zone. Otherwise
+// half of them cross.
 #[test]
 fn zone_first_keeps_chunks_in_their_zone() {
-    let mixed = Mesh {
+    let mixed = MeshConfig {
         zones: 2,
-        ..Mesh::chosen()
+        ..MeshConfig::chosen()
     };
-    let first = Mesh {
+    let first = MeshConfig {
         zone_first: true,
         ..mixed
     };
     let outcomes = [mixed, first].map(|mesh| run(300, mesh, &[]));
-    let figures = outcomes.map(|outcome| (outcome.time, outcome.zones / 300.0));
+    let figures = outcomes.map(|outcome| (outcome.time, outcome.zone_copies / 300.0));
     insta::assert_debug_snapshot!(figures);
     assert!(
-        outcomes[1].zones <= 0.25 * outcomes[0].zones,
+        outcomes[1].zone_copies <= 0.25 * outcomes[0].zone_copies,
         "{outcomes:?}"
     );
     assert!(outcomes[1].ratio <= 1.2, "{outcomes:?}");
 }
 
-// A second version, half of whose chunks the first has too, is published when half of the first's
-// time has passed. Both are done as soon as their 384 distinct chunks can be, each sent once.
+// A second version, which shares half of its chunks with the first, is published after half of the
+// first copy's time. Both copies finish as soon as their 384 distinct chunks allow, and each chunk
+// is sent once.
 #[test]
-fn a_second_version_in_the_middle_shares_chunks() {
+fn second_version_shares_common_chunks() {
     let events = [(128, Event::Publish(128..384))];
-    let outcome = run(100, Mesh::chosen(), &events);
-    insta::assert_debug_snapshot!((outcome.time, outcome.origin));
-    // Three quarters of a window for one and a half times the chunks.
+    let outcome = run(100, MeshConfig::chosen(), &events);
+    insta::assert_debug_snapshot!((outcome.time, outcome.origin_copies));
+    // The limit is three quarters of a window for one and a half times the chunks.
     assert!(
-        outcome.time <= 1.10 * 0.75 && outcome.origin <= 1.05 * 1.5,
+        outcome.time <= 1.10 * 0.75 && outcome.origin_copies <= 1.05 * 1.5,
         "{outcome:?}"
     );
 }
 
-// A version is published and rolled back while the first is still being copied: the first loses
-// the rounds that the other took, no more, and nobody goes on fetching the other.
+// A second version is published and rolled back during the copy of the first. The first copy loses
+// only the rounds that the second one took, and no target continues to fetch the second version.
 #[test]
-fn a_rollback_in_the_middle_costs_what_was_moved() {
+fn rollback_costs_only_its_own_rounds() {
     let events = [
         (64, Event::Publish(256..512)),
         (96, Event::Retire(256..512)),
     ];
-    let outcome = run(100, Mesh::chosen(), &events);
-    insta::assert_debug_snapshot!((outcome.time, outcome.origin));
+    let outcome = run(100, MeshConfig::chosen(), &events);
+    insta::assert_debug_snapshot!((outcome.time, outcome.origin_copies));
     let lost = 32.0 / 512.0;
     assert!(outcome.time <= 1.10 * (0.5 + lost), "{outcome:?}");
     assert!(
-        outcome.origin <= 1.0 + 2.0 * lost * 2.0 + 0.05,
+        outcome.origin_copies <= 1.0 + 2.0 * lost * 2.0 + 0.05,
         "{outcome:?}"
     );
 }
 
-// Fifty targets more join when half of the time has passed. They are served by those that are
-// there, without a further byte from the origin.
+// Fifty more targets join after half of the time. The other targets serve them without further
+// bytes from the origin.
 #[test]
-fn targets_that_join_in_the_middle_are_served_by_the_others() {
-    let outcome = run(100, Mesh::chosen(), &[(128, Event::Join(50))]);
-    insta::assert_debug_snapshot!((outcome.time, outcome.origin));
-    assert!(outcome.origin <= 1.05, "{outcome:?}");
+fn joining_targets_add_no_origin_copies() {
+    let outcome = run(100, MeshConfig::chosen(), &[(128, Event::Join(50))]);
+    insta::assert_debug_snapshot!((outcome.time, outcome.origin_copies));
+    assert!(outcome.origin_copies <= 1.05, "{outcome:?}");
     assert!(outcome.time <= 0.25 + 1.10 * 0.5, "{outcome:?}");
 }
 
-// The leader is lost for 50 rounds in the middle of a copy, and the next one knows no grant. The
-// agents go on with what has left the origin; no chunk leaves it a second time.
+// The leader is lost for 50 rounds during a copy, and the next one does not know the earlier
+// grants. The agents continue with the chunks that have left the origin, and no chunk leaves it a
+// second time.
 #[test]
-fn a_copy_goes_on_without_a_leader() {
-    let outcome = run(100, Mesh::chosen(), &[(40, Event::Lead(50))]);
-    insta::assert_debug_snapshot!((outcome.time, outcome.origin));
+fn copy_continues_without_a_leader() {
+    let outcome = run(100, MeshConfig::chosen(), &[(40, Event::LoseLeader(50))]);
+    insta::assert_debug_snapshot!((outcome.time, outcome.origin_copies));
     assert!(
-        outcome.origin <= 1.05 && outcome.ratio <= 1.25,
+        outcome.origin_copies <= 1.05 && outcome.ratio <= 1.25,
         "{outcome:?}"
     );
 }
 
-// Proximity the end of the origin's part, one target in five falls to a sixtieth of its speed, some with grants.
-// Who weighs time has their chunks brought in again soon; who weighs origin bytes waits longer,
-// and pulls none of them twice.
+// Shortly before the origin has sent all chunks, one target in five slows down to a sixtieth of its
+// speed, and some of these hold grants. If time weighs more, their chunks are soon imported again.
+// If origin bytes weigh more, the leader waits longer and fewer chunks are imported twice.
 #[test]
-fn weighing_time_or_origin_buys_what_it_says() {
+fn weigh_trades_time_for_origin_bytes() {
     let figures = [Weigh::Time, Weigh::Origin].map(|weigh| {
-        let mesh = Mesh {
+        let mesh = MeshConfig {
             weigh,
-            ..Mesh::chosen()
+            ..MeshConfig::chosen()
         };
-        let outcome = run(100, mesh, &[(110, Event::Crawl(5, 60))]);
-        (weigh, outcome.time, outcome.origin)
+        let outcome = run(100, mesh, &[(110, Event::SlowDown(5, 60))]);
+        (weigh, outcome.time, outcome.origin_copies)
     });
     insta::assert_debug_snapshot!(figures);
     assert!(
@@ -129,22 +132,23 @@
     );
 }
 
-// The same model without one of the decisions each: what the decision is there for comes back.
+// The model misses its goal if either of two decisions is left out: the turns, or repeated requests
+// within a round.
 #[test]
-fn each_decision_is_needed() {
-    let turnless = run(300, Mesh::turnless(), &[]);
+fn goal_is_missed_without_turns_or_repeated_requests() {
+    let without_turns = run(300, MeshConfig::without_turns(), &[]);
     assert!(
-        turnless.ratio > 1.10,
-        "without turns the goal is missed: {turnless:?}"
+        without_turns.ratio > 1.10,
+        "without turns the goal is missed: {without_turns:?}"
     );
-    let once = Mesh {
-        steps: 1,
-        late: 10,
-        ..Mesh::chosen()
+    let once = MeshConfig {
+        exchanges: 1,
+        late_percent: 10,
+        ..MeshConfig::chosen()
     };
     let once = run(300, once, &[]);
     assert!(
         once.ratio > 1.10,
-        "without a second request it is missed too: {once:?}"
+        "without repeated requests the goal is missed: {once:?}"
     );
 }
--- a/crates/filbertstack-policy/tests/spread_ways.rs
+++ b/crates/filbertstack-policy/tests/spread_ways.rs
@@ -1,25 +1,25 @@
-//! All ways on the same work, as a table.
+//! Test of the table that compares all strategies on the same copies.
 
 mod spread_model;
 
 use spread_model::Faults;
 use spread_model::Setting;
-use spread_model::report::HEAD;
+use spread_model::report::HEADER;
 use spread_model::report::row;
-use spread_model::ways::WAYS;
+use spread_model::strategies::STRATEGIES;
 
 #[test]
-fn the_ways_compare_as_recorded() {
-    let mut table = vec![HEAD.to_owned()];
+fn strategies_match_the_recorded_table() {
+    let mut table = vec![HEADER.to_owned()];
     for faults in [Faults::None, Faults::Mixed] {
         for shared in [false, true] {
-            for way in WAYS
+            for strategy in STRATEGIES
                 .iter()
-                .filter(|way| faults == Faults::None || way.takes_faults())
+                .filter(|strategy| faults == Faults::None || strategy.takes_faults())
             {
                 for targets in [10, 100] {
                     let setting = Setting::new(targets, shared, faults);
-                    table.push(row(way.name, &setting, &way.run(&setting)));
+                    table.push(row(strategy.name, &setting, &strategy.run(&setting)));
                 }
             }
         }
