--- a/crates/filbertstack-agent/src/pacing.rs
+++ b/crates/filbertstack-agent/src/pacing.rs
@@ -75,7 +75,7 @@
         let mut last = 0;
         while !self.stopped.load(Ordering::Relaxed) {
             let live = LiveTraffic {
-                inflight: self.gate.running(),
+                in_flight: self.gate.running(),
                 latency: self.firsts.take_p95(),
             };
             let rate = pace.observe(live, self.desk.is_copying());
--- a/crates/filbertstack-policy/src/spread/pace.rs
+++ b/crates/filbertstack-policy/src/spread/pace.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LiveTraffic {
     /// The number of requests in flight.
-    pub inflight: u32,
+    pub in_flight: u32,
     /// The 95th percentile of the time to the first byte in the last interval, or `None` if there
     /// was no measurement.
     pub latency: Option<Millis>,
@@ -92,7 +92,7 @@
     /// `copying` states whether weights were copied in the interval. Without live requests, weights
     /// get the whole link.
     pub fn observe(&mut self, live: LiveTraffic, copying: bool) -> u64 {
-        if live.inflight == 0 && live.latency.is_none() {
+        if live.in_flight == 0 && live.latency.is_none() {
             return self.config.link_rate;
         }
         if let Some(latency) = live.latency {
--- a/crates/filbertstack-policy/tests/spread_pace.rs
+++ b/crates/filbertstack-policy/tests/spread_pace.rs
@@ -18,7 +18,7 @@
 
 fn traffic(latency: Millis) -> LiveTraffic {
     LiveTraffic {
-        inflight: 10,
+        in_flight: 10,
         latency: Some(latency),
     }
 }
