--- a/crates/filbertstack-entry/src/spread/copy.rs
+++ b/crates/filbertstack-entry/src/spread/copy.rs
@@ -14,7 +14,7 @@
 use filbertstack_policy::spread::grants::Grant;
 use filbertstack_policy::spread::grants::GrantConfig;
 use filbertstack_policy::spread::grants::Grants;
-use filbertstack_policy::spread::grants::ImportFrom;
+use filbertstack_policy::spread::grants::ImportSource;
 use filbertstack_policy::spread::plan::AssignedUpstream;
 use filbertstack_policy::spread::plan::Joined;
 use filbertstack_policy::spread::plan::Plan;
@@ -40,7 +40,7 @@
     addr: SocketAddr,
     incarnation: u64,
     number: u64,
-    grants: BTreeMap<u32, ImportFrom>,
+    grants: BTreeMap<u32, ImportSource>,
     /// Holders of chunks that no other upstream had.
     extra: BTreeSet<TargetKey>,
 }
@@ -305,8 +305,8 @@
         let grants = row.grants.iter().map(|(&chunk, from)| SpreadGrant {
             chunk,
             peer: match from {
-                ImportFrom::Origin => String::new(),
-                ImportFrom::Peer(key) => self.addr(*key).unwrap_or_default(),
+                ImportSource::Origin => String::new(),
+                ImportSource::Peer(key) => self.addr(*key).unwrap_or_default(),
             },
         });
         Some(SpreadPart {
--- a/crates/filbertstack-policy/src/spread/grants.rs
+++ b/crates/filbertstack-policy/src/spread/grants.rs
@@ -61,7 +61,7 @@
 
 /// The source that a grant allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ImportFrom {
+pub enum ImportSource {
     /// The weight store, or the origin if the store does not have the chunk.
     Origin,
     /// An instance of another region.
@@ -76,7 +76,7 @@
     /// The chunk.
     pub chunk: Digest,
     /// The source of the chunk.
-    pub from: ImportFrom,
+    pub from: ImportSource,
 }
 
 /// The reply to an agent that finds no source for a chunk.
@@ -221,10 +221,10 @@
         name: &RegionName,
         to: TargetKey,
         chunk: Digest,
-        from: ImportFrom,
+        from: ImportSource,
         now: Millis,
     ) -> Grant {
-        if from == ImportFrom::Origin {
+        if from == ImportSource::Origin {
             self.from_origin += 1;
             self.first_regions.insert(chunk, Some(name.clone()));
         }
@@ -235,12 +235,12 @@
 
     /// Returns the source from which a region may fetch a chunk now, or `None` while another region
     /// is fetching it.
-    fn source(&self, name: &RegionName, chunk: Digest) -> Option<ImportFrom> {
+    fn source(&self, name: &RegionName, chunk: Digest) -> Option<ImportSource> {
         let first = self.first_regions.get(&chunk)?;
         if first.as_ref().is_none_or(|first| first == name) {
             return Some(
                 self.holder(chunk)
-                    .map_or(ImportFrom::Origin, ImportFrom::Peer),
+                    .map_or(ImportSource::Origin, ImportSource::Peer),
             );
         }
         let first = first.as_ref().and_then(|first| self.regions.get(first))?;
@@ -249,7 +249,7 @@
         }
         Some(
             self.holder(chunk)
-                .map_or(ImportFrom::Origin, ImportFrom::Peer),
+                .map_or(ImportSource::Origin, ImportSource::Peer),
         )
     }
 
--- a/crates/filbertstack-policy/tests/spread_leader.rs
+++ b/crates/filbertstack-policy/tests/spread_leader.rs
@@ -10,7 +10,7 @@
 use filbertstack_policy::spread::grants::Answer;
 use filbertstack_policy::spread::grants::GrantConfig;
 use filbertstack_policy::spread::grants::Grants;
-use filbertstack_policy::spread::grants::ImportFrom;
+use filbertstack_policy::spread::grants::ImportSource;
 use filbertstack_policy::spread::plan::Plan;
 use filbertstack_policy::spread::plan::PlanConfig;
 use filbertstack_policy::spread::plan::Target;
@@ -147,7 +147,7 @@
         grants.publish(digests(20));
     }
     while let Some(grant) = out.pop() {
-        assert_eq!(grant.from, ImportFrom::Origin);
+        assert_eq!(grant.from, ImportSource::Origin);
         granted.push(grant.chunk);
         grants.completed(grant.chunk, grant.to, Millis(100));
         out.extend(grants.grant(Millis(100)));
@@ -185,7 +185,7 @@
     grants.completed(granted[0].chunk, granted[0].to, Millis(100));
     let next = grants.grant(Millis(100));
     assert_eq!(next.len(), 1);
-    assert_eq!(next[0].from, ImportFrom::Peer(granted[0].to));
+    assert_eq!(next[0].from, ImportSource::Peer(granted[0].to));
     assert_eq!(grants.origin_grants(), 1);
 }
 
--- a/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh/leader.rs
@@ -7,7 +7,7 @@
 use filbertstack_policy::spread::grants::Answer;
 use filbertstack_policy::spread::grants::Grant;
 use filbertstack_policy::spread::grants::Grants;
-use filbertstack_policy::spread::grants::ImportFrom;
+use filbertstack_policy::spread::grants::ImportSource;
 use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::pull::RingPosition;
 
@@ -58,8 +58,8 @@
         let to = self.target_index[&grant.to];
         let chunk = self.chunk_index[&grant.chunk];
         let from = match grant.from {
-            ImportFrom::Origin => None,
-            ImportFrom::Peer(key) => Some(self.target_index[&key]),
+            ImportSource::Origin => None,
+            ImportSource::Peer(key) => Some(self.target_index[&key]),
         };
         self.targets[to].sources.insert(chunk, from);
         if !self.targets[to].pull.import(chunk) {
