--- a/crates/filbertstack-policy/src/spread/grants.rs
+++ b/crates/filbertstack-policy/src/spread/grants.rs
@@ -24,7 +24,7 @@
 use region::Import;
 use region::Region;
 
-/// The number of agents that are referred to an instance that holds a chunk. Each of them passes
+/// The maximum number of agents that are referred to the holder of a chunk. Each of them passes
 /// the chunk on in turn.
 const MAX_REFERRALS: u32 = 2;
 
@@ -33,7 +33,7 @@
 pub struct GrantConfig {
     /// The objective of the copy: a short time, or few bytes from the origin.
     pub weigh: Weigh,
-    /// The number of outstanding grants in each region.
+    /// The maximum number of outstanding grants in each region.
     pub max_outstanding: usize,
     /// The time that a target has for fetching a granted chunk.
     pub lease: Millis,
--- a/crates/filbertstack-policy/src/spread/pace.rs
+++ b/crates/filbertstack-policy/src/spread/pace.rs
@@ -63,8 +63,8 @@
 /// The divisor of the moving average: the newest latency counts for one sixteenth.
 const SMOOTHING: u64 = 16;
 
-/// The smallest increase in latency that lowers the limit, whatever its percentage. An engine's
-/// step takes 7 ms, so callers do not notice less.
+/// An increase in latency up to this value does not lower the limit, whatever its percentage. An
+/// engine's step takes 7 ms, so callers do not notice less.
 const MIN_INCREASE: Millis = Millis(5);
 
 /// The controller of the rate limit on weights at one instance.
--- a/crates/filbertstack-policy/src/spread/plan/ring.rs
+++ b/crates/filbertstack-policy/src/spread/plan/ring.rs
@@ -5,8 +5,8 @@
 use crate::spread::plan::RingLink;
 use crate::spread::plan::TargetKey;
 
-/// Returns the strides of a ring of `len` places, `fanout` at most: the powers of two first, then
-/// three times each of them, then any others.
+/// Returns the strides of a ring of `len` places in ascending order. At most `fanout` strides are
+/// chosen: the powers of two first, then three times each of them, then any others.
 ///
 /// With the powers of two alone, a chunk that every holder passes on in each turn reaches `len`
 /// instances in as many turns as `len` has binary digits.
@@ -21,6 +21,7 @@
     strides
 }
 
+/// Returns whether the stride is a power of two or three times a power of two.
 fn is_regular(stride: usize) -> bool {
     stride.is_power_of_two() || (stride.is_multiple_of(3) && (stride / 3).is_power_of_two())
 }
--- a/crates/filbertstack-policy/src/spread/pull.rs
+++ b/crates/filbertstack-policy/src/spread/pull.rs
@@ -433,7 +433,7 @@
 
     fn end_transfer(&mut self, key: TransferKey) -> Option<Transfer> {
         let transfer = self.transfers.remove(key)?;
-        let other = self.transfers.values().any(|f| f.chunk == transfer.chunk);
+        let other = self.transfers.values().any(|t| t.chunk == transfer.chunk);
         if !other {
             self.in_flight.remove(transfer.chunk);
         }
--- a/crates/filbertstack-policy/src/spread/pull/neighbour.rs
+++ b/crates/filbertstack-policy/src/spread/pull/neighbour.rs
@@ -44,9 +44,9 @@
 pub struct RingPosition {
     /// The distance of the upstream.
     pub proximity: Proximity,
-    /// The place, counted from zero.
+    /// The place: the index of the stride among the strides of the ring.
     pub place: u32,
-    /// The number of places in the ring.
+    /// The number of places, which is the number of strides of the ring.
     pub places: u32,
 }
 
@@ -63,7 +63,7 @@
 pub(super) struct Rank {
     slow: bool,
     proximity: Proximity,
-    turns: u64,
+    turns_until: u64,
     last_request: u64,
 }
 
@@ -109,7 +109,7 @@
         Rank {
             slow: self.slow,
             proximity: position.proximity,
-            turns: position.turns_until(turn),
+            turns_until: position.turns_until(turn),
             last_request: self.last_request,
         }
     }
--- a/crates/filbertstack-policy/src/spread/serve.rs
+++ b/crates/filbertstack-policy/src/spread/serve.rs
@@ -1,8 +1,8 @@
 //! The order in which waiting requests get upload slots.
 //!
 //! Load pattern: an instance has just received a rare chunk, and all of its downstreams ask for it
-//! at once. In order of arrival, those with the shortest path would finish early and the last one
-//! would wait alone. The copy is complete only when the last one is.
+//! at once. If it served them in order of arrival, those with the shortest path would finish early
+//! and the last one would wait alone. The copy is complete only when the last one is.
 
 use filbertstack_core::Millis;
 
--- a/crates/filbertstack-policy/tests/spread_leader.rs
+++ b/crates/filbertstack-policy/tests/spread_leader.rs
@@ -138,19 +138,19 @@
     let (mut grants, _) = grants(Weigh::Time, &["van"]);
     grants.publish(digests(20));
     let mut granted = Vec::new();
-    let mut out = grants.grant(Millis::ZERO);
-    assert_eq!(out.len(), 4);
-    let holders: BTreeSet<_> = out[..3].iter().map(|grant| grant.to).collect();
+    let mut outstanding = grants.grant(Millis::ZERO);
+    assert_eq!(outstanding.len(), 4);
+    let holders: BTreeSet<_> = outstanding[..3].iter().map(|grant| grant.to).collect();
     assert_eq!(holders.len(), 3);
     for _ in 0..11 {
         assert!(grants.grant(Millis::ZERO).is_empty());
         grants.publish(digests(20));
     }
-    while let Some(grant) = out.pop() {
+    while let Some(grant) = outstanding.pop() {
         assert_eq!(grant.from, ImportSource::Origin);
         granted.push(grant.chunk);
         grants.completed(grant.chunk, grant.to, Millis(100));
-        out.extend(grants.grant(Millis(100)));
+        outstanding.extend(grants.grant(Millis(100)));
     }
     granted.sort_unstable();
     let mut all = digests(20);
@@ -264,10 +264,10 @@
 fn retired_version_gets_no_grants() {
     let (mut grants, _) = grants(Weigh::Time, &["van"]);
     grants.publish(digests(10));
-    let out = grants.grant(Millis::ZERO);
+    let outstanding = grants.grant(Millis::ZERO);
     grants.retire(digests(10));
     assert!(grants.grant(Millis::secs(60)).is_empty());
-    grants.completed(out[0].chunk, out[0].to, Millis::secs(61));
+    grants.completed(outstanding[0].chunk, outstanding[0].to, Millis::secs(61));
     grants.publish(digests(10));
     assert_eq!(grants.grant(Millis::secs(61)).len(), 4);
 }
--- a/crates/filbertstack-policy/tests/spread_model/mesh.rs
+++ b/crates/filbertstack-policy/tests/spread_model/mesh.rs
@@ -49,7 +49,7 @@
     pub late_percent: u32,
     /// The objective of the copy: a short time, or few bytes from the origin.
     pub weigh: Weigh,
-    /// The number of regions, followed by the number of zones in each.
+    /// The number of regions. Each has `zones` zones.
     pub regions: usize,
     pub zones: usize,
     pub zone_first: bool,
--- a/crates/filbertstack-policy/tests/spread_scenarios.rs
+++ b/crates/filbertstack-policy/tests/spread_scenarios.rs
@@ -21,11 +21,11 @@
 // other region, in little more time than one region needs.
 #[test]
 fn one_copy_crosses_into_each_region() {
-    let far = MeshConfig {
+    let six_regions = MeshConfig {
         regions: 6,
         ..MeshConfig::chosen()
     };
-    let outcome = run(300, far, &[]);
+    let outcome = run(300, six_regions, &[]);
     insta::assert_debug_snapshot!((outcome.time, outcome.origin_copies, outcome.region_copies));
     assert!(
         outcome.origin_copies <= 1.05 && outcome.region_copies <= 5.25,
@@ -38,15 +38,15 @@
 // half of them cross.
 #[test]
 fn zone_first_keeps_chunks_in_their_zone() {
-    let mixed = MeshConfig {
+    let region_rings = MeshConfig {
         zones: 2,
         ..MeshConfig::chosen()
     };
-    let first = MeshConfig {
+    let zone_rings = MeshConfig {
         zone_first: true,
-        ..mixed
+        ..region_rings
     };
-    let outcomes = [mixed, first].map(|mesh| run(300, mesh, &[]));
+    let outcomes = [region_rings, zone_rings].map(|mesh| run(300, mesh, &[]));
     let figures = outcomes.map(|outcome| (outcome.time, outcome.zone_copies / 300.0));
     insta::assert_debug_snapshot!(figures);
     assert!(
@@ -141,14 +141,14 @@
         without_turns.ratio > 1.10,
         "without turns the goal is missed: {without_turns:?}"
     );
-    let once = MeshConfig {
+    let single_exchange = MeshConfig {
         exchanges: 1,
         late_percent: 10,
         ..MeshConfig::chosen()
     };
-    let once = run(300, once, &[]);
+    let single_exchange = run(300, single_exchange, &[]);
     assert!(
-        once.ratio > 1.10,
-        "without repeated requests the goal is missed: {once:?}"
+        single_exchange.ratio > 1.10,
+        "without repeated requests the goal is missed: {single_exchange:?}"
     );
 }
