--- a/crates/filbertstack-agent/src/pacing.rs
+++ b/crates/filbertstack-agent/src/pacing.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use filbertstack_core::Millis;
-use filbertstack_policy::spread::pace::Live;
-use filbertstack_policy::spread::pace::Pace;
+use filbertstack_policy::spread::pace::LiveTraffic;
 use filbertstack_policy::spread::pace::PaceConfig;
+use filbertstack_policy::spread::pace::PaceController;
 
 use crate::desk::Desk;
 use crate::gate::Gate;
@@ -71,11 +71,11 @@
 impl Pacer {
     /// Runs until stopped.
     pub fn run(&self) {
-        let mut pace = Pace::new(PaceConfig::of(self.link));
+        let mut pace = PaceController::new(PaceConfig::for_link(self.link));
         let mut last = 0;
         while !self.stopped.load(Ordering::Relaxed) {
-            let live = Live {
-                inflight: self.gate.running(),
+            let live = LiveTraffic {
+                in_flight: self.gate.running(),
                 latency: self.firsts.take_p95(),
             };
             let rate = pace.observe(live, self.desk.is_copying());
--- a/crates/filbertstack-agent/src/serve.rs
+++ b/crates/filbertstack-agent/src/serve.rs
@@ -9,7 +9,7 @@
 
 use filbertstack_core::Digest;
 use filbertstack_core::Millis;
-use filbertstack_policy::spread::serve::Ask as Upload;
+use filbertstack_policy::spread::serve::UploadRequest as Upload;
 use filbertstack_telemetry::Telemetry;
 use filbertstack_telemetry::traces::Field;
 use filbertstack_telemetry::traces::Hop;
@@ -66,7 +66,7 @@
     chunk: 0,
     import: false,
     held: 0,
-    served: Millis::ZERO,
+    last_served: Millis::ZERO,
     copies: 0,
 };
 
--- a/crates/filbertstack-entry/src/spread/copy.rs
+++ b/crates/filbertstack-entry/src/spread/copy.rs
@@ -10,18 +10,18 @@
 use filbertstack_core::declare::Weigh;
 use filbertstack_core::names::RegionName;
 use filbertstack_policy::spread::ChunkSet;
+use filbertstack_policy::spread::grants::Answer;
+use filbertstack_policy::spread::grants::Grant;
+use filbertstack_policy::spread::grants::GrantConfig;
+use filbertstack_policy::spread::grants::Grants;
+use filbertstack_policy::spread::grants::ImportSource;
+use filbertstack_policy::spread::plan::AssignedUpstream;
 use filbertstack_policy::spread::plan::Joined;
-use filbertstack_policy::spread::plan::Link;
 use filbertstack_policy::spread::plan::Plan;
 use filbertstack_policy::spread::plan::PlanConfig;
 use filbertstack_policy::spread::plan::Target;
 use filbertstack_policy::spread::plan::TargetKey;
-use filbertstack_policy::spread::pull::Near;
-use filbertstack_policy::spread::tokens::Answer;
-use filbertstack_policy::spread::tokens::Grant;
-use filbertstack_policy::spread::tokens::ImportFrom;
-use filbertstack_policy::spread::tokens::TokenConfig;
-use filbertstack_policy::spread::tokens::Tokens;
+use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_wire::messages::MANIFEST;
 use filbertstack_wire::messages::SpreadCopy;
 use filbertstack_wire::messages::SpreadGrant;
@@ -40,7 +40,7 @@
     addr: SocketAddr,
     incarnation: u64,
     number: u64,
-    grants: BTreeMap<u32, ImportFrom>,
+    grants: BTreeMap<u32, ImportSource>,
     /// Holders of chunks that no other upstream had.
     extra: BTreeSet<TargetKey>,
 }
@@ -55,10 +55,10 @@
     ids: Vec<Digest>,
     places: BTreeMap<Digest, u32>,
     plan: Plan,
-    tokens: Tokens,
+    tokens: Grants,
     /// The manifest's grants, apart from the chunks': an agent without a manifest can use no grant
     /// of a chunk, and a window full of such grants would keep the manifest out for ever.
-    manifests: Tokens,
+    manifests: Grants,
     rows: BTreeMap<Arc<str>, Row>,
     names: BTreeMap<TargetKey, Arc<str>>,
     wanted: BTreeSet<Arc<str>>,
@@ -81,8 +81,8 @@
                 .chain([(id(root, MANIFEST), MANIFEST)])
                 .collect(),
             plan: Plan::new(PlanConfig::default()),
-            tokens: Tokens::new(TokenConfig::of(weigh)),
-            manifests: Tokens::new(TokenConfig::of(weigh)),
+            tokens: Grants::new(GrantConfig::of(weigh)),
+            manifests: Grants::new(GrantConfig::of(weigh)),
             rows: BTreeMap::new(),
             names: BTreeMap::new(),
             wanted: BTreeSet::new(),
@@ -138,7 +138,7 @@
         let key = row.key;
         self.whole = Some(key);
         for &id in &self.ids {
-            self.tokens.landed(id, key, now);
+            self.tokens.completed(id, key, now);
         }
         self.landed(key, MANIFEST, now);
     }
@@ -237,7 +237,7 @@
     fn landed(&mut self, key: TargetKey, place: u32, now: Millis) {
         self.end_grant(key, place);
         let chunk = id(self.root, place);
-        self.tokens(place).landed(chunk, key, now);
+        self.tokens(place).completed(chunk, key, now);
     }
 
     fn end_grant(&mut self, key: TargetKey, place: u32) {
@@ -252,7 +252,7 @@
         let chunk = id(self.root, place);
         match self.tokens(place).ask(chunk, key, now) {
             Answer::Granted(grant) => self.give(grant),
-            Answer::Ask(holder) => {
+            Answer::Holder(holder) => {
                 if let Some(row) = self.row(key)
                     && row.extra.insert(holder)
                 {
@@ -272,7 +272,7 @@
     }
 
     /// The grants that those of `place` are among.
-    const fn tokens(&mut self, place: u32) -> &mut Tokens {
+    const fn tokens(&mut self, place: u32) -> &mut Grants {
         if place == MANIFEST {
             &mut self.manifests
         } else {
@@ -305,8 +305,8 @@
         let grants = row.grants.iter().map(|(&chunk, from)| SpreadGrant {
             chunk,
             peer: match from {
-                ImportFrom::Origin => String::new(),
-                ImportFrom::Peer(key) => self.addr(*key).unwrap_or_default(),
+                ImportSource::Origin => String::new(),
+                ImportSource::Peer(key) => self.addr(*key).unwrap_or_default(),
             },
         });
         Some(SpreadPart {
@@ -322,12 +322,12 @@
         Some(row.addr.to_string())
     }
 
-    fn upstream(&self, link: &Link) -> Option<SpreadUpstream> {
+    fn upstream(&self, link: &AssignedUpstream) -> Option<SpreadUpstream> {
         Some(SpreadUpstream {
             addr: self.addr(link.target)?,
-            region: link.seat.near == Near::Region,
-            place: link.seat.place,
-            places: link.seat.places,
+            region: link.position.proximity == Proximity::Region,
+            place: link.position.place,
+            places: link.position.places,
         })
     }
 
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -9,11 +9,11 @@
 use filbertstack_policy::spread::chunks::ChunkIndex;
 use filbertstack_policy::spread::chunks::ChunkSet;
 use filbertstack_policy::spread::pull::Fault;
-use filbertstack_policy::spread::pull::FlightKey;
 use filbertstack_policy::spread::pull::NeighbourKey;
-use filbertstack_policy::spread::pull::Pull;
 use filbertstack_policy::spread::pull::PullConfig;
-use filbertstack_policy::spread::pull::Seat;
+use filbertstack_policy::spread::pull::PullScheduler;
+use filbertstack_policy::spread::pull::RingPosition;
+use filbertstack_policy::spread::pull::TransferKey;
 use filbertstack_policy::spread::pull::Upstream;
 
 use crate::copy::CopyEvent;
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct Job {
     /// Names it in [`Core::done`].
-    pub flight: FlightKey,
+    pub flight: TransferKey,
     /// What to fetch.
     pub want: Want,
     /// From where.
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct Core {
     store: Arc<Store>,
-    pull: Pull,
+    pull: PullScheduler,
     catalogue: Catalogue,
     peers: HashMap<NeighbourKey, Arc<dyn AnySource>>,
     grants: HashMap<ChunkIndex, Grant>,
@@ -65,7 +65,7 @@
     pub fn new(store: Arc<Store>, config: PullConfig, seed: u64) -> Self {
         Self {
             store,
-            pull: Pull::new(config, seed),
+            pull: PullScheduler::new(config, seed),
             catalogue: Catalogue::default(),
             peers: HashMap::new(),
             grants: HashMap::new(),
@@ -129,7 +129,7 @@
     }
 
     /// Adds an upstream.
-    pub fn add_peer(&mut self, source: Arc<dyn AnySource>, seat: Seat) -> NeighbourKey {
+    pub fn add_peer(&mut self, source: Arc<dyn AnySource>, seat: RingPosition) -> NeighbourKey {
         let key = self.pull.join(seat);
         self.peers.insert(key, source);
         key
@@ -163,7 +163,7 @@
 
     /// Takes note of the mesh clock in a peer's message.
     pub fn hear(&mut self, clock: Millis, now: Millis) {
-        self.pull.hear(clock, now);
+        self.pull.observe_clock(clock, now);
     }
 
     /// The mesh clock for this agent's messages.
@@ -226,14 +226,14 @@
             let want = self.catalogue.want(request.chunk, root).cloned();
             if let (Some(source), Some(want)) = (source, want) {
                 return Some(Job {
-                    flight: request.flight,
+                    flight: request.transfer,
                     want,
                     source,
                     index: request.chunk,
                     from: request.from,
                 });
             }
-            self.pull.failed(request.flight, Fault::Missing, now);
+            self.pull.failed(request.transfer, Fault::Missing, now);
         }
     }
 
@@ -257,7 +257,9 @@
         let chunk = job.want.chunk.digest;
         // A fetch that was given up, or whose version was forgotten, may end all the same: the
         // index can name another chunk by then.
-        if !self.pull.landed(job.flight, now) || self.catalogue.index_of(chunk) != Some(job.index) {
+        if !self.pull.completed(job.flight, now)
+            || self.catalogue.index_of(chunk) != Some(job.index)
+        {
             return Vec::new();
         }
         // It may have come from a peer before its grant was used: the leader is told all the same.
@@ -302,7 +304,7 @@
     }
 
     fn worn_out(&mut self) -> Vec<CopyEvent> {
-        let worn = self.pull.worn();
+        let worn = self.pull.failing();
         let new = worn.iter().filter(|key| !self.worn.contains(key));
         let events = new.map(|&peer| CopyEvent::Worn { peer }).collect();
         self.worn = worn;
--- a/crates/filbertstack-weights/src/copy/pool.rs
+++ b/crates/filbertstack-weights/src/copy/pool.rs
@@ -15,10 +15,10 @@
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::chunks::ChunkIndex;
 use filbertstack_policy::spread::chunks::ChunkSet;
-use filbertstack_policy::spread::pace::Bucket;
+use filbertstack_policy::spread::pace::TokenBucket;
 use filbertstack_policy::spread::pull::NeighbourKey;
 use filbertstack_policy::spread::pull::PullConfig;
-use filbertstack_policy::spread::pull::Seat;
+use filbertstack_policy::spread::pull::RingPosition;
 
 use crate::copy::CopyEvent;
 use crate::copy::Core;
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 struct State {
     core: Core,
-    bucket: Bucket,
+    bucket: TokenBucket,
     events: Sender<CopyEvent>,
     stop: bool,
 }
@@ -70,7 +70,7 @@
     pub fn start(store: Arc<Store>, config: CopyConfig, events: Sender<CopyEvent>) -> Self {
         let state = State {
             core: Core::new(store.clone(), config.pull, config.seed),
-            bucket: Bucket::new(config.rate),
+            bucket: TokenBucket::new(config.rate),
             events,
             stop: false,
         };
@@ -84,7 +84,7 @@
             let shared = shared.clone();
             thread::spawn(move || shared.work())
         };
-        let threads = (0..config.pull.slots).map(start).collect();
+        let threads = (0..config.pull.max_transfers).map(start).collect();
         Self { shared, threads }
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// See [`Core::add_peer`].
-    pub fn add_peer(&self, source: Arc<dyn AnySource>, seat: Seat) -> NeighbourKey {
+    pub fn add_peer(&self, source: Arc<dyn AnySource>, seat: RingPosition) -> NeighbourKey {
         self.shared.lock().core.add_peer(source, seat)
     }
 
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -10,15 +10,15 @@
 use filbertstack_core::Millis;
 use filbertstack_core::declare::Weigh;
 use filbertstack_policy::spread::chunks::ChunkSet;
+use filbertstack_policy::spread::grants::Grant;
+use filbertstack_policy::spread::grants::GrantConfig;
+use filbertstack_policy::spread::grants::Grants;
 use filbertstack_policy::spread::plan::Plan;
 use filbertstack_policy::spread::plan::PlanConfig;
 use filbertstack_policy::spread::plan::Target;
-use filbertstack_policy::spread::pull::Near;
+use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::pull::PullConfig;
-use filbertstack_policy::spread::pull::Seat;
-use filbertstack_policy::spread::tokens::Grant;
-use filbertstack_policy::spread::tokens::TokenConfig;
-use filbertstack_policy::spread::tokens::Tokens;
+use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_weights::Store;
 use filbertstack_weights::copy::Copier;
 use filbertstack_weights::copy::CopyConfig;
@@ -36,10 +36,10 @@
 /// No test waits this long unless it fails.
 const LONG: Duration = Duration::from_secs(30);
 
-fn seat(place: u32, places: u32) -> Seat {
-    let near = Near::Zone;
-    Seat {
-        near,
+fn seat(place: u32, places: u32) -> RingPosition {
+    let proximity = Proximity::Zone;
+    RingPosition {
+        proximity,
         place,
         places,
     }
@@ -58,7 +58,7 @@
 
 /// Makes the fetches one after the other, a turn each, for two minutes.
 fn drive(core: &mut Core, store: &Store) -> Vec<CopyEvent> {
-    let turn = PullConfig::default().turn;
+    let turn = PullConfig::default().turn_length;
     let mut events = Vec::new();
     let mut now = Millis::ZERO;
     while now < Millis::secs(120) {
@@ -171,7 +171,7 @@
 fn no_chunk_is_under_way_twice() {
     let (one, two) = (sample(1), sample(2));
     let config = PullConfig {
-        slots: 64,
+        max_transfers: 64,
         ..PullConfig::default()
     };
     let mut core = Core::new(Arc::new(Store::memory(100_000)), config, 1);
@@ -335,7 +335,7 @@
     let origin = Arc::new(MemoryPeer::new(&sample.bytes));
     let agents: Vec<_> = (0..11).map(agent).collect();
     let mut plan = Plan::new(PlanConfig::default());
-    let mut tokens = Tokens::new(TokenConfig::of(Weigh::Origin));
+    let mut tokens = Grants::new(GrantConfig::of(Weigh::Origin));
     let target = |at: usize| Target {
         name: format!("t{at}").parse().unwrap(),
         zone: "van-a".parse().unwrap(),
@@ -353,7 +353,7 @@
         for link in plan.upstreams(keys[down]) {
             let up = at(link.target);
             let source = Arc::new(StorePeer(agents[up].store.clone()));
-            downs[up].push((down, agent.copier.add_peer(source, link.seat)));
+            downs[up].push((down, agent.copier.add_peer(source, link.position)));
         }
     }
     let send = |grants: Vec<Grant>| {
@@ -372,7 +372,7 @@
             match event {
                 CopyEvent::Landed { chunk, granted } => {
                     if granted {
-                        tokens.landed(chunk, keys[up], Millis::ZERO);
+                        tokens.completed(chunk, keys[up], Millis::ZERO);
                         send(tokens.grant(Millis::ZERO));
                     }
                     let held = agent.copier.holding(root).unwrap();
--- a/crates/filbertstack-weights/tests/lifecycle.rs
+++ b/crates/filbertstack-weights/tests/lifecycle.rs
@@ -23,9 +23,9 @@
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::chunks::ChunkSet;
 use filbertstack_policy::spread::pull::Fault;
-use filbertstack_policy::spread::pull::Near;
+use filbertstack_policy::spread::pull::Proximity;
 use filbertstack_policy::spread::pull::PullConfig;
-use filbertstack_policy::spread::pull::Seat;
+use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_weights::Store;
 use filbertstack_weights::copy::Core;
 use filbertstack_weights::version::Draining;
@@ -212,9 +212,9 @@
             .map(|at| {
                 let sample = &self.samples[at];
                 let peer = Arc::new(MemoryPeer::with(&sample.bytes, mood));
-                let (near, place, places) = (Near::Zone, 0, 1);
-                let seat = Seat {
-                    near,
+                let (proximity, place, places) = (Proximity::Zone, 0, 1);
+                let seat = RingPosition {
+                    proximity,
                     place,
                     places,
                 };
--- a/crates/filbertstack-weights/tests/uploads.rs
+++ b/crates/filbertstack-weights/tests/uploads.rs
@@ -5,17 +5,17 @@
 use std::time::Duration;
 
 use filbertstack_core::Millis;
-use filbertstack_policy::spread::serve::Ask;
+use filbertstack_policy::spread::serve::UploadRequest;
 use filbertstack_weights::copy::Uploads;
 
 const LONG: Duration = Duration::from_secs(30);
 
-fn ask(held: u32) -> Ask {
-    Ask {
+fn ask(held: u32) -> UploadRequest {
+    UploadRequest {
         chunk: 0,
         import: false,
         held,
-        served: Millis::ZERO,
+        last_served: Millis::ZERO,
         copies: 1,
     }
 }
