--- a/crates/filbertstack-gateway/src/control/mod.rs
+++ b/crates/filbertstack-gateway/src/control/mod.rs
@@ -1,10 +1,10 @@
 //! What is declared and who is there, on every node.
 //!
 //! Voters keep the declared state in the replicated log and the registry of processes in memory;
-//! every other node follows one voter. [`node::Node`] answers peers, [`calls`] answers operators
+//! every other node follows one voter. [`node::Node`] answers peers, [`api`] answers operators
 //! and engines.
 
-pub mod calls;
+pub mod api;
 pub mod declared;
 pub mod follow;
 pub mod lag;
--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -17,7 +17,7 @@
 use hyper::body::Incoming;
 use tokio::sync::watch;
 
-use crate::control::calls::json;
+use crate::control::api::json;
 use crate::control::node::Node;
 use crate::entry::server::Service;
 use crate::link::messages::Kind;
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -24,7 +24,7 @@
 use crate::clock::Clock;
 use crate::clock::unix_millis;
 use crate::control::EXPLAIN;
-use crate::control::calls::Calls;
+use crate::control::api::Calls;
 use crate::control::follow;
 use crate::control::node::Node;
 use crate::control::node::lead_followers;
