--- a/crates/filbertstack-gateway/src/control/api.rs
+++ b/crates/filbertstack-gateway/src/control/api.rs
@@ -46,11 +46,11 @@
 const BODY: Duration = Duration::from_secs(10);
 
 /// Serves the control address.
-pub struct Calls {
+pub struct ControlApi {
     node: Rc<Node>,
 }
 
-impl Calls {
+impl ControlApi {
     /// Calls to `node`.
     pub fn new(node: Rc<Node>) -> Self {
         Self { node }
@@ -187,7 +187,7 @@
     }
 }
 
-impl Service for Calls {
+impl Service for ControlApi {
     type Body = AnswerBody;
 
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -24,7 +24,7 @@
 use crate::clock::Clock;
 use crate::clock::unix_millis;
 use crate::control::EXPLAIN;
-use crate::control::api::Calls;
+use crate::control::api::ControlApi;
 use crate::control::follow;
 use crate::control::node::Node;
 use crate::control::node::lead_followers;
@@ -160,7 +160,7 @@
         ));
     }
     if let Some(addr) = listen.control {
-        let calls = Rc::new(Calls::new(node.clone()));
+        let calls = Rc::new(ControlApi::new(node.clone()));
         spawn_local(server::serve(
             bind(addr)?,
             calls,
