--- a/crates/filbertstack-gateway/src/control/api.rs
+++ b/crates/filbertstack-gateway/src/control/api.rs
@@ -193,13 +193,13 @@
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let (method, path) = (request.method().clone(), request.uri().path().to_owned());
         match self.handle(request).await {
-            Ok(body) => json(StatusCode::OK, body),
+            Ok(body) => json_response(StatusCode::OK, body),
             Err(Failed(status, why)) => {
                 info!("call failed", kv: {
                     method = method.as_str(), path = path, status = status.as_u16(),
                     error = why.clone()
                 });
-                json(status, failure(&why))
+                json_response(status, failure(&why))
             }
         }
     }
@@ -214,7 +214,7 @@
 }
 
 /// An answer with a JSON body.
-pub fn json(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
+pub fn json_response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(Full::new(body)));
     *response.status_mut() = status;
     let json = header::HeaderValue::from_static(JSON);
--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -17,7 +17,7 @@
 use hyper::body::Incoming;
 use tokio::sync::watch;
 
-use crate::control::api::json;
+use crate::control::api::json_response;
 use crate::control::node::Node;
 use crate::entry::server::Service;
 use crate::link::messages::Kind;
@@ -86,17 +86,17 @@
             } else {
                 StatusCode::SERVICE_UNAVAILABLE
             };
-            return json(status, empty);
+            return json_response(status, empty);
         }
         let Some(place) = read(method, uri.path(), uri.query().unwrap_or_default()) else {
-            return json(StatusCode::NOT_FOUND, empty);
+            return json_response(StatusCode::NOT_FOUND, empty);
         };
         let addrs = self.addrs(&place);
         if addrs.is_empty() || !self.node.declared.is_known() {
-            return json(StatusCode::SERVICE_UNAVAILABLE, empty);
+            return json_response(StatusCode::SERVICE_UNAVAILABLE, empty);
         }
         let keep = KEEP.min(self.node.settings.bounds.keep);
-        json(StatusCode::OK, answer(&addrs, keep))
+        json_response(StatusCode::OK, answer(&addrs, keep))
     }
 
     fn head_limit(&self) -> usize {
