--- a/crates/filbertstack-gateway/src/control/follow.rs
+++ b/crates/filbertstack-gateway/src/control/follow.rs
@@ -20,7 +20,7 @@
 use tokio::time::timeout;
 use tokio::time::timeout_at;
 
-use crate::control::EXPLAIN;
+use crate::control::EXPLAIN_INTERVAL;
 use crate::control::node::Node;
 use crate::control::parts::PartError;
 use crate::control::search::Search;
@@ -234,10 +234,10 @@
         let now = Instant::now();
         if node.is_current() || search.leader().is_some() {
             self.outside = now;
-        } else if now.duration_since(self.outside) >= EXPLAIN {
+        } else if now.duration_since(self.outside) >= EXPLAIN_INTERVAL {
             self.outside = now;
             warn!("no voter is in contact with its group", kv: {
-                for_s = EXPLAIN.as_secs(), asked = search.account()
+                for_s = EXPLAIN_INTERVAL.as_secs(), asked = search.account()
             });
         }
     }
--- a/crates/filbertstack-gateway/src/control/mod.rs
+++ b/crates/filbertstack-gateway/src/control/mod.rs
@@ -33,4 +33,4 @@
 /// After how long a node that has no contact with the group says whom it asked, and how often it
 /// does so then: an election, a lost disk's repair and a start of all nodes take less than three
 /// seconds.
-pub const EXPLAIN: Duration = Duration::from_secs(5);
+pub const EXPLAIN_INTERVAL: Duration = Duration::from_secs(5);
--- a/crates/filbertstack-gateway/src/control/upkeep.rs
+++ b/crates/filbertstack-gateway/src/control/upkeep.rs
@@ -17,7 +17,7 @@
 use spdlog::warn;
 use tokio::task::spawn_blocking;
 
-use crate::control::EXPLAIN;
+use crate::control::EXPLAIN_INTERVAL;
 use crate::control::membership;
 use crate::control::membership::Newcomer;
 use crate::control::search::Search;
@@ -117,13 +117,13 @@
         }
         let now = Instant::now();
         let since = self.outside.get().unwrap_or(now);
-        if now.duration_since(since) < EXPLAIN {
+        if now.duration_since(since) < EXPLAIN_INTERVAL {
             self.outside.set(Some(since));
             return;
         }
         self.outside.set(Some(now));
         warn!("no leader takes this node in", kv: {
-            for_s = EXPLAIN.as_secs(), asked = search.account(),
+            for_s = EXPLAIN_INTERVAL.as_secs(), asked = search.account(),
             leader = leader.map_or("none named".to_owned(), |l| l.to_string()),
             refused = refused.unwrap_or_default()
         });
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::clock::Clock;
 use crate::clock::unix_millis;
-use crate::control::EXPLAIN;
+use crate::control::EXPLAIN_INTERVAL;
 use crate::control::api::ControlApi;
 use crate::control::follow;
 use crate::control::node::Node;
@@ -242,7 +242,7 @@
         match node.register(vec![row.clone()]).await {
             Ok(()) => complained = None,
             Err(error) => {
-                if complained.is_none_or(|at| at.elapsed() >= EXPLAIN) {
+                if complained.is_none_or(|at| at.elapsed() >= EXPLAIN_INTERVAL) {
                     complained = Some(Instant::now());
                     info!("own row not registered", kv: { error = error.to_string() });
                 }
