--- a/crates/filbertstack-gateway/src/agent/mod.rs
+++ b/crates/filbertstack-gateway/src/agent/mod.rs
@@ -154,7 +154,7 @@
     });
     let server = Rc::new(PieceServer::new(agent.clone()));
     spawn_local(link::serve(links, server));
-    spawn_local(follow::follow_any(node));
+    spawn_local(follow::follow_group(node));
     spawn_local(reports::watch_engine(agent.clone()));
     spawn_local(rollout::keep_version(agent));
     spawn_local(reload.clone().watch_file());
--- a/crates/filbertstack-gateway/src/control/follow.rs
+++ b/crates/filbertstack-gateway/src/control/follow.rs
@@ -147,7 +147,7 @@
 ///
 /// Each follower is told of its engines' loads several times a second, which a voter of another
 /// region would send over the narrow links between regions.
-pub async fn follow_any(node: Rc<Node>) {
+pub async fn follow_group(node: Rc<Node>) {
     let mut vain = 0;
     let mut finder = Finder::new();
     let mut look_near = Instant::now();
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -180,7 +180,7 @@
             spawn_local(follow::follow_others(node.clone(), voter.clone()));
         }
         None => {
-            spawn_local(follow::follow_any(node.clone()));
+            spawn_local(follow::follow_group(node.clone()));
         }
     }
 }
