--- a/crates/filbertstack-gateway/src/control/follow.rs
+++ b/crates/filbertstack-gateway/src/control/follow.rs
@@ -335,7 +335,7 @@
 }
 
 /// A voter follows all others for the rows registered there.
-pub async fn follow_others(node: Rc<Node>, voter: Rc<Voter>) {
+pub async fn follow_peers(node: Rc<Node>, voter: Rc<Voter>) {
     let mut following: Vec<(SocketAddr, tokio::task::JoinHandle<()>)> = Vec::new();
     loop {
         following.retain(|(_, task)| !task.is_finished());
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -177,7 +177,7 @@
     match &node.voter {
         Some(voter) => {
             lead_followers(node);
-            spawn_local(follow::follow_others(node.clone(), voter.clone()));
+            spawn_local(follow::follow_peers(node.clone(), voter.clone()));
         }
         None => {
             spawn_local(follow::follow_group(node.clone()));
