--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -389,7 +389,7 @@
 }
 
 /// Runs what every node with a voter does for its followers, until the process ends.
-pub fn lead_followers(node: &Rc<Node>) {
+pub fn serve_followers(node: &Rc<Node>) {
     let Some(voter) = node.voter.clone() else {
         return;
     };
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -27,7 +27,7 @@
 use crate::control::api::ControlApi;
 use crate::control::follow;
 use crate::control::node::Node;
-use crate::control::node::lead_followers;
+use crate::control::node::serve_followers;
 use crate::control::unregistered::register_later;
 use crate::control::voter::Around;
 use crate::control::voter::Voter;
@@ -176,7 +176,7 @@
 fn start_control(node: &Rc<Node>) {
     match &node.voter {
         Some(voter) => {
-            lead_followers(node);
+            serve_followers(node);
             spawn_local(follow::follow_peers(node.clone(), voter.clone()));
         }
         None => {
