--- a/crates/filbertstack-gateway/src/control/unregistered.rs
+++ b/crates/filbertstack-gateway/src/control/unregistered.rs
@@ -66,7 +66,7 @@
 }
 
 /// Registers what waits as soon as a voter takes it, until the process ends.
-pub async fn register_later(node: Rc<Node>) {
+pub async fn register_pending(node: Rc<Node>) {
     loop {
         node.unregistered.news.notified().await;
         loop {
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -28,7 +28,7 @@
 use crate::control::follow;
 use crate::control::node::Node;
 use crate::control::node::serve_followers;
-use crate::control::unregistered::register_later;
+use crate::control::unregistered::register_pending;
 use crate::control::voter::Around;
 use crate::control::voter::Voter;
 use crate::entry::directory::Directory;
@@ -115,7 +115,7 @@
     let cache = Rc::new(Cache::new(node.clone(), &node.entry_id()));
     serve_all(&node, &requests, &cache, &leaving, &answering)?;
     start_control(&node);
-    spawn_local(register_later(node.clone()));
+    spawn_local(register_pending(node.clone()));
     spawn_local(keep_targets(node.clone(), requests.clone()));
     spawn_local(keep_loads(node.clone(), requests.clone()));
     spawn_local(cache.clone().keep());
