--- a/crates/filbertstack-gateway/src/control/voter.rs
+++ b/crates/filbertstack-gateway/src/control/voter.rs
@@ -89,7 +89,7 @@
 }
 
 /// What a voter needs of the process around it.
-pub struct Around {
+pub struct VoterContext {
     /// Links to peers.
     pub dialer: Dialer,
     /// The seeds, which may change.
@@ -128,7 +128,7 @@
     pub fn start(
         settings: &NodeSettings,
         folder: &std::path::Path,
-        around: Around,
+        around: VoterContext,
     ) -> Result<Rc<Self>, StartError> {
         let (machine, documents) = DocumentMachine::new();
         // If the folder can't be made, opening it says so.
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -29,8 +29,8 @@
 use crate::control::node::Node;
 use crate::control::node::serve_followers;
 use crate::control::unregistered::register_pending;
-use crate::control::voter::Around;
 use crate::control::voter::Voter;
+use crate::control::voter::VoterContext;
 use crate::entry::directory::Directory;
 use crate::entry::server::Answering;
 use crate::link;
@@ -92,7 +92,7 @@
     let dialer = Dialer::default();
     let metrics = Rc::new(metrics);
     let reload = Rc::new(Reload::new(path, settings.clone()));
-    let around = Around {
+    let around = VoterContext {
         dialer: dialer.clone(),
         seeds: reload.seeds(),
         metrics: metrics.clone(),
