--- a/crates/filbertstack-gateway/src/control/voter.rs
+++ b/crates/filbertstack-gateway/src/control/voter.rs
@@ -302,7 +302,7 @@
 
     /// Passes the leadership on, if this voter has it, so that the others need no election when
     /// it ends. Until then it goes on as a follower.
-    pub async fn hand_over(&self) {
+    pub async fn transfer_leader(&self) {
         self.leaving.set(true);
         if !self.leads() {
             return;
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -294,7 +294,7 @@
     let voter = node.voter.clone();
     let handing = spawn_local(async move {
         if let Some(voter) = voter {
-            voter.hand_over().await;
+            voter.transfer_leader().await;
         }
     });
     loop {
