--- a/crates/filbertstack-gateway/src/control/mod.rs
+++ b/crates/filbertstack-gateway/src/control/mod.rs
@@ -13,7 +13,7 @@
 pub mod membership;
 pub mod node;
 pub mod parts;
-pub mod people;
+pub mod registry;
 pub mod search;
 pub mod seek;
 pub mod shortage;
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -19,7 +19,7 @@
 use crate::control::lag::Lag;
 use crate::control::loads::Loads;
 use crate::control::loads::Wants;
-use crate::control::people::People;
+use crate::control::registry::People;
 use crate::control::unregistered::Unregistered;
 use crate::control::voter::Voter;
 use crate::link::Dialer;
