--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -19,7 +19,7 @@
 use crate::control::lag::Lag;
 use crate::control::loads::Loads;
 use crate::control::loads::Wants;
-use crate::control::registry::People;
+use crate::control::registry::ProcessRegistry;
 use crate::control::unregistered::Unregistered;
 use crate::control::voter::Voter;
 use crate::link::Dialer;
@@ -70,7 +70,7 @@
     /// What is declared.
     pub declared: DeclaredState,
     /// Who is there.
-    pub people: People,
+    pub people: ProcessRegistry,
     /// The loads of engines.
     pub loads: Loads,
     /// Statements that no voter could take yet.
@@ -104,7 +104,7 @@
             seeds,
             clock,
             declared: DeclaredState::new(clock, rollout),
-            people: People::new(clock),
+            people: ProcessRegistry::new(clock),
             loads: Loads::default(),
             unregistered: Unregistered::default(),
             dialer,
--- a/crates/filbertstack-gateway/src/control/registry.rs
+++ b/crates/filbertstack-gateway/src/control/registry.rs
@@ -43,7 +43,7 @@
 }
 
 /// The registry of one node, and the links of those that follow it.
-pub struct People {
+pub struct ProcessRegistry {
     clock: Clock,
     rows: RefCell<Registry<Rc<Kind>>>,
     followers: RefCell<Vec<Follower>>,
@@ -52,7 +52,7 @@
     news: watch::Sender<u64>,
 }
 
-impl People {
+impl ProcessRegistry {
     /// A registry without rows.
     pub fn new(clock: Clock) -> Self {
         Self {
