--- a/crates/filbertstack-gateway/src/control/follow.rs
+++ b/crates/filbertstack-gateway/src/control/follow.rs
@@ -84,7 +84,7 @@
         for told in [Interest::All, Interest::Weights] {
             for news in node.declared.since(held, told) {
                 let to = |interest| (interest == told).then(|| news.clone());
-                node.people.tell(to);
+                node.registry.tell(to);
             }
         }
         if seen.changed().await.is_err() {
@@ -103,15 +103,15 @@
         let span = now.since(last);
         last = now;
         if span > PAUSED || !node.is_current() {
-            node.people.defer(span);
+            node.registry.defer(span);
         }
-        node.people.flush();
+        node.registry.flush();
         node.loads.flush();
         if Instant::now() >= pulse_at {
             pulse_at = Instant::now() + PULSE;
-            node.people.expire();
+            node.registry.expire();
             let pulse = node.pulse();
-            node.people.tell(|_| Some(pulse.clone()));
+            node.registry.tell(|_| Some(pulse.clone()));
         }
     }
 }
@@ -188,7 +188,7 @@
 
 /// Whether a voter is known to be in this node's zone and to stay.
 fn is_near(node: &Node, voter: SocketAddr) -> bool {
-    let rows = node.people.present();
+    let rows = node.registry.present();
     rows.iter().any(|(_, kind, _)| match &**kind {
         Kind::Entry(row) => {
             row.zone == node.settings.node.zone && !row.leaving && addr(&row.link) == Some(voter)
@@ -286,7 +286,7 @@
             }
             Ok(Some(News::Pulse(pulse))) => {
                 node.learn_voters(pulse.voters.iter().filter_map(|v| addr(v)).collect());
-                node.people.prune();
+                node.registry.prune();
                 if !told {
                     info!("voter followed", kv: { voter = voter.to_string() });
                     told = true;
@@ -324,9 +324,9 @@
         News::Declared(declared) => node.declared.follow(declared),
         News::Rows(rows) => {
             if rows.whole && node.voter.is_none() {
-                node.people.begin_listing();
+                node.registry.begin_listing();
             }
-            node.people.take(rows.rows, false);
+            node.registry.take(rows.rows, false);
         }
         News::Loads(loads) => node.loads.take(loads.rows, false),
         News::Log(_) | News::Follow(_) | News::Pulse(_) | News::Watch(_) => {}
@@ -371,7 +371,7 @@
     link.tell(News::Follow(follow));
     while let Ok(Some(news)) = timeout(SILENT, news.recv()).await {
         match news {
-            News::Rows(rows) => node.people.take(rows.rows, false),
+            News::Rows(rows) => node.registry.take(rows.rows, false),
             News::Loads(loads) => node.loads.take(loads.rows, false),
             News::Pulse(pulse) => node.hear_document(pulse.document),
             _ => {}
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -70,7 +70,7 @@
     /// What is declared.
     pub declared: DeclaredState,
     /// Who is there.
-    pub people: ProcessRegistry,
+    pub registry: ProcessRegistry,
     /// The loads of engines.
     pub loads: Loads,
     /// Statements that no voter could take yet.
@@ -104,7 +104,7 @@
             seeds,
             clock,
             declared: DeclaredState::new(clock, rollout),
-            people: ProcessRegistry::new(clock),
+            registry: ProcessRegistry::new(clock),
             loads: Loads::default(),
             unregistered: Unregistered::default(),
             dialer,
@@ -258,7 +258,7 @@
             if !voter.is_current() {
                 return Err(GroupError::Unknown);
             }
-            self.people.take(rows, true);
+            self.registry.take(rows, true);
             return Ok(());
         }
         let question = Question::Register(Rows { rows, whole: false });
@@ -297,7 +297,7 @@
         if interest == Interest::Registered {
             self.loads.follow(link, Wants::Own);
         }
-        self.people.follow(link.clone(), interest);
+        self.registry.follow(link.clone(), interest);
         link.tell(self.pulse());
     }
 
@@ -368,7 +368,7 @@
                 }
             }
             News::Follow(follow) => self.attach(&follow, sender),
-            News::Rows(rows) if self.voter.is_some() => self.people.take(rows.rows, true),
+            News::Rows(rows) if self.voter.is_some() => self.registry.take(rows.rows, true),
             News::Loads(loads) if self.voter.is_some() => self.loads.take(loads.rows, true),
             News::Watch(watch) if self.voter.is_some() => {
                 let engines = watch.engines.into_iter().collect();
--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -51,7 +51,7 @@
     /// The entries for a caller, those of its zone if there are enough. The order differs from
     /// node to node, so that callers who take the first do not all take the same.
     fn addrs(&self, place: &Place) -> Vec<SocketAddr> {
-        let rows = self.node.people.present();
+        let rows = self.node.registry.present();
         let entries = rows.iter().filter_map(|(_, kind, _)| match &**kind {
             Kind::Entry(entry) if !entry.leaving => Some(entry),
             _ => None,
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -187,11 +187,11 @@
 
 /// Keeps the targets in line with the registry and the declared state.
 async fn keep_targets(node: Rc<Node>, requests: Rc<Requests>) {
-    let mut people = node.people.watch();
+    let mut people = node.registry.watch();
     let mut declared = node.declared.watch();
     loop {
         requests.targets().refresh();
-        let rows = node.people.present();
+        let rows = node.registry.present();
         let entries = rows
             .iter()
             .filter(|(_, k, _)| matches!(**k, Kind::Entry(_)));
--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -80,7 +80,7 @@
     /// Takes over what the registry and the declared state say now. Of the engines of a large service
     /// this entry uses its subset.
     pub fn refresh(&self) {
-        let rows = self.node.people.present();
+        let rows = self.node.registry.present();
         let now = self.node.clock.now();
         let agents: BTreeMap<&str, &AgentRow> = rows
             .iter()
--- a/crates/filbertstack-gateway/src/weights/mod.rs
+++ b/crates/filbertstack-gateway/src/weights/mod.rs
@@ -60,7 +60,7 @@
 
 /// The agents that are there, with their ids.
 pub fn agents(node: &Node) -> Vec<(Arc<str>, AgentRow)> {
-    let rows = node.people.present().into_iter();
+    let rows = node.registry.present().into_iter();
     let agents = rows.filter_map(|(id, kind, _)| match &*kind {
         Kind::Agent(row) => Some((id, row.clone())),
         _ => None,
@@ -70,7 +70,7 @@
 
 /// The entries that stay, with their ids.
 pub fn entries(node: &Node) -> Vec<(Arc<str>, EntryRow)> {
-    let rows = node.people.present().into_iter();
+    let rows = node.registry.present().into_iter();
     let entries = rows.filter_map(|(id, kind, _)| match &*kind {
         Kind::Entry(row) if !row.leaving => Some((id, row.clone())),
         _ => None,
@@ -104,7 +104,7 @@
 
 /// Where a node is asked for pieces.
 fn place(node: &Node, id: &str) -> Option<SocketAddr> {
-    let (kind, _, gone) = node.people.find(id)?;
+    let (kind, _, gone) = node.registry.find(id)?;
     match &*kind {
         Kind::Agent(row) if !gone => addr(&row.link),
         Kind::Entry(row) if !gone => addr(&row.link),
