--- a/crates/filbertstack-gateway/src/agent/mod.rs
+++ b/crates/filbertstack-gateway/src/agent/mod.rs
@@ -103,7 +103,7 @@
         let Some(model) = model else {
             return Vec::new();
         };
-        let named = declared.named(&model).into_iter();
+        let named = declared.weight_versions(&model).into_iter();
         let mut versions: Vec<u64> = named.map(|named| named.version).collect();
         if versions.is_empty() {
             versions.push(self.seen(&model).max(FIRST_VERSION));
--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -171,7 +171,7 @@
 /// may be.
 fn is_on_its_way(agent: &Agent, weights: &Holding) -> bool {
     let now = agent.node.clock.now();
-    let named = agent.node.declared.named(&weights.model);
+    let named = agent.node.declared.weight_versions(&weights.model);
     let named = named.iter().find(|named| named.version == weights.version);
     let lately = named.is_some_and(|named| now.since(named.at) < ON_ITS_WAY);
     lately || is_here(&agent.node, weights)
@@ -195,7 +195,7 @@
     let Some(served) = agent.engine.holding() else {
         return Millis::ZERO;
     };
-    let named = agent.node.declared.named(&wanted.model);
+    let named = agent.node.declared.weight_versions(&wanted.model);
     let Some(first) = named.iter().find(|named| named.version > served.version) else {
         return Millis::ZERO;
     };
--- a/crates/filbertstack-gateway/src/control/declared.rs
+++ b/crates/filbertstack-gateway/src/control/declared.rs
@@ -80,7 +80,7 @@
     }
 
     /// The latest versions of a model's weights, in their order.
-    pub fn named(&self, model: &str) -> Vec<Named> {
+    pub fn weight_versions(&self, model: &str) -> Vec<Named> {
         self.weights
             .borrow()
             .get(model)
--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -221,7 +221,10 @@
 
     /// The versions of an engine's weights that were named, and how long ago.
     fn ages(&self, engine: &EngineModel, now: Millis) -> Vec<(u64, Millis)> {
-        let named = engine.models.first().map(|m| self.node.declared.named(m));
+        let named = engine
+            .models
+            .first()
+            .map(|m| self.node.declared.weight_versions(m));
         let named = named.unwrap_or_default().into_iter();
         let ages = named.map(|named| (named.version, now.since(named.at)));
         ages.collect()
--- a/crates/filbertstack-gateway/src/weights/cache.rs
+++ b/crates/filbertstack-gateway/src/weights/cache.rs
@@ -159,7 +159,7 @@
 
     /// How long ago a version was named; as long as can be for one that never was.
     fn age(&self, weights: &Holding) -> Millis {
-        let named = self.node.declared.named(&weights.model);
+        let named = self.node.declared.weight_versions(&weights.model);
         let named = named.iter().find(|named| named.version == weights.version);
         let now = self.node.clock.now();
         named.map_or(Millis(u64::MAX), |named| now.since(named.at))
@@ -218,7 +218,7 @@
     /// memory with others.
     fn may_be_asked(&self, weights: &Holding) -> bool {
         let declared = &self.node.declared;
-        let named = declared.named(&weights.model);
+        let named = declared.weight_versions(&weights.model);
         let agents = weights::agents(&self.node);
         weights.version == FIRST_VERSION
             || named.iter().any(|named| named.version == weights.version)
