--- a/crates/filbertstack-gateway/src/control/declared.rs
+++ b/crates/filbertstack-gateway/src/control/declared.rs
@@ -89,7 +89,7 @@
     }
 
     /// The latest versions of each model's weights that was named, in their order.
-    pub fn all_named(&self) -> Vec<(Arc<str>, Vec<Named>)> {
+    pub fn all_weight_versions(&self) -> Vec<(Arc<str>, Vec<Named>)> {
         let weights = self.weights.borrow().clone();
         weights.into_iter().collect()
     }
--- a/crates/filbertstack-gateway/src/weights/cache.rs
+++ b/crates/filbertstack-gateway/src/weights/cache.rs
@@ -90,7 +90,7 @@
     fn needed(&self) -> Vec<Holding> {
         let agents = weights::agents(&self.node);
         let mut needed = Vec::new();
-        for (model, named) in self.node.declared.all_named() {
+        for (model, named) in self.node.declared.all_weight_versions() {
             let latest = named.len().saturating_sub(GATHERED);
             for named in &named[latest..] {
                 let lacks = |row: &str, version| {
