--- a/crates/filbertstack-gateway/src/control/declared.rs
+++ b/crates/filbertstack-gateway/src/control/declared.rs
@@ -107,7 +107,7 @@
     }
 
     /// Whether requests can be judged: a document has come.
-    pub fn is_known(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.known.get() && self.version() > 0
     }
 
--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -45,7 +45,7 @@
     }
 
     fn is_ready(&self) -> bool {
-        !*self.leaving.borrow() && self.node.declared.is_known() && self.node.is_current()
+        !*self.leaving.borrow() && self.node.declared.is_loaded() && self.node.is_current()
     }
 
     /// The entries for a caller, those of its zone if there are enough. The order differs from
@@ -92,7 +92,7 @@
             return json_response(StatusCode::NOT_FOUND, empty);
         };
         let addrs = self.addrs(&place);
-        if addrs.is_empty() || !self.node.declared.is_known() {
+        if addrs.is_empty() || !self.node.declared.is_loaded() {
             return json_response(StatusCode::SERVICE_UNAVAILABLE, empty);
         }
         let keep = KEEP.min(self.node.settings.bounds.keep);
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -234,7 +234,7 @@
             kind: Some(Kind::Entry(EntryRow {
                 front: front.to_string(),
                 zone: node.settings.node.zone.clone(),
-                leaving: leaves || !node.declared.is_known(),
+                leaving: leaves || !node.declared.is_loaded(),
                 link: node.settings.node.link.to_string(),
                 holds: held.borrow_and_update().clone(),
             })),
--- a/crates/filbertstack-gateway/src/request/mod.rs
+++ b/crates/filbertstack-gateway/src/request/mod.rs
@@ -228,7 +228,7 @@
     ) -> Result<Response<AnswerBody>, Refusal> {
         let came = Instant::now();
         let under_way = UnderWay::new(&self.under_way);
-        let waited = !self.node.declared.is_known();
+        let waited = !self.node.declared.is_loaded();
         if waited {
             waiting::declared(self, came, head.patience).await?;
         }
--- a/crates/filbertstack-gateway/src/request/waiting.rs
+++ b/crates/filbertstack-gateway/src/request/waiting.rs
@@ -51,7 +51,7 @@
     let _waiting = Waiting::new(&requests.waiting);
     let state = &requests.node.declared;
     let mut news = state.watch();
-    while !state.is_known() {
+    while !state.is_loaded() {
         let told = timeout_at(until, news.changed()).await;
         told.map_err(|_| refusal())?.map_err(|_| refusal())?;
     }
