--- a/crates/filbertstack-gateway/src/control/loads.rs
+++ b/crates/filbertstack-gateway/src/control/loads.rs
@@ -99,7 +99,7 @@
     }
 
     /// Ends when loads have come that this process has not taken.
-    pub async fn come(&self) {
+    pub async fn arrived(&self) {
         self.news.notified().await;
     }
 
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -209,7 +209,7 @@
 /// Keeps the loads of the targets as they are told.
 async fn keep_loads(node: Rc<Node>, requests: Rc<Requests>) {
     loop {
-        node.loads.come().await;
+        node.loads.arrived().await;
         requests.targets().report(&node.loads.drain());
     }
 }
