--- a/crates/filbertstack-gateway/src/control/loads.rs
+++ b/crates/filbertstack-gateway/src/control/loads.rs
@@ -134,7 +134,7 @@
     }
 
     /// Names the engines whose loads this process wants to be told.
-    pub fn want(&self, engines: BTreeSet<u64>) {
+    pub fn set_wanted(&self, engines: BTreeSet<u64>) {
         self.wanted.send_if_modified(|before| {
             let changed = *before != engines;
             *before = engines;
--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -112,7 +112,9 @@
             offered.push(target);
             places.insert(id.clone(), place);
         }
-        self.node.loads.want(engines.keys().copied().collect());
+        self.node
+            .loads
+            .set_wanted(engines.keys().copied().collect());
         self.dispatcher.borrow_mut().offer(offered);
         *self.places.borrow_mut() = places;
         *self.engines.borrow_mut() = engines;
