--- a/crates/filbertstack-gateway/src/agent/contents.rs
+++ b/crates/filbertstack-gateway/src/agent/contents.rs
@@ -87,7 +87,7 @@
         model: model.into(),
         version,
     };
-    let list = agent.node.kept_list(upto).await?;
+    let list = agent.node.piece_list(upto).await?;
     Ok(list.map(|list| Rc::new(weights::unpacked(&list))))
 }
 
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -216,7 +216,7 @@
     ///
     /// # Errors
     /// [`GroupError`] if no voter answers.
-    pub async fn kept_list(&self, upto: Weights) -> Result<Option<List>, GroupError> {
+    pub async fn piece_list(&self, upto: Weights) -> Result<Option<List>, GroupError> {
         if let Some(voter) = &self.voter {
             return Ok(voter.documents().list(&upto).cloned());
         }
--- a/crates/filbertstack-gateway/src/weights/fetch/list.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch/list.rs
@@ -120,7 +120,7 @@
     /// The list that the voters keep, if they keep it and can be asked.
     async fn list_of_voters(&self) -> Option<PieceList> {
         let named = weights::wire_name(&self.weights);
-        match self.node.kept_list(named).await {
+        match self.node.piece_list(named).await {
             Ok(list) => list
                 .map(|list| weights::unpacked(&list))
                 .filter(|list| list.weights == self.weights),
