--- a/crates/filbertstack-gateway/src/control/machine.rs
+++ b/crates/filbertstack-gateway/src/control/machine.rs
@@ -1,4 +1,4 @@
-//! The document machine behind the replicated log, and who watches it.
+//! The state machine of documents behind the replicated log.
 
 use std::sync::Arc;
 
@@ -8,23 +8,30 @@
 use filbertstack_log::Machine;
 use tokio::sync::watch;
 
-/// Applies the log's commands and shows each new state to those who watch.
+/// A state machine that applies the log's commands and publishes each new state.
 #[derive(Debug)]
 pub struct DocumentMachine {
     documents: Documents,
-    shown: watch::Sender<Arc<Documents>>,
+    published: watch::Sender<Arc<Documents>>,
 }
 
 impl DocumentMachine {
-    /// A machine without a document, and the state as others see it.
+    /// Creates a state machine without a document, and a receiver of the states that it publishes.
     pub fn new() -> (Self, watch::Receiver<Arc<Documents>>) {
-        let (shown, seen) = watch::channel(Arc::default());
+        let (published, receiver) = watch::channel(Arc::default());
         let documents = Documents::default();
-        (Self { documents, shown }, seen)
+        (
+            Self {
+                documents,
+                published,
+            },
+            receiver,
+        )
     }
 
-    fn show(&self) {
-        self.shown.send_replace(Arc::new(self.documents.clone()));
+    fn publish(&self) {
+        self.published
+            .send_replace(Arc::new(self.documents.clone()));
     }
 }
 
@@ -35,7 +42,7 @@
     fn apply(&mut self, _index: u64, command: &[u8]) -> Effect {
         let effect = self.documents.apply(command);
         if effect == Effect::InForce {
-            self.show();
+            self.publish();
         }
         effect
     }
@@ -46,7 +53,7 @@
 
     fn restore(&mut self, bytes: &[u8]) -> Result<(), ImageError> {
         self.documents.restore(bytes)?;
-        self.show();
+        self.publish();
         Ok(())
     }
 }
