--- a/crates/filbertstack-gateway/src/control/api.rs
+++ b/crates/filbertstack-gateway/src/control/api.rs
@@ -1,4 +1,5 @@
-//! Operators' and engines' calls over HTTP, and the questions of callers and platform.
+//! The HTTP API on the control address: operators send the configuration and versions of weights, and
+//! targets send heartbeats.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -39,69 +40,72 @@
 use crate::link::messages::TargetRow;
 use crate::request::answer::AnswerBody;
 
-/// The longest body that is read: a document of 4 MiB with room to tell that it is too long.
-const LONGEST: usize = (4 << 20) + (64 << 10);
+/// The most bytes of a body that are read. A document may have 4 MiB; the extra bytes let one that is
+/// slightly longer be refused with a precise reason.
+const MAX_BODY_BYTES: usize = (4 << 20) + (64 << 10);
 
 /// How long a body may take to arrive.
-const BODY: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Serves the control address.
+/// The service on the control address.
 pub struct ControlApi {
     node: Rc<Node>,
 }
 
 impl ControlApi {
-    /// Calls to `node`.
+    /// Creates the API of `node`.
     pub fn new(node: Rc<Node>) -> Self {
         Self { node }
     }
 
-    async fn handle(&self, request: Request<Incoming>) -> Result<Bytes, Failed> {
+    async fn handle(&self, request: Request<Incoming>) -> Result<Bytes, CallFailure> {
         let (head, body) = request.into_parts();
-        let body = Limited::new(body, LONGEST).collect();
-        let body = tokio::time::timeout(BODY, body).await;
+        let body = Limited::new(body, MAX_BODY_BYTES).collect();
+        let body = tokio::time::timeout(BODY_TIMEOUT, body).await;
         let body =
-            body.map_err(|_| Failed(StatusCode::REQUEST_TIMEOUT, "the body is late".into()))?;
-        let body = body.map_err(|e| Failed(StatusCode::BAD_REQUEST, e.to_string()))?;
+            body.map_err(|_| CallFailure(StatusCode::REQUEST_TIMEOUT, "the body is late".into()))?;
+        let body = body.map_err(|e| CallFailure(StatusCode::BAD_REQUEST, e.to_string()))?;
         let body = body.to_bytes();
         match read(&head.method, head.uri.path(), &body)? {
-            ControlCall::PutDocument => self.put(body).await,
-            ControlCall::ReadDocument => self.read().await,
-            ControlCall::NameWeights { model, version } => self.name(&model, version).await,
-            ControlCall::Heartbeat(heartbeat) => self.hear(heartbeat).await,
-            ControlCall::Leave { id } => self.leave(&id).await,
+            ControlCall::PutDocument => self.put_document(body).await,
+            ControlCall::ReadDocument => self.read_document().await,
+            ControlCall::NameWeights { model, version } => self.name_weights(&model, version).await,
+            ControlCall::Heartbeat(heartbeat) => self.accept_heartbeat(heartbeat).await,
+            ControlCall::Leave { id } => self.remove_target(&id).await,
         }
     }
 
-    /// A document that can't be read or is invalid is refused whatever its version. One that is
-    /// not newer than what is held changes nothing and is acknowledged: its sender may have lost
-    /// the first answer.
-    async fn put(&self, body: Bytes) -> Result<Bytes, Failed> {
-        let invalid = |why: String| Failed(StatusCode::BAD_REQUEST, why);
+    /// Commits a document. One that can't be parsed or is invalid is refused whatever its version.
+    ///
+    /// One that is not newer than the current document changes nothing and is acknowledged, because
+    /// its sender may have missed the first answer.
+    async fn put_document(&self, body: Bytes) -> Result<Bytes, CallFailure> {
+        let invalid = |why: String| CallFailure(StatusCode::BAD_REQUEST, why);
         let parts = catalogue::read(&body).map_err(|e| invalid(e.to_string()))?;
         let version = parts.version;
         Catalogue::build(parts).map_err(|e| invalid(e.to_string()))?;
         if version <= self.node.declared.version() {
-            info!("configuration not newer than the one held", kv: { version = version });
+            info!("ignored a configuration that is not newer than the current one", kv: { version = version });
             return Ok(Bytes::from_static(b"{}"));
         }
         let packed = Packed::pack(&Document { version, body });
-        let packed = packed.map_err(|e| Failed(StatusCode::SERVICE_UNAVAILABLE, e.to_string()))?;
+        let packed =
+            packed.map_err(|e| CallFailure(StatusCode::SERVICE_UNAVAILABLE, e.to_string()))?;
         self.commit(ChangeKind::Packed(packed)).await?;
         info!("configuration accepted", kv: { version = version });
         Ok(Bytes::from_static(b"{}"))
     }
 
-    async fn read(&self) -> Result<Bytes, Failed> {
-        let document = self.node.read().await?;
+    async fn read_document(&self) -> Result<Bytes, CallFailure> {
+        let document = self.node.read_document().await?;
         if document.version == 0 {
             let why = "no configuration was accepted yet".into();
-            return Err(Failed(StatusCode::SERVICE_UNAVAILABLE, why));
+            return Err(CallFailure(StatusCode::SERVICE_UNAVAILABLE, why));
         }
         Ok(document.body)
     }
 
-    async fn name(&self, model: &str, version: u64) -> Result<Bytes, Failed> {
+    async fn name_weights(&self, model: &str, version: u64) -> Result<Bytes, CallFailure> {
         let model = model.to_owned();
         self.commit(ChangeKind::Weights(Weights {
             model: model.clone(),
@@ -112,18 +116,18 @@
         Ok(Bytes::from_static(b"{}"))
     }
 
-    async fn commit(&self, kind: ChangeKind) -> Result<(), Failed> {
+    async fn commit(&self, kind: ChangeKind) -> Result<(), CallFailure> {
         let change = Change { kind: Some(kind) };
         self.node.propose(change.encode_to_vec().into()).await?;
         Ok(())
     }
 
-    async fn hear(&self, heartbeat: Heartbeat) -> Result<Bytes, Failed> {
-        self.register(row(&heartbeat)).await?;
-        Ok(heartbeat_answer(self.nearer()))
+    async fn accept_heartbeat(&self, heartbeat: Heartbeat) -> Result<Bytes, CallFailure> {
+        self.register(target_row(&heartbeat)).await?;
+        Ok(heartbeat_answer(self.direct_address()))
     }
 
-    async fn register(&self, row: Row) -> Result<(), Failed> {
+    async fn register(&self, row: Row) -> Result<(), CallFailure> {
         let registered = self.node.register(vec![row.clone()]).await;
         if registered.is_err() {
             self.node.unregistered.put(row, self.node.clock.now());
@@ -131,8 +135,8 @@
         Ok(registered?)
     }
 
-    /// Where heartbeats go without a detour: a voter takes them in itself.
-    fn nearer(&self) -> Option<SocketAddr> {
+    /// Returns the control address of a voter, to which targets can send heartbeats directly.
+    fn direct_address(&self) -> Option<SocketAddr> {
         let control = self.node.settings.listen.control?;
         if self.node.voter.is_some() {
             return Some(control);
@@ -141,14 +145,14 @@
         Some(SocketAddr::new(voter.ip(), control.port()))
     }
 
-    async fn leave(&self, id: &Arc<str>) -> Result<Bytes, Failed> {
+    async fn remove_target(&self, id: &Arc<str>) -> Result<Bytes, CallFailure> {
         self.register(Row::left(id)).await?;
-        info!("target left", kv: { id = id.to_string() });
+        info!("target deregistered", kv: { id = id.to_string() });
         Ok(Bytes::from_static(b"{}"))
     }
 }
 
-fn row(heartbeat: &Heartbeat) -> Row {
+fn target_row(heartbeat: &Heartbeat) -> Row {
     let holding = heartbeat.holding.as_ref();
     Row {
         id: heartbeat.id.to_string(),
@@ -167,11 +171,11 @@
     }
 }
 
-/// A call that is answered with a failure.
+/// The status and the text that answer a failed call.
 #[derive(Debug)]
-struct Failed(StatusCode, String);
+struct CallFailure(StatusCode, String);
 
-impl From<CallError> for Failed {
+impl From<CallError> for CallFailure {
     fn from(error: CallError) -> Self {
         let status = match error {
             CallError::Unknown => StatusCode::NOT_FOUND,
@@ -181,7 +185,7 @@
     }
 }
 
-impl From<GroupError> for Failed {
+impl From<GroupError> for CallFailure {
     fn from(error: GroupError) -> Self {
         Self(StatusCode::SERVICE_UNAVAILABLE, error.to_string())
     }
@@ -194,8 +198,8 @@
         let (method, path) = (request.method().clone(), request.uri().path().to_owned());
         match self.handle(request).await {
             Ok(body) => json_response(StatusCode::OK, body),
-            Err(Failed(status, why)) => {
-                info!("call failed", kv: {
+            Err(CallFailure(status, why)) => {
+                info!("control call failed", kv: {
                     method = method.as_str(), path = path, status = status.as_u16(),
                     error = why.clone()
                 });
@@ -213,7 +217,7 @@
     }
 }
 
-/// An answer with a JSON body.
+/// Returns an answer with a JSON body.
 pub fn json_response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(Full::new(body)));
     *response.status_mut() = status;
--- a/crates/filbertstack-gateway/src/control/declared.rs
+++ b/crates/filbertstack-gateway/src/control/declared.rs
@@ -1,4 +1,5 @@
-//! The declared state as one node holds it: it only moves forward.
+//! The declared state that one node holds. It only moves forward: an older version never replaces a
+//! newer one.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,7 +22,7 @@
 use crate::clock::Clock;
 use crate::control::parts::Assembly;
 use crate::control::parts::PartError;
-use crate::control::parts::split;
+use crate::control::parts::split_document;
 use crate::link::messages::Declared;
 use crate::link::messages::DocumentPart;
 use crate::link::messages::Interest;
@@ -30,29 +31,29 @@
 use crate::link::messages::ServedModel;
 use crate::link::messages::addr;
 
-/// The newest document and the latest versions of weights that this node knows.
+/// The newest document and the latest versions of weights known to this node.
 #[derive(Debug)]
 pub struct DeclaredState {
     clock: Clock,
-    /// For how long an older version of weights may answer once a newer is named.
+    /// How long engines may still answer with an older version of weights after a newer one is named.
     rollout: Millis,
     document: RefCell<Document>,
-    /// The document in parts, for followers.
+    /// The document split into parts, for followers.
     parts: RefCell<Rc<[DocumentPart]>>,
-    /// The parts of a newer document that have come.
+    /// The parts of a newer document that have arrived so far.
     assembly: RefCell<Assembly>,
     catalogue: RefCell<Rc<Catalogue>>,
-    /// By model, the latest versions in their order.
+    /// The latest versions of each model, in ascending order.
     weights: RefCell<BTreeMap<Arc<str>, Vec<Named>>>,
     origins: RefCell<Vec<SocketAddr>>,
     models: RefCell<Vec<ServedModel>>,
-    /// Whether all that is declared has been told since the process began.
-    known: Cell<bool>,
-    news: watch::Sender<u64>,
+    /// Whether a complete state has arrived since the process started.
+    complete: Cell<bool>,
+    changes: watch::Sender<u64>,
 }
 
 impl DeclaredState {
-    /// A state in which nothing is declared yet.
+    /// Creates a state in which nothing is declared yet.
     pub fn new(clock: Clock, rollout: Millis) -> Self {
         Self {
             clock,
@@ -64,22 +65,22 @@
             weights: RefCell::default(),
             origins: RefCell::default(),
             models: RefCell::default(),
-            known: Cell::new(false),
-            news: watch::channel(0).0,
+            complete: Cell::new(false),
+            changes: watch::channel(0).0,
         }
     }
 
-    /// The document's version; 0 if there is none.
+    /// Returns the document's version, or 0 if there is no document.
     pub fn version(&self) -> u64 {
         self.document.borrow().version
     }
 
-    /// The document in force, read and arranged.
+    /// Returns the parsed form of the document in force.
     pub fn catalogue(&self) -> Rc<Catalogue> {
         self.catalogue.borrow().clone()
     }
 
-    /// The latest versions of a model's weights, in their order.
+    /// Returns the latest versions of a model's weights, in ascending order.
     pub fn weight_versions(&self, model: &str) -> Vec<Named> {
         self.weights
             .borrow()
@@ -88,43 +89,45 @@
             .unwrap_or_default()
     }
 
-    /// The latest versions of each model's weights that was named, in their order.
+    /// Returns the latest versions of the weights of each model, in ascending order.
     pub fn all_weight_versions(&self) -> Vec<(Arc<str>, Vec<Named>)> {
         let weights = self.weights.borrow().clone();
         weights.into_iter().collect()
     }
 
-    /// Where weights come from.
+    /// Returns the addresses of the origins of weights.
     pub fn origins(&self) -> Vec<SocketAddr> {
         self.origins.borrow().clone()
     }
 
-    /// The model that the engines of `service` serve.
+    /// Returns the model that the engines of `service` serve.
     pub fn model(&self, service: &str) -> Option<Arc<str>> {
         let models = self.models.borrow();
         let served = models.iter().find(|m| m.service == service)?;
         Some(served.model.as_str().into())
     }
 
-    /// Whether requests can be judged: a document has come.
+    /// Returns whether a document and the state declared beside it have arrived, so that requests can
+    /// be routed.
     pub fn is_loaded(&self) -> bool {
-        self.known.get() && self.version() > 0
+        self.complete.get() && self.version() > 0
     }
 
-    /// Whether all requests for a model may go on at another engine when they break off.
+    /// Returns whether every request for a model may continue at another engine after it breaks off.
     pub fn may_break_off(&self, model: &str) -> bool {
         let models = self.models.borrow();
         let mut served = models.iter().filter(|m| m.model == model).peekable();
         served.peek().is_some() && served.all(|m| m.may_break)
     }
 
-    /// Told whenever something changes.
+    /// Returns a receiver that is notified of each change.
     pub fn watch(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+        self.changes.subscribe()
     }
 
-    /// What a follower that holds the document `version` needs to be told, in this order.
-    pub fn since(&self, version: u64, interest: Interest) -> Vec<News> {
+    /// Returns the messages that bring a follower with the document `version` up to date, in the order
+    /// in which they must be sent.
+    pub fn updates_since(&self, version: u64, interest: Interest) -> Vec<News> {
         let mut news = Vec::new();
         if interest == Interest::All && self.version() > version {
             news.extend(self.parts().iter().cloned().map(News::Part));
@@ -133,14 +136,14 @@
         news
     }
 
-    /// The parts of the document, made once for all followers.
+    /// Returns the parts of the document, which are made once for all followers.
     fn parts(&self) -> Rc<[DocumentPart]> {
         let document = self.document.borrow();
         let mut parts = self.parts.borrow_mut();
         if parts.first().is_none_or(|p| p.version != document.version) {
-            match split(&document) {
+            match split_document(&document) {
                 Ok(made) => *parts = made.into(),
-                Err(error) => warn!("configuration not compressed", kv: {
+                Err(error) => warn!("configuration could not be compressed", kv: {
                     version = document.version, error = error.to_string()
                 }),
             }
@@ -166,8 +169,8 @@
         }
     }
 
-    /// Takes in what the voter that is followed says.
-    pub fn follow(&self, declared: Declared) {
+    /// Applies the declared state that the followed voter sent.
+    pub fn apply_declared(&self, declared: Declared) {
         let origins = declared.origins.iter().filter_map(|o| addr(o));
         let origins: Vec<SocketAddr> = origins.collect();
         if !origins.is_empty() {
@@ -176,44 +179,44 @@
         if !declared.models.is_empty() {
             *self.models.borrow_mut() = declared.models;
         }
-        self.take(None, declared.weights);
+        self.update(None, declared.weights);
     }
 
-    /// Takes in a part of the document from the voter that is followed. The document counts as told
-    /// once what is declared beside it is.
+    /// Adds a part of the document that the followed voter sent. A document alone does not make the
+    /// state complete; the state declared beside it must arrive as well.
     ///
     /// # Errors
-    /// [`PartError`]: the document will not come on this link.
-    pub fn follow_part(&self, part: DocumentPart) -> Result<(), PartError> {
+    /// [`PartError`] if the document can't be assembled from the parts on this link.
+    pub fn apply_part(&self, part: DocumentPart) -> Result<(), PartError> {
         if part.version <= self.version() {
             return Ok(());
         }
-        let document = self.assembly.borrow_mut().take(part)?;
+        let document = self.assembly.borrow_mut().add(part)?;
         if let Some(document) = document {
-            self.put(document);
-            self.news.send_modify(|count| *count += 1);
+            self.set_document(document);
+            self.changes.send_modify(|count| *count += 1);
         }
         Ok(())
     }
 
-    /// Takes in a document and versions of weights. A lower version than the one held is left
-    /// out: within one life of the process no request may see a document that was replaced.
-    pub fn take(&self, document: Option<Document>, weights: Vec<NamedWeights>) {
-        self.known.set(true);
+    /// Updates the document and the versions of weights. A lower version than the current one is
+    /// ignored: while the process runs, no request may see a document that was replaced.
+    pub fn update(&self, document: Option<Document>, weights: Vec<NamedWeights>) {
+        self.complete.set(true);
         let newer = document.filter(|d| d.version > self.version());
         let mut changed = newer.is_some();
         if let Some(document) = newer {
-            self.put(document);
+            self.set_document(document);
         }
         for named in weights {
-            changed |= self.name(&named);
+            changed |= self.add_weights(&named);
         }
         if changed {
-            self.news.send_modify(|count| *count += 1);
+            self.changes.send_modify(|count| *count += 1);
         }
     }
 
-    fn name(&self, named: &NamedWeights) -> bool {
+    fn add_weights(&self, named: &NamedWeights) -> bool {
         let now = self.clock.now();
         let at = Millis(now.0.saturating_sub(named.age_ms));
         let mut held = self.weights.borrow_mut();
@@ -222,14 +225,14 @@
         if versions.last().is_some_and(|last| last.version >= version) {
             return false;
         }
-        info!("weights named", kv: {
+        info!("version of weights named", kv: {
             model = named.model.clone(), version = version, age_ms = named.age_ms
         });
         remember(versions, Named { version, at }, VERSIONS, now, self.rollout);
         true
     }
 
-    fn put(&self, document: Document) {
+    fn set_document(&self, document: Document) {
         let parts = catalogue::read(&document.body);
         let built = parts
             .map_err(|e| e.to_string())
@@ -243,9 +246,9 @@
                 *self.catalogue.borrow_mut() = Rc::new(built);
                 *self.document.borrow_mut() = document;
             }
-            // Documents are checked before they are committed: this is one that another release
-            // of the program accepted. What is in force stays, and a read tells the truth.
-            Err(error) => warn!("configuration not understood; the one before stays in force",
+            // Documents are validated before they are committed, so another release of the program
+            // accepted this one. The previous document stays in force, and reads return it.
+            Err(error) => warn!("configuration can't be parsed; the previous one stays in force",
                 kv: { version = document.version, error = error }),
         }
     }
--- a/crates/filbertstack-gateway/src/control/discovery.rs
+++ b/crates/filbertstack-gateway/src/control/discovery.rs
@@ -1,4 +1,4 @@
-//! Asking nodes who they are and whom they know.
+//! Questions to nodes about their place in the group, to find the leader.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use futures_util::future::join_all;
 use futures_util::stream::FuturesUnordered;
 
-use crate::control::search::Search;
+use crate::control::search::LeaderSearch;
 use crate::link::Dialer;
 use crate::link::LinkError;
 use crate::link::messages::Nothing;
@@ -15,12 +15,12 @@
 use crate::link::messages::Reply;
 use crate::link::messages::Standing;
 
-/// How long a node is waited for when it is asked who it is: some hundred times the way there.
-const STANDING: Duration = Duration::from_millis(500);
+/// How long a node may take to answer: some hundred times the network latency.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Asks on until somebody names the leader or nobody is left to ask. Nodes that are down hold up
-/// nobody: whoever is named is asked at once.
-pub async fn seek_leader(dialer: &Dialer, search: &mut Search) {
+/// Asks nodes until one names the leader or no nodes are left to ask. Each node that an answer names is
+/// asked at once, so nodes that are down delay nothing.
+pub async fn find_leader(dialer: &Dialer, search: &mut LeaderSearch) {
     let mut asking = FuturesUnordered::new();
     loop {
         for node in search.take_next() {
@@ -30,8 +30,8 @@
             return;
         };
         match answer {
-            Ok(standing) => search.hear(node, &standing),
-            Err(error) => search.miss(node, error.to_string()),
+            Ok(standing) => search.record_answer(node, &standing),
+            Err(error) => search.record_failure(node, error.to_string()),
         }
         if search.leader().is_some() {
             return;
@@ -39,17 +39,17 @@
     }
 }
 
-/// Asks all of `nodes` but this one, and returns what those who answer in time say.
-pub async fn hear_all(dialer: &Dialer, own: SocketAddr, nodes: &[SocketAddr]) -> Vec<Standing> {
+/// Asks all of `nodes` except this one, and returns the answers that arrive in time.
+pub async fn ask_all(dialer: &Dialer, own: SocketAddr, nodes: &[SocketAddr]) -> Vec<Standing> {
     let others = nodes.iter().filter(|node| **node != own);
     let answers = join_all(others.map(|node| ask(dialer, *node))).await;
-    // Whoever does not answer is asked again in the next round.
+    // A node that does not answer is asked again in the next round.
     answers.into_iter().filter_map(Result::ok).collect()
 }
 
 async fn ask(dialer: &Dialer, node: SocketAddr) -> Result<Standing, LinkError> {
     let question = Question::Standing(Nothing {});
-    match dialer.ask(node, question, STANDING).await? {
+    match dialer.ask(node, question, ANSWER_TIMEOUT).await? {
         Reply::Standing(standing) => Ok(standing),
         _ => Err(LinkError::Unfit),
     }
--- a/crates/filbertstack-gateway/src/control/follow.rs
+++ b/crates/filbertstack-gateway/src/control/follow.rs
@@ -1,8 +1,9 @@
-//! Following a voter, and being followed.
+//! Replication of the declared state and the registry from voters to followers.
 //!
-//! A node without a disk follows one voter: it is told the declared state, the registry and,
-//! several times a second, whether the voter is in contact with its group. A voter that is silent
-//! or cut off from the others is left for another. Voters follow each other for the registry.
+//! A node without a disk follows one voter. The voter sends it the declared state, the registry and,
+//! several times a second, a pulse that says whether the voter is in contact with its group. A node
+//! leaves a voter that is silent or cut off from the group, and follows another. Voters follow each
+//! other for the registry.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,10 +22,10 @@
 use tokio::time::timeout_at;
 
 use crate::control::EXPLAIN_INTERVAL;
+use crate::control::discovery::find_leader;
 use crate::control::node::Node;
 use crate::control::parts::PartError;
-use crate::control::search::Search;
-use crate::control::seek::seek_leader;
+use crate::control::search::LeaderSearch;
 use crate::control::voter::Voter;
 use crate::link::Dialer;
 use crate::link::messages::Follow;
@@ -35,44 +36,46 @@
 use crate::link::messages::Watch;
 use crate::link::messages::addr;
 
-/// How often followers hear from their voter.
-const PULSE: Duration = Duration::from_millis(200);
+/// How often a voter sends a pulse to its followers.
+const PULSE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// After which silence a voter is left: three pulses lost. What was acknowledged must be in force
-/// within two seconds also where a voter freezes right after it.
-const SILENT: Duration = Duration::from_millis(700);
+/// How long a voter may be silent before its followers leave it: three lost pulses. An acknowledged
+/// change must be in force everywhere within two seconds, even if a voter freezes right after it.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How often changed rows are told: a target that drains must be known everywhere within two
-/// seconds, and rows that change together share one frame.
-const FLUSH: Duration = Duration::from_millis(40);
+/// How often changed rows are sent to followers. Every node must know of a draining target within two
+/// seconds, and rows that change within one interval share one frame.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(40);
 
-/// A turn that took so long shows that the process was paused: a turn takes [`FLUSH`] and some
-/// milliseconds, and the shortest patience with others is four times this.
-const PAUSED: Millis = Millis(400);
+/// A round that takes longer than this shows that the process was paused. A round takes
+/// [`FLUSH_INTERVAL`] and some milliseconds, and the shortest timeout of the registry is four times
+/// this value.
+const PAUSE_THRESHOLD: Millis = Millis(400);
 
-/// How often a voter tells its seeds who the voters are.
-const SEEDS: Duration = Duration::from_secs(1);
+/// How often a voter sends its seeds the addresses of the voters.
+const SEED_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often a voter of another zone may be left for one of this node's own: the change leaves a node
-/// without news for some milliseconds, and one that is not in contact yet sends it back.
-const LOOK_NEAR: Duration = Duration::from_secs(10);
+/// How often a node may switch from a voter of another zone to one of its own zone. A switch leaves the
+/// node without updates for some milliseconds, and a new voter without contact to its group makes the
+/// node switch back.
+const SWITCH_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The pause before another voter is tried.
-const RETRY: Duration = Duration::from_millis(100);
+/// The pause before a node tries another voter.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The least pause between two searches for the voters, in the mean: while a group elects, nodes
-/// try each voter many times a second, and need not ask all others as often.
-const SEARCH: Duration = Duration::from_secs(1);
+/// The mean interval between two searches for the voters. While a group elects a leader, nodes try each
+/// voter many times a second, and need not ask all other nodes as often.
+const SEARCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The part of [`SEARCH`] that is drawn by lot, so that nodes that lost their voter together do not
-/// search together.
+/// The random part of [`SEARCH_INTERVAL`], so that nodes that lose their voter at the same time do not
+/// search at the same time.
 const JITTER: f64 = 0.3;
 
-/// Shows each committed state to this process and its followers.
-pub async fn show_documents(node: Rc<Node>, voter: Rc<Voter>) {
-    let mut seen = voter.watch();
+/// Publishes each committed state to this process and its followers.
+pub async fn publish_documents(node: Rc<Node>, voter: Rc<Voter>) {
+    let mut states = voter.watch();
     loop {
-        let documents = seen.borrow_and_update().clone();
+        let documents = states.borrow_and_update().clone();
         let held = node.declared.version();
         let weights = documents.weights().map(|w| NamedWeights {
             model: w.model,
@@ -80,45 +83,47 @@
             age_ms: 0,
         });
         node.declared
-            .take(Some(documents.document().clone()), weights.collect());
-        for told in [Interest::All, Interest::Weights] {
-            for news in node.declared.since(held, told) {
-                let to = |interest| (interest == told).then(|| news.clone());
-                node.registry.tell(to);
+            .update(Some(documents.document().clone()), weights.collect());
+        for wanted in [Interest::All, Interest::Weights] {
+            for news in node.declared.updates_since(held, wanted) {
+                let to = |interest| (interest == wanted).then(|| news.clone());
+                node.registry.notify(to);
             }
         }
-        if seen.changed().await.is_err() {
+        if states.changed().await.is_err() {
             return;
         }
     }
 }
 
-/// Tells followers changed rows and signs of life.
-pub async fn keep_followers(node: Rc<Node>) {
+/// Sends followers changed rows, loads and pulses.
+pub async fn update_followers(node: Rc<Node>) {
     let mut pulse_at = Instant::now();
-    let mut last = node.clock.now();
+    let mut previous = node.clock.now();
     loop {
-        sleep(FLUSH).await;
+        sleep(FLUSH_INTERVAL).await;
         let now = node.clock.now();
-        let span = now.since(last);
-        last = now;
-        if span > PAUSED || !node.is_current() {
+        let span = now.since(previous);
+        previous = now;
+        if span > PAUSE_THRESHOLD || !node.is_current() {
             node.registry.defer(span);
         }
         node.registry.flush();
         node.loads.flush();
         if Instant::now() >= pulse_at {
-            pulse_at = Instant::now() + PULSE;
+            pulse_at = Instant::now() + PULSE_INTERVAL;
             node.registry.expire();
             let pulse = node.pulse();
-            node.registry.tell(|_| Some(pulse.clone()));
+            node.registry.notify(|_| Some(pulse.clone()));
         }
     }
 }
 
-/// Tells the seeds who the voters are. Seeds may be nodes without a disk: when all processes start
-/// again at once, those know nobody either, and nobody would find the voters.
-pub async fn tell_seeds(node: Rc<Node>) {
+/// Sends the addresses of the voters to the seeds.
+///
+/// Seeds may be nodes without a disk. When all processes restart at once, such seeds know no other node,
+/// and without this message no node would find the voters.
+pub async fn notify_seeds(node: Rc<Node>) {
     loop {
         let pulse = node.pulse();
         for seed in node.seeds.now() {
@@ -126,68 +131,68 @@
                 node.dialer.tell(seed, pulse.clone());
             }
         }
-        sleep(SEEDS).await;
+        sleep(SEED_INTERVAL).await;
     }
 }
 
-/// How a voter came to be left.
+/// Why a node stopped following a voter.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Left {
-    /// It was never in contact.
-    Unfollowed,
-    /// Contact was lost.
+enum FollowEnd {
+    /// The voter was not reached, or never in contact with its group.
+    NeverCurrent,
+    /// The voter was followed, and then fell silent or lost contact with its group.
     Lost,
-    /// One in this node's own zone is there.
-    ForNearer,
+    /// Another voter is in this node's own zone.
+    NearerFound,
 }
 
-/// Follows one voter after the other, until the process ends: those of its own zone first. Once all
-/// that are known were tried in vain, as when they were replaced while this node was cut off, voters
-/// are searched for anew.
+/// Follows one voter at a time until the process ends, and prefers the voters of its own zone. After all
+/// known voters have failed, for example because they were replaced while this node was cut off, it
+/// searches for the voters again.
 ///
-/// Each follower is told of its engines' loads several times a second, which a voter of another
-/// region would send over the narrow links between regions.
+/// Each follower receives the loads of its engines several times a second. A voter of another region
+/// would send them over the narrow links between regions.
 pub async fn follow_group(node: Rc<Node>) {
-    let mut vain = 0;
-    let mut finder = Finder::new();
-    let mut look_near = Instant::now();
+    let mut failures = 0;
+    let mut finder = VoterFinder::new();
+    let mut switch_after = Instant::now();
     loop {
-        if vain >= node.voters().len() && finder.find(&node).await {
-            vain = 0;
+        if failures >= node.voters().len() && finder.find(&node).await {
+            failures = 0;
         }
         let ranked = ranked_voters(&node);
-        let Some(voter) = ranked.get(vain % ranked.len().max(1)) else {
-            sleep(RETRY).await;
+        let Some(voter) = ranked.get(failures % ranked.len().max(1)) else {
+            sleep(RETRY_PAUSE).await;
             continue;
         };
-        match follow(&node, *voter, look_near).await {
-            Left::ForNearer => {
-                // The voter that is left stays the one to ask until the nearer one is followed.
-                look_near = Instant::now() + LOOK_NEAR;
-                vain = 0;
+        match follow(&node, *voter, switch_after).await {
+            FollowEnd::NearerFound => {
+                // Questions still go to the previous voter until the nearer one is followed.
+                switch_after = Instant::now() + SWITCH_INTERVAL;
+                failures = 0;
                 continue;
             }
-            Left::Lost => vain = 0,
-            Left::Unfollowed => {}
+            FollowEnd::Lost => failures = 0,
+            FollowEnd::NeverCurrent => {}
         }
-        // The one that was just lost is not the next to be tried.
-        vain += 1;
+        // The voter that was just lost is not the next one to try.
+        failures += 1;
         node.set_followed(None);
-        sleep(RETRY).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
-/// The voters in the order in which this node tries them: those of its zone first, and each node has
-/// an order of its own, so that voters share the followers.
+/// Returns the voters in the order in which this node tries them: first those of its zone. Each node has
+/// an order of its own, so that the followers are spread over the voters.
 fn ranked_voters(node: &Node) -> Vec<SocketAddr> {
     let mut ranked = node.voters();
     let own = &node.settings.node.name;
-    ranked.sort_by_cached_key(|voter| (!is_near(node, *voter), hash(&format!("{own} {voter}"))));
+    ranked.sort_by_cached_key(|voter| (!is_local(node, *voter), hash(&format!("{own} {voter}"))));
     ranked
 }
 
-/// Whether a voter is known to be in this node's zone and to stay.
-fn is_near(node: &Node, voter: SocketAddr) -> bool {
+/// Returns whether a voter is known to be in this node's zone and is not leaving.
+fn is_local(node: &Node, voter: SocketAddr) -> bool {
     let rows = node.registry.present();
     rows.iter().any(|(_, kind, _)| match &**kind {
         Kind::Entry(row) => {
@@ -197,149 +202,155 @@
     })
 }
 
-/// Finds the voters for a node without a disk.
-struct Finder {
-    next: Instant,
-    /// Since when no voter could be followed, or when that was said last.
-    outside: Instant,
+/// The search for voters by a node without a disk.
+struct VoterFinder {
+    next_search: Instant,
+    /// Since when no voter could be followed, or when this was last logged.
+    unreached: Instant,
 }
 
-impl Finder {
+impl VoterFinder {
     fn new() -> Self {
         let now = Instant::now();
         Self {
-            next: now,
-            outside: now,
+            next_search: now,
+            unreached: now,
         }
     }
 
-    /// Asks the seeds and the voters that were known, and whoever these name. Returns whether it
-    /// is time to, at most once in about [`SEARCH`].
+    /// Asks the seeds, the known voters and the nodes that these name. Returns false without a search if
+    /// the previous one is more recent than about [`SEARCH_INTERVAL`].
     async fn find(&mut self, node: &Rc<Node>) -> bool {
         let now = Instant::now();
-        if now < self.next {
+        if now < self.next_search {
             return false;
         }
         let part = rand::rng().random_range(1.0 - JITTER..1.0 + JITTER);
-        self.next = now + SEARCH.mul_f64(part);
+        self.next_search = now + SEARCH_INTERVAL.mul_f64(part);
         let starts = node.seeds.now().into_iter().chain(node.voters());
-        let mut search = Search::new(node.settings.node.link, starts);
-        seek_leader(&node.dialer, &mut search).await;
+        let mut search = LeaderSearch::new(node.settings.node.link, starts);
+        find_leader(&node.dialer, &mut search).await;
         node.learn_voters(search.voters().to_vec());
-        self.explain(node, &search);
+        self.log_failure(node, &search);
         true
     }
 
-    fn explain(&mut self, node: &Node, search: &Search) {
+    fn log_failure(&mut self, node: &Node, search: &LeaderSearch) {
         let now = Instant::now();
         if node.is_current() || search.leader().is_some() {
-            self.outside = now;
-        } else if now.duration_since(self.outside) >= EXPLAIN_INTERVAL {
-            self.outside = now;
+            self.unreached = now;
+        } else if now.duration_since(self.unreached) >= EXPLAIN_INTERVAL {
+            self.unreached = now;
             warn!("no voter is in contact with its group", kv: {
-                for_s = EXPLAIN_INTERVAL.as_secs(), asked = search.account()
+                for_s = EXPLAIN_INTERVAL.as_secs(), asked = search.summary()
             });
         }
     }
 }
 
-/// Follows `voter` until it is silent or out of contact with its group.
+/// Follows `voter` until it is silent or loses contact with its group.
 ///
-/// From `look_near` on it is left for one in this node's zone, if there is any.
-async fn follow(node: &Rc<Node>, voter: SocketAddr, look_near: Instant) -> Left {
+/// From `switch_after` on, the node also leaves it if there is a voter in the node's own zone.
+async fn follow(node: &Rc<Node>, voter: SocketAddr, switch_after: Instant) -> FollowEnd {
     let (sender, mut news) = mpsc::unbounded_channel();
     let link = match Dialer::subscribe(voter, sender).await {
         Ok(link) => link,
         Err(error) => {
             info!("voter not reached", kv: { voter = voter.to_string(), error = error.to_string() });
-            return Left::Unfollowed;
+            return FollowEnd::NeverCurrent;
         }
     };
     link.tell(News::Follow(Follow {
         version: node.declared.version(),
         interest: node.interest.into(),
     }));
-    let mut wanted = node.loads.wanted();
+    let mut wanted = node.loads.watch_wanted();
     wanted.mark_changed();
-    let mut told = false;
-    let left = |told| if told { Left::Lost } else { Left::Unfollowed };
-    let mut heard = Instant::now();
+    let mut followed = false;
+    let end = |followed| {
+        if followed {
+            FollowEnd::Lost
+        } else {
+            FollowEnd::NeverCurrent
+        }
+    };
+    let mut last_news = Instant::now();
     loop {
-        let came = tokio::select! {
-            came = timeout_at(heard + SILENT, news.recv()) => came,
-            // The sender is the node's own, and outlives this.
+        let received = tokio::select! {
+            received = timeout_at(last_news + SILENCE_TIMEOUT, news.recv()) => received,
+            // The sender belongs to the node and outlives this function.
             _ = wanted.changed() => {
                 let engines = wanted.borrow_and_update().iter().copied().collect();
                 link.tell(News::Watch(Watch { engines }));
                 continue;
             }
         };
-        heard = Instant::now();
-        match came {
+        last_news = Instant::now();
+        match received {
             Ok(Some(News::Pulse(pulse))) if !pulse.current => {
-                // While a group forms or elects, every voter is tried many times a second.
-                if told {
-                    info!("voter left: it has no contact with its group",
+                // While a group forms or elects a leader, every voter is tried many times a second.
+                if followed {
+                    info!("stopped following the voter: it has no contact with its group",
                         kv: { voter = voter.to_string() });
                 }
-                return left(told);
+                return end(followed);
             }
             Ok(Some(News::Pulse(pulse))) => {
                 node.learn_voters(pulse.voters.iter().filter_map(|v| addr(v)).collect());
                 node.registry.prune();
-                if !told {
-                    info!("voter followed", kv: { voter = voter.to_string() });
-                    told = true;
+                if !followed {
+                    info!("following a voter", kv: { voter = voter.to_string() });
+                    followed = true;
                 }
                 node.set_followed(Some(voter));
-                if Instant::now() >= look_near && has_nearer(node, voter) {
-                    info!("voter left: there is one in this zone", kv: { voter = voter.to_string() });
-                    return Left::ForNearer;
+                if Instant::now() >= switch_after && nearer_exists(node, voter) {
+                    info!("stopped following the voter: there is one in this zone", kv: { voter = voter.to_string() });
+                    return FollowEnd::NearerFound;
                 }
             }
             Ok(Some(news)) => {
-                if let Err(error) = take(node, news) {
-                    warn!("voter left: its document did not come", kv: {
+                if let Err(error) = apply_news(node, news) {
+                    warn!("stopped following the voter: its document could not be assembled", kv: {
                         voter = voter.to_string(), error = error.to_string()
                     });
-                    return left(told);
+                    return end(followed);
                 }
             }
             Ok(None) | Err(_) => {
-                info!("voter left: it is silent", kv: { voter = voter.to_string() });
-                return left(told);
+                info!("stopped following the voter: it is silent", kv: { voter = voter.to_string() });
+                return end(followed);
             }
         }
     }
 }
 
-/// Whether there is a voter in this node's zone, and `voter` is not.
-fn has_nearer(node: &Node, voter: SocketAddr) -> bool {
-    !is_near(node, voter) && node.voters().iter().any(|other| is_near(node, *other))
+/// Returns whether another voter is in this node's zone and `voter` is not.
+fn nearer_exists(node: &Node, voter: SocketAddr) -> bool {
+    !is_local(node, voter) && node.voters().iter().any(|other| is_local(node, *other))
 }
 
-fn take(node: &Rc<Node>, news: News) -> Result<(), PartError> {
+fn apply_news(node: &Rc<Node>, news: News) -> Result<(), PartError> {
     match news {
-        News::Part(part) => node.declared.follow_part(part)?,
-        News::Declared(declared) => node.declared.follow(declared),
+        News::Part(part) => node.declared.apply_part(part)?,
+        News::Declared(declared) => node.declared.apply_declared(declared),
         News::Rows(rows) => {
             if rows.whole && node.voter.is_none() {
                 node.registry.begin_listing();
             }
-            node.registry.take(rows.rows, false);
+            node.registry.merge(rows.rows, false);
         }
-        News::Loads(loads) => node.loads.take(loads.rows, false),
+        News::Loads(loads) => node.loads.record(loads.rows, false),
         News::Log(_) | News::Follow(_) | News::Pulse(_) | News::Watch(_) => {}
     }
     Ok(())
 }
 
-/// A voter follows all others for the rows registered there.
+/// Follows all other voters for the rows that are registered at them.
 pub async fn follow_peers(node: Rc<Node>, voter: Rc<Voter>) {
     let mut following: Vec<(SocketAddr, tokio::task::JoinHandle<()>)> = Vec::new();
     loop {
         following.retain(|(_, task)| !task.is_finished());
-        let wanted = voter.others();
+        let wanted = voter.other_voters();
         following.retain(|(peer, task)| {
             let keep = wanted.contains(peer);
             if !keep {
@@ -350,16 +361,16 @@
         for peer in wanted {
             if following.iter().all(|(p, _)| *p != peer) {
                 let node = node.clone();
-                let task = spawn_local(async move { follow_voter(&node, peer).await });
+                let task = spawn_local(async move { follow_peer(&node, peer).await });
                 following.push((peer, task));
             }
         }
-        sleep(PULSE).await;
+        sleep(PULSE_INTERVAL).await;
     }
 }
 
-/// Takes in the rows registered at another voter, in contact with its group or not.
-async fn follow_voter(node: &Rc<Node>, voter: SocketAddr) {
+/// Merges the rows registered at another voter, whether or not it is in contact with its group.
+async fn follow_peer(node: &Rc<Node>, voter: SocketAddr) {
     let (sender, mut news) = mpsc::unbounded_channel();
     let Ok(link) = Dialer::subscribe(voter, sender).await else {
         return;
@@ -369,11 +380,11 @@
         interest: Interest::Registered.into(),
     };
     link.tell(News::Follow(follow));
-    while let Ok(Some(news)) = timeout(SILENT, news.recv()).await {
+    while let Ok(Some(news)) = timeout(SILENCE_TIMEOUT, news.recv()).await {
         match news {
-            News::Rows(rows) => node.registry.take(rows.rows, false),
-            News::Loads(loads) => node.loads.take(loads.rows, false),
-            News::Pulse(pulse) => node.hear_document(pulse.document),
+            News::Rows(rows) => node.registry.merge(rows.rows, false),
+            News::Loads(loads) => node.loads.record(loads.rows, false),
+            News::Pulse(pulse) => node.note_document(pulse.document),
             _ => {}
         }
     }
--- a/crates/filbertstack-gateway/src/control/loads.rs
+++ b/crates/filbertstack-gateway/src/control/loads.rs
@@ -1,10 +1,11 @@
-//! The loads of engines, on their way from agents over the voters to entries.
+//! Relays the loads of engines from agents over the voters to entries.
 //!
-//! *Load pattern*: hundreds of engines change their load with each pass, ten times a second. Told as
-//! rows of the registry, each to all entries, they take more of an instance than its requests, and a
-//! follower whose link is narrow makes its voter hold thousands of rows that are old before they
-//! arrive. So an entry names the engines that it sends to and is told of these alone, a load is
-//! fifteen bytes, and one that a follower has no room for is left out: the next comes soon.
+//! *Load pattern*: hundreds of engines change their load with each pass, ten times a second. Sent to all
+//! entries as rows of the registry, the loads would use more of an instance than its requests do, and a
+//! follower on a narrow link would make its voter queue thousands of rows that are outdated before they
+//! arrive. So an entry names the engines to which it sends requests and receives the loads of these
+//! alone. A load has fifteen bytes, and one for which a follower's link has no room is dropped, because
+//! the next one follows soon.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,56 +16,57 @@
 
 use crate::link::Sender;
 use crate::link::messages::LoadRow;
-use crate::link::messages::Loads as Told;
+use crate::link::messages::Loads as LoadsMessage;
 use crate::link::messages::News;
 
-/// The most engines whose loads are kept until the next turn: twice the most of a deployment.
-const MOST: usize = 4_096;
+/// The most engines whose loads are kept until the next turn: twice the engines of the largest
+/// deployment.
+const MAX_ENGINES: usize = 4_096;
 
-/// The most frames that may wait for a follower that is told loads: more would be old when they
-/// arrive.
-const BACKLOG: usize = 4;
+/// The most frames that may be queued for a follower when more loads are sent to it. Behind a longer
+/// queue, loads would be outdated when they arrive.
+const MAX_BACKLOG: usize = 4;
 
-/// Whose loads a follower is told.
+/// Which loads a follower receives.
 #[derive(Debug)]
-pub enum Wants {
-    /// Another voter: those that agents told this one.
+pub enum LoadFilter {
+    /// The loads that agents sent to this node, for another voter.
     Own,
-    /// An entry: those of these engines.
+    /// The loads of these engines, for an entry.
     Engines(BTreeSet<u64>),
 }
 
 #[derive(Debug)]
 struct Follower {
     link: Sender,
-    wants: Wants,
+    filter: LoadFilter,
 }
 
-/// A load that followers have not been told yet.
+/// A load that was not sent to followers yet.
 #[derive(Debug)]
 struct Pending {
     row: LoadRow,
-    /// Whether its agent told it here.
+    /// Whether its agent sent it to this node.
     own: bool,
 }
 
 impl Pending {
-    fn concerns(&self, wants: &Wants) -> bool {
-        match wants {
-            Wants::Own => self.own,
-            Wants::Engines(engines) => engines.contains(&self.row.engine),
+    fn matches(&self, filter: &LoadFilter) -> bool {
+        match filter {
+            LoadFilter::Own => self.own,
+            LoadFilter::Engines(engines) => engines.contains(&self.row.engine),
         }
     }
 }
 
-/// The loads that pass through one node, and who is told of them.
+/// The loads that pass through one node, and the followers that receive them.
 #[derive(Debug)]
 pub struct Loads {
     followers: RefCell<Vec<Follower>>,
     pending: RefCell<BTreeMap<u64, Pending>>,
-    /// The latest load of each engine that this process has not taken yet.
-    told: RefCell<BTreeMap<u64, LoadRow>>,
-    news: Notify,
+    /// The latest load of each engine that this process has not taken out yet.
+    latest: RefCell<BTreeMap<u64, LoadRow>>,
+    arrivals: Notify,
     wanted: watch::Sender<BTreeSet<u64>>,
 }
 
@@ -73,50 +75,50 @@
         Self {
             followers: RefCell::default(),
             pending: RefCell::default(),
-            told: RefCell::default(),
-            news: Notify::new(),
+            latest: RefCell::default(),
+            arrivals: Notify::new(),
             wanted: watch::channel(BTreeSet::new()).0,
         }
     }
 }
 
 impl Loads {
-    /// Takes in loads that agents told this node (`own`) or that a voter passed on.
-    pub fn take(&self, rows: Vec<LoadRow>, own: bool) {
-        let passes_on = !self.followers.borrow().is_empty();
+    /// Records loads that agents sent to this node (`own`) or that a voter forwarded.
+    pub fn record(&self, rows: Vec<LoadRow>, own: bool) {
+        let has_followers = !self.followers.borrow().is_empty();
         let mut pending = self.pending.borrow_mut();
-        let mut told = self.told.borrow_mut();
+        let mut latest = self.latest.borrow_mut();
         for row in rows {
-            if told.len() >= MOST && !told.contains_key(&row.engine) {
+            if latest.len() >= MAX_ENGINES && !latest.contains_key(&row.engine) {
                 continue;
             }
-            if passes_on {
+            if has_followers {
                 pending.insert(row.engine, Pending { row, own });
             }
-            told.insert(row.engine, row);
+            latest.insert(row.engine, row);
         }
-        self.news.notify_one();
+        self.arrivals.notify_one();
     }
 
-    /// Ends when loads have come that this process has not taken.
+    /// Waits until loads have arrived that this process has not taken out.
     pub async fn arrived(&self) {
-        self.news.notified().await;
+        self.arrivals.notified().await;
     }
 
-    /// Takes the loads that have come since the last call.
+    /// Takes out the loads that have arrived since the last call.
     pub fn drain(&self) -> Vec<LoadRow> {
-        self.told.take().into_values().collect()
+        self.latest.take().into_values().collect()
     }
 
-    /// Begins to tell a follower on `link`, or changes what it is told.
-    pub fn follow(&self, link: &Sender, wants: Wants) {
+    /// Adds the follower on `link`, or replaces its filter.
+    pub fn subscribe(&self, link: &Sender, filter: LoadFilter) {
         let mut followers = self.followers.borrow_mut();
         followers.retain(|follower| !follower.link.is_closed() && !follower.link.is_same(link));
         let link = link.clone();
-        followers.push(Follower { link, wants });
+        followers.push(Follower { link, filter });
     }
 
-    /// Tells followers what has come since the last call.
+    /// Sends followers the loads that have arrived since the last call.
     pub fn flush(&self) {
         let pending = self.pending.take();
         if pending.is_empty() {
@@ -125,15 +127,15 @@
         let mut followers = self.followers.borrow_mut();
         followers.retain(|follower| !follower.link.is_closed());
         for follower in followers.iter() {
-            let wanted = pending.values().filter(|p| p.concerns(&follower.wants));
+            let wanted = pending.values().filter(|p| p.matches(&follower.filter));
             let rows: Vec<LoadRow> = wanted.map(|pending| pending.row).collect();
-            if !rows.is_empty() && follower.link.backlog() < BACKLOG {
-                follower.link.tell(News::Loads(Told { rows }));
+            if !rows.is_empty() && follower.link.backlog() < MAX_BACKLOG {
+                follower.link.tell(News::Loads(LoadsMessage { rows }));
             }
         }
     }
 
-    /// Names the engines whose loads this process wants to be told.
+    /// Sets the engines whose loads this process needs.
     pub fn set_wanted(&self, engines: BTreeSet<u64>) {
         self.wanted.send_if_modified(|before| {
             let changed = *before != engines;
@@ -142,8 +144,8 @@
         });
     }
 
-    /// The engines whose loads this process wants to be told; told as they change.
-    pub fn wanted(&self) -> watch::Receiver<BTreeSet<u64>> {
+    /// Returns a receiver of the engines whose loads this process needs, notified of each change.
+    pub fn watch_wanted(&self) -> watch::Receiver<BTreeSet<u64>> {
         self.wanted.subscribe()
     }
 }
--- a/crates/filbertstack-gateway/src/control/membership.rs
+++ b/crates/filbertstack-gateway/src/control/membership.rs
@@ -1,4 +1,4 @@
-//! Who founds the group of voters, and which change of it comes next. Pure decisions.
+//! Pure decisions on the group of voters: which node creates it, and which change of its members is next.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,25 +11,27 @@
 
 use crate::link::messages::Standing;
 
-/// For how long a request to be taken in counts: some rounds in which it is made again.
-pub const NEWCOMER: Duration = Duration::from_secs(2);
+/// How long a request to join the group is valid. A node that waits repeats the request several times in
+/// this time.
+pub const JOIN_VALIDITY: Duration = Duration::from_secs(2);
 
-/// After which silence a voter makes room for a newcomer that waits. Above an election with its
-/// pauses, below the time in which a replaced voter must count again. One that comes back asks
-/// to be taken in again.
-pub const REPLACED: Duration = Duration::from_millis(2_500);
+/// How long a voter is silent before it is removed in favour of a waiting newcomer. This is longer than an
+/// election with its pauses, and shorter than the time in which a replacement must have a vote again.
+/// A removed voter that comes back asks to join again.
+pub const REPLACE_AFTER: Duration = Duration::from_millis(2_500);
 
-/// After which silence a voter is taken out without a newcomer, as it was one too many: a planned
-/// replacement adds the new one first. Above a restart and above a machine frozen for seconds.
-const LEFT: Duration = Duration::from_secs(9);
+/// How long a voter is silent before it is removed without a newcomer. Such a voter is surplus, because a
+/// planned replacement adds the new voter first. This is longer than a restart and than a freeze of the
+/// instance for seconds.
+const REMOVE_AFTER: Duration = Duration::from_secs(9);
 
-/// The fewest voters that a group keeps when it takes a silent one out for no newcomer.
-const FEWEST: usize = 3;
+/// The fewest voters that remain when a silent one is removed without a newcomer.
+const MIN_VOTERS: usize = 3;
 
-/// A node with a disk that asks to be taken in.
+/// A node with a disk that asks to join the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Newcomer {
-    /// The identity of its memory.
+    /// The identity of its log.
     pub node: NodeId,
     /// Its name.
     pub name: String,
@@ -37,28 +39,28 @@
     pub addr: SocketAddr,
 }
 
-/// Whether the node at `own` founds the group now, and how many voters the group must have had
-/// before it takes commands.
+/// Returns how many voters the group must once have had before it accepts commands, if the node at `own`
+/// creates the group now.
 ///
-/// Only in the first start of the whole system, and only the first seed that has a disk: two
-/// groups would each accept changes that the other does not know. Every seed before it must have
-/// said that it has no disk, and every seed that answers that it knows no group. A node whose disk
-/// was lost is not in a first start, so that it can't found a second group beside its own.
-pub fn founder(
+/// Only the first seed that has a disk creates the group, and only in the first start of the whole
+/// system: two groups would each accept changes that the other does not know. Every seed before it must
+/// have answered that it has no disk, and no seed that answered may know a group. A node that lost its
+/// disk is not in a first start, so it can't create a second group beside its own.
+pub fn founding_size(
     first: bool,
     own: SocketAddr,
     seeds: &[SocketAddr],
-    heard: &[Standing],
+    answers: &[Standing],
 ) -> Option<u32> {
     // A seed without a disk is in no group, but may know one.
     let knows = |s: &Standing| s.cluster != 0 || !s.leader.is_empty() || !s.voters.is_empty();
-    let grouped = heard.iter().any(knows);
+    let grouped = answers.iter().any(knows);
     if !first || grouped {
         return None;
     }
     let place = seeds.iter().position(|seed| *seed == own)?;
     let diskless = |seed: &SocketAddr| {
-        let standing = heard.iter().find(|s| s.addr == seed.to_string());
+        let standing = answers.iter().find(|s| s.addr == seed.to_string());
         standing.is_some_and(|s| s.node == 0)
     };
     if !seeds[..place].iter().all(diskless) {
@@ -68,32 +70,32 @@
     u32::try_from(others.count() + 1).ok()
 }
 
-/// The next change of the group that `leader` leads, given who waits to be taken in and for how
-/// long each voter has been silent.
-pub fn next(
+/// Returns the next change of the group that `leader` leads. It depends on the newcomers that wait to
+/// join, and on how long each voter has been silent.
+pub fn next_change(
     leader: NodeId,
     now: &Membership,
     newcomers: &[Newcomer],
     silent: impl Fn(NodeId) -> Duration,
 ) -> Option<Change> {
     if let Some(learner) = now.learners.first() {
-        return Some(learner_step(learner, newcomers, &silent));
+        return Some(learner_change(learner, newcomers, &silent));
     }
-    let fresh = newcomers
+    let newcomer = newcomers
         .iter()
         .find(|n| !now.members().any(|m| m.id() == n.node));
-    if let Some(fresh) = fresh {
-        return take_in(leader, now, fresh, &silent);
+    if let Some(newcomer) = newcomer {
+        return admit(leader, now, newcomer, &silent);
     }
     let others = || now.voters.iter().filter(|m| m.id() != leader);
-    let lost = others().find(|m| silent(m.id()) >= LEFT)?;
-    let rest_heard = others().all(|m| m.id() == lost.id() || silent(m.id()) < REPLACED);
-    let spare = now.forming == 0 && now.voters.len() > FEWEST;
+    let lost = others().find(|m| silent(m.id()) >= REMOVE_AFTER)?;
+    let rest_heard = others().all(|m| m.id() == lost.id() || silent(m.id()) < REPLACE_AFTER);
+    let spare = now.forming == 0 && now.voters.len() > MIN_VOTERS;
     (spare && rest_heard).then(|| Change::Remove(lost.id()))
 }
 
-/// A learner is made a voter, or dropped when it lost its memory or fell silent.
-fn learner_step(
+/// Promotes a learner to a voter, or removes it if it lost its log or fell silent.
+fn learner_change(
     learner: &Member,
     newcomers: &[Newcomer],
     silent: &impl Fn(NodeId) -> Duration,
@@ -102,36 +104,36 @@
     let replaced = newcomers
         .iter()
         .any(|n| address(n) && n.node != learner.id());
-    if replaced || silent(learner.id()) >= REPLACED {
+    if replaced || silent(learner.id()) >= REPLACE_AFTER {
         return Change::Remove(learner.id());
     }
     Change::Promote(learner.id())
 }
 
-/// Makes room for a newcomer, then adds it.
+/// Removes a voter in favour of a newcomer, or adds the newcomer as a learner.
 ///
-/// A voter at the newcomer's own address lost its disk and can never vote again; while it counts,
-/// the group bears one loss less. The same goes for one that is silent.
-fn take_in(
+/// A voter at the newcomer's own address lost its disk and can never vote again. While it remains a
+/// member, the group tolerates one failure less. The same applies to a silent voter.
+fn admit(
     leader: NodeId,
     now: &Membership,
-    fresh: &Newcomer,
+    newcomer: &Newcomer,
     silent: &impl Fn(NodeId) -> Duration,
 ) -> Option<Change> {
     let others = || now.voters.iter().filter(|m| m.id() != leader);
-    let wiped = others().find(|m| m.address == fresh.addr.to_string());
+    let wiped = others().find(|m| m.address == newcomer.addr.to_string());
     let longest = others().max_by_key(|m| silent(m.id()));
-    let lost = longest.filter(|m| silent(m.id()) >= REPLACED && now.forming == 0);
+    let lost = longest.filter(|m| silent(m.id()) >= REPLACE_AFTER && now.forming == 0);
     let room = now.voters.len() < MAX_VOTERS;
     if let Some(old) = wiped.or(lost) {
         return Some(Change::Remove(old.id()));
     }
-    // A full group in which everybody is heard needs no other member.
+    // A full group whose members all answer needs no other member.
     room.then(|| {
         Change::AddLearner(Member {
-            node: fresh.node.0,
-            name: fresh.name.clone(),
-            address: fresh.addr.to_string(),
+            node: newcomer.node.0,
+            name: newcomer.name.clone(),
+            address: newcomer.addr.to_string(),
         })
     })
 }
--- a/crates/filbertstack-gateway/src/control/mod.rs
+++ b/crates/filbertstack-gateway/src/control/mod.rs
@@ -1,11 +1,11 @@
-//! What is declared and who is there, on every node.
+//! The declared state and the registry of processes on every node.
 //!
-//! Voters keep the declared state in the replicated log and the registry of processes in memory;
-//! every other node follows one voter. [`node::Node`] answers peers, [`api`] answers operators
-//! and engines.
+//! Voters keep the declared state in the replicated log, and the registry of processes in memory. Every
+//! other node follows one voter. [`node::Node`] answers peers; [`api`] answers operators and engines.
 
 pub mod api;
 pub mod declared;
+pub mod discovery;
 pub mod follow;
 pub mod lag;
 pub mod loads;
@@ -15,7 +15,6 @@
 pub mod parts;
 pub mod registry;
 pub mod search;
-pub mod seek;
 pub mod shortage;
 pub mod unregistered;
 pub mod upkeep;
@@ -23,14 +22,14 @@
 
 use std::time::Duration;
 
-/// How long a question to a peer may take when a caller waits for its outcome: operators move on
-/// after a second, so an answer after that is lost.
-pub const ASK: Duration = Duration::from_millis(850);
+/// How long a question to a peer may take while a caller waits for its outcome. Operators give up after a
+/// second, so a later answer would be lost.
+pub const ASK_TIMEOUT: Duration = Duration::from_millis(850);
 
-/// How long a change may take to be committed: the questioner's patience less the way.
-pub const COMMIT: Duration = Duration::from_millis(750);
+/// How long a change may take to be committed: [`ASK_TIMEOUT`] less the time on the network.
+pub const COMMIT_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// After how long a node that has no contact with the group says whom it asked, and how often it
-/// does so then: an election, a lost disk's repair and a start of all nodes take less than three
-/// seconds.
+/// How long a node lacks contact with the group before it logs the nodes that it asked, and how often it
+/// logs them from then on. An election, the repair after a lost disk and a start of all nodes each take
+/// less than three seconds.
 pub const EXPLAIN_INTERVAL: Duration = Duration::from_secs(5);
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -1,4 +1,4 @@
-//! One node among its peers: what it answers them, and whom it asks for the group.
+//! One node of the system: its answers to peers, and its questions to the group.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -14,11 +14,11 @@
 use tokio::task::spawn_local;
 
 use crate::clock::Clock;
-use crate::control::ASK;
+use crate::control::ASK_TIMEOUT;
 use crate::control::declared::DeclaredState;
 use crate::control::lag::Lag;
+use crate::control::loads::LoadFilter;
 use crate::control::loads::Loads;
-use crate::control::loads::Wants;
 use crate::control::registry::ProcessRegistry;
 use crate::control::unregistered::Unregistered;
 use crate::control::voter::Voter;
@@ -31,7 +31,7 @@
 use crate::link::messages::Hop;
 use crate::link::messages::Interest;
 use crate::link::messages::LoadRow;
-use crate::link::messages::Loads as Told;
+use crate::link::messages::Loads as LoadsMessage;
 use crate::link::messages::News;
 use crate::link::messages::Nothing;
 use crate::link::messages::Proposal;
@@ -45,52 +45,52 @@
 use crate::reload::Seeds;
 use crate::settings::Settings;
 
-/// Why the group could not do what was asked; asked again, it may.
+/// Why the group could not answer a question. A later attempt may succeed.
 #[derive(Debug, Error)]
 pub enum GroupError {
-    /// No voter is known.
+    /// No voter in contact with its group is known, or the leader could not read the command.
     #[error("no voter is known yet; ask again in a second")]
-    Unknown,
-    /// The voter asked could not.
+    Unavailable,
+    /// The question to a voter failed.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// The log could not.
+    /// The log refused the command or the read.
     #[error(transparent)]
     Log(#[from] filbertstack_log::ProposeError),
 }
 
 /// One node of the system.
 pub struct Node {
-    /// Its settings, as they were at its start.
+    /// Its settings at its start.
     pub settings: Settings,
-    /// The seeds, which may change.
+    /// Its seeds, which may change while it runs.
     pub seeds: Seeds,
     /// Its clock.
     pub clock: Clock,
-    /// What is declared.
+    /// The declared state.
     pub declared: DeclaredState,
-    /// Who is there.
+    /// The registry of processes.
     pub registry: ProcessRegistry,
     /// The loads of engines.
     pub loads: Loads,
-    /// Statements that no voter could take yet.
+    /// The rows that no voter has accepted yet.
     pub unregistered: Unregistered,
-    /// Links to peers.
+    /// The links to its peers.
     pub dialer: Dialer,
-    /// What it needs to be told by the voter that it follows.
+    /// The kinds of updates that it needs from the voter that it follows.
     pub interest: Interest,
     /// The voter in this process, if it has a disk.
     pub voter: Option<Rc<Voter>>,
-    /// The voter that this node follows, if it is none itself.
+    /// The voter that this node follows. A voter follows none.
     followed: Cell<Option<SocketAddr>>,
-    /// The voters that were last heard of.
+    /// The voters according to the latest list that arrived.
     voters: RefCell<Vec<SocketAddr>>,
-    /// Whether the voter in this process lags behind the others.
+    /// The documents that the voter in this process lacks.
     lag: RefCell<Lag>,
 }
 
 impl Node {
-    /// A node that knows nobody yet.
+    /// Creates a node that knows no other node yet.
     pub fn new(
         (settings, seeds): (Settings, Seeds),
         clock: Clock,
@@ -116,46 +116,46 @@
         }
     }
 
-    /// The address of the voter that this node follows, for those that may go there directly.
+    /// Returns the address of the voter that this node follows.
     pub fn followed(&self) -> Option<SocketAddr> {
         self.followed.get()
     }
 
-    /// Notes which voter this node follows.
+    /// Sets the voter that this node follows.
     pub fn set_followed(&self, voter: Option<SocketAddr>) {
         self.followed.set(voter);
     }
 
-    /// The voters that were last heard of.
+    /// Returns the voters according to the latest list that arrived.
     pub fn voters(&self) -> Vec<SocketAddr> {
         self.voters.borrow().clone()
     }
 
-    /// The id of the row of an entry in this process.
+    /// Returns the id of the row of an entry in this process.
     pub fn entry_id(&self) -> String {
         format!("entry {}", self.settings.node.name)
     }
 
-    /// Notes who the voters are.
+    /// Records the voters. An empty list is ignored.
     pub fn learn_voters(&self, voters: Vec<SocketAddr>) {
         if !voters.is_empty() {
             *self.voters.borrow_mut() = voters;
         }
     }
 
-    /// Notes which document another voter holds.
-    pub fn hear_document(&self, version: u64) {
+    /// Records the version of the document that another voter holds.
+    pub fn note_document(&self, version: u64) {
         let (now, held) = (self.clock.now(), self.declared.version());
         self.lag.borrow_mut().observe(now, held, version);
     }
 
-    /// Whether the voter in this process lacks a document that others have held for a while.
+    /// Returns whether the voter in this process lacks a document that another voter has held for too long.
     fn is_behind(&self) -> bool {
         let held = self.declared.version();
         self.lag.borrow().is_behind(self.clock.now(), held)
     }
 
-    /// Whether this node is in contact with the group.
+    /// Returns whether this node is in contact with the group.
     pub fn is_current(&self) -> bool {
         match &self.voter {
             Some(voter) => voter.is_current() && !self.is_behind(),
@@ -163,56 +163,56 @@
         }
     }
 
-    /// Commits a command of the document machine.
+    /// Commits a command of the state machine.
     ///
     /// # Errors
-    /// [`GroupError`]; the command may have been committed all the same.
+    /// [`GroupError`]; the command may have been committed nevertheless.
     pub async fn propose(&self, command: Bytes) -> Result<(), GroupError> {
-        self.pass_proposal(command, false).await
+        self.route_proposal(command, false).await
     }
 
-    async fn pass_proposal(&self, command: Bytes, passed: bool) -> Result<(), GroupError> {
+    async fn route_proposal(&self, command: Bytes, forwarded: bool) -> Result<(), GroupError> {
         if let Some(voter) = self.voter.as_ref().filter(|v| v.leads()) {
             let effect = voter.propose(command).await?;
             if effect == Effect::Unreadable {
-                return Err(GroupError::Unknown);
+                return Err(GroupError::Unavailable);
             }
             return Ok(());
         }
         let question = Question::Propose(Proposal {
             command,
-            passed: self.voter.is_some() || passed,
+            passed: self.voter.is_some() || forwarded,
         });
-        match self.ask_group(question, passed).await? {
+        match self.ask_group(question, forwarded).await? {
             Reply::Done(_) => Ok(()),
             _ => Err(LinkError::Unfit.into()),
         }
     }
 
-    /// The newest document, confirmed by a majority for this question.
+    /// Returns the newest document, which a majority of voters confirms for this call.
     ///
     /// # Errors
     /// [`GroupError`] if it can't be confirmed now.
-    pub async fn read(&self) -> Result<Document, GroupError> {
-        self.pass_read(false).await
+    pub async fn read_document(&self) -> Result<Document, GroupError> {
+        self.route_read(false).await
     }
 
-    async fn pass_read(&self, passed: bool) -> Result<Document, GroupError> {
+    async fn route_read(&self, forwarded: bool) -> Result<Document, GroupError> {
         if let Some(voter) = self.voter.as_ref().filter(|v| v.leads()) {
             voter.read_barrier().await?;
             return Ok(voter.documents().document().clone());
         }
         let question = Question::Read(Hop {
-            passed: self.voter.is_some() || passed,
+            passed: self.voter.is_some() || forwarded,
         });
-        match self.ask_group(question, passed).await? {
+        match self.ask_group(question, forwarded).await? {
             Reply::Document(document) => Ok(document),
             _ => Err(LinkError::Unfit.into()),
         }
     }
 
-    /// The list of pieces that the voters keep of the latest version up to `upto`, as far as the voter
-    /// that is followed knows; `None` if they keep none.
+    /// Returns the list of pieces that the voters keep for the latest version up to `upto`, as far as the
+    /// followed voter knows, or `None` if they keep none.
     ///
     /// # Errors
     /// [`GroupError`] if no voter answers.
@@ -227,7 +227,7 @@
         }
     }
 
-    fn list(&self, upto: &Weights) -> Reply {
+    fn list_reply(&self, upto: &Weights) -> Reply {
         let Some(voter) = &self.voter else {
             return Reply::Failed("this node keeps no lists; ask a voter".into());
         };
@@ -237,28 +237,29 @@
         }
     }
 
-    /// Asks the leader, or the voter that this node follows. What was passed on already is not
-    /// passed on again: two voters that take each other for the leader would never end.
-    async fn ask_group(&self, question: Question, passed: bool) -> Result<Reply, GroupError> {
+    /// Asks the leader, or the voter that this node follows. A question that was forwarded once is not
+    /// forwarded again, because two voters that each consider the other the leader would forward it for
+    /// ever.
+    async fn ask_group(&self, question: Question, forwarded: bool) -> Result<Reply, GroupError> {
         let peer = match &self.voter {
-            Some(_) if passed => None,
+            Some(_) if forwarded => None,
             Some(voter) => voter.leader(),
             None => self.followed.get(),
         };
-        let peer = peer.ok_or(GroupError::Unknown)?;
-        Ok(self.dialer.ask(peer, question, ASK).await?)
+        let peer = peer.ok_or(GroupError::Unavailable)?;
+        Ok(self.dialer.ask(peer, question, ASK_TIMEOUT).await?)
     }
 
-    /// Tells the voters what a process says of itself.
+    /// Registers rows of processes at a voter.
     ///
     /// # Errors
-    /// [`GroupError`] if no voter in contact with its group took it.
+    /// [`GroupError`] if no voter in contact with its group accepted them.
     pub async fn register(&self, rows: Vec<Row>) -> Result<(), GroupError> {
         if let Some(voter) = &self.voter {
             if !voter.is_current() {
-                return Err(GroupError::Unknown);
+                return Err(GroupError::Unavailable);
             }
-            self.registry.take(rows, true);
+            self.registry.merge(rows, true);
             return Ok(());
         }
         let question = Question::Register(Rows { rows, whole: false });
@@ -284,25 +285,25 @@
         }
     }
 
-    fn attach(&self, follow: &Follow, link: &Sender) {
+    fn add_follower(&self, follow: &Follow, link: &Sender) {
         if self.voter.is_none() {
             return;
         }
         let interest = follow.interest();
         if interest != Interest::Registered {
-            for news in self.declared.since(follow.version, interest) {
+            for news in self.declared.updates_since(follow.version, interest) {
                 link.tell(news);
             }
         }
         if interest == Interest::Registered {
-            self.loads.follow(link, Wants::Own);
+            self.loads.subscribe(link, LoadFilter::Own);
         }
-        self.registry.follow(link.clone(), interest);
+        self.registry.subscribe(link.clone(), interest);
         link.tell(self.pulse());
     }
 
-    /// Tells the voter that is followed what this process says of itself, without an answer:
-    /// the next statement makes up for one that is lost.
+    /// Sends rows of this process to the followed voter without waiting for an answer. The next rows make up
+    /// for lost ones.
     pub fn tell_rows(&self, rows: Vec<Row>) {
         if let Some(voter) = self.followed.get() {
             self.dialer
@@ -310,15 +311,16 @@
         }
     }
 
-    /// Tells the voter that is followed the load of this process's engine.
+    /// Sends the load of this process's engine to the followed voter.
     pub fn tell_load(&self, row: LoadRow) {
         if let Some(voter) = self.followed.get() {
             self.dialer
-                .tell(voter, News::Loads(Told { rows: vec![row] }));
+                .tell(voter, News::Loads(LoadsMessage { rows: vec![row] }));
         }
     }
 
-    /// The sign of life that followers get.
+    /// Returns the pulse for followers. It shows that this voter is alive and whether it is in contact with
+    /// its group, and lists the voters.
     pub fn pulse(&self) -> News {
         let voter = self.voter.as_ref();
         News::Pulse(Pulse {
@@ -339,20 +341,20 @@
             Question::Standing(_) => Reply::Standing(self.standing()),
             Question::Join(standing) => match &self.voter {
                 Some(voter) if voter.leads() => {
-                    voter.meet(&standing);
+                    voter.add_newcomer(&standing);
                     Reply::Done(Nothing {})
                 }
                 _ => Reply::Failed("this node does not lead; ask the leader".into()),
             },
             Question::Propose(proposal) => {
-                done(self.pass_proposal(proposal.command, proposal.passed).await)
+                done(self.route_proposal(proposal.command, proposal.passed).await)
             }
-            Question::Read(hop) => match self.pass_read(hop.passed).await {
+            Question::Read(hop) => match self.route_read(hop.passed).await {
                 Ok(document) => Reply::Document(document),
                 Err(error) => Reply::Failed(error.to_string()),
             },
             Question::Register(rows) => done(self.register(rows.rows).await),
-            Question::List(upto) => self.list(&upto),
+            Question::List(upto) => self.list_reply(&upto),
             Question::Piece(_) | Question::Manifest(_) | Question::Has(_) | Question::HasNow(_) => {
                 Reply::Failed("this node holds no weights; ask an entry or agent".into())
             }
@@ -367,14 +369,14 @@
                     voter.deliver(message);
                 }
             }
-            News::Follow(follow) => self.attach(&follow, sender),
-            News::Rows(rows) if self.voter.is_some() => self.registry.take(rows.rows, true),
-            News::Loads(loads) if self.voter.is_some() => self.loads.take(loads.rows, true),
+            News::Follow(follow) => self.add_follower(&follow, sender),
+            News::Rows(rows) if self.voter.is_some() => self.registry.merge(rows.rows, true),
+            News::Loads(loads) if self.voter.is_some() => self.loads.record(loads.rows, true),
             News::Watch(watch) if self.voter.is_some() => {
                 let engines = watch.engines.into_iter().collect();
-                self.loads.follow(sender, Wants::Engines(engines));
+                self.loads.subscribe(sender, LoadFilter::Engines(engines));
             }
-            // A voter tells its seeds who the voters are.
+            // A voter sends its seeds the addresses of the voters.
             News::Pulse(pulse) => {
                 let voters: Vec<_> = pulse.voters.iter().filter_map(|v| addr(v)).collect();
                 if let Some(voter) = &self.voter {
@@ -388,12 +390,16 @@
     }
 }
 
-/// Runs what every node with a voter does for its followers, until the process ends.
+/// Starts the tasks that serve the followers of a voter until the process ends. A node without a voter
+/// starts none.
 pub fn serve_followers(node: &Rc<Node>) {
     let Some(voter) = node.voter.clone() else {
         return;
     };
-    spawn_local(crate::control::follow::show_documents(node.clone(), voter));
-    spawn_local(crate::control::follow::tell_seeds(node.clone()));
-    spawn_local(crate::control::follow::keep_followers(node.clone()));
+    spawn_local(crate::control::follow::publish_documents(
+        node.clone(),
+        voter,
+    ));
+    spawn_local(crate::control::follow::notify_seeds(node.clone()));
+    spawn_local(crate::control::follow::update_followers(node.clone()));
 }
--- a/crates/filbertstack-gateway/src/control/parts.rs
+++ b/crates/filbertstack-gateway/src/control/parts.rs
@@ -1,11 +1,11 @@
-//! Documents on their way from a voter to its followers: compressed, and in parts.
+//! Transfer of documents from a voter to its followers, compressed and split into parts.
 //!
-//! *Load pattern*: a document of a thousand routes and more is changed, or all entries follow a voter
-//! anew, and dozens of them are told the whole of it at once. As one frame of some hundred KB to each
-//! it fills the voter's link for a second: signs of life wait behind it, every follower takes its
-//! voter for silent, and asks the next one for the same document. Nobody learned anything new for
-//! ten seconds then. Compressed, a document is a small part of that; in parts, other news goes in between,
-//! and each part is a sign of life.
+//! *Load pattern*: a document of a thousand routes or more changes, or all entries start to follow the
+//! same voter, and dozens of them receive the whole document at once. As one frame of some hundred KB to
+//! each follower, it would fill the voter's link for a second. The pulses would wait behind it, so every
+//! follower would consider its voter silent and request the same document from the next voter; no
+//! follower would receive an update for ten seconds. Compression makes a document much smaller. Between
+//! parts, other messages can be sent, and each part shows that the voter is alive.
 
 use std::io;
 use std::mem;
@@ -18,18 +18,21 @@
 
 use crate::link::messages::DocumentPart;
 
-/// The longest part, in bytes: a link of 40 Mbit/s carries it in 7 ms.
-const PART: usize = 32 << 10;
+/// The size of the longest part. A link of 40 Mbit/s carries it in 7 ms.
+const MAX_PART_BYTES: usize = 32 << 10;
 
-/// The most bytes that the parts of a document may have: a compressed one is hardly longer than it was.
-const LONGEST: usize = 8 << 20;
+/// The most bytes that all parts of a document may have. Compression hardly makes any document longer.
+const MAX_PACKED_BYTES: usize = 8 << 20;
 
-/// Why parts make no document. The follower leaves its voter and is sent all of them again.
+/// Why parts can't be assembled to a document. The follower leaves its voter, and receives all parts again
+/// from the next one.
 #[derive(Debug, Error)]
 pub enum PartError {
-    /// A part is missing, or comes twice.
-    #[error("part {number} of {count} of version {version} is out of turn; it is fetched again")]
-    OutOfTurn {
+    /// A part is missing, or arrived twice.
+    #[error(
+        "part {number} of {count} of version {version} is out of order; the document is requested again"
+    )]
+    OutOfOrder {
         /// The document's version.
         version: u64,
         /// The part's number, from 0.
@@ -37,50 +40,52 @@
         /// How many parts there are.
         count: u32,
     },
-    /// What the parts hold is no document.
-    #[error("{0}; it is fetched again")]
+    /// The content of the parts is not a document.
+    #[error("{0}; the document is requested again")]
     Unpack(#[from] UnpackError),
-    /// The parts are longer than those of a document may be.
-    #[error("the parts of version {version} have more than {LONGEST} bytes; shorten the document")]
+    /// The parts have more bytes than a document may have.
+    #[error(
+        "the parts of version {version} have more than {MAX_PACKED_BYTES} bytes; shorten the document"
+    )]
     TooLong {
         /// The document's version.
         version: u64,
     },
 }
 
-/// The parts of a document, in their order.
+/// Compresses a document and splits it into parts, in their order.
 ///
 /// # Errors
-/// Those of the compressor.
-pub fn split(document: &Document) -> io::Result<Vec<DocumentPart>> {
+/// The compressor's errors.
+pub fn split_document(document: &Document) -> io::Result<Vec<DocumentPart>> {
     let packed = Packed::pack(document)?.body;
-    let count = packed.len().div_ceil(PART).max(1);
+    let count = packed.len().div_ceil(MAX_PART_BYTES).max(1);
     let parts = (0..count).map(|number| {
-        let end = packed.len().min((number + 1) * PART);
+        let end = packed.len().min((number + 1) * MAX_PART_BYTES);
         DocumentPart {
             version: document.version,
             number: u32::try_from(number).unwrap_or(u32::MAX),
             count: u32::try_from(count).unwrap_or(u32::MAX),
-            body: packed.slice(number * PART..end),
+            body: packed.slice(number * MAX_PART_BYTES..end),
         }
     });
     Ok(parts.collect())
 }
 
-/// The parts of one document that have come so far.
+/// The parts of one document that have arrived so far.
 #[derive(Debug, Default)]
 pub struct Assembly {
     version: u64,
-    next: u32,
+    next_number: u32,
     packed: BytesMut,
 }
 
 impl Assembly {
-    /// Takes the next part; the document, if it was the last.
+    /// Adds the next part, and returns the document if it was the last.
     ///
     /// # Errors
     /// [`PartError`]; the parts so far are dropped.
-    pub fn take(&mut self, part: DocumentPart) -> Result<Option<Document>, PartError> {
+    pub fn add(&mut self, part: DocumentPart) -> Result<Option<Document>, PartError> {
         if part.number == 0 {
             *self = Self {
                 version: part.version,
@@ -93,22 +98,22 @@
             count,
             body,
         } = part;
-        let long = self.packed.len() + body.len() > LONGEST;
+        let long = self.packed.len() + body.len() > MAX_PACKED_BYTES;
         if long {
             *self = Self::default();
             return Err(PartError::TooLong { version });
         }
-        if version != self.version || number != self.next {
+        if version != self.version || number != self.next_number {
             *self = Self::default();
-            return Err(PartError::OutOfTurn {
+            return Err(PartError::OutOfOrder {
                 version,
                 number,
                 count,
             });
         }
         self.packed.extend_from_slice(&body);
-        self.next += 1;
-        if self.next < count {
+        self.next_number += 1;
+        if self.next_number < count {
             return Ok(None);
         }
         let body = mem::take(self).packed.freeze();
--- a/crates/filbertstack-gateway/src/control/registry.rs
+++ b/crates/filbertstack-gateway/src/control/registry.rs
@@ -1,4 +1,4 @@
-//! Who is there: targets, entries and agents, as they were heard of.
+//! The registry of processes on one node: targets, entries and agents.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,58 +18,61 @@
 use crate::link::messages::Row;
 use crate::link::messages::Rows;
 
-/// A target reports about each 1.2 s, at times seconds late: five reports missed mean that it has
-/// crashed. Requests to it fail long before, and the entry's own record of failures acts then.
-const TARGET_PATIENCE: Millis = Millis::secs(8);
+/// How long a target may be silent before it is removed. A target reports about every 1.2 s, at times
+/// seconds late, so five missed reports mean that it has crashed. Requests to it fail long before, and
+/// the entry's own record of failures keeps requests away from it.
+const TARGET_TIMEOUT: Millis = Millis::secs(8);
 
-/// An entry reports each [`OWN_ROW`](crate::entry::OWN_ROW): three missed.
-const ENTRY_PATIENCE: Millis = Millis(1_600);
+/// How long an entry may be silent before it is removed: three missed reports, one each
+/// [`OWN_ROW`](crate::entry::OWN_ROW).
+const ENTRY_TIMEOUT: Millis = Millis(1_600);
 
-/// An agent reports each [`AGAIN`](crate::agent::reports::AGAIN): three missed.
-const AGENT_PATIENCE: Millis = Millis::secs(3);
+/// How long an agent may be silent before it is removed: three missed reports, one each
+/// [`AGAIN`](crate::agent::reports::AGAIN).
+const AGENT_TIMEOUT: Millis = Millis::secs(3);
 
 struct Follower {
     link: Sender,
     interest: Interest,
 }
 
-/// A row that followers have not been told yet.
+/// A row that was not sent to followers yet.
 struct Pending {
     row: Row,
-    /// Whether it was registered here: other voters are told of these, and of no others.
+    /// Whether it was registered at this node. Other voters receive only these rows.
     own: bool,
-    /// Whether it says something new: those that follow are told only then.
+    /// Whether it says something new. Followers other than voters receive only these rows.
     changed: bool,
 }
 
-/// The registry of one node, and the links of those that follow it.
+/// The registry of one node, and the links of the followers that receive it.
 pub struct ProcessRegistry {
     clock: Clock,
     rows: RefCell<Registry<Rc<Kind>>>,
     followers: RefCell<Vec<Follower>>,
-    /// Rows that followers have not been told yet.
+    /// The rows that were not sent to followers yet.
     pending: RefCell<Vec<Pending>>,
-    news: watch::Sender<u64>,
+    changes: watch::Sender<u64>,
 }
 
 impl ProcessRegistry {
-    /// A registry without rows.
+    /// Creates a registry without rows.
     pub fn new(clock: Clock) -> Self {
         Self {
             clock,
             rows: RefCell::default(),
             followers: RefCell::default(),
             pending: RefCell::default(),
-            news: watch::channel(0).0,
+            changes: watch::channel(0).0,
         }
     }
 
-    /// Told whenever a row changes.
+    /// Returns a receiver that is notified when a row changes.
     pub fn watch(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+        self.changes.subscribe()
     }
 
-    /// All that are there.
+    /// Returns the rows of all processes that have not left.
     pub fn present(&self) -> Vec<(Arc<str>, Rc<Kind>, Stamp)> {
         let rows = self.rows.borrow();
         let present = rows.present();
@@ -78,43 +81,43 @@
             .collect()
     }
 
-    /// What is known of `id`, gone or not.
+    /// Returns the row of `id`, and whether the process has left.
     pub fn find(&self, id: &str) -> Option<(Rc<Kind>, Stamp, bool)> {
         let rows = self.rows.borrow();
         rows.get(id)
             .map(|(kind, stamp, gone)| (kind.clone(), stamp, gone))
     }
 
-    /// Takes rows in that were registered here (`own`) or at another voter.
-    pub fn take(&self, rows: Vec<Row>, own: bool) {
+    /// Merges rows that were registered at this node (`own`) or at another voter.
+    pub fn merge(&self, rows: Vec<Row>, own: bool) {
         let now = self.clock.now();
         let mut changed = false;
         for row in rows {
-            changed |= self.take_row(row, own, now);
+            changed |= self.merge_row(row, own, now);
         }
         if changed {
-            self.news.send_modify(|count| *count += 1);
+            self.changes.send_modify(|count| *count += 1);
         }
     }
 
-    fn take_row(&self, row: Row, own: bool, now: Millis) -> bool {
+    fn merge_row(&self, row: Row, own: bool, now: Millis) -> bool {
         let id: Arc<str> = row.id.as_str().into();
         let stamp = Stamp {
             born: row.born,
             sequence: row.sequence,
         };
-        let mut known = self.rows.borrow_mut();
+        let mut rows = self.rows.borrow_mut();
         let Some(kind) = row.kind.clone() else {
             if row.sequence == u64::MAX {
-                return self.leave(&id, own, now, &mut known);
+                return self.remove_row(&id, own, now, &mut rows);
             }
-            // A voter no longer hears of it. One that was only silent comes back with its next
-            // statement, which a row marked as gone would not.
-            let silent = known.get(&id).is_some_and(|(_, s, _)| s <= stamp);
-            return silent && known.forget(&id);
+            // A voter found the process silent. Its row is forgotten rather than marked as gone, because
+            // a process that was only silent must come back with its next row.
+            let silent = rows.get(&id).is_some_and(|(_, s, _)| s <= stamp);
+            return silent && rows.forget(&id);
         };
-        let offer = known.offer(&id, stamp, Rc::new(kind), row.gone, now);
-        drop(known);
+        let offer = rows.offer(&id, stamp, Rc::new(kind), row.gone, now);
+        drop(rows);
         if offer == Offer::Late {
             return false;
         }
@@ -127,8 +130,14 @@
         changed
     }
 
-    fn leave(&self, id: &Arc<str>, own: bool, now: Millis, known: &mut Registry<Rc<Kind>>) -> bool {
-        let changed = known.remove(id, now);
+    fn remove_row(
+        &self,
+        id: &Arc<str>,
+        own: bool,
+        now: Millis,
+        rows: &mut Registry<Rc<Kind>>,
+    ) -> bool {
+        let changed = rows.remove(id, now);
         if changed {
             let row = Row::left(id);
             self.pending
@@ -138,13 +147,13 @@
         changed
     }
 
-    /// Begins to tell a follower on `link`: first all rows, then whatever changes.
-    pub fn follow(&self, link: Sender, interest: Interest) {
+    /// Adds the follower on `link`: sends it all rows now, and later the changed ones.
+    pub fn subscribe(&self, link: Sender, interest: Interest) {
         let rows = self.rows.borrow();
         let rows = rows
             .all()
-            .filter(|(_, kind, _, _)| concerns(interest, Some(kind)))
-            .map(|(id, kind, stamp, gone)| row(id, kind, stamp, gone));
+            .filter(|(_, kind, _, _)| is_relevant(interest, Some(kind)))
+            .map(|(id, kind, stamp, gone)| make_row(id, kind, stamp, gone));
         let rows = Rows {
             rows: rows.collect(),
             whole: true,
@@ -155,34 +164,34 @@
         followers.push(Follower { link, interest });
     }
 
-    /// Tells followers what has changed since the last call.
+    /// Sends followers the rows that have changed since the last call.
     pub fn flush(&self) {
         let pending = self.pending.take();
         if pending.is_empty() {
             return;
         }
-        let told = |interest: Interest| {
+        let news_for = |interest: Interest| {
             let rows = pending.iter().filter(|p| match interest {
                 Interest::Registered => p.own,
-                _ => p.changed && concerns(interest, p.row.kind.as_ref()),
+                _ => p.changed && is_relevant(interest, p.row.kind.as_ref()),
             });
             let rows: Vec<Row> = rows.map(|p| p.row.clone()).collect();
             let rows = Rows { rows, whole: false };
             (!rows.rows.is_empty()).then_some(News::Rows(rows))
         };
-        let all = told(Interest::All);
-        let registered = told(Interest::Registered);
-        let weights = told(Interest::Weights);
-        self.tell(|interest| match interest {
+        let all = news_for(Interest::All);
+        let registered = news_for(Interest::Registered);
+        let weights = news_for(Interest::Weights);
+        self.notify(|interest| match interest {
             Interest::All => all.clone(),
             Interest::Registered => registered.clone(),
             Interest::Weights => weights.clone(),
         });
     }
 
-    /// Tells each follower the news made for it; one that does not keep up is dropped, and
-    /// follows again.
-    pub fn tell(&self, news: impl Fn(Interest) -> Option<News>) {
+    /// Sends each follower the message made for its interest. A follower that does not keep up is dropped,
+    /// and subscribes again.
+    pub fn notify(&self, news: impl Fn(Interest) -> Option<News>) {
         let mut followers = self.followers.borrow_mut();
         followers.retain(|follower| match news(follower.interest) {
             Some(news) => follower.link.tell(news) && !follower.link.is_closed(),
@@ -190,39 +199,39 @@
         });
     }
 
-    /// Begins to take in all rows of another source.
+    /// Marks all rows as not listed by a source that starts to send all its rows.
     pub fn begin_listing(&self) {
         self.rows.borrow_mut().begin_listing(self.clock.now());
     }
 
-    /// Drops rows that the source followed does not list.
+    /// Removes rows that the followed source does not list.
     pub fn prune(&self) {
         if self.rows.borrow_mut().prune(self.clock.now()) {
-            self.news.send_modify(|count| *count += 1);
+            self.changes.send_modify(|count| *count += 1);
         }
     }
 
-    /// Does not count a span in which this node could hear nobody.
+    /// Excludes a span in which this node could receive no rows from the timeouts.
     pub fn defer(&self, span: Millis) {
         self.rows.borrow_mut().defer(span);
     }
 
-    /// Drops those that have been silent for too long, and tells followers. For voters, who hear
-    /// of every statement.
+    /// Removes processes that have been silent for too long, and notifies followers. Only voters call
+    /// this, as they receive every row.
     pub fn expire(&self) {
         let now = self.clock.now();
         let mut rows = self.rows.borrow_mut();
         let silent = rows.expire(now, |kind| match &**kind {
-            Kind::Target(_) => TARGET_PATIENCE,
-            Kind::Entry(_) => ENTRY_PATIENCE,
-            Kind::Agent(_) => AGENT_PATIENCE,
+            Kind::Target(_) => TARGET_TIMEOUT,
+            Kind::Entry(_) => ENTRY_TIMEOUT,
+            Kind::Agent(_) => AGENT_TIMEOUT,
         });
         drop(rows);
         if silent.is_empty() {
             return;
         }
         for (id, stamp) in silent {
-            spdlog::info!("silent, taken out of the registry", kv: { id = id.to_string() });
+            spdlog::info!("removed a silent process from the registry", kv: { id = id.to_string() });
             let row = Row::silent(&id, stamp.born, stamp.sequence);
             self.pending.borrow_mut().push(Pending {
                 row,
@@ -230,19 +239,19 @@
                 changed: true,
             });
         }
-        self.news.send_modify(|count| *count += 1);
+        self.changes.send_modify(|count| *count += 1);
     }
 }
 
-/// Whether a follower needs rows of this kind; one without a kind tells of an end.
-fn concerns(interest: Interest, kind: Option<&Kind>) -> bool {
+/// Returns whether a follower needs rows of this kind. A row without a kind says that a process has ended.
+fn is_relevant(interest: Interest, kind: Option<&Kind>) -> bool {
     match interest {
         Interest::All | Interest::Registered => true,
         Interest::Weights => matches!(kind, None | Some(Kind::Agent(_) | Kind::Entry(_))),
     }
 }
 
-fn row(id: &Arc<str>, kind: &Kind, stamp: Stamp, gone: bool) -> Row {
+fn make_row(id: &Arc<str>, kind: &Kind, stamp: Stamp, gone: bool) -> Row {
     Row {
         id: id.to_string(),
         born: stamp.born,
--- a/crates/filbertstack-gateway/src/control/search.rs
+++ b/crates/filbertstack-gateway/src/control/search.rs
@@ -1,11 +1,11 @@
-//! Whom to ask for the leader of the group: a search over more than one step. Pure decisions.
+//! Pure decisions of the search for the leader of the group, which asks nodes in several steps.
 //!
-//! *Failure*: the seeds that a newcomer is told may have no disk, may be older than the group, may be
-//! down or cut off. Asked alone, they name no leader, and a node whose disk was lost waits for ever
-//! while the group bears one loss less. So whoever a node names as voter is asked as well, and so on,
-//! until somebody names the leader. That reaches it wherever any node asked is in touch with the
-//! group, as those in touch know its voters; and no search asks more than [`MOST`] nodes, however
-//! large the system is.
+//! *Failure*: the seeds in a newcomer's settings may have no disk, may predate the group, may be down or
+//! cut off. If only the seeds are asked, none of them may name a leader. A node that lost its disk then
+//! waits for ever, and the group tolerates one failure less. So the search also asks each node that an
+//! asked node names as a voter, until one of them names the leader. This finds the leader if any asked
+//! node is in contact with the group, because such a node knows the voters. A search asks at most
+//! [`MAX_ASKED`] nodes, however large the system is.
 
 use std::collections::VecDeque;
 use std::fmt::Write as _;
@@ -16,44 +16,44 @@
 use crate::link::messages::Standing;
 use crate::link::messages::addr;
 
-/// The most nodes that one search asks: the seeds, the voters of a full group, and as many that
-/// such a group had before.
-pub const MOST: usize = 3 + 2 * MAX_VOTERS;
+/// The most nodes that one search asks: three seeds, the voters of a full group, and as many former
+/// voters.
+pub const MAX_ASKED: usize = 3 + 2 * MAX_VOTERS;
 
-/// What a node that was asked said.
+/// What a node answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Said {
+enum Answer {
     /// It has not answered yet.
-    Nothing,
-    /// It did not answer, for this reason.
+    Pending,
+    /// It was not reached, for this reason.
     Unreached(String),
     /// It knows no group.
     NoGroup,
-    /// It knows these voters, and no leader.
-    Voters(usize),
+    /// It knows this many voters, and no leader.
+    NoLeader(usize),
     /// It named this leader.
     Leader(SocketAddr),
 }
 
-/// One search.
+/// One search for the leader.
 #[derive(Clone, Debug)]
-pub struct Search {
+pub struct LeaderSearch {
     own: SocketAddr,
-    asked: Vec<(SocketAddr, Said)>,
-    next: VecDeque<SocketAddr>,
-    /// Those who named a leader: its address, and the members of its group.
-    named: Vec<(SocketAddr, Vec<u64>)>,
+    asked: Vec<(SocketAddr, Answer)>,
+    queue: VecDeque<SocketAddr>,
+    /// The leaders that nodes named, each with the identities of the members of its group.
+    leaders: Vec<(SocketAddr, Vec<u64>)>,
     voters: Vec<SocketAddr>,
 }
 
-impl Search {
-    /// A search of the node at `own` that begins at `starts`.
+impl LeaderSearch {
+    /// Creates a search by the node at `own` that asks `starts` first.
     pub fn new(own: SocketAddr, starts: impl IntoIterator<Item = SocketAddr>) -> Self {
         let mut search = Self {
             own,
             asked: Vec::new(),
-            next: VecDeque::new(),
-            named: Vec::new(),
+            queue: VecDeque::new(),
+            leaders: Vec::new(),
             voters: Vec::new(),
         };
         starts.into_iter().for_each(|start| search.add(start));
@@ -62,90 +62,91 @@
 
     fn add(&mut self, node: SocketAddr) {
         let known = self.asked.iter().any(|(asked, _)| *asked == node);
-        let full = self.asked.len() + self.next.len() >= MOST;
-        if node != self.own && !known && !full && !self.next.contains(&node) {
-            self.next.push_back(node);
+        let full = self.asked.len() + self.queue.len() >= MAX_ASKED;
+        if node != self.own && !known && !full && !self.queue.contains(&node) {
+            self.queue.push_back(node);
         }
     }
 
-    /// Takes out the nodes that are to be asked now.
+    /// Takes out the nodes to ask now.
     pub fn take_next(&mut self) -> Vec<SocketAddr> {
-        let next: Vec<SocketAddr> = self.next.drain(..).collect();
-        let waiting = next.iter().map(|node| (*node, Said::Nothing));
+        let next: Vec<SocketAddr> = self.queue.drain(..).collect();
+        let waiting = next.iter().map(|node| (*node, Answer::Pending));
         self.asked.extend(waiting);
         next
     }
 
-    /// Notes what a node answered.
-    pub fn hear(&mut self, node: SocketAddr, standing: &Standing) {
+    /// Records the answer of a node.
+    pub fn record_answer(&mut self, node: SocketAddr, standing: &Standing) {
         let voters: Vec<SocketAddr> = standing.voters.iter().filter_map(|v| addr(v)).collect();
-        let said = match addr(&standing.leader) {
-            // One that was taken out may still name this node as its leader.
+        let answer = match addr(&standing.leader) {
+            // A removed voter may still name this node as its leader.
             Some(leader) if leader != self.own => {
-                if self.named.is_empty() {
-                    // Whoever is in touch with the leader knows best who votes.
+                if self.leaders.is_empty() {
+                    // A node in contact with the leader has the most recent list of voters.
                     self.voters.clone_from(&voters);
                 }
-                self.named.push((leader, standing.members.clone()));
-                Said::Leader(leader)
+                self.leaders.push((leader, standing.members.clone()));
+                Answer::Leader(leader)
             }
-            _ if voters.is_empty() => Said::NoGroup,
-            _ => Said::Voters(voters.len()),
+            _ if voters.is_empty() => Answer::NoGroup,
+            _ => Answer::NoLeader(voters.len()),
         };
-        self.note(node, said);
+        self.set_answer(node, answer);
         for voter in voters {
-            if self.named.is_empty() && !self.voters.contains(&voter) {
+            if self.leaders.is_empty() && !self.voters.contains(&voter) {
                 self.voters.push(voter);
             }
             self.add(voter);
         }
     }
 
-    /// Notes that a node did not answer.
-    pub fn miss(&mut self, node: SocketAddr, why: String) {
-        self.note(node, Said::Unreached(why));
+    /// Records that a node was not reached.
+    pub fn record_failure(&mut self, node: SocketAddr, why: String) {
+        self.set_answer(node, Answer::Unreached(why));
     }
 
-    fn note(&mut self, node: SocketAddr, said: Said) {
+    fn set_answer(&mut self, node: SocketAddr, answer: Answer) {
         let asked = self.asked.iter_mut().find(|(asked, _)| *asked == node);
         if let Some(asked) = asked {
-            asked.1 = said;
+            asked.1 = answer;
         }
     }
 
-    /// The leader, once somebody has named it.
+    /// Returns the leader, once a node has named it.
     pub fn leader(&self) -> Option<SocketAddr> {
-        self.named.first().map(|(leader, _)| *leader)
+        self.leaders.first().map(|(leader, _)| *leader)
     }
 
-    /// The leader of a group to which the replica `own` does not belong.
+    /// Returns the leader of a group of which the replica `own` is not a member.
     pub fn leader_without(&self, own: u64) -> Option<SocketAddr> {
         let group = self
-            .named
+            .leaders
             .iter()
             .find(|(_, members)| !members.contains(&own));
         group.map(|(leader, _)| *leader)
     }
 
-    /// The voters that were named: by those in touch with a leader, or else by anybody.
+    /// Returns the voters that nodes named. If a node in contact with a leader named voters, these alone
+    /// are returned.
     pub fn voters(&self) -> &[SocketAddr] {
         &self.voters
     }
 
-    /// Which nodes were asked and what each said, for a log line.
-    pub fn account(&self) -> String {
+    /// Returns a summary for the log: the nodes that were asked, and the answer of each.
+    pub fn summary(&self) -> String {
         let mut text = String::new();
-        for (node, said) in &self.asked {
-            let said = match said {
-                Said::Nothing => "no answer yet".to_owned(),
-                Said::Unreached(why) => format!("not reached ({why})"),
-                Said::NoGroup => "knows no group".to_owned(),
-                Said::Voters(count) => format!("knows {count} voters and no leader"),
-                Said::Leader(leader) => format!("names {leader} as leader"),
+        for (node, answer) in &self.asked {
+            let answer = match answer {
+                Answer::Pending => "no answer yet".to_owned(),
+                Answer::Unreached(why) => format!("not reached ({why})"),
+                Answer::NoGroup => "knows no group".to_owned(),
+                Answer::NoLeader(count) => format!("knows {count} voters and no leader"),
+                Answer::Leader(leader) => format!("names {leader} as leader"),
             };
             let gap = if text.is_empty() { "" } else { "; " };
             // Writing to a string can't fail.
-            let _ = write!(text, "{gap}{node}: {said}");
+            let _ = write!(text, "{gap}{node}: {answer}");
         }
         if text.is_empty() {
             text.push_str("nobody: the settings name no other node as a seed");
--- a/crates/filbertstack-gateway/src/control/shortage.rs
+++ b/crates/filbertstack-gateway/src/control/shortage.rs
@@ -1,72 +1,75 @@
-//! Whether a group has as many voters that hold the log as it is declared for. A pure decision.
+//! Pure decisions on whether a group has as many voters that hold the log as it is declared for.
 //!
-//! *Failure*: a voter is lost and not replaced. Everything is served as before, so nobody sees it,
-//! until a second loss takes with it what was acknowledged.
+//! *Failure*: a voter is lost and not replaced. Requests are served as before, so operators do not notice
+//! until a second loss destroys acknowledged changes.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// How long a shortage lasts before it is told: a restart and a repair take less.
-const TELL: Duration = Duration::from_secs(5);
+/// How long a shortage lasts before it is reported. A restart and a repair take less time.
+const REPORT_AFTER: Duration = Duration::from_secs(5);
 
-/// How often a shortage that lasts is told again.
-const AGAIN: Duration = Duration::from_secs(30);
+/// How often a shortage that persists is reported again.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(30);
 
-/// What is to be told of a group.
+/// An event to report about a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// Fewer voters hold the log than the group is declared for, for some seconds now.
-    Short,
-    /// A shortage that was told of has ended.
-    Whole,
+pub enum ShortageEvent {
+    /// Fewer voters hold the log than the group is declared for, and have done so for some seconds.
+    Lasting,
+    /// A reported shortage has ended.
+    Ended,
 }
 
-/// How a group fares.
+/// The state of a group after an observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
-    /// The voters that the group is declared for.
+pub struct Observation {
+    /// The number of voters that the group is declared for.
     pub declared: usize,
-    /// What is to be told now.
-    pub told: Option<Told>,
+    /// The event to report now.
+    pub event: Option<ShortageEvent>,
 }
 
 /// The shortage of one group, as its leader sees it.
 #[derive(Clone, Debug, Default)]
 pub struct Shortage {
-    /// The most voters that the group had while this node led it: it had them to bear losses.
+    /// The most voters that the group had while this node led it. The group is meant to tolerate the
+    /// failures that so many voters allow.
     declared: usize,
     since: Option<Instant>,
-    told: Option<Instant>,
+    reported: Option<Instant>,
 }
 
 impl Shortage {
-    /// Takes in that the group has `members` voters of which `holding` answer.
-    pub fn watch(&mut self, now: Instant, members: usize, holding: usize) -> Seen {
+    /// Records that the group has `members` voters, of which `holding` answer.
+    pub fn observe(&mut self, now: Instant, members: usize, holding: usize) -> Observation {
         self.declared = self.declared.max(members);
-        let told = if holding < self.declared {
-            self.tell_short(now)
+        let event = if holding < self.declared {
+            self.report(now)
         } else {
             self.since = None;
-            self.told.take().map(|_| Told::Whole)
+            self.reported.take().map(|_| ShortageEvent::Ended)
         };
         let declared = self.declared;
-        Seen { declared, told }
+        Observation { declared, event }
     }
 
-    /// Notes that a voter which was one too many is taken out: after a planned replacement the group
-    /// has had its successor as well.
-    pub fn release(&mut self) {
+    /// Lowers the declared number by one, because a surplus voter is removed. During a planned replacement
+    /// the group has one voter too many: the old one and its successor.
+    pub fn lower_declared(&mut self) {
         self.declared = self.declared.saturating_sub(1);
     }
 
-    fn tell_short(&mut self, now: Instant) -> Option<Told> {
+    fn report(&mut self, now: Instant) -> Option<ShortageEvent> {
         let since = *self.since.get_or_insert(now);
-        let lasts = now.duration_since(since) >= TELL;
-        let again = self.told.is_none_or(|at| now.duration_since(at) >= AGAIN);
-        if !lasts || !again {
+        let lasting = now.duration_since(since) >= REPORT_AFTER;
+        let due = self
+            .reported
+            .is_none_or(|at| now.duration_since(at) >= REPEAT_INTERVAL);
+        if !lasting || !due {
             return None;
         }
-        self.told = Some(now);
-        Some(Told::Short)
+        self.reported = Some(now);
+        Some(ShortageEvent::Lasting)
     }
 }
--- a/crates/filbertstack-gateway/src/control/voter.rs
+++ b/crates/filbertstack-gateway/src/control/voter.rs
@@ -1,9 +1,9 @@
 //! A voter on the event loop: the replica of the log, its messages on links, and its membership.
 //!
-//! Seeds are all that a node is told of the others. The first of them that has a disk creates the
-//! group when the whole system starts for the first time; every other node with a disk searches for
-//! the leader, over more than one step, and asks it to be taken in. A voter that lost its disk, or that stays silent while a newcomer waits,
-//! is taken out first: its place counts for nothing, and the newcomer's then does.
+//! A node's settings name only seeds. The first seed that has a disk creates the group when the whole
+//! system starts for the first time. Every other node with a disk searches for the leader in several
+//! steps, and asks it to join the group. A voter that lost its disk, or that stays silent while a
+//! newcomer waits, is removed first: its vote is of no use, and the newcomer's vote replaces it.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -37,7 +37,7 @@
 use tokio::task::spawn_blocking;
 use tokio::task::spawn_local;
 
-use crate::control::COMMIT;
+use crate::control::COMMIT_TIMEOUT;
 use crate::control::machine::DocumentMachine;
 use crate::control::membership::Newcomer;
 use crate::control::shortage::Shortage;
@@ -48,17 +48,17 @@
 use crate::reload::Seeds;
 use crate::settings::Node as NodeSettings;
 
-/// How many of the log's messages may wait to be sent; more are dropped, and sent again.
-const OUTBOX: usize = 1_024;
+/// How many of the log's messages may be queued. The log sends messages beyond this number again.
+const OUTBOX_CAPACITY: usize = 1_024;
 
-/// The longest command: a document of 4 MiB and its frame.
-const COMMAND_BYTES: usize = 5 << 20;
+/// The size of the longest command: a document of 4 MiB and its frame.
+const MAX_COMMAND_BYTES: usize = 5 << 20;
 
-/// The log's timing between instances some milliseconds apart. While nobody leads, nothing is
-/// accepted and no target is registered, also after all processes started at once: an election
-/// takes 0.5 to 0.9 s of it, against 1 to 2 s by default. A pause of the leader's core that is
-/// longer costs an election, and no more.
-const TIMING: Timing = Timing {
+/// The log's timing between instances that are some milliseconds apart. Without a leader, no change is
+/// accepted and no target is registered; this also holds after all processes started at once. With
+/// these values an election takes 0.5 to 0.9 s, and 1 to 2 s with the defaults. A longer pause of the
+/// leader's core costs one election, and nothing else.
+const LOG_TIMING: Timing = Timing {
     heartbeat: Duration::from_millis(100),
     election_min: Duration::from_millis(450),
     election_max: Duration::from_millis(900),
@@ -66,20 +66,20 @@
     resend: Duration::from_millis(250),
 };
 
-/// How long a leaving voter tries to pass the leadership on.
-const HAND_OVER: Duration = Duration::from_millis(1_500);
+/// How long a leaving voter tries to transfer the leadership.
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 enum Outgoing {
     Message(NodeId, Message),
     Members(Membership),
 }
 
-/// Carries the log's messages from its thread to the event loop.
+/// The queue of the log's messages from the log's thread to the event loop.
 struct Outbox(mpsc::Sender<Outgoing>);
 
 impl Transport for Outbox {
     fn send(&self, to: NodeId, message: Message) {
-        // A full outbox drops the message, as the network may do: the log sends it again.
+        // A full outbox drops the message, as the network may do. The log sends it again.
         let _ = self.0.try_send(Outgoing::Message(to, message));
     }
 
@@ -88,13 +88,13 @@
     }
 }
 
-/// What a voter needs of the process around it.
+/// The parts of the process that a voter needs.
 pub struct VoterContext {
     /// Links to peers.
     pub dialer: Dialer,
     /// The seeds, which may change.
     pub seeds: Seeds,
-    /// Where it shows how the group fares.
+    /// The metrics that show the state of the group.
     pub metrics: Rc<Metrics>,
 }
 
@@ -106,101 +106,101 @@
     pub(super) seeds: Seeds,
     pub(super) dialer: Dialer,
     pub(super) metrics: Rc<Metrics>,
-    /// Where the replicas of the group are reached.
-    pub(super) places: RefCell<BTreeMap<NodeId, SocketAddr>>,
-    /// The voters that this node was told of, as one of their seeds.
-    pub(super) told: RefCell<Vec<SocketAddr>>,
-    /// When each replica was last heard.
-    pub(super) heard: RefCell<BTreeMap<NodeId, Instant>>,
+    /// The addresses of the replicas of the group.
+    pub(super) addresses: RefCell<BTreeMap<NodeId, SocketAddr>>,
+    /// The voters that announced themselves to this node because it is one of their seeds.
+    pub(super) announced: RefCell<Vec<SocketAddr>>,
+    /// When each replica last sent a message.
+    pub(super) last_heard: RefCell<BTreeMap<NodeId, Instant>>,
     leaving: Cell<bool>,
-    /// Nodes with a disk that asked to be taken in, and when.
+    /// The nodes with a disk that asked to join the group, and when.
     pub(super) newcomers: RefCell<BTreeMap<NodeId, (Newcomer, Instant)>>,
-    /// When this node began to wait to be taken in, or said last why it is not.
-    pub(super) outside: Cell<Option<Instant>>,
-    pub(super) watched: RefCell<Shortage>,
+    /// Since when this node waits to join the group, or when it last logged why it could not join.
+    pub(super) outside_since: Cell<Option<Instant>>,
+    pub(super) shortage: RefCell<Shortage>,
 }
 
 impl Voter {
     /// Opens the data folder and starts the replica.
     ///
     /// # Errors
-    /// [`StartError`] names the remedy.
+    /// [`StartError`], whose text says what to do.
     pub fn start(
         settings: &NodeSettings,
         folder: &std::path::Path,
-        around: VoterContext,
+        context: VoterContext,
     ) -> Result<Rc<Self>, StartError> {
         let (machine, documents) = DocumentMachine::new();
-        // If the folder can't be made, opening it says so.
+        // If the folder can't be created, the error is reported when it is opened.
         let _ = std::fs::create_dir_all(folder);
         let disk = Folder::lock(folder)?;
-        let (outbox, outgoing) = mpsc::channel(OUTBOX);
-        let settings_log = ReplicaSettings {
+        let (outbox, outgoing) = mpsc::channel(OUTBOX_CAPACITY);
+        let log_settings = ReplicaSettings {
             limits: Limits {
-                command_bytes: COMMAND_BYTES,
+                command_bytes: MAX_COMMAND_BYTES,
                 ..Limits::default()
             },
-            timing: TIMING,
+            timing: LOG_TIMING,
             ..ReplicaSettings::default()
         };
-        let replica = Replica::start(disk, settings_log, machine, Outbox(outbox))?;
+        let replica = Replica::start(disk, log_settings, machine, Outbox(outbox))?;
         let voter = Rc::new(Self {
             replica: Arc::new(replica),
             documents,
             settings: settings.clone(),
-            seeds: around.seeds,
-            dialer: around.dialer,
-            metrics: around.metrics,
-            places: RefCell::default(),
-            told: RefCell::default(),
-            heard: RefCell::default(),
+            seeds: context.seeds,
+            dialer: context.dialer,
+            metrics: context.metrics,
+            addresses: RefCell::default(),
+            announced: RefCell::default(),
+            last_heard: RefCell::default(),
             newcomers: RefCell::default(),
-            outside: Cell::new(None),
-            watched: RefCell::new(Shortage::default()),
+            outside_since: Cell::new(None),
+            shortage: RefCell::new(Shortage::default()),
             leaving: Cell::new(false),
         });
-        spawn_local(voter.clone().carry(outgoing));
-        spawn_local(voter.clone().tend());
+        spawn_local(voter.clone().send_outgoing(outgoing));
+        spawn_local(voter.clone().maintain());
         Ok(voter)
     }
 
-    /// The replica as it is now.
+    /// Returns the present status of the replica.
     pub fn status(&self) -> ReplicaStatus {
         self.replica.status()
     }
 
-    /// The state that is applied here.
+    /// Returns the state that is applied at this voter.
     pub fn documents(&self) -> Arc<Documents> {
         self.documents.borrow().clone()
     }
 
-    /// Told whenever that state changes.
+    /// Returns a receiver that is notified when the applied state changes.
     pub fn watch(&self) -> watch::Receiver<Arc<Documents>> {
         self.documents.clone()
     }
 
-    /// Whether this voter leads.
+    /// Returns whether this voter leads the group.
     pub fn leads(&self) -> bool {
         let status = self.status();
         status.node.role == RoleName::Leader && status.failed.is_none()
     }
 
-    /// Whether this voter is in contact with a leader of its group.
+    /// Returns whether this voter leads or is in contact with the leader of its group.
     pub fn is_current(&self) -> bool {
         let status = self.status();
         let led = status.node.leader.is_some() || status.node.role == RoleName::Leader;
         status.cluster.is_some() && status.failed.is_none() && led
     }
 
-    /// The leader's address, unless it is this voter.
+    /// Returns the leader's address, unless this voter leads.
     pub fn leader(&self) -> Option<SocketAddr> {
         let leader = self.status().node.leader?;
-        let addr = self.places.borrow().get(&leader).copied();
+        let addr = self.addresses.borrow().get(&leader).copied();
         addr.filter(|addr| *addr != self.settings.link)
     }
 
-    /// The addresses of the other voters.
-    pub fn others(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses of the other voters.
+    pub fn other_voters(&self) -> Vec<SocketAddr> {
         let membership = self.status().node.membership;
         let voters = membership
             .voters
@@ -209,48 +209,48 @@
         voters.filter(|addr| *addr != self.settings.link).collect()
     }
 
-    /// Takes a message of another replica.
+    /// Delivers a message of another replica to the log.
     pub fn deliver(&self, message: LogMessage) {
         let decoded = match Message::from_bytes(message.body) {
             Ok(decoded) => decoded,
             Err(error) => {
-                warn!("log message dropped", kv: { error = error.to_string() });
+                warn!("dropped a message to the log that can't be decoded", kv: { error = error.to_string() });
                 return;
             }
         };
         let sender = decoded.sender();
         if let Ok(addr) = message.from.parse() {
-            self.places.borrow_mut().insert(sender, addr);
+            self.addresses.borrow_mut().insert(sender, addr);
         }
-        self.heard.borrow_mut().insert(sender, Instant::now());
+        self.last_heard.borrow_mut().insert(sender, Instant::now());
         self.replica.deliver(decoded);
     }
 
     /// Proposes a command and waits until it is applied here.
     ///
     /// # Errors
-    /// [`ProposeError`] says whether it may have taken effect.
+    /// [`ProposeError`], which says whether the command may have taken effect.
     pub async fn propose(&self, command: bytes::Bytes) -> Result<Effect, ProposeError> {
         let replica = self.replica.clone();
-        let until = Instant::now() + COMMIT;
+        let until = Instant::now() + COMMIT_TIMEOUT;
         let done = spawn_blocking(move || replica.propose(command, until)).await;
         done.unwrap_or(Err(filbertstack_log::Refusal::Stopped.into()))
             .map(|applied| applied.outcome)
     }
 
-    /// Waits until all that was accepted before is applied here.
+    /// Waits until all commands that were accepted before are applied here.
     ///
     /// # Errors
-    /// Why a read here would not be current.
+    /// [`ProposeError`], which says why a read here would not be current.
     pub async fn read_barrier(&self) -> Result<(), ProposeError> {
         let replica = self.replica.clone();
-        let until = Instant::now() + COMMIT;
+        let until = Instant::now() + COMMIT_TIMEOUT;
         let done = spawn_blocking(move || replica.read_barrier(until)).await;
         done.unwrap_or(Err(filbertstack_log::Refusal::Stopped.into()))
             .map(drop)
     }
 
-    /// Who this voter is.
+    /// Returns this voter's identity and its view of the group.
     pub fn standing(&self) -> Standing {
         let status = self.status();
         let leader = if self.leads() {
@@ -274,82 +274,82 @@
         }
     }
 
-    /// Notes voters that told this node of themselves.
+    /// Records voters that announced themselves to this node.
     pub fn learn_voters(&self, voters: &[SocketAddr]) {
         if !voters.is_empty() {
-            *self.told.borrow_mut() = voters.to_vec();
+            *self.announced.borrow_mut() = voters.to_vec();
         }
     }
 
-    /// Notes a node that wants to be taken in.
-    pub fn meet(&self, standing: &Standing) {
+    /// Records a node that asks to join the group.
+    pub fn add_newcomer(&self, standing: &Standing) {
         let Ok(addr) = standing.addr.parse() else {
             return;
         };
         let node = NodeId(standing.node);
-        self.places.borrow_mut().insert(node, addr);
+        self.addresses.borrow_mut().insert(node, addr);
         let newcomer = Newcomer {
             node,
             name: standing.name.clone(),
             addr,
         };
         let mut newcomers = self.newcomers.borrow_mut();
-        // One that came back empty asks under a new identity: its old one, asked for a moment ago,
-        // would be taken in again though nobody can answer for it.
+        // A node that came back with an empty disk asks under a new identity. A recent request under its
+        // old identity would add a member that no node can be any more.
         newcomers.retain(|_, (other, _)| other.addr != addr);
         newcomers.insert(node, (newcomer, Instant::now()));
     }
 
-    /// Passes the leadership on, if this voter has it, so that the others need no election when
-    /// it ends. Until then it goes on as a follower.
+    /// Marks this voter as leaving, and transfers the leadership if this voter has it, so that the other
+    /// voters need no election when it ends. Until then it continues as a follower.
     pub async fn transfer_leader(&self) {
         self.leaving.set(true);
         if !self.leads() {
             return;
         }
         let replica = self.replica.clone();
-        let until = Instant::now() + HAND_OVER;
-        let passed = spawn_blocking(move || replica.transfer_leader(None, until)).await;
-        match passed {
-            Ok(Ok(())) => info!("leadership passed on"),
+        let until = Instant::now() + TRANSFER_TIMEOUT;
+        let transferred = spawn_blocking(move || replica.transfer_leader(None, until)).await;
+        match transferred {
+            Ok(Ok(())) => info!("leadership transferred"),
             Ok(Err(error)) => {
-                info!("leadership not passed on", kv: { error = error.to_string() });
+                info!("leadership not transferred", kv: { error = error.to_string() });
             }
-            Err(error) => warn!("leadership not passed on", kv: { error = error.to_string() }),
+            Err(error) => warn!("leadership not transferred", kv: { error = error.to_string() }),
         }
     }
 
-    /// Whether this voter is about to end: those that follow it go to another.
+    /// Returns whether this voter is about to end, so that its followers must follow another.
     pub fn is_leaving(&self) -> bool {
         self.leaving.get()
     }
 
-    async fn carry(self: Rc<Self>, mut outgoing: mpsc::Receiver<Outgoing>) {
+    async fn send_outgoing(self: Rc<Self>, mut outgoing: mpsc::Receiver<Outgoing>) {
         while let Some(out) = outgoing.recv().await {
             match out {
-                Outgoing::Members(membership) => self.learn(&membership),
-                Outgoing::Message(to, message) => self.send(to, &message),
+                Outgoing::Members(membership) => self.learn_addresses(&membership),
+                Outgoing::Message(to, message) => self.send_message(to, &message),
             }
         }
     }
 
-    fn learn(&self, membership: &Membership) {
+    fn learn_addresses(&self, membership: &Membership) {
         info!("membership of the log", kv: {
             voters = membership.voters.len(),
             learners = membership.learners.len(),
             forming = membership.forming
         });
-        let mut places = self.places.borrow_mut();
+        let mut addresses = self.addresses.borrow_mut();
         for member in membership.members() {
             if let Ok(addr) = member.address.parse() {
-                places.insert(member.id(), addr);
+                addresses.insert(member.id(), addr);
             }
         }
     }
 
-    fn send(&self, to: NodeId, message: &Message) {
-        let place = self.places.borrow().get(&to).copied();
-        let Some(addr) = place else {
+    fn send_message(&self, to: NodeId, message: &Message) {
+        let known = self.addresses.borrow().get(&to).copied();
+        let Some(addr) = known else {
             return;
         };
         let body = message.to_bytes().into();
--- a/crates/filbertstack-gateway/tests/loads.rs
+++ b/crates/filbertstack-gateway/tests/loads.rs
@@ -1,19 +1,19 @@
-//! Loads of hundreds of engines on their way to the entries that use them.
+//! Relay of the loads of hundreds of engines to the entries that use these engines.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
+use filbertstack_gateway::control::loads::LoadFilter;
 use filbertstack_gateway::control::loads::Loads;
-use filbertstack_gateway::control::loads::Wants;
 use filbertstack_gateway::link;
 use filbertstack_gateway::link::Dialer;
 use filbertstack_gateway::link::Given;
 use filbertstack_gateway::link::Handler;
 use filbertstack_gateway::link::Sender;
 use filbertstack_gateway::link::messages::LoadRow;
-use filbertstack_gateway::link::messages::Loads as Told;
+use filbertstack_gateway::link::messages::Loads as LoadsMessage;
 use filbertstack_gateway::link::messages::News;
 use filbertstack_gateway::link::messages::Nothing;
 use filbertstack_gateway::link::messages::Question;
@@ -28,25 +28,25 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Engines of a deployment of hundreds of instances.
-const ENGINES: u64 = 300;
+/// The number of engines, as in a deployment of hundreds of instances.
+const ENGINE_COUNT: u64 = 300;
 
-/// What a node without an engine may send and receive for control, in bytes a second.
-const BYTES_PER_S: usize = 8_000;
+/// The most bytes that a node without an engine may send and receive for control each second.
+const MAX_BYTES_PER_S: usize = 8_000;
 
-/// How often an engine's load is told, a second.
+/// How many times a second the load of an engine is sent.
 const REPORTS_PER_S: usize = 10;
 
-/// A voter that passes loads on.
+/// A voter that relays loads.
 #[derive(Default)]
-struct Voter {
+struct LoadRelay {
     loads: Loads,
     followers: RefCell<Vec<Sender>>,
 }
 
-impl Handler for Voter {
+impl Handler for LoadRelay {
     async fn answer(self: Rc<Self>, _question: Question) -> Given {
         Reply::Done(Nothing {}).into()
     }
@@ -54,19 +54,19 @@
     fn take(self: Rc<Self>, news: News, sender: &Sender) {
         if let News::Watch(watch) = news {
             let engines = watch.engines.into_iter().collect();
-            self.loads.follow(sender, Wants::Engines(engines));
+            self.loads.subscribe(sender, LoadFilter::Engines(engines));
             self.followers.borrow_mut().push(sender.clone());
         }
     }
 }
 
-impl Voter {
+impl LoadRelay {
     async fn serve() -> (Rc<Self>, SocketAddr) {
-        let voter = Rc::new(Self::default());
+        let relay = Rc::new(Self::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let addr = listener.local_addr().expect("bound");
-        tokio::task::spawn_local(link::serve(listener, voter.clone()));
-        (voter, addr)
+        tokio::task::spawn_local(link::serve(listener, relay.clone()));
+        (relay, addr)
     }
 
     async fn await_followers(&self, count: usize) {
@@ -76,7 +76,7 @@
     }
 }
 
-fn row(engine: u64, running: u32) -> LoadRow {
+fn load_row(engine: u64, running: u32) -> LoadRow {
     LoadRow {
         engine,
         running,
@@ -85,72 +85,79 @@
     }
 }
 
-fn all(running: u32) -> Vec<LoadRow> {
-    (0..ENGINES).map(|engine| row(engine, running)).collect()
+fn all_rows(running: u32) -> Vec<LoadRow> {
+    (0..ENGINE_COUNT)
+        .map(|engine| load_row(engine, running))
+        .collect()
 }
 
-async fn next(news: &mut mpsc::UnboundedReceiver<News>) -> Vec<LoadRow> {
-    let came = timeout(PATIENCE, news.recv()).await.expect("in time");
-    let Some(News::Loads(loads)) = came else {
-        panic!("not loads: {came:?}");
+async fn next_loads(news: &mut mpsc::UnboundedReceiver<News>) -> Vec<LoadRow> {
+    let received = timeout(RECEIVE_TIMEOUT, news.recv())
+        .await
+        .expect("in time");
+    let Some(News::Loads(loads)) = received else {
+        panic!("expected loads, received {received:?}");
     };
     loads.rows
 }
 
-/// Guards against an entry being sent the loads of all engines of a large deployment.
+/// Guards against an entry that receives the loads of all engines of a large deployment.
 #[tokio::test(flavor = "current_thread")]
-async fn an_entry_is_told_the_loads_of_its_engines_alone() {
+async fn an_entry_receives_only_the_loads_of_its_engines() {
     let local = LocalSet::new();
     local
         .run_until(async {
-            let (voter, addr) = Voter::serve().await;
+            let (relay, addr) = LoadRelay::serve().await;
             let (sender, mut news) = mpsc::unbounded_channel();
             let link = Dialer::subscribe(addr, sender).await.expect("it listens");
             link.tell(News::Watch(Watch {
                 engines: vec![3, 7],
             }));
-            voter.await_followers(1).await;
-            voter.loads.take(all(1), true);
-            // Only the latest of what comes before a turn is told.
-            voter.loads.take(all(2), true);
-            voter.loads.flush();
-            assert_eq!(next(&mut news).await, [row(3, 2), row(7, 2)]);
+            relay.await_followers(1).await;
+            relay.loads.record(all_rows(1), true);
+            // Of the loads that arrive before a flush, only the latest is sent.
+            relay.loads.record(all_rows(2), true);
+            relay.loads.flush();
+            assert_eq!(
+                next_loads(&mut news).await,
+                [load_row(3, 2), load_row(7, 2)]
+            );
             link.tell(News::Watch(Watch { engines: vec![8] }));
-            voter.await_followers(2).await;
-            voter.loads.take(all(3), true);
-            voter.loads.flush();
-            assert_eq!(next(&mut news).await, [row(8, 3)]);
+            relay.await_followers(2).await;
+            relay.loads.record(all_rows(3), true);
+            relay.loads.flush();
+            assert_eq!(next_loads(&mut news).await, [load_row(8, 3)]);
         })
         .await;
 }
 
-/// Guards against a voter whose memory grows by what a follower on a choked link does not read.
+/// Guards against a voter whose memory grows because a follower on a slow link does not read its loads.
 #[tokio::test(flavor = "current_thread")]
-async fn what_a_follower_does_not_read_is_left_out() {
+async fn loads_for_a_blocked_follower_are_dropped() {
     let local = LocalSet::new();
     local
         .run_until(async {
-            let (voter, addr) = Voter::serve().await;
+            let (relay, addr) = LoadRelay::serve().await;
             let (sender, _news) = mpsc::unbounded_channel();
             let link = Dialer::subscribe(addr, sender).await.expect("it listens");
             link.tell(News::Watch(Watch {
-                engines: (0..ENGINES).collect(),
+                engines: (0..ENGINE_COUNT).collect(),
             }));
-            voter.await_followers(1).await;
-            // Nothing else runs meanwhile, as if the link took nothing.
+            relay.await_followers(1).await;
+            // No other task runs during this loop, so the link sends nothing.
             for running in 0..500 {
-                voter.loads.take(all(running), true);
-                voter.loads.flush();
+                relay.loads.record(all_rows(running), true);
+                relay.loads.flush();
             }
-            let waiting = voter.followers.borrow()[0].backlog();
-            assert!((1..=8).contains(&waiting), "{waiting} frames wait");
+            let queued = relay.followers.borrow()[0].backlog();
+            assert!((1..=8).contains(&queued), "{queued} frames are queued");
         })
         .await;
 }
 
-/// Guards against control traffic that grows with the deployment: two thousand engines, one entry.
+/// Guards against control traffic that grows with the deployment, which here has two thousand engines.
 #[test]
-fn an_entry_s_loads_stay_within_its_share_of_a_link() {
+fn loads_for_an_entry_stay_within_its_traffic_limit() {
     let zones: Vec<String> = (0..13).map(|n| format!("z{n}")).collect();
     let names: Vec<String> = (0..2_000)
         .map(|n| format!("10.1.0.1:{}", 8_000 + n))
@@ -167,11 +174,11 @@
     let used = subset::choose("entry-1", "z0", &candidates);
     let rows = used.into_iter().map(|engine| LoadRow {
         waiting: 0,
-        ..row(engine, 8)
+        ..load_row(engine, 8)
     });
-    let told = Told {
+    let message = LoadsMessage {
         rows: rows.collect(),
     };
-    let bytes = News::Loads(told).encoded_len() * REPORTS_PER_S;
-    assert!(bytes <= BYTES_PER_S, "{bytes} bytes a second");
+    let bytes = News::Loads(message).encoded_len() * REPORTS_PER_S;
+    assert!(bytes <= MAX_BYTES_PER_S, "{bytes} bytes a second");
 }
--- a/crates/filbertstack-gateway/tests/membership.rs
+++ b/crates/filbertstack-gateway/tests/membership.rs
@@ -1,11 +1,11 @@
-//! Who founds the group of voters, and how its members change.
+//! Decisions on which node creates the group of voters, and on how its members change.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use filbertstack_gateway::control::membership::Newcomer;
-use filbertstack_gateway::control::membership::founder;
-use filbertstack_gateway::control::membership::next;
+use filbertstack_gateway::control::membership::founding_size;
+use filbertstack_gateway::control::membership::next_change;
 use filbertstack_gateway::link::messages::Standing;
 use filbertstack_log::Change;
 use filbertstack_log::Member;
@@ -54,116 +54,123 @@
 
 const LEADER: NodeId = NodeId(1);
 
-fn heard(_: NodeId) -> Duration {
+fn no_silence(_: NodeId) -> Duration {
     Duration::ZERO
 }
 
-/// All processes start at once with the same seeds. Exactly one may found the group: two groups
-/// would each accept changes that the other does not know.
+/// Guards against two groups when all processes start at once with the same seeds. Each group would accept
+/// changes that the other does not know.
 #[test]
-fn one_seed_founds_the_group() {
+fn one_seed_creates_the_group() {
     let seeds = [addr(1), addr(2), addr(3)];
     let all = [standing(1, true), standing(2, true), standing(3, true)];
-    let founders: Vec<Option<u32>> = (1..=4)
-        .map(|n| founder(true, addr(n), &seeds, &all))
+    let sizes: Vec<Option<u32>> = (1..=4)
+        .map(|n| founding_size(true, addr(n), &seeds, &all))
         .collect();
-    assert_eq!(founders, [Some(3), None, None, None]);
+    assert_eq!(sizes, [Some(3), None, None, None]);
     assert_eq!(
-        founder(true, addr(1), &seeds, &[]),
+        founding_size(true, addr(1), &seeds, &[]),
         Some(3),
-        "silent seeds are waited for"
+        "silent seeds count as future voters"
     );
 }
 
 #[test]
-fn seeds_without_a_disk_are_passed_over() {
+fn seeds_without_a_disk_do_not_create_the_group() {
     let seeds = [addr(1), addr(2), addr(3)];
-    let heard = [standing(1, false), standing(3, false)];
-    assert_eq!(founder(true, addr(2), &seeds, &heard), Some(1));
+    let answers = [standing(1, false), standing(3, false)];
+    assert_eq!(founding_size(true, addr(2), &seeds, &answers), Some(1));
     assert_eq!(
-        founder(true, addr(2), &seeds, &heard[1..]),
+        founding_size(true, addr(2), &seeds, &answers[1..]),
         None,
-        "the first may have one"
+        "the first seed may have a disk"
     );
 }
 
-/// The first seed comes back with an empty disk, or one of the others already has a group. It
-/// must not found a second one.
+/// Guards against a second group, which the first seed could create after the loss of its disk, or while
+/// another seed already belongs to a group.
 #[test]
-fn nobody_founds_beside_a_group() {
+fn no_second_group_is_created() {
     let seeds = [addr(1), addr(2), addr(3)];
-    assert_eq!(founder(false, addr(1), &seeds, &[]), None);
+    assert_eq!(founding_size(false, addr(1), &seeds, &[]), None);
     let mut grouped = standing(2, true);
     grouped.cluster = 7;
-    assert_eq!(founder(true, addr(1), &seeds, &[grouped]), None);
+    assert_eq!(founding_size(true, addr(1), &seeds, &[grouped]), None);
 }
 
-/// A voter comes back empty at its address, under a new identity. Its old one goes first, then
-/// the new one is added and made a voter: at no point may two lost memories count.
+/// Guards against two lost logs that count as members at the same time. A voter comes back at its address
+/// with an empty disk and a new identity; its old identity must be removed before the new one is added
+/// and promoted.
 #[test]
-fn a_lost_disk_makes_room_for_its_successor() {
+fn a_voter_with_a_lost_disk_is_replaced() {
     let now = group(&[(1, 1), (2, 2), (3, 3)]);
-    let fresh = [newcomer(9, 3)];
-    let step = next(LEADER, &now, &fresh, heard);
+    let newcomers = [newcomer(9, 3)];
+    let step = next_change(LEADER, &now, &newcomers, no_silence);
     assert_eq!(step, Some(Change::Remove(NodeId(3))));
     let now = group(&[(1, 1), (2, 2)]);
-    let step = next(LEADER, &now, &fresh, heard);
+    let step = next_change(LEADER, &now, &newcomers, no_silence);
     assert_eq!(step, Some(Change::AddLearner(member(9, 3))));
     let mut now = now;
     now.learners.push(member(9, 3));
     assert_eq!(
-        next(LEADER, &now, &fresh, heard),
+        next_change(LEADER, &now, &newcomers, no_silence),
         Some(Change::Promote(NodeId(9)))
     );
 }
 
-/// A machine is gone for good and another comes at a new address. The silent one makes room.
+/// Guards against a lost instance that remains a member while a new one waits at another address.
 #[test]
-fn a_silent_voter_makes_room_for_a_newcomer() {
+fn a_silent_voter_is_removed_for_a_newcomer() {
     let now = group(&[(1, 1), (2, 2), (3, 3)]);
     let silent = |node: NodeId| Duration::from_secs(if node.0 == 3 { 3 } else { 0 });
-    let step = next(LEADER, &now, &[newcomer(9, 4)], silent);
+    let step = next_change(LEADER, &now, &[newcomer(9, 4)], silent);
     assert_eq!(step, Some(Change::Remove(NodeId(3))));
 }
 
-/// A voter restarts and is silent for seconds. Nobody waits for its place, so it keeps it.
+/// Guards against the removal of silent voters that leaves fewer than three, or that happens in an outage
+/// of several voters.
 #[test]
-fn a_short_silence_costs_no_place() {
+fn without_a_newcomer_only_a_surplus_voter_is_removed() {
     let now = group(&[(1, 1), (2, 2), (3, 3)]);
     let silent = |node: NodeId| Duration::from_secs(if node.0 == 3 { 60 } else { 0 });
     assert_eq!(
-        next(LEADER, &now, &[], silent),
+        next_change(LEADER, &now, &[], silent),
         None,
-        "three are the fewest"
+        "a group keeps at least three voters"
     );
     let now = group(&[(1, 1), (2, 2), (3, 3), (4, 4)]);
-    let step = next(LEADER, &now, &[], silent);
+    let step = next_change(LEADER, &now, &[], silent);
     assert_eq!(
         step,
         Some(Change::Remove(NodeId(3))),
-        "a planned successor came first"
+        "a successor was added before"
     );
     let both = |node: NodeId| Duration::from_secs(if node.0 >= 3 { 60 } else { 0 });
     assert_eq!(
-        next(LEADER, &now, &[], both),
+        next_change(LEADER, &now, &[], both),
         None,
-        "with two gone it is an outage"
+        "two silent voters are an outage"
     );
 }
 
-/// Eight voters, all heard, and a ninth node with a disk. Nobody is thrown out for it.
+/// Guards against the removal of a healthy voter of a full group when a further node with a disk asks to
+/// join.
 #[test]
-fn a_full_group_takes_nobody_in() {
+fn a_full_group_admits_no_newcomer() {
     let members: Vec<(u64, u64)> = (1..=8).map(|n| (n, n)).collect();
     let now = group(&members);
-    assert_eq!(next(LEADER, &now, &[newcomer(9, 9)], heard), None);
+    assert_eq!(
+        next_change(LEADER, &now, &[newcomer(9, 9)], no_silence),
+        None
+    );
 }
 
-/// A node that is being taken in loses its disk once more. Its first identity can't catch up.
+/// Guards against a learner that can never catch up, because its node lost its disk again while it copied
+/// the log.
 #[test]
-fn a_learner_that_lost_its_memory_is_dropped() {
+fn a_learner_that_lost_its_log_is_removed() {
     let mut now = group(&[(1, 1), (2, 2)]);
     now.learners.push(member(8, 3));
-    let step = next(LEADER, &now, &[newcomer(9, 3)], heard);
+    let step = next_change(LEADER, &now, &[newcomer(9, 3)], no_silence);
     assert_eq!(step, Some(Change::Remove(NodeId(8))));
 }
--- a/crates/filbertstack-gateway/tests/membership_model.rs
+++ b/crates/filbertstack-gateway/tests/membership_model.rs
@@ -1,18 +1,19 @@
-//! Membership while seeds change, disks are lost, nodes restart and are cut off, in series.
+//! A model test of the membership: seeds change, disks are lost, nodes restart and are cut off, in random
+//! order.
 //!
-//! A model of the nodes around the pure decisions ([`founder`], [`next`], [`Search`]). Whatever
-//! happens: there is one group; it never has fewer copies of its log than its losses explain; and once
-//! all are in touch again, every lost disk is replaced, whichever nodes the seeds name. The search of
-//! one step, which asks the seeds alone, fails the last.
+//! The model simulates the nodes around the pure decisions [`founding_size`], [`next_change`] and
+//! [`LeaderSearch`]. It checks three properties: there is one group; the group never has fewer copies of
+//! its log than the lost disks explain; and once all nodes are in contact again, every lost disk is
+//! replaced, whichever nodes the seeds are. A search that asks the seeds alone violates the third one.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use filbertstack_gateway::control::membership::Newcomer;
-use filbertstack_gateway::control::membership::founder;
-use filbertstack_gateway::control::membership::next;
-use filbertstack_gateway::control::search::Search;
+use filbertstack_gateway::control::membership::founding_size;
+use filbertstack_gateway::control::membership::next_change;
+use filbertstack_gateway::control::search::LeaderSearch;
 use filbertstack_gateway::link::messages::Standing;
 use filbertstack_log::Change;
 use filbertstack_log::Member;
@@ -22,72 +23,73 @@
 use proptest::test_runner::Config;
 use proptest::test_runner::TestRunner;
 
-/// Nodes with a disk come first.
-const DISKS: usize = 3;
+/// The number of nodes with a disk, which have the lowest numbers.
+const DISK_NODES: usize = 3;
+/// The number of all nodes.
 const NODES: usize = 7;
 
-/// Turns after which every repair that can be made is made: removal, addition and promotion of one
-/// newcomer after the other, and the news of it to the seeds.
-const SETTLE: usize = 12;
+/// The rounds after which every possible repair is done: removal, addition and promotion of one newcomer
+/// after the other, and the message to the seeds.
+const SETTLE_ROUNDS: usize = 12;
 
-/// Whom a newcomer asks.
+/// Which nodes a newcomer asks.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
-    /// The seeds, and whoever they name.
-    Steps,
+enum SearchScope {
+    /// The seeds and the nodes that answers name.
+    NamedNodes,
     /// The seeds alone.
-    SeedsAlone,
+    SeedsOnly,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// The settings name other seeds.
-    Seeds(Vec<usize>),
-    /// A node loses its disk and starts again.
-    Wipe(usize),
-    /// A node starts again with what its disk holds.
+    /// Changes the seeds in the settings.
+    ChangeSeeds(Vec<usize>),
+    /// Restarts a node with an empty disk.
+    LoseDisk(usize),
+    /// Restarts a node with the content of its disk.
     Restart(usize),
-    /// A node is cut off from all others, or in touch again.
-    Cut(usize, bool),
-    /// All nodes start again at once.
+    /// Cuts a node off from all others, or connects it again.
+    Isolate(usize, bool),
+    /// Restarts all nodes at once.
     RestartAll,
-    /// Time passes.
-    Turns(usize),
+    /// Runs this many rounds.
+    Rounds(usize),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let node = 0..NODES;
     let step = prop_oneof![
-        2 => prop::sample::subsequence((0..NODES).collect::<Vec<_>>(), 1..=3).prop_map(Step::Seeds),
-        3 => (0..DISKS).prop_map(Step::Wipe),
+        2 => prop::sample::subsequence((0..NODES).collect::<Vec<_>>(), 1..=3).prop_map(Step::ChangeSeeds),
+        3 => (0..DISK_NODES).prop_map(Step::LoseDisk),
         2 => node.clone().prop_map(Step::Restart),
-        2 => (node, any::<bool>()).prop_map(|(n, cut)| Step::Cut(n, cut)),
+        2 => (node, any::<bool>()).prop_map(|(n, isolated)| Step::Isolate(n, isolated)),
         1 => Just(Step::RestartAll),
-        4 => (1..8_usize).prop_map(Step::Turns),
+        4 => (1..8_usize).prop_map(Step::Rounds),
     ];
     prop::collection::vec(step, 1..24)
 }
 
 #[derive(Clone, Default)]
 struct Node {
-    /// The identity of its disk; a lost disk gets another.
-    disk: Option<u64>,
+    /// The identity of its log, which changes with a lost disk. A node without a disk has none.
+    identity: Option<u64>,
     /// Whether its disk holds the log.
-    holds: bool,
+    has_log: bool,
     /// The voters that it knows in memory.
-    known: Vec<usize>,
-    cut: bool,
+    known_voters: Vec<usize>,
+    isolated: bool,
     /// Whether this is its first start.
-    first: bool,
+    first_start: bool,
 }
 
 struct Model {
-    way: Way,
+    scope: SearchScope,
     nodes: Vec<Node>,
     seeds: Vec<usize>,
     group: Option<Membership>,
-    founded: usize,
-    identities: u64,
+    created_groups: usize,
+    last_identity: u64,
     newcomers: Vec<Newcomer>,
 }
 
@@ -97,26 +99,26 @@
         .expect("an address")
 }
 
-fn place(text: &str) -> usize {
+fn node_at(text: &str) -> usize {
     (0..NODES)
         .find(|n| addr(*n).to_string() == text)
         .expect("an address of the model")
 }
 
 impl Model {
-    fn new(way: Way) -> Self {
+    fn new(scope: SearchScope) -> Self {
         let node = |n: usize| Node {
-            disk: (n < DISKS).then_some(n as u64 + 1),
-            first: true,
+            identity: (n < DISK_NODES).then_some(n as u64 + 1),
+            first_start: true,
             ..Node::default()
         };
         Self {
-            way,
+            scope,
             nodes: (0..NODES).map(node).collect(),
-            seeds: (0..DISKS).collect(),
+            seeds: (0..DISK_NODES).collect(),
             group: None,
-            founded: 0,
-            identities: 100,
+            created_groups: 0,
+            last_identity: 100,
             newcomers: Vec::new(),
         }
     }
@@ -124,34 +126,34 @@
     fn voters(&self) -> Vec<usize> {
         let group = self.group.iter();
         group
-            .flat_map(|g| g.voters.iter().map(|m| place(&m.address)))
+            .flat_map(|g| g.voters.iter().map(|m| node_at(&m.address)))
             .collect()
     }
 
-    /// Whether the voter of that identity is there and in touch.
+    /// Returns whether the voter runs under this identity, holds the log and is not isolated.
     fn answers(&self, member: &Member) -> bool {
-        let node = &self.nodes[place(&member.address)];
-        node.disk == Some(member.node) && node.holds && !node.cut
+        let node = &self.nodes[node_at(&member.address)];
+        node.identity == Some(member.node) && node.has_log && !node.isolated
     }
 
     fn leader(&self) -> Option<usize> {
         let group = self.group.as_ref()?;
-        let there: Vec<&Member> = group.voters.iter().filter(|m| self.answers(m)).collect();
-        let majority = there.len() * 2 > group.voters.len();
-        majority.then(|| place(&there[0].address))
+        let answering: Vec<&Member> = group.voters.iter().filter(|m| self.answers(m)).collect();
+        let majority = answering.len() * 2 > group.voters.len();
+        majority.then(|| node_at(&answering[0].address))
     }
 
     fn standing(&self, n: usize) -> Standing {
         let node = &self.nodes[n];
         let leader = self
             .leader()
-            .filter(|_| node.holds && self.voters().contains(&n));
-        let voters = if node.holds {
+            .filter(|_| node.has_log && self.voters().contains(&n));
+        let voters = if node.has_log {
             self.voters()
         } else {
-            node.known.clone()
+            node.known_voters.clone()
         };
-        let voters = if node.disk.is_some() && !node.holds {
+        let voters = if node.identity.is_some() && !node.has_log {
             Vec::new()
         } else {
             voters
@@ -159,8 +161,8 @@
         let members = self.group.iter().flat_map(|g| g.members().map(|m| m.node));
         Standing {
             addr: addr(n).to_string(),
-            node: node.disk.unwrap_or(0),
-            cluster: u64::from(node.holds),
+            node: node.identity.unwrap_or(0),
+            cluster: u64::from(node.has_log),
             leader: leader.map_or(String::new(), |l| addr(l).to_string()),
             voters: voters.iter().map(|v| addr(*v).to_string()).collect(),
             members: members.collect(),
@@ -168,65 +170,61 @@
         }
     }
 
-    fn heard(&self, from: usize, n: usize) -> Option<Standing> {
-        let touch = !self.nodes[from].cut && !self.nodes[n].cut;
-        (touch && from != n).then(|| self.standing(n))
+    fn ask(&self, from: usize, n: usize) -> Option<Standing> {
+        let connected = !self.nodes[from].isolated && !self.nodes[n].isolated;
+        (connected && from != n).then(|| self.standing(n))
     }
 
-    fn search(&self, n: usize) -> Search {
+    fn search(&self, n: usize) -> LeaderSearch {
         let starts = self
             .seeds
             .iter()
-            .chain(&self.nodes[n].known)
+            .chain(&self.nodes[n].known_voters)
             .map(|s| addr(*s));
-        let mut search = Search::new(addr(n), starts);
+        let mut search = LeaderSearch::new(addr(n), starts);
         loop {
             let asked = search.take_next();
             if asked.is_empty() {
                 return search;
             }
             for node in asked {
-                match self.heard(n, place(&node.to_string())) {
-                    Some(standing) => search.hear(node, &standing),
-                    None => search.miss(node, "cut off".into()),
+                match self.ask(n, node_at(&node.to_string())) {
+                    Some(standing) => search.record_answer(node, &standing),
+                    None => search.record_failure(node, "cut off".into()),
                 }
             }
-            if self.way == Way::SeedsAlone {
+            if self.scope == SearchScope::SeedsOnly {
                 return search;
             }
         }
     }
 
-    /// One turn of every node.
-    fn turn(&mut self) {
+    /// Runs one round of every node.
+    fn run_round(&mut self) {
         for n in 0..NODES {
             let node = &self.nodes[n];
-            if node.disk.is_some() && !node.holds {
-                self.form(n);
-            } else if node.disk.is_none() {
-                self.follow(n);
+            if node.identity.is_some() && !node.has_log {
+                self.form_group(n);
+            } else if node.identity.is_none() {
+                self.learn_voters(n);
             }
         }
-        self.tell_seeds();
-        self.repair();
+        self.notify_seeds();
+        self.repair_membership();
     }
 
-    fn form(&mut self, n: usize) {
+    fn form_group(&mut self, n: usize) {
         let seeds: Vec<SocketAddr> = self.seeds.iter().map(|s| addr(*s)).collect();
-        let heard: Vec<Standing> = self
-            .seeds
-            .iter()
-            .filter_map(|s| self.heard(n, *s))
-            .collect();
-        let disk = self.nodes[n].disk.expect("a node with a disk");
+        let answers: Vec<Standing> = self.seeds.iter().filter_map(|s| self.ask(n, *s)).collect();
+        let identity = self.nodes[n].identity.expect("a node with a disk");
         let member = Member {
-            node: disk,
+            node: identity,
             name: format!("node-{n}"),
             address: addr(n).to_string(),
         };
-        if let Some(wanted) = founder(self.nodes[n].first, addr(n), &seeds, &heard) {
-            self.founded += 1;
-            self.nodes[n].holds = true;
+        if let Some(wanted) = founding_size(self.nodes[n].first_start, addr(n), &seeds, &answers) {
+            self.created_groups += 1;
+            self.nodes[n].has_log = true;
             self.group = Some(Membership {
                 voters: vec![member],
                 learners: Vec::new(),
@@ -234,11 +232,11 @@
             });
             return;
         }
-        let leader = self.search(n).leader().map(|l| place(&l.to_string()));
-        let there = leader.is_some() && leader == self.leader();
-        if there && !self.nodes[n].cut {
+        let leader = self.search(n).leader().map(|l| node_at(&l.to_string()));
+        let reachable = leader.is_some() && leader == self.leader();
+        if reachable && !self.nodes[n].isolated {
             let newcomer = Newcomer {
-                node: NodeId(disk),
+                node: NodeId(identity),
                 name: member.name,
                 addr: addr(n),
             };
@@ -247,62 +245,62 @@
         }
     }
 
-    /// A node without a disk learns from a voter that it knows, or searches.
-    fn follow(&mut self, n: usize) {
-        let in_touch = |v: &usize| self.leader().is_some() && self.heard(n, *v).is_some();
-        let knows = self.nodes[n].known.iter().any(in_touch);
-        let learned: Vec<usize> = if knows {
+    /// Updates the voters that a node without a disk knows, from one of them or by a search.
+    fn learn_voters(&mut self, n: usize) {
+        let in_contact = |v: &usize| self.leader().is_some() && self.ask(n, *v).is_some();
+        let has_contact = self.nodes[n].known_voters.iter().any(in_contact);
+        let learned: Vec<usize> = if has_contact {
             self.voters()
         } else {
             let search = self.search(n);
             search
                 .voters()
                 .iter()
-                .map(|v| place(&v.to_string()))
+                .map(|v| node_at(&v.to_string()))
                 .collect()
         };
         if !learned.is_empty() {
-            self.nodes[n].known = learned;
+            self.nodes[n].known_voters = learned;
         }
     }
 
-    fn tell_seeds(&mut self) {
+    fn notify_seeds(&mut self) {
         let voters = self.voters();
         for seed in self.seeds.clone() {
-            let told = voters
+            let notified = voters
                 .iter()
-                .any(|v| self.nodes[*v].holds && self.heard(seed, *v).is_some());
-            if told {
-                self.nodes[seed].known.clone_from(&voters);
+                .any(|v| self.nodes[*v].has_log && self.ask(seed, *v).is_some());
+            if notified {
+                self.nodes[seed].known_voters.clone_from(&voters);
             }
         }
     }
 
-    fn repair(&mut self) {
+    fn repair_membership(&mut self) {
         let Some(leader) = self.leader() else {
             return;
         };
-        let leader = NodeId(self.nodes[leader].disk.expect("a voter has a disk"));
+        let leader = NodeId(self.nodes[leader].identity.expect("a voter has a disk"));
         let group = self.group.clone().expect("a group with a leader");
         let silent = |node: NodeId| {
             let member = group.members().find(|m| m.id() == node);
-            let there = member.is_some_and(|m| self.answers(m) || self.copies(m));
-            if there {
+            let answers = member.is_some_and(|m| self.answers(m) || self.can_copy(m));
+            if answers {
                 Duration::ZERO
             } else {
                 Duration::from_secs(60)
             }
         };
-        if let Some(change) = next(leader, &group, &self.newcomers, silent) {
+        if let Some(change) = next_change(leader, &group, &self.newcomers, silent) {
             self.apply(change);
         }
         self.newcomers.clear();
     }
 
-    /// Whether a learner is there to copy the log.
-    fn copies(&self, member: &Member) -> bool {
-        let node = &self.nodes[place(&member.address)];
-        node.disk == Some(member.node) && !node.cut
+    /// Returns whether a learner is available to copy the log.
+    fn can_copy(&self, member: &Member) -> bool {
+        let node = &self.nodes[node_at(&member.address)];
+        node.identity == Some(member.node) && !node.isolated
     }
 
     fn apply(&mut self, change: Change) {
@@ -314,80 +312,87 @@
                 group.learners.retain(|m| m.id() != node);
             }
             Change::Promote(node) => {
-                let at = group.learners.iter().position(|m| m.id() == node);
-                let member = group.learners.remove(at.expect("a learner"));
-                self.nodes[place(&member.address)].holds = true;
+                let position = group.learners.iter().position(|m| m.id() == node);
+                let member = group.learners.remove(position.expect("a learner"));
+                self.nodes[node_at(&member.address)].has_log = true;
                 group.voters.push(member);
                 if group.voters.len() >= group.forming as usize {
                     group.forming = 0;
                 }
             }
-            Change::Move(_) => panic!("no node moves here"),
+            Change::Move(_) => panic!("the model never moves a member"),
         }
     }
 
-    /// Voters that hold the log on the disk that they voted with.
-    fn copies_held(&self) -> usize {
+    /// Returns how many voters still hold the log on the disk with which they became voters.
+    fn log_copies(&self) -> usize {
         let group = self.group.iter().flat_map(|g| &g.voters);
-        let held = |m: &&Member| {
-            let node = &self.nodes[place(&m.address)];
-            node.disk == Some(m.node) && node.holds
+        let holds_log = |m: &&Member| {
+            let node = &self.nodes[node_at(&m.address)];
+            node.identity == Some(m.node) && node.has_log
         };
-        group.filter(held).count()
+        group.filter(holds_log).count()
     }
 
     fn restart(&mut self, n: usize) {
-        self.nodes[n].known.clear();
-        // The platform says so for the first start of the whole system only.
-        self.nodes[n].first = false;
+        self.nodes[n].known_voters.clear();
+        // The platform marks only the first start of the whole system as a first start.
+        self.nodes[n].first_start = false;
     }
 
-    fn take(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         match step {
-            Step::Seeds(seeds) => self.seeds.clone_from(seeds),
-            // Within the bound: no disk is lost before the one lost last is replaced.
-            Step::Wipe(n) if self.copies_held() == DISKS => {
-                self.identities += 1;
-                self.nodes[*n].disk = Some(self.identities);
-                self.nodes[*n].holds = false;
+            Step::ChangeSeeds(seeds) => self.seeds.clone_from(seeds),
+            // The model loses one disk at a time: the next only after the previous one is replaced.
+            Step::LoseDisk(n) if self.log_copies() == DISK_NODES => {
+                self.last_identity += 1;
+                self.nodes[*n].identity = Some(self.last_identity);
+                self.nodes[*n].has_log = false;
                 self.restart(*n);
             }
-            Step::Wipe(_) => {}
+            Step::LoseDisk(_) => {}
             Step::Restart(n) => self.restart(*n),
-            Step::Cut(n, cut) => self.nodes[*n].cut = *cut,
+            Step::Isolate(n, isolated) => self.nodes[*n].isolated = *isolated,
             Step::RestartAll => (0..NODES).for_each(|n| self.restart(n)),
-            Step::Turns(count) => (0..*count).for_each(|_| self.turn()),
+            Step::Rounds(count) => (0..*count).for_each(|_| self.run_round()),
         }
     }
 
     fn check(&self) -> Result<(), TestCaseError> {
-        prop_assert!(self.founded <= 1, "{} groups were founded", self.founded);
+        prop_assert!(
+            self.created_groups <= 1,
+            "{} groups were created",
+            self.created_groups
+        );
         if self.group.as_ref().is_some_and(|g| g.forming == 0) {
             prop_assert!(
-                self.copies_held() >= DISKS - 1,
-                "more copies were lost than disks"
+                self.log_copies() >= DISK_NODES - 1,
+                "more copies of the log were lost than disks"
             );
         }
         Ok(())
     }
 }
 
-fn play(way: Way, steps: &[Step]) -> Result<(), TestCaseError> {
-    let mut model = Model::new(way);
-    (0..SETTLE).for_each(|_| model.turn());
+fn run_steps(scope: SearchScope, steps: &[Step]) -> Result<(), TestCaseError> {
+    let mut model = Model::new(scope);
+    (0..SETTLE_ROUNDS).for_each(|_| model.run_round());
     for step in steps {
-        model.take(step);
+        model.run_step(step);
         model.check()?;
     }
-    model.nodes.iter_mut().for_each(|node| node.cut = false);
-    for _ in 0..SETTLE {
-        model.turn();
+    model
+        .nodes
+        .iter_mut()
+        .for_each(|node| node.isolated = false);
+    for _ in 0..SETTLE_ROUNDS {
+        model.run_round();
         model.check()?;
     }
     let voters: BTreeSet<usize> = model.voters().into_iter().collect();
-    let wanted: BTreeSet<usize> = (0..DISKS).collect();
-    prop_assert_eq!(voters, wanted, "every disk votes");
-    prop_assert_eq!(model.copies_held(), DISKS, "every voter holds the log");
+    let expected: BTreeSet<usize> = (0..DISK_NODES).collect();
+    prop_assert_eq!(voters, expected, "every node with a disk is a voter");
+    prop_assert_eq!(model.log_copies(), DISK_NODES, "every voter holds the log");
     Ok(())
 }
 
@@ -406,20 +411,24 @@
 }
 
 #[test]
-fn lost_disks_are_repaired_whatever_happens_to_the_seeds() {
-    let result = runner().run(&steps(), |steps| play(Way::Steps, &steps));
+fn lost_disks_are_replaced_whatever_the_seeds_are() {
+    let result = runner().run(&steps(), |steps| run_steps(SearchScope::NamedNodes, &steps));
     if let Err(error) = result {
         panic!("{error}");
     }
 }
 
-/// The seeds are exchanged for nodes without a disk, then a disk is lost: asked alone, the seeds name
-/// no leader, and the voter is never replaced.
+/// Checks that the model finds a fault of a search that asks the seeds alone: after the seeds are changed to
+/// nodes without a disk and a disk is lost, no seed names a leader and the voter is never replaced.
 #[test]
-fn seeds_asked_alone_leave_a_disk_lost() {
-    let result = runner().run(&steps(), |steps| play(Way::SeedsAlone, &steps));
+fn a_search_of_the_seeds_alone_leaves_a_lost_disk() {
+    let result = runner().run(&steps(), |steps| run_steps(SearchScope::SeedsOnly, &steps));
     assert!(result.is_err(), "the model must find the fault");
-    let found = [Step::Seeds(vec![4, 5, 6]), Step::Turns(2), Step::Wipe(2)];
-    assert!(play(Way::SeedsAlone, &found).is_err());
-    assert!(play(Way::Steps, &found).is_ok());
+    let steps = [
+        Step::ChangeSeeds(vec![4, 5, 6]),
+        Step::Rounds(2),
+        Step::LoseDisk(2),
+    ];
+    assert!(run_steps(SearchScope::SeedsOnly, &steps).is_err());
+    assert!(run_steps(SearchScope::NamedNodes, &steps).is_ok());
 }
