--- a/crates/filbertstack-gateway/src/control/api.rs
+++ b/crates/filbertstack-gateway/src/control/api.rs
@@ -85,7 +85,8 @@
         let version = parts.version;
         Catalogue::build(parts).map_err(|e| invalid(e.to_string()))?;
         if version <= self.node.declared.version() {
-            info!("ignored a configuration that is not newer than the current one", kv: { version = version });
+            info!("ignored a configuration that is not newer than the current one",
+                kv: { version = version });
             return Ok(Bytes::from_static(b"{}"));
         }
         let packed = Packed::pack(&Document { version, body });
--- a/crates/filbertstack-gateway/src/control/follow.rs
+++ b/crates/filbertstack-gateway/src/control/follow.rs
@@ -56,8 +56,8 @@
 const SEED_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often a node may switch from a voter of another zone to one of its own zone. A switch leaves the
-/// node without updates for some milliseconds, and a new voter without contact to its group makes the
-/// node switch back.
+/// node without updates for some milliseconds, and a new voter without contact with its group makes
+/// the node switch back.
 const SWITCH_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The pause before a node tries another voter.
@@ -67,8 +67,8 @@
 /// voter many times a second, and need not ask all other nodes as often.
 const SEARCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The random part of [`SEARCH_INTERVAL`], so that nodes that lose their voter at the same time do not
-/// search at the same time.
+/// The largest random deviation from [`SEARCH_INTERVAL`], as a fraction of it, so that nodes that lose
+/// their voter at the same time do not search at the same time.
 const JITTER: f64 = 0.3;
 
 /// Publishes each committed state to this process and its followers.
@@ -206,7 +206,7 @@
 struct VoterFinder {
     next_search: Instant,
     /// Since when no voter could be followed, or when this was last logged.
-    unreached: Instant,
+    unreached_since: Instant,
 }
 
 impl VoterFinder {
@@ -214,7 +214,7 @@
         let now = Instant::now();
         Self {
             next_search: now,
-            unreached: now,
+            unreached_since: now,
         }
     }
 
@@ -225,8 +225,8 @@
         if now < self.next_search {
             return false;
         }
-        let part = rand::rng().random_range(1.0 - JITTER..1.0 + JITTER);
-        self.next_search = now + SEARCH_INTERVAL.mul_f64(part);
+        let factor = rand::rng().random_range(1.0 - JITTER..1.0 + JITTER);
+        self.next_search = now + SEARCH_INTERVAL.mul_f64(factor);
         let starts = node.seeds.now().into_iter().chain(node.voters());
         let mut search = LeaderSearch::new(node.settings.node.link, starts);
         find_leader(&node.dialer, &mut search).await;
@@ -238,9 +238,9 @@
     fn log_failure(&mut self, node: &Node, search: &LeaderSearch) {
         let now = Instant::now();
         if node.is_current() || search.leader().is_some() {
-            self.unreached = now;
-        } else if now.duration_since(self.unreached) >= EXPLAIN_INTERVAL {
-            self.unreached = now;
+            self.unreached_since = now;
+        } else if now.duration_since(self.unreached_since) >= EXPLAIN_INTERVAL {
+            self.unreached_since = now;
             warn!("no voter is in contact with its group", kv: {
                 for_s = EXPLAIN_INTERVAL.as_secs(), asked = search.summary()
             });
@@ -304,7 +304,8 @@
                 }
                 node.set_followed(Some(voter));
                 if Instant::now() >= switch_after && nearer_exists(node, voter) {
-                    info!("stopped following the voter: there is one in this zone", kv: { voter = voter.to_string() });
+                    info!("stopped following the voter: there is one in this zone",
+                        kv: { voter = voter.to_string() });
                     return FollowEnd::NearerFound;
                 }
             }
@@ -317,7 +318,8 @@
                 }
             }
             Ok(None) | Err(_) => {
-                info!("stopped following the voter: it is silent", kv: { voter = voter.to_string() });
+                info!("stopped following the voter: it is silent",
+                    kv: { voter = voter.to_string() });
                 return end(followed);
             }
         }
@@ -331,7 +333,7 @@
 
 fn apply_news(node: &Rc<Node>, news: News) -> Result<(), PartError> {
     match news {
-        News::Part(part) => node.declared.apply_part(part)?,
+        News::Part(factor) => node.declared.apply_part(factor)?,
         News::Declared(declared) => node.declared.apply_declared(declared),
         News::Rows(rows) => {
             if rows.whole && node.voter.is_none() {
--- a/crates/filbertstack-gateway/src/control/loads.rs
+++ b/crates/filbertstack-gateway/src/control/loads.rs
@@ -19,8 +19,8 @@
 use crate::link::messages::Loads as LoadsMessage;
 use crate::link::messages::News;
 
-/// The most engines whose loads are kept until the next turn: twice the engines of the largest
-/// deployment.
+/// The most engines whose loads are kept until the process takes them out: twice the engines of the
+/// largest deployment.
 const MAX_ENGINES: usize = 4_096;
 
 /// The most frames that may be queued for a follower when more loads are sent to it. Behind a longer
--- a/crates/filbertstack-gateway/src/control/membership.rs
+++ b/crates/filbertstack-gateway/src/control/membership.rs
@@ -16,8 +16,8 @@
 pub const JOIN_VALIDITY: Duration = Duration::from_secs(2);
 
 /// How long a voter is silent before it is removed in favour of a waiting newcomer. This is longer than an
-/// election with its pauses, and shorter than the time in which a replacement must have a vote again.
-/// A removed voter that comes back asks to join again.
+/// election with its pauses, and shorter than the time within which the successor of a lost voter
+/// must vote. A removed voter that comes back asks to join again.
 pub const REPLACE_AFTER: Duration = Duration::from_millis(2_500);
 
 /// How long a voter is silent before it is removed without a newcomer. Such a voter is surplus, because a
@@ -47,26 +47,26 @@
 /// have answered that it has no disk, and no seed that answered may know a group. A node that lost its
 /// disk is not in a first start, so it can't create a second group beside its own.
 pub fn founding_size(
-    first: bool,
+    first_start: bool,
     own: SocketAddr,
     seeds: &[SocketAddr],
     answers: &[Standing],
 ) -> Option<u32> {
     // A seed without a disk is in no group, but may know one.
-    let knows = |s: &Standing| s.cluster != 0 || !s.leader.is_empty() || !s.voters.is_empty();
-    let grouped = answers.iter().any(knows);
-    if !first || grouped {
+    let knows_group = |s: &Standing| s.cluster != 0 || !s.leader.is_empty() || !s.voters.is_empty();
+    let grouped = answers.iter().any(knows_group);
+    if !first_start || grouped {
         return None;
     }
-    let place = seeds.iter().position(|seed| *seed == own)?;
+    let position = seeds.iter().position(|seed| *seed == own)?;
     let diskless = |seed: &SocketAddr| {
         let standing = answers.iter().find(|s| s.addr == seed.to_string());
         standing.is_some_and(|s| s.node == 0)
     };
-    if !seeds[..place].iter().all(diskless) {
+    if !seeds[..position].iter().all(diskless) {
         return None;
     }
-    let others = seeds[place + 1..].iter().filter(|seed| !diskless(seed));
+    let others = seeds[position + 1..].iter().filter(|seed| !diskless(seed));
     u32::try_from(others.count() + 1).ok()
 }
 
@@ -74,24 +74,24 @@
 /// join, and on how long each voter has been silent.
 pub fn next_change(
     leader: NodeId,
-    now: &Membership,
+    current: &Membership,
     newcomers: &[Newcomer],
     silent: impl Fn(NodeId) -> Duration,
 ) -> Option<Change> {
-    if let Some(learner) = now.learners.first() {
+    if let Some(learner) = current.learners.first() {
         return Some(learner_change(learner, newcomers, &silent));
     }
     let newcomer = newcomers
         .iter()
-        .find(|n| !now.members().any(|m| m.id() == n.node));
+        .find(|n| !current.members().any(|m| m.id() == n.node));
     if let Some(newcomer) = newcomer {
-        return admit(leader, now, newcomer, &silent);
+        return admit(leader, current, newcomer, &silent);
     }
-    let others = || now.voters.iter().filter(|m| m.id() != leader);
+    let others = || current.voters.iter().filter(|m| m.id() != leader);
     let lost = others().find(|m| silent(m.id()) >= REMOVE_AFTER)?;
     let rest_heard = others().all(|m| m.id() == lost.id() || silent(m.id()) < REPLACE_AFTER);
-    let spare = now.forming == 0 && now.voters.len() > MIN_VOTERS;
-    (spare && rest_heard).then(|| Change::Remove(lost.id()))
+    let surplus = current.forming == 0 && current.voters.len() > MIN_VOTERS;
+    (surplus && rest_heard).then(|| Change::Remove(lost.id()))
 }
 
 /// Promotes a learner to a voter, or removes it if it lost its log or fell silent.
@@ -116,15 +116,15 @@
 /// member, the group tolerates one failure less. The same applies to a silent voter.
 fn admit(
     leader: NodeId,
-    now: &Membership,
+    current: &Membership,
     newcomer: &Newcomer,
     silent: &impl Fn(NodeId) -> Duration,
 ) -> Option<Change> {
-    let others = || now.voters.iter().filter(|m| m.id() != leader);
+    let others = || current.voters.iter().filter(|m| m.id() != leader);
     let wiped = others().find(|m| m.address == newcomer.addr.to_string());
     let longest = others().max_by_key(|m| silent(m.id()));
-    let lost = longest.filter(|m| silent(m.id()) >= REPLACE_AFTER && now.forming == 0);
-    let room = now.voters.len() < MAX_VOTERS;
+    let lost = longest.filter(|m| silent(m.id()) >= REPLACE_AFTER && current.forming == 0);
+    let room = current.voters.len() < MAX_VOTERS;
     if let Some(old) = wiped.or(lost) {
         return Some(Change::Remove(old.id()));
     }
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -54,18 +54,18 @@
     /// The question to a voter failed.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// The log refused the command or the read.
+    /// The log did not confirm the command or the read.
     #[error(transparent)]
     Log(#[from] filbertstack_log::ProposeError),
 }
 
 /// One node of the system.
 pub struct Node {
-    /// Its settings at its start.
+    /// The settings that the node had at its start.
     pub settings: Settings,
-    /// Its seeds, which may change while it runs.
+    /// The seeds, which may change while the node runs.
     pub seeds: Seeds,
-    /// Its clock.
+    /// The clock of the process.
     pub clock: Clock,
     /// The declared state.
     pub declared: DeclaredState,
@@ -75,11 +75,11 @@
     pub loads: Loads,
     /// The rows that no voter has accepted yet.
     pub unregistered: Unregistered,
-    /// The links to its peers.
+    /// The links to other nodes.
     pub dialer: Dialer,
-    /// The kinds of updates that it needs from the voter that it follows.
+    /// The kinds of updates that the node needs from the followed voter.
     pub interest: Interest,
-    /// The voter in this process, if it has a disk.
+    /// The voter in this process, if the node has a disk.
     pub voter: Option<Rc<Voter>>,
     /// The voter that this node follows. A voter follows none.
     followed: Cell<Option<SocketAddr>>,
--- a/crates/filbertstack-gateway/src/control/parts.rs
+++ b/crates/filbertstack-gateway/src/control/parts.rs
@@ -24,7 +24,7 @@
 /// The most bytes that all parts of a document may have. Compression hardly makes any document longer.
 const MAX_PACKED_BYTES: usize = 8 << 20;
 
-/// Why parts can't be assembled to a document. The follower leaves its voter, and receives all parts again
+/// Why parts can't be assembled into a document. The follower leaves its voter, and receives all parts again
 /// from the next one.
 #[derive(Debug, Error)]
 pub enum PartError {
--- a/crates/filbertstack-gateway/src/control/upkeep.rs
+++ b/crates/filbertstack-gateway/src/control/upkeep.rs
@@ -27,11 +27,11 @@
 use crate::control::voter::Voter;
 use crate::link::messages::Question;
 
-/// The mean interval in which a voter maintains the membership.
+/// The mean interval at which a voter maintains the membership.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The random part of [`MAINTENANCE_INTERVAL`], so that nodes that start at the same time do not ask at
-/// the same time.
+/// The largest random deviation from [`MAINTENANCE_INTERVAL`], as a fraction of it, so that nodes that
+/// start at the same time do not ask at the same time.
 const JITTER: f64 = 0.4;
 
 /// How long the leader may take to answer a request to join the group.
@@ -44,8 +44,8 @@
     /// Maintains the group until the process ends.
     pub(super) async fn maintain(self: Rc<Self>) {
         loop {
-            let part = rand::rng().random_range(1.0 - JITTER..1.0 + JITTER);
-            tokio::time::sleep(MAINTENANCE_INTERVAL.mul_f64(part)).await;
+            let factor = rand::rng().random_range(1.0 - JITTER..1.0 + JITTER);
+            tokio::time::sleep(MAINTENANCE_INTERVAL.mul_f64(factor)).await;
             let status = self.status();
             if let Some(why) = &status.failed {
                 // Only a restart can find out what is on the disk.
--- a/crates/filbertstack-gateway/src/control/voter.rs
+++ b/crates/filbertstack-gateway/src/control/voter.rs
@@ -56,8 +56,8 @@
 
 /// The log's timing between instances that are some milliseconds apart. Without a leader, no change is
 /// accepted and no target is registered; this also holds after all processes started at once. With
-/// these values an election takes 0.5 to 0.9 s, and 1 to 2 s with the defaults. A longer pause of the
-/// leader's core costs one election, and nothing else.
+/// these values an election takes 0.5 to 0.9 s, and 1 to 2 s with the defaults. A pause of the leader's
+/// core that exceeds the election timeout costs one election, and nothing else.
 const LOG_TIMING: Timing = Timing {
     heartbeat: Duration::from_millis(100),
     election_min: Duration::from_millis(450),
@@ -214,7 +214,8 @@
         let decoded = match Message::from_bytes(message.body) {
             Ok(decoded) => decoded,
             Err(error) => {
-                warn!("dropped a message to the log that can't be decoded", kv: { error = error.to_string() });
+                warn!("dropped a log message that can't be decoded",
+                    kv: { error = error.to_string() });
                 return;
             }
         };
--- a/crates/filbertstack-gateway/tests/membership.rs
+++ b/crates/filbertstack-gateway/tests/membership.rs
@@ -103,17 +103,17 @@
 /// and promoted.
 #[test]
 fn a_voter_with_a_lost_disk_is_replaced() {
-    let now = group(&[(1, 1), (2, 2), (3, 3)]);
+    let current = group(&[(1, 1), (2, 2), (3, 3)]);
     let newcomers = [newcomer(9, 3)];
-    let step = next_change(LEADER, &now, &newcomers, no_silence);
+    let step = next_change(LEADER, &current, &newcomers, no_silence);
     assert_eq!(step, Some(Change::Remove(NodeId(3))));
-    let now = group(&[(1, 1), (2, 2)]);
-    let step = next_change(LEADER, &now, &newcomers, no_silence);
+    let current = group(&[(1, 1), (2, 2)]);
+    let step = next_change(LEADER, &current, &newcomers, no_silence);
     assert_eq!(step, Some(Change::AddLearner(member(9, 3))));
-    let mut now = now;
-    now.learners.push(member(9, 3));
+    let mut current = current;
+    current.learners.push(member(9, 3));
     assert_eq!(
-        next_change(LEADER, &now, &newcomers, no_silence),
+        next_change(LEADER, &current, &newcomers, no_silence),
         Some(Change::Promote(NodeId(9)))
     );
 }
@@ -121,9 +121,9 @@
 /// Guards against a lost instance that remains a member while a new one waits at another address.
 #[test]
 fn a_silent_voter_is_removed_for_a_newcomer() {
-    let now = group(&[(1, 1), (2, 2), (3, 3)]);
+    let current = group(&[(1, 1), (2, 2), (3, 3)]);
     let silent = |node: NodeId| Duration::from_secs(if node.0 == 3 { 3 } else { 0 });
-    let step = next_change(LEADER, &now, &[newcomer(9, 4)], silent);
+    let step = next_change(LEADER, &current, &[newcomer(9, 4)], silent);
     assert_eq!(step, Some(Change::Remove(NodeId(3))));
 }
 
@@ -131,15 +131,15 @@
 /// of several voters.
 #[test]
 fn without_a_newcomer_only_a_surplus_voter_is_removed() {
-    let now = group(&[(1, 1), (2, 2), (3, 3)]);
+    let current = group(&[(1, 1), (2, 2), (3, 3)]);
     let silent = |node: NodeId| Duration::from_secs(if node.0 == 3 { 60 } else { 0 });
     assert_eq!(
-        next_change(LEADER, &now, &[], silent),
+        next_change(LEADER, &current, &[], silent),
         None,
         "a group keeps at least three voters"
     );
-    let now = group(&[(1, 1), (2, 2), (3, 3), (4, 4)]);
-    let step = next_change(LEADER, &now, &[], silent);
+    let current = group(&[(1, 1), (2, 2), (3, 3), (4, 4)]);
+    let step = next_change(LEADER, &current, &[], silent);
     assert_eq!(
         step,
         Some(Change::Remove(NodeId(3))),
@@ -147,7 +147,7 @@
     );
     let both = |node: NodeId| Duration::from_secs(if node.0 >= 3 { 60 } else { 0 });
     assert_eq!(
-        next_change(LEADER, &now, &[], both),
+        next_change(LEADER, &current, &[], both),
         None,
         "two silent voters are an outage"
     );
@@ -158,9 +158,9 @@
 #[test]
 fn a_full_group_admits_no_newcomer() {
     let members: Vec<(u64, u64)> = (1..=8).map(|n| (n, n)).collect();
-    let now = group(&members);
+    let current = group(&members);
     assert_eq!(
-        next_change(LEADER, &now, &[newcomer(9, 9)], no_silence),
+        next_change(LEADER, &current, &[newcomer(9, 9)], no_silence),
         None
     );
 }
@@ -169,8 +169,8 @@
 /// the log.
 #[test]
 fn a_learner_that_lost_its_log_is_removed() {
-    let mut now = group(&[(1, 1), (2, 2)]);
-    now.learners.push(member(8, 3));
-    let step = next_change(LEADER, &now, &[newcomer(9, 3)], no_silence);
+    let mut current = group(&[(1, 1), (2, 2)]);
+    current.learners.push(member(8, 3));
+    let step = next_change(LEADER, &current, &[newcomer(9, 3)], no_silence);
     assert_eq!(step, Some(Change::Remove(NodeId(8))));
 }
