--- a/crates/filbertstack-gateway/src/agent/mod.rs
+++ b/crates/filbertstack-gateway/src/agent/mod.rs
@@ -103,7 +103,7 @@
         let Some(model) = model else {
             return Vec::new();
         };
-        let named = declared.named(&model).into_iter();
+        let named = declared.weight_versions(&model).into_iter();
         let mut versions: Vec<u64> = named.map(|named| named.version).collect();
         if versions.is_empty() {
             versions.push(self.seen(&model).max(FIRST_VERSION));
@@ -154,7 +154,7 @@
     });
     let server = Rc::new(PieceServer::new(agent.clone()));
     spawn_local(link::serve(links, server));
-    spawn_local(follow::follow_any(node));
+    spawn_local(follow::follow_group(node));
     spawn_local(reports::watch_engine(agent.clone()));
     spawn_local(rollout::keep_version(agent));
     spawn_local(reload.clone().watch_file());
--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -17,7 +17,7 @@
 use hyper::body::Incoming;
 use tokio::sync::watch;
 
-use crate::control::calls::json;
+use crate::control::api::json_response;
 use crate::control::node::Node;
 use crate::entry::server::Service;
 use crate::link::messages::Kind;
@@ -45,14 +45,14 @@
     }
 
     fn is_ready(&self) -> bool {
-        !*self.leaving.borrow() && self.node.declared.is_known() && self.node.is_current()
+        !*self.leaving.borrow() && self.node.declared.is_loaded() && self.node.is_current()
     }
 
     /// Returns the addresses of the entries for a caller: those of its zone if there are enough, or
     /// else all. Each node returns them in a different order, so that callers that use the first address
     /// spread over the entries.
     fn addrs(&self, place: &Place) -> Vec<SocketAddr> {
-        let rows = self.node.people.present();
+        let rows = self.node.registry.present();
         let entries = rows.iter().filter_map(|(_, kind, _)| match &**kind {
             Kind::Entry(entry) if !entry.leaving => Some(entry),
             _ => None,
@@ -87,17 +87,17 @@
             } else {
                 StatusCode::SERVICE_UNAVAILABLE
             };
-            return json(status, empty);
+            return json_response(status, empty);
         }
         let Some(place) = read(method, uri.path(), uri.query().unwrap_or_default()) else {
-            return json(StatusCode::NOT_FOUND, empty);
+            return json_response(StatusCode::NOT_FOUND, empty);
         };
         let addrs = self.addrs(&place);
-        if addrs.is_empty() || !self.node.declared.is_known() {
-            return json(StatusCode::SERVICE_UNAVAILABLE, empty);
+        if addrs.is_empty() || !self.node.declared.is_loaded() {
+            return json_response(StatusCode::SERVICE_UNAVAILABLE, empty);
         }
         let keep = CACHE_TIME.min(self.node.settings.bounds.keep);
-        json(StatusCode::OK, answer(&addrs, keep))
+        json_response(StatusCode::OK, answer(&addrs, keep))
     }
 
     fn head_limit(&self) -> usize {
--- a/crates/filbertstack-gateway/src/entry/mod.rs
+++ b/crates/filbertstack-gateway/src/entry/mod.rs
@@ -23,14 +23,14 @@
 
 use crate::clock::Clock;
 use crate::clock::unix_millis;
-use crate::control::EXPLAIN;
-use crate::control::calls::Calls;
+use crate::control::EXPLAIN_INTERVAL;
+use crate::control::api::ControlApi;
 use crate::control::follow;
 use crate::control::node::Node;
-use crate::control::node::lead_followers;
-use crate::control::unregistered::register_later;
-use crate::control::voter::Around;
+use crate::control::node::serve_followers;
+use crate::control::unregistered::register_pending;
 use crate::control::voter::Voter;
+use crate::control::voter::VoterContext;
 use crate::entry::directory::Directory;
 use crate::entry::server::ActiveConnections;
 use crate::link;
@@ -94,7 +94,7 @@
     let dialer = Dialer::default();
     let metrics = Rc::new(metrics);
     let reload = Rc::new(Reload::new(path, settings.clone()));
-    let around = Around {
+    let around = VoterContext {
         dialer: dialer.clone(),
         seeds: reload.seeds(),
         metrics: metrics.clone(),
@@ -117,7 +117,7 @@
     let cache = Rc::new(Cache::new(node.clone(), &node.entry_id()));
     serve_all(&node, &requests, &cache, &leaving, &active)?;
     start_control(&node);
-    spawn_local(register_later(node.clone()));
+    spawn_local(register_pending(node.clone()));
     spawn_local(refresh_targets(node.clone(), requests.clone()));
     spawn_local(receive_loads(node.clone(), requests.clone()));
     spawn_local(cache.clone().keep());
@@ -166,7 +166,7 @@
         ));
     }
     if let Some(addr) = listen.control {
-        let calls = Rc::new(Calls::new(node.clone()));
+        let calls = Rc::new(ControlApi::new(node.clone()));
         spawn_local(server::serve(
             bind(addr)?,
             calls,
@@ -182,22 +182,22 @@
 fn start_control(node: &Rc<Node>) {
     match &node.voter {
         Some(voter) => {
-            lead_followers(node);
-            spawn_local(follow::follow_others(node.clone(), voter.clone()));
+            serve_followers(node);
+            spawn_local(follow::follow_peers(node.clone(), voter.clone()));
         }
         None => {
-            spawn_local(follow::follow_any(node.clone()));
+            spawn_local(follow::follow_group(node.clone()));
         }
     }
 }
 
 /// Refreshes the targets whenever the registry or the declared state changes.
 async fn refresh_targets(node: Rc<Node>, requests: Rc<Requests>) {
-    let mut people = node.people.watch();
+    let mut people = node.registry.watch();
     let mut declared = node.declared.watch();
     loop {
         requests.targets().refresh();
-        let rows = node.people.present();
+        let rows = node.registry.present();
         let entries = rows
             .iter()
             .filter(|(_, k, _)| matches!(**k, Kind::Entry(_)));
@@ -215,7 +215,7 @@
 /// Takes over the loads of the targets whenever new ones arrive.
 async fn receive_loads(node: Rc<Node>, requests: Rc<Requests>) {
     loop {
-        node.loads.come().await;
+        node.loads.arrived().await;
         requests.targets().report(&node.loads.drain());
     }
 }
@@ -242,7 +242,7 @@
             kind: Some(Kind::Entry(EntryRow {
                 front: front.to_string(),
                 zone: node.settings.node.zone.clone(),
-                leaving: leaving_now || !node.declared.is_known(),
+                leaving: leaving_now || !node.declared.is_loaded(),
                 link: node.settings.node.link.to_string(),
                 holds: held.borrow_and_update().clone(),
             })),
@@ -250,7 +250,7 @@
         match node.register(vec![row.clone()]).await {
             Ok(()) => last_logged = None,
             Err(error) => {
-                if last_logged.is_none_or(|at| at.elapsed() >= EXPLAIN) {
+                if last_logged.is_none_or(|at| at.elapsed() >= EXPLAIN_INTERVAL) {
                     last_logged = Some(Instant::now());
                     info!("own row not registered", kv: { error = error.to_string() });
                 }
@@ -302,7 +302,7 @@
     let voter = node.voter.clone();
     let hand_over_task = spawn_local(async move {
         if let Some(voter) = voter {
-            voter.hand_over().await;
+            voter.transfer_leader().await;
         }
     });
     loop {
--- a/crates/filbertstack-gateway/src/request/mod.rs
+++ b/crates/filbertstack-gateway/src/request/mod.rs
@@ -233,7 +233,7 @@
     ) -> Result<Response<AnswerBody>, Refusal> {
         let arrived_at = Instant::now();
         let in_flight = InFlight::new(&self.in_flight);
-        let waited = !self.node.declared.is_known();
+        let waited = !self.node.declared.is_loaded();
         if waited {
             waiting::wait_declared(self, arrived_at, head.patience).await?;
         }
--- a/crates/filbertstack-gateway/src/request/targets.rs
+++ b/crates/filbertstack-gateway/src/request/targets.rs
@@ -80,7 +80,7 @@
     /// Replaces the targets by those of the current registry and declared state. Of the engines of a large
     /// service, this entry uses only a subset.
     pub fn refresh(&self) {
-        let rows = self.node.people.present();
+        let rows = self.node.registry.present();
         let now = self.node.clock.now();
         let agents: BTreeMap<&str, &AgentRow> = rows
             .iter()
@@ -112,7 +112,9 @@
             offered.push(target);
             endpoints.insert(id.clone(), endpoint);
         }
-        self.node.loads.want(engines.keys().copied().collect());
+        self.node
+            .loads
+            .set_wanted(engines.keys().copied().collect());
         self.dispatcher.borrow_mut().set_targets(offered);
         *self.endpoints.borrow_mut() = endpoints;
         *self.engines.borrow_mut() = engines;
@@ -222,7 +224,10 @@
 
     /// Returns the versions of an engine's weights that were declared, and how long ago.
     fn ages(&self, engine: &EngineModel, now: Millis) -> Vec<(u64, Millis)> {
-        let named = engine.models.first().map(|m| self.node.declared.named(m));
+        let named = engine
+            .models
+            .first()
+            .map(|m| self.node.declared.weight_versions(m));
         let named = named.unwrap_or_default().into_iter();
         let ages = named.map(|named| (named.version, now.since(named.at)));
         ages.collect()
--- a/crates/filbertstack-gateway/src/request/waiting.rs
+++ b/crates/filbertstack-gateway/src/request/waiting.rs
@@ -52,7 +52,7 @@
     let _guard = WaitingGuard::new(&requests.waiting);
     let state = &requests.node.declared;
     let mut changes = state.watch();
-    while !state.is_known() {
+    while !state.is_loaded() {
         let change = timeout_at(wait_until, changes.changed()).await;
         change.map_err(|_| refusal())?.map_err(|_| refusal())?;
     }
