--- a/crates/filbertstack-gateway/src/agent/contents.rs
+++ b/crates/filbertstack-gateway/src/agent/contents.rs
@@ -14,7 +14,7 @@
 use crate::control::node::GroupError;
 use crate::weights;
 use crate::weights::PieceDigest;
-use crate::weights::is_piece;
+use crate::weights::matches_digest;
 
 /// Why it is not known what lies at the engine.
 #[derive(Debug, Error)]
@@ -49,7 +49,7 @@
     pub fn fits(&self, list: &PieceList, number: usize) -> bool {
         let number = u32::try_from(number).unwrap_or(u32::MAX);
         let contents = self.0.get(number as usize).copied().flatten();
-        contents.is_some_and(|digest| is_piece(list, number, &digest))
+        contents.is_some_and(|digest| matches_digest(list, number, &digest))
     }
 
     /// How the pieces of `list` fit.
@@ -88,7 +88,7 @@
         version,
     };
     let list = agent.node.kept_list(upto).await?;
-    Ok(list.map(|list| Rc::new(weights::unpacked(&list))))
+    Ok(list.map(|list| Rc::new(weights::decode_list(&list))))
 }
 
 /// Whether a piece of another version lies where one of `list` should: a put that was carried out late.
--- a/crates/filbertstack-gateway/src/agent/gather.rs
+++ b/crates/filbertstack-gateway/src/agent/gather.rs
@@ -75,7 +75,7 @@
 /// Notes the pieces that lie at the engine from before: from a process that has ended, or from the
 /// time before another version was begun.
 async fn find_staged(agent: &Agent, list: &PieceList) {
-    let missing = (0..weights::count(list)).filter(|number| !agent.stage.has(*number));
+    let missing = (0..weights::piece_count(list)).filter(|number| !agent.stage.has(*number));
     for number in missing.collect::<Vec<_>>() {
         if lies_there(agent, list, number).await {
             agent.stage.put(number);
@@ -87,11 +87,11 @@
 async fn lies_there(agent: &Agent, list: &PieceList, number: u32) -> bool {
     let staged = agent.engine.call(read_staged(&list.weights.model, number));
     let staged = staged.await;
-    staged.is_ok_and(|bytes| weights::fits(list, number, &bytes))
+    staged.is_ok_and(|bytes| weights::matches_bytes(list, number, &bytes))
 }
 
 async fn fetch_missing(agent: &Rc<Agent>, fetch: &Fetch, list: &Rc<PieceList>) -> Got {
-    let order = fetch.layout(list).order(weights::count(list));
+    let order = fetch.layout(list).order(weights::piece_count(list));
     let missing = order.into_iter().filter(|n| !agent.stage.has(*n));
     let mut pieces = stream::iter(missing)
         .map(|number| fetch_one(agent, fetch, list, number))
--- a/crates/filbertstack-gateway/src/agent/inherited.rs
+++ b/crates/filbertstack-gateway/src/agent/inherited.rs
@@ -100,7 +100,7 @@
 
 /// Counts a version as ordered; the pieces of it that do not lie at the engine are missing.
 fn count_as_ordered(agent: &Agent, list: &Rc<PieceList>, made: Progress, contents: &Contents) {
-    let there = (0..weights::count(list)).filter(|n| contents.fits(list, *n as usize));
+    let there = (0..weights::piece_count(list)).filter(|n| contents.fits(list, *n as usize));
     let there: Vec<u32> = there.collect();
     info!("pieces found, may be ordered", kv: {
         version = list.weights.version, bad = list.digests.len() - there.len()
--- a/crates/filbertstack-gateway/src/agent/mod.rs
+++ b/crates/filbertstack-gateway/src/agent/mod.rs
@@ -40,7 +40,7 @@
 use crate::settings::Settings;
 use crate::weights;
 use crate::weights::FIRST_VERSION;
-use crate::weights::GATHERED;
+use crate::weights::LATEST_VERSIONS;
 
 /// Why an agent could not start.
 #[derive(Debug, Error)]
@@ -109,7 +109,7 @@
             versions.push(self.seen(&model).max(FIRST_VERSION));
         }
         // Older ones are gone from the origin.
-        let latest = versions.len().saturating_sub(GATHERED);
+        let latest = versions.len().saturating_sub(LATEST_VERSIONS);
         let holding = |version| Holding {
             model: model.clone(),
             version,
--- a/crates/filbertstack-gateway/src/agent/peers.rs
+++ b/crates/filbertstack-gateway/src/agent/peers.rs
@@ -17,9 +17,9 @@
 use crate::link::messages::PieceName;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
-use crate::weights::holding;
-use crate::weights::manifest;
-use crate::weights::not_here;
+use crate::weights::from_wire;
+use crate::weights::manifest_reply;
+use crate::weights::missing_piece;
 
 /// The most pieces that go out at once: events of live streams wait behind one piece only, 42 ms
 /// on today's links, where callers count those that come 120 ms late.
@@ -41,13 +41,13 @@
     }
 
     async fn piece(&self, name: &PieceName) -> Given {
-        let weights = holding(&name.weights);
+        let weights = from_wire(&name.weights);
         let Ok(slot) = self.uploads.clone().acquire_owned().await else {
-            return not_here().into();
+            return missing_piece().into();
         };
         match self.staged(&weights, name.number).await {
             Some(bytes) => Given::slowly(Reply::Piece(bytes), slot),
-            None => not_here().into(),
+            None => missing_piece().into(),
         }
     }
 
@@ -63,11 +63,11 @@
     fn has(&self, name: &PieceName) -> Reply {
         if self
             .agent
-            .lies_at_engine(&holding(&name.weights), name.number)
+            .lies_at_engine(&from_wire(&name.weights), name.number)
         {
             return Reply::Done(Nothing {});
         }
-        not_here()
+        missing_piece()
     }
 }
 
@@ -77,7 +77,7 @@
             Question::Piece(name) => self.piece(&name).await,
             Question::Has(name) | Question::HasNow(name) => self.has(&name).into(),
             Question::Manifest(weights) => {
-                manifest(self.agent.stage.list(&holding(&weights))).into()
+                manifest_reply(self.agent.stage.list(&from_wire(&weights))).into()
             }
             question => self.agent.node.clone().answer(question).await,
         }
--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -31,7 +31,7 @@
 use crate::agent::visit::Visit;
 use crate::agent::visit::Whole;
 use crate::weights;
-use crate::weights::is_here;
+use crate::weights::is_at_entries;
 
 /// How often it is looked whether the engine serves what it should, beside whenever something
 /// changes: turns to load come with time.
@@ -111,7 +111,7 @@
         let versions: Vec<u64> = needed.iter().map(|weights| weights.version).collect();
         let here = |version: u64| {
             let weights = needed.iter().find(|weights| weights.version == version);
-            weights.is_some_and(|weights| is_here(&agent.node, weights))
+            weights.is_some_and(|weights| is_at_entries(&agent.node, weights))
         };
         let whole = agent.stage.whole().map(|list| list.weights.clone());
         let staged = agent.stage.weights().map(|weights| Staged {
@@ -174,7 +174,7 @@
     let named = agent.node.declared.named(&weights.model);
     let named = named.iter().find(|named| named.version == weights.version);
     let lately = named.is_some_and(|named| now.since(named.at) < ON_ITS_WAY);
-    lately || is_here(&agent.node, weights)
+    lately || is_at_entries(&agent.node, weights)
 }
 
 async fn bring(agent: &Agent, list: &PieceList) {
--- a/crates/filbertstack-gateway/src/agent/stage.rs
+++ b/crates/filbertstack-gateway/src/agent/stage.rs
@@ -16,7 +16,7 @@
 use tokio::sync::Notify;
 
 use crate::agent::visit::Progress;
-use crate::weights::count;
+use crate::weights::piece_count;
 
 new_key_type! {
     /// Names a put whose outcome is not known.
@@ -76,7 +76,7 @@
 
 impl Staged {
     fn is_whole(&self) -> bool {
-        self.there.len() == count(&self.list) as usize
+        self.there.len() == piece_count(&self.list) as usize
     }
 }
 
--- a/crates/filbertstack-gateway/src/agent/visit.rs
+++ b/crates/filbertstack-gateway/src/agent/visit.rs
@@ -126,9 +126,9 @@
     /// [`VisitError`]; then it is not known what lies there.
     pub async fn read_back(mut self, list: &PieceList) -> Result<Found, VisitError> {
         let mut bad = Vec::new();
-        for number in 0..weights::count(list) {
+        for number in 0..weights::piece_count(list) {
             let contents = self.read_place(&list.weights.model, number).await?;
-            if !contents.is_some_and(|digest| weights::is_piece(list, number, &digest)) {
+            if !contents.is_some_and(|digest| weights::matches_digest(list, number, &digest)) {
                 bad.push(number);
             }
         }
--- a/crates/filbertstack-gateway/src/weights/cache.rs
+++ b/crates/filbertstack-gateway/src/weights/cache.rs
@@ -1,4 +1,4 @@
-//! The pieces of weights that an entry keeps for others.
+//! Keeps the pieces of weights that an entry serves to other nodes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -28,70 +28,70 @@
 use crate::link::messages::Reply;
 use crate::weights;
 use crate::weights::FIRST_VERSION;
-use crate::weights::GATHERED;
-use crate::weights::stock::Stock;
+use crate::weights::LATEST_VERSIONS;
+use crate::weights::piece_set::PieceSet;
 
-/// How long a node that has a piece under way lets others wait for it, before it says that the
+/// A node that is fetching a piece lets other nodes wait for it for this long, before it replies that the
 /// piece is not there yet.
 pub const OWNER_WAIT: Duration = Duration::from_millis(700);
 
-/// How often it is looked which pieces should be here.
-const LOOK: Duration = Duration::from_millis(200);
+/// The cache checks at this interval which pieces it should hold.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The most pieces that go out at once: a frame of each is held until it has gone out, 0.4 MB in
-/// all today.
-const UPLOADS: usize = 8;
+/// At most this many pieces are sent at once: a frame of each is held in memory until it has been sent, 0.4
+/// MB in all today.
+const MAX_UPLOADS: usize = 8;
 
-/// The pieces that an entry keeps.
+/// `Cache` holds the pieces that an entry keeps.
 pub struct Cache {
     node: Rc<Node>,
     own: Arc<str>,
-    stocks: RefCell<Vec<Rc<Stock>>>,
-    /// The versions of which all pieces that this entry asks the origin for are here.
+    sets: RefCell<Vec<Rc<PieceSet>>>,
+    /// The versions of which the entry has all pieces that it asks the origin for.
     held: watch::Sender<Vec<Weights>>,
     uploads: Arc<Semaphore>,
 }
 
 impl Cache {
-    /// An empty cache of the entry with the id `own`.
+    /// Creates an empty cache of the entry with the id `own`.
     pub fn new(node: Rc<Node>, own: &str) -> Self {
         Self {
             node,
             own: own.into(),
-            stocks: RefCell::default(),
+            sets: RefCell::default(),
             held: watch::channel(Vec::new()).0,
-            uploads: Arc::new(Semaphore::new(UPLOADS)),
+            uploads: Arc::new(Semaphore::new(MAX_UPLOADS)),
         }
     }
 
-    /// The versions that are here, as far as this entry is their source; told as they change.
+    /// Returns a receiver of the versions of which the entry has its share, notified as they change.
     pub fn held(&self) -> watch::Receiver<Vec<Weights>> {
         self.held.subscribe()
     }
 
-    /// Gathers what this entry should keep, until the process ends.
+    /// Fetches the pieces that this entry should keep, until the process ends.
     pub async fn keep(self: Rc<Self>) {
         let mut declared = self.node.declared.watch();
         loop {
             for weights in self.needed() {
-                if let Some(stock) = self.stock(&weights) {
-                    stock.gather();
+                if let Some(set) = self.piece_set(&weights) {
+                    set.gather();
                 }
             }
-            self.look_after();
+            self.update_sets();
             tokio::select! {
                 _ = declared.changed() => {}
-                () = sleep(LOOK) => {}
+                () = sleep(CHECK_INTERVAL) => {}
             }
         }
     }
 
-    /// The latest versions that some engine does not serve yet.
+    /// Returns the latest versions that some engine does not serve yet.
     fn needed(&self) -> Vec<Holding> {
         let agents = weights::agents(&self.node);
         let mut needed = Vec::new();
         for (model, named) in self.node.declared.all_named() {
-            let latest = named.len().saturating_sub(GATHERED);
+            let latest = named.len().saturating_sub(LATEST_VERSIONS);
             for named in &named[latest..] {
                 let lacks = |row: &str, version| {
                     row.is_empty() || (row == &*model && version < named.version)
@@ -107,57 +107,57 @@
         needed
     }
 
-    /// Brings stocks into line with each other, and tells what is whole.
-    fn look_after(&self) {
-        self.drop_spoilt();
-        self.yield_to_each_other();
-        self.tell_held();
+    /// Updates the piece sets, and publishes which versions the entry holds.
+    fn update_sets(&self) {
+        self.drop_mismatched();
+        self.share_origin();
+        self.publish_held();
     }
 
-    fn drop_spoilt(&self) {
-        self.retain(|stock| {
-            if stock.is_spoilt() {
-                warn!("pieces do not fit their list, which is fetched again",
-                    kv: { version = stock.version() });
+    fn drop_mismatched(&self) {
+        self.retain(|set| {
+            if set.is_mismatched() {
+                warn!("pieces do not match their list, fetching the list again",
+                    kv: { version = set.version() });
             }
-            !stock.is_spoilt()
+            !set.is_mismatched()
         });
     }
 
-    /// Ends the stocks that are not to be kept.
-    fn retain(&self, keep: impl Fn(&Stock) -> bool) {
-        self.stocks.borrow_mut().retain(|stock| {
-            let kept = keep(stock);
+    /// Stops and removes the piece sets for which `keep` returns false.
+    fn retain(&self, keep: impl Fn(&PieceSet) -> bool) {
+        self.sets.borrow_mut().retain(|set| {
+            let kept = keep(set);
             if !kept {
-                stock.stop();
+                set.stop();
             }
             kept
         });
     }
 
     /// Leaves the origin to one of two versions of a model.
-    fn yield_to_each_other(&self) {
-        let stocks = self.stocks.borrow();
-        let mut waiting: Vec<bool> = vec![false; stocks.len()];
-        for (o, older) in stocks.iter().enumerate() {
-            for (n, newer) in stocks.iter().enumerate() {
+    fn share_origin(&self) {
+        let sets = self.sets.borrow();
+        let mut paused: Vec<bool> = vec![false; sets.len()];
+        for (o, older) in sets.iter().enumerate() {
+            for (n, newer) in sets.iter().enumerate() {
                 if !newer.is_newer(older) {
                     continue;
                 }
                 let ages = (self.age(older.weights()), self.age(newer.weights()));
-                match pieces::yields(ages.0, ages.1, older.is_held(), newer.is_moving()) {
-                    Yields::Older => waiting[o] = true,
-                    Yields::Newer => waiting[n] = true,
+                match pieces::yields(ages.0, ages.1, older.has_share(), newer.is_progressing()) {
+                    Yields::Older => paused[o] = true,
+                    Yields::Newer => paused[n] = true,
                     Yields::None => {}
                 }
             }
         }
-        for (stock, waits) in stocks.iter().zip(waiting) {
-            stock.set_yields(waits);
+        for (set, pauses) in sets.iter().zip(paused) {
+            set.set_origin_paused(pauses);
         }
     }
 
-    /// How long ago a version was named; as long as can be for one that never was.
+    /// Returns how long ago a version was named; the maximum for one that never was.
     fn age(&self, weights: &Holding) -> Millis {
         let named = self.node.declared.named(&weights.model);
         let named = named.iter().find(|named| named.version == weights.version);
@@ -165,58 +165,58 @@
         named.map_or(Millis(u64::MAX), |named| now.since(named.at))
     }
 
-    fn tell_held(&self) {
-        let stocks = self.stocks.borrow();
-        let held = stocks.iter().filter(|stock| stock.is_held());
-        let held = held.map(|stock| weights::wire_name(stock.weights()));
+    fn publish_held(&self) {
+        let sets = self.sets.borrow();
+        let held = sets.iter().filter(|set| set.has_share());
+        let held = held.map(|set| weights::to_wire(set.weights()));
         let held: Vec<Weights> = held.collect();
         self.held.send_if_modified(|before| {
             let changed = *before != held;
             if changed {
-                info!("pieces kept", kv: { versions = held.len() });
+                info!("versions held", kv: { versions = held.len() });
                 *before = held;
             }
             changed
         });
     }
 
-    /// The stock of `weights`, begun if it is one that may be asked for. The newest two are kept:
-    /// nobody may be brought to an older one, and the origin keeps no more.
-    fn stock(&self, weights: &Holding) -> Option<Rc<Stock>> {
-        let begun = self.find(weights);
-        if begun.is_some() || !self.may_be_asked(weights) {
-            return begun;
+    /// Returns the piece set of `weights`, and creates it if the version may be asked for. The cache keeps
+    /// the newest two: no engine may be moved to an older version, and the origin keeps no more.
+    fn piece_set(&self, weights: &Holding) -> Option<Rc<PieceSet>> {
+        let existing = self.find(weights);
+        if existing.is_some() || !self.is_known(weights) {
+            return existing;
         }
         let oldest = self.oldest_kept(weights);
         if weights.version < oldest {
             return None;
         }
-        self.retain(|stock| stock.weights().model != weights.model || stock.version() >= oldest);
-        info!("pieces are gathered", kv: { version = weights.version });
-        let stock = Stock::begin(self.node.clone(), &self.own, weights.clone());
-        self.stocks.borrow_mut().push(stock.clone());
-        Some(stock)
+        self.retain(|set| set.weights().model != weights.model || set.version() >= oldest);
+        info!("fetching pieces", kv: { version = weights.version });
+        let set = PieceSet::begin(self.node.clone(), &self.own, weights.clone());
+        self.sets.borrow_mut().push(set.clone());
+        Some(set)
     }
 
-    fn find(&self, weights: &Holding) -> Option<Rc<Stock>> {
-        let stocks = self.stocks.borrow();
-        let mut found = stocks.iter().filter(|stock| stock.weights() == weights);
+    fn find(&self, weights: &Holding) -> Option<Rc<PieceSet>> {
+        let sets = self.sets.borrow();
+        let mut found = sets.iter().filter(|set| set.weights() == weights);
         found.next().cloned()
     }
 
-    /// The oldest version of the model that is kept once `weights` are.
+    /// Returns the oldest version of the model that the cache keeps once it keeps `weights`.
     fn oldest_kept(&self, weights: &Holding) -> u64 {
-        let stocks = self.stocks.borrow();
-        let same = stocks.iter().filter(|s| s.weights().model == weights.model);
-        let mut versions: Vec<u64> = same.map(|stock| stock.version()).collect();
+        let sets = self.sets.borrow();
+        let same = sets.iter().filter(|s| s.weights().model == weights.model);
+        let mut versions: Vec<u64> = same.map(|set| set.version()).collect();
         versions.push(weights.version);
         versions.sort_unstable();
-        versions[versions.len().saturating_sub(GATHERED)]
+        versions[versions.len().saturating_sub(LATEST_VERSIONS)]
     }
 
-    /// Whether a version is one that was named or that an engine serves, so that nobody fills the
-    /// memory with others.
-    fn may_be_asked(&self, weights: &Holding) -> bool {
+    /// Returns whether a version was named or is served by an engine, so that no node can fill the memory
+    /// with others.
+    fn is_known(&self, weights: &Holding) -> bool {
         let declared = &self.node.declared;
         let named = declared.named(&weights.model);
         let agents = weights::agents(&self.node);
@@ -228,41 +228,42 @@
     }
 
     async fn piece(&self, name: &PieceName) -> Given {
-        let stock = self.stock(&weights::holding(&name.weights));
-        let found = stock.and_then(|stock| stock.piece(name.number));
+        let set = self.piece_set(&weights::from_wire(&name.weights));
+        let found = set.and_then(|set| set.piece(name.number));
         let slot = self.uploads.clone().acquire_owned().await;
         match found.zip(slot.ok()) {
             Some((bytes, slot)) => Given::slowly(Reply::Piece(bytes), slot),
-            None => weights::not_here().into(),
+            None => weights::missing_piece().into(),
         }
     }
 
-    /// Whether a piece is here or comes within `wait`. One that is not here is fetched.
+    /// Returns whether the entry has a piece or receives it within `wait`. It fetches one that it does not
+    /// have.
     async fn has(&self, name: &PieceName, wait: Duration) -> Reply {
-        let Some(stock) = self.stock(&weights::holding(&name.weights)) else {
-            return weights::not_here();
+        let Some(set) = self.piece_set(&weights::from_wire(&name.weights)) else {
+            return weights::missing_piece();
         };
-        match timeout(wait, stock.await_piece(name.number)).await {
+        match timeout(wait, set.await_piece(name.number)).await {
             Ok(true) => Reply::Done(Nothing {}),
-            Ok(false) | Err(_) => weights::not_here(),
+            Ok(false) | Err(_) => weights::missing_piece(),
         }
     }
 
     fn has_now(&self, name: &PieceName) -> Reply {
-        let stock = self.stock(&weights::holding(&name.weights));
-        if stock.is_some_and(|stock| stock.piece(name.number).is_some()) {
+        let set = self.piece_set(&weights::from_wire(&name.weights));
+        if set.is_some_and(|set| set.piece(name.number).is_some()) {
             return Reply::Done(Nothing {});
         }
-        weights::not_here()
+        weights::missing_piece()
     }
 
-    /// The list of a version's pieces, if it is here or comes within `wait`.
+    /// Returns the list of pieces of a version, if the entry has it or receives it within `wait`.
     async fn manifest(&self, named: &Weights, wait: Duration) -> Reply {
-        let Some(stock) = self.stock(&weights::holding(named)) else {
+        let Some(set) = self.piece_set(&weights::from_wire(named)) else {
             return Reply::NotKept(Nothing {});
         };
-        let list = timeout(wait, stock.await_list()).await;
-        weights::manifest(list.ok().flatten())
+        let list = timeout(wait, set.await_list()).await;
+        weights::manifest_reply(list.ok().flatten())
     }
 }
 
--- a/crates/filbertstack-gateway/src/weights/fetch.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch.rs
@@ -1,4 +1,4 @@
-//! Getting the pieces of one version from other nodes and from the origin.
+//! Fetches the pieces of one version from other nodes and from the origin.
 
 mod list;
 
@@ -33,47 +33,47 @@
 use crate::weights;
 use crate::weights::cache::OWNER_WAIT;
 
-/// How long a node may take for a piece, beside live requests on a narrow link.
-const PEER: Duration = Duration::from_millis(2_500);
+/// A node may take this long to send a piece, beside live requests on a narrow link.
+const PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long a node may send nothing at all while it is asked for pieces. One that gets on sends
-/// a piece to somebody each 50 ms, and its turns go round.
-const PEER_SILENT: Duration = Duration::from_millis(1_200);
+/// A node that is asked for pieces may send nothing for this long. One that progresses sends a piece to some
+/// node every 50 ms, and serves the nodes in turn.
+const PEER_SILENCE: Duration = Duration::from_millis(1_200);
 
-/// How long a node may take to say whether it has a piece: what it lets others wait, and the
-/// way.
-const HAS: Duration = OWNER_WAIT.saturating_add(Duration::from_millis(400));
+/// A node may take this long to answer whether it has a piece: the time for which it lets others wait, and
+/// the transfer time.
+const HAS_TIMEOUT: Duration = OWNER_WAIT.saturating_add(Duration::from_millis(400));
 
-/// How long an owner may take to say whether it has a piece now. One that is frozen has nothing
-/// to give, and the origin may be gone soon.
-const HAS_NOW: Duration = Duration::from_millis(300);
+/// An owner may take this long to answer whether it has a piece now. A frozen owner has nothing to send, and
+/// the origin may fail soon.
+const HAS_NOW_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The pause after a node that has a piece did not give it.
-const HAS_AGAIN: Duration = Duration::from_millis(300);
+/// The fetch pauses for this time after a node that has a piece did not send it.
+const HOLDER_RETRY: Duration = Duration::from_millis(300);
 
-/// How many pieces one node fetches from the origin at once: all nodes together fill its link, and
+/// One node fetches at most this many pieces from the origin at once: all nodes together fill its link, and
 /// an agent that asks, as no entry could, does so beside its callers' events.
-const ORIGIN_DOWNLOADS: usize = 1;
+const MAX_ORIGIN_DOWNLOADS: usize = 1;
 
-/// For how long a node that let a question time out is asked for nothing else: it is frozen or
-/// its link is narrow, and others have what it has.
-const PASSED_OVER: Duration = Duration::from_secs(2);
+/// A node that let a question time out is asked for nothing else for this long: it is frozen or its link is
+/// narrow, and other nodes have the same pieces.
+const SLOW_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How long the origin may take for a piece while all owners ask at once: a copy of all pieces
-/// takes its link a second or two.
-const ORIGIN: Duration = Duration::from_millis(2_500);
+/// The origin may take this long to send a piece while all owners ask at once: a copy of all pieces takes its
+/// link a second or two.
+const ORIGIN_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// The pause before sources are asked again that all failed.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The fetch pauses for this time after all sources have failed.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// For how long the layout of the nodes is kept: ranking them for each of some dozen pieces and
-/// rounds took an agent's whole share of a core at 65 agents.
-const LAYOUT: Duration = Duration::from_millis(400);
+/// The layout of the nodes is reused for this long: ranking them for each of some dozen pieces and rounds
+/// took an agent's whole share of a core at 65 agents.
+const LAYOUT_AGE: Duration = Duration::from_millis(400);
 
-/// After how many wrong bytes for one piece the list itself is doubted and fetched again.
-const WRONG: u32 = 4;
+/// After this many mismatches of one piece the list itself is considered wrong and fetched again.
+const MAX_MISMATCHES: u32 = 4;
 
-/// One node's fetch of one version.
+/// `Fetch` fetches one version for one node.
 pub struct Fetch {
     node: Rc<Node>,
     own: Arc<str>,
@@ -82,82 +82,82 @@
     slow: RefCell<BTreeMap<Arc<str>, Instant>>,
     layout: RefCell<Option<(Rc<Layout>, Instant)>>,
     origin_slots: Semaphore,
-    /// Whether the origin is left to a newer version.
-    yields: Cell<bool>,
+    /// Whether the origin is left to another version.
+    origin_paused: Cell<bool>,
     window: RefCell<Window>,
-    under_way: Cell<u32>,
-    freed: Notify,
+    downloads: Cell<u32>,
+    slot_freed: Notify,
 }
 
-/// What nodes said that were asked for a piece.
-struct Asked {
-    /// One that has it, and where.
-    has: Option<(Arc<str>, SocketAddr)>,
+/// `Availability` is the answer of the nodes that were asked whether they have a piece.
+struct Availability {
+    /// A node that has it, and its address.
+    holder: Option<(Arc<str>, SocketAddr)>,
     /// Whether any of them answered.
     answered: bool,
 }
 
-/// A piece that is under way to this node.
+/// `Slot` counts one piece that is being downloaded to this node.
 struct Slot<'a>(&'a Fetch);
 
 impl<'a> Slot<'a> {
-    async fn take(fetch: &'a Fetch) -> Self {
-        while fetch.under_way.get() >= fetch.window.borrow().size() {
-            fetch.freed.notified().await;
+    async fn acquire(fetch: &'a Fetch) -> Self {
+        while fetch.downloads.get() >= fetch.window.borrow().size() {
+            fetch.slot_freed.notified().await;
         }
-        fetch.under_way.set(fetch.under_way.get() + 1);
+        fetch.downloads.set(fetch.downloads.get() + 1);
         Self(fetch)
     }
 }
 
 impl Drop for Slot<'_> {
     fn drop(&mut self) {
-        self.0.under_way.set(self.0.under_way.get() - 1);
-        self.0.freed.notify_waiters();
+        self.0.downloads.set(self.0.downloads.get() - 1);
+        self.0.slot_freed.notify_waiters();
     }
 }
 
 impl Fetch {
-    /// A fetch of `weights` for the node with the id `own`, with at most `most` pieces under way
+    /// Creates a fetch of `weights` for the node with the id `own`, with at most `limit` pieces downloaded
     /// from other nodes at once.
-    pub fn new(node: Rc<Node>, own: &str, weights: Holding, most: u32) -> Self {
+    pub fn new(node: Rc<Node>, own: &str, weights: Holding, limit: u32) -> Self {
         Self {
             node,
             own: own.into(),
             weights,
             slow: RefCell::default(),
             layout: RefCell::default(),
-            origin_slots: Semaphore::new(ORIGIN_DOWNLOADS),
-            yields: Cell::new(false),
-            window: RefCell::new(Window::new(most)),
-            under_way: Cell::new(0),
-            freed: Notify::new(),
+            origin_slots: Semaphore::new(MAX_ORIGIN_DOWNLOADS),
+            origin_paused: Cell::new(false),
+            window: RefCell::new(Window::new(limit)),
+            downloads: Cell::new(0),
+            slot_freed: Notify::new(),
         }
     }
 
-    /// The version that is fetched.
+    /// Returns the version that is fetched.
     pub fn weights(&self) -> &Holding {
         &self.weights
     }
 
-    /// Leaves the origin to a newer version, or takes it back. Both at once would slow each other,
-    /// and bring every engine to two versions one after the other.
-    pub fn set_yields(&self, yields: bool) {
-        self.yields.set(yields);
+    /// Sets whether the origin is left to another version. Fetching both at once would slow down each, and
+    /// move every engine to two versions one after the other.
+    pub fn set_origin_paused(&self, origin_paused: bool) {
+        self.origin_paused.set(origin_paused);
     }
 
-    /// The layout of the nodes that are there, worked out anew from time to time.
+    /// Returns the layout of the present nodes, which is recomputed from time to time.
     pub fn layout(&self, list: &PieceList) -> Rc<Layout> {
         let kept = self.layout.borrow().clone();
-        if let Some((layout, _)) = kept.filter(|(_, at)| at.elapsed() < LAYOUT) {
+        if let Some((layout, _)) = kept.filter(|(_, at)| at.elapsed() < LAYOUT_AGE) {
             return layout;
         }
-        let layout = self.layout_of(weights::count(list));
+        let layout = self.new_layout(weights::piece_count(list));
         *self.layout.borrow_mut() = Some((layout.clone(), Instant::now()));
         layout
     }
 
-    fn layout_of(&self, pieces: u32) -> Rc<Layout> {
+    fn new_layout(&self, pieces: u32) -> Rc<Layout> {
         Rc::new(weights::layout(
             &self.node,
             &self.own,
@@ -166,8 +166,8 @@
         ))
     }
 
-    /// Fetches one piece from other nodes and, when it may be asked, from the origin at the same
-    /// time; `None` if what comes never fits the list.
+    /// Fetches one piece from other nodes and, when it may be asked, from the origin at the same time.
+    /// Returns `None` if the received bytes repeatedly do not match the list.
     pub async fn piece(&self, list: &PieceList, number: u32) -> Option<Bytes> {
         let began = Instant::now();
         tokio::select! {
@@ -178,153 +178,169 @@
 
     async fn ask_peers(&self, list: &PieceList, number: u32, began: Instant) -> Bytes {
         loop {
-            for id in self.asked(list, number, began) {
+            for id in self.nodes_to_ask(list, number, began) {
                 let bytes = self.ask_peer(number, &id).await;
-                if let Some(bytes) = bytes.filter(|bytes| weights::fits(list, number, bytes)) {
+                if let Some(bytes) =
+                    bytes.filter(|bytes| weights::matches_bytes(list, number, bytes))
+                {
                     return bytes;
                 }
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    /// The nodes to ask for a piece now.
-    fn asked(&self, list: &PieceList, number: u32, began: Instant) -> Vec<Arc<str>> {
+    /// Returns the nodes to ask for a piece now.
+    fn nodes_to_ask(&self, list: &PieceList, number: u32, began: Instant) -> Vec<Arc<str>> {
         let plan = self.layout(list).plan(number);
         let spent = Millis::from(began.elapsed());
-        let mut asked = plan.near;
-        asked.retain(|id| !self.is_slow(id));
-        if asked.is_empty() || spent >= plan.far_after {
-            asked.extend(plan.far.into_iter().filter(|id| !self.is_slow(id)));
+        let mut nodes = plan.near;
+        nodes.retain(|id| !self.is_slow(id));
+        if nodes.is_empty() || spent >= plan.far_after {
+            nodes.extend(plan.far.into_iter().filter(|id| !self.is_slow(id)));
         }
-        asked
+        nodes
     }
 
     fn is_slow(&self, id: &str) -> bool {
         let slow = self.slow.borrow();
-        slow.get(id).is_some_and(|at| at.elapsed() < PASSED_OVER)
+        slow.get(id).is_some_and(|at| at.elapsed() < SLOW_BACKOFF)
     }
 
-    fn pass_over(&self, id: &Arc<str>) {
+    fn mark_slow(&self, id: &Arc<str>) {
         self.slow.borrow_mut().insert(id.clone(), Instant::now());
     }
 
-    fn name(&self, number: u32) -> PieceName {
+    fn piece_name(&self, number: u32) -> PieceName {
         PieceName {
-            weights: weights::wire_name(&self.weights),
+            weights: weights::to_wire(&self.weights),
             number,
         }
     }
 
     async fn ask_peer(&self, number: u32, id: &Arc<str>) -> Option<Bytes> {
-        let place = weights::place(&self.node, id)?;
-        let name = self.name(number);
+        let addr = weights::link_addr(&self.node, id)?;
+        let name = self.piece_name(number);
         let dialer = &self.node.dialer;
-        let has = dialer.ask(place, Question::Has(name), HAS).await;
+        let has = dialer.ask(addr, Question::Has(name), HAS_TIMEOUT).await;
         if let Err(error) = has {
             if !matches!(error, LinkError::Failed(_)) {
-                self.pass_over(id);
+                self.mark_slow(id);
             }
             return None;
         }
-        self.take_piece(number, id, place).await
+        self.download(number, id, addr).await
     }
 
-    async fn take_piece(&self, number: u32, id: &Arc<str>, place: SocketAddr) -> Option<Bytes> {
-        let _slot = Slot::take(self).await;
-        let asked = self.node.clock.now();
-        let question = Question::Piece(self.name(number));
+    async fn download(&self, number: u32, id: &Arc<str>, addr: SocketAddr) -> Option<Bytes> {
+        let _slot = Slot::acquire(self).await;
+        let asked_at = self.node.clock.now();
+        let question = Question::Piece(self.piece_name(number));
         let dialer = &self.node.dialer;
         match dialer
-            .ask_patiently(place, question, PEER, PEER_SILENT)
+            .ask_patiently(addr, question, PEER_TIMEOUT, PEER_SILENCE)
             .await
         {
             Ok(Reply::Piece(bytes)) => {
                 let now = self.node.clock.now();
-                self.window.borrow_mut().arrived(asked, now);
+                self.window.borrow_mut().arrived(asked_at, now);
                 Some(bytes)
             }
             Err(LinkError::Timeout | LinkError::Broken { .. }) => {
                 self.window.borrow_mut().stalled();
-                self.pass_over(id);
+                self.mark_slow(id);
                 None
             }
             _ => None,
         }
     }
 
-    /// Which of `nodes` has the piece now: then it comes from there, and the origin's link is left to
-    /// those pieces that nobody has.
-    async fn who_has(&self, number: u32, nodes: &[Arc<str>]) -> Asked {
-        let asked = nodes.iter().filter(|id| !self.is_slow(id));
-        let asked = asked.map(|id| async move {
-            let place = weights::place(&self.node, id)?;
-            let question = Question::HasNow(self.name(number));
-            match self.node.dialer.ask(place, question, HAS_NOW).await {
-                Ok(_) => Some(Some((id.clone(), place))),
+    /// Asks which of `nodes` has the piece now. The piece is then fetched from that node, and the origin's
+    /// link is left to the pieces that no node has.
+    async fn find_holder(&self, number: u32, nodes: &[Arc<str>]) -> Availability {
+        let questions = nodes.iter().filter(|id| !self.is_slow(id));
+        let questions = questions.map(|id| async move {
+            let addr = weights::link_addr(&self.node, id)?;
+            let question = Question::HasNow(self.piece_name(number));
+            match self.node.dialer.ask(addr, question, HAS_NOW_TIMEOUT).await {
+                Ok(_) => Some(Some((id.clone(), addr))),
                 Err(LinkError::Failed(_)) => Some(None),
                 Err(_) => {
-                    self.pass_over(id);
+                    self.mark_slow(id);
                     None
                 }
             }
         });
-        let answers = futures_util::future::join_all(asked).await;
+        let answers = futures_util::future::join_all(questions).await;
         let answers: Vec<_> = answers.into_iter().flatten().collect();
-        Asked {
+        Availability {
             answered: !answers.is_empty(),
-            has: answers.into_iter().flatten().next(),
+            holder: answers.into_iter().flatten().next(),
         }
     }
 
-    /// The piece from the origin; `None` when what came was wrong too often.
+    /// Fetches a piece from the origin; returns `None` when the received bytes were wrong too often.
     async fn ask_origin(&self, list: &PieceList, number: u32, began: Instant) -> Option<Bytes> {
-        let mut wrong = 0;
-        while wrong < WRONG {
+        let mut mismatches = 0;
+        while mismatches < MAX_MISMATCHES {
             let plan = self.layout(list).plan(number);
             let after = Duration::from(plan.origin_after);
             let spent = began.elapsed();
-            if spent < after || self.yields.get() {
-                sleep(after.saturating_sub(spent).clamp(PAUSE / 2, PAUSE)).await;
+            if spent < after || self.origin_paused.get() {
+                sleep(
+                    after
+                        .saturating_sub(spent)
+                        .clamp(RETRY_DELAY / 2, RETRY_DELAY),
+                )
+                .await;
                 continue;
             }
-            let asked = self.who_has(number, &plan.before).await;
-            if let Some((id, place)) = asked.has {
-                let bytes = self.take_piece(number, &id, place).await;
-                if let Some(bytes) = bytes.filter(|bytes| weights::fits(list, number, bytes)) {
+            let availability = self.find_holder(number, &plan.before).await;
+            if let Some((id, addr)) = availability.holder {
+                let bytes = self.download(number, &id, addr).await;
+                if let Some(bytes) =
+                    bytes.filter(|bytes| weights::matches_bytes(list, number, bytes))
+                {
                     return Some(bytes);
                 }
-                sleep(HAS_AGAIN).await;
+                sleep(HOLDER_RETRY).await;
                 continue;
             }
             let part = self.layout(list).part(number);
-            if !asks_origin(part, asked.answered, Millis::from(began.elapsed())) {
-                sleep(HAS_AGAIN).await;
+            if !asks_origin(part, availability.answered, Millis::from(began.elapsed())) {
+                sleep(HOLDER_RETRY).await;
                 continue;
             }
             let Ok(slot) = self.origin_slots.acquire().await else {
                 return None;
             };
-            if self.yields.get() {
+            if self.origin_paused.get() {
                 continue;
             }
-            let fetched = self.piece_of_origin(list, number).await;
+            let fetched = self.piece_from_origin(list, number).await;
             drop(slot);
             if let Some(bytes) = fetched {
-                if weights::fits(list, number, &bytes) {
+                if weights::matches_bytes(list, number, &bytes) {
                     return Some(bytes);
                 }
-                wrong += 1;
-                info!("piece of the origin is wrong", kv: { number = number });
+                mismatches += 1;
+                info!("piece from the origin does not match its digest", kv: { number = number });
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
         None
     }
 
-    async fn piece_of_origin(&self, list: &PieceList, number: u32) -> Option<Bytes> {
+    async fn piece_from_origin(&self, list: &PieceList, number: u32) -> Option<Bytes> {
         let outgoing = ask_piece(&self.weights, number);
-        match call(self.origin()?, outgoing, list.bytes as usize, ORIGIN).await {
+        match call(
+            self.origin()?,
+            outgoing,
+            list.bytes as usize,
+            ORIGIN_TIMEOUT,
+        )
+        .await
+        {
             Ok(bytes) => Some(bytes),
             Err(error) => {
                 info!("piece not fetched from the origin",
--- a/crates/filbertstack-gateway/src/weights/fetch/list.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch/list.rs
@@ -1,4 +1,4 @@
-//! Getting the list of a version's pieces, and having the voters keep it.
+//! Fetches the list of a version's pieces, and has the voters keep it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,155 +18,155 @@
 use tokio::time::sleep;
 
 use super::Fetch;
-use super::HAS;
-use super::PAUSE;
+use super::HAS_TIMEOUT;
+use super::RETRY_DELAY;
 use crate::client::call;
 use crate::link::LinkError;
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
 use crate::weights;
 
-/// How long the origin may take for a list of pieces: it is short.
-const ORIGIN: Duration = Duration::from_millis(800);
+/// The origin may take this long to send a list of pieces, which is short.
+const ORIGIN_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The longest list of pieces, in bytes: those of some thousand pieces.
-const LONGEST: usize = 1 << 20;
+/// A list of pieces has at most this many bytes, enough for some thousand pieces.
+const MAX_LIST: usize = 1 << 20;
 
-/// The pause before the voters are asked again to keep a list.
-const KEEP_AGAIN: Duration = Duration::from_millis(300);
+/// The fetch pauses for this time before it asks the voters again to keep a list.
+const KEEP_RETRY: Duration = Duration::from_millis(300);
 
-/// What a node said that was asked for the list of pieces.
-enum Listed {
-    /// The list.
-    Here(PieceList),
-    /// It does not have it yet.
-    NotHere,
-    /// It will not have it, or said nothing in time.
-    Never,
+/// `ListAnswer` is the answer of a node that was asked for the list of pieces.
+enum ListAnswer {
+    /// The node returned the list.
+    Known(PieceList),
+    /// The node does not have the list yet.
+    NotYet,
+    /// The node will not have the list, or did not answer in time.
+    Unavailable,
 }
 
 impl Fetch {
-    /// The list of the version's pieces, asked for until it comes. As with a piece, one node asks the
-    /// origin and the others ask each other: hundreds of lists would take the narrow link from the
-    /// pieces. A version that entries no longer keep is asked of the origin by whoever needs its list.
+    /// Returns the list of the version's pieces, and asks for it until it arrives. As with a piece, one node
+    /// asks the origin and the others ask each other: hundreds of lists would take the narrow link from the
+    /// pieces. If the entries no longer keep the version, each node that needs its list asks the origin.
     ///
-    /// Whatever comes is kept by the voters: an engine is ordered to load nothing that an agent which
-    /// starts later, when all processes have lost their memory, would not recognize.
+    /// The voters keep every list before it is used: an agent that starts after all processes have lost their
+    /// memory must recognise every version that an engine was ordered to load.
     pub async fn list(&self) -> PieceList {
         let began = Instant::now();
         loop {
-            let layout = self.layout_of(1);
+            let layout = self.new_layout(1);
             if layout.leads(0)
-                && let Some(list) = self.list_of_origin().await
+                && let Some(list) = self.list_from_origin().await
             {
-                return self.kept(list).await;
+                return self.keep(list).await;
             }
             let plan = layout.plan(0);
             let mut answered = false;
             for id in plan.near.iter().chain(&plan.before).chain(&plan.far) {
-                match self.list_of_peer(id).await {
-                    Listed::Here(list) => return list,
-                    Listed::NotHere => answered |= plan.before.contains(id),
-                    Listed::Never => {}
+                match self.list_from_peer(id).await {
+                    ListAnswer::Known(list) => return list,
+                    ListAnswer::NotYet => answered |= plan.before.contains(id),
+                    ListAnswer::Unavailable => {}
                 }
             }
             let part = layout.part(0);
             if part != Part::Leads
                 && asks_origin(part, answered, Millis::from(began.elapsed()))
-                && let Some(list) = self.list_of_origin().await
+                && let Some(list) = self.list_from_origin().await
             {
-                return self.kept(list).await;
+                return self.keep(list).await;
             }
-            if let Some(list) = self.list_of_voters().await {
+            if let Some(list) = self.list_from_voters().await {
                 return list;
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Whether this node is the one that asks the origin for the list.
+    /// Returns whether this node is the one that asks the origin for the list.
     pub fn leads_list(&self) -> bool {
-        self.layout_of(1).leads(0)
+        self.new_layout(1).leads(0)
     }
 
-    /// Has the voters keep the list, if the origin gives it. Tells whether they do.
+    /// Has the voters keep the list, if the origin returns it. Returns whether they keep it.
     pub async fn keep_list(&self) -> bool {
-        if self.list_of_voters().await.is_some() {
+        if self.list_from_voters().await.is_some() {
             return true;
         }
-        let Some(list) = self.list_of_origin().await else {
+        let Some(list) = self.list_from_origin().await else {
             return false;
         };
-        self.kept(list).await;
+        self.keep(list).await;
         true
     }
 
-    /// The list once the voters keep it.
-    async fn kept(&self, list: PieceList) -> PieceList {
-        if self.list_of_voters().await.as_ref() == Some(&list) {
+    /// Has the voters keep the list, and returns it once they do.
+    async fn keep(&self, list: PieceList) -> PieceList {
+        if self.list_from_voters().await.as_ref() == Some(&list) {
             return list;
         }
-        let kind = Some(ChangeKind::List(weights::packed(&list)));
+        let kind = Some(ChangeKind::List(weights::encode_list(&list)));
         let command = Bytes::from(Change { kind }.encode_to_vec());
         while let Err(error) = self.node.propose(command.clone()).await {
-            info!("list of pieces not known to be kept",
+            info!("list of pieces not confirmed by the voters",
                 kv: { version = self.weights.version, error = error.to_string() });
-            sleep(KEEP_AGAIN).await;
+            sleep(KEEP_RETRY).await;
         }
         info!("list of pieces kept", kv: { version = self.weights.version });
         list
     }
 
-    /// The list that the voters keep, if they keep it and can be asked.
-    async fn list_of_voters(&self) -> Option<PieceList> {
-        let named = weights::wire_name(&self.weights);
-        match self.node.kept_list(named).await {
+    /// Returns the list that the voters keep, if they keep it and answer.
+    async fn list_from_voters(&self) -> Option<PieceList> {
+        let wire = weights::to_wire(&self.weights);
+        match self.node.kept_list(wire).await {
             Ok(list) => list
-                .map(|list| weights::unpacked(&list))
+                .map(|list| weights::decode_list(&list))
                 .filter(|list| list.weights == self.weights),
             Err(error) => {
-                info!("voters not asked for a list of pieces",
+                info!("voters did not return a list of pieces",
                     kv: { version = self.weights.version, error = error.to_string() });
                 None
             }
         }
     }
 
-    async fn list_of_peer(&self, id: &Arc<str>) -> Listed {
-        let Some(place) = weights::place(&self.node, id).filter(|_| !self.is_slow(id)) else {
-            return Listed::Never;
+    async fn list_from_peer(&self, id: &Arc<str>) -> ListAnswer {
+        let Some(addr) = weights::link_addr(&self.node, id).filter(|_| !self.is_slow(id)) else {
+            return ListAnswer::Unavailable;
         };
-        let question = Question::Manifest(weights::wire_name(&self.weights));
-        match self.node.dialer.ask(place, question, HAS).await {
-            Ok(Reply::Manifest(manifest)) => Listed::Here(PieceList {
+        let question = Question::Manifest(weights::to_wire(&self.weights));
+        match self.node.dialer.ask(addr, question, HAS_TIMEOUT).await {
+            Ok(Reply::Manifest(manifest)) => ListAnswer::Known(PieceList {
                 weights: self.weights.clone(),
                 bytes: manifest.bytes,
-                digests: weights::digests(&manifest.digests),
+                digests: weights::split_digests(&manifest.digests),
             }),
-            Err(LinkError::Failed(_)) => Listed::NotHere,
-            Ok(_) => Listed::Never,
+            Err(LinkError::Failed(_)) => ListAnswer::NotYet,
+            Ok(_) => ListAnswer::Unavailable,
             Err(_) => {
-                self.pass_over(id);
-                Listed::Never
+                self.mark_slow(id);
+                ListAnswer::Unavailable
             }
         }
     }
 
-    async fn list_of_origin(&self) -> Option<PieceList> {
+    async fn list_from_origin(&self) -> Option<PieceList> {
         let outgoing = ask_manifest(&self.weights);
-        let answer = call(self.origin()?, outgoing, LONGEST, ORIGIN).await;
+        let answer = call(self.origin()?, outgoing, MAX_LIST, ORIGIN_TIMEOUT).await;
         let read = answer
             .map_err(|e| e.to_string())
             .and_then(|body| read_manifest(&body).map_err(|e| e.to_string()));
         match read {
             Ok(list) if list.weights == self.weights && !list.digests.is_empty() => Some(list),
             Ok(list) => {
-                info!("list of pieces is another version's, or empty",
+                info!("list of pieces is empty or of another version",
                     kv: { version = self.weights.version, came = list.weights.version });
                 None
             }
             Err(error) => {
-                info!("list of pieces not fetched",
+                info!("list of pieces not fetched from the origin",
                     kv: { version = self.weights.version, error = error });
                 None
             }
--- a/crates/filbertstack-gateway/src/weights/mod.rs
+++ b/crates/filbertstack-gateway/src/weights/mod.rs
@@ -1,12 +1,12 @@
-//! Pieces of weights on their way from the origin to the engines.
+//! Distributes pieces of weights from the origin to the engines.
 //!
-//! Entries keep the pieces that they own in a [`cache`]; they and the agents get pieces by the same
+//! Entries keep the pieces that they own in a [`cache`]. Entries and agents get pieces through the same
 //! [`fetch`].
 
 pub mod cache;
 pub mod fetch;
+pub mod piece_set;
 pub mod served;
-pub mod stock;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -29,36 +29,36 @@
 use crate::link::messages::Reply;
 use crate::link::messages::addr;
 
-/// The version of weights that were there before any was named.
+/// Engines have this version of the weights before any version is named.
 pub const FIRST_VERSION: u64 = 1;
 
-/// How many of the latest versions are gathered at once: an origin keeps two.
-pub const GATHERED: usize = 2;
+/// Nodes fetch at most this many of the latest versions: an origin keeps two.
+pub const LATEST_VERSIONS: usize = 2;
 
-/// The digest of a piece.
+/// `PieceDigest` is the SHA-256 digest of a piece.
 pub type PieceDigest = [u8; 32];
 
-/// The digest of `bytes`.
+/// Returns the digest of `bytes`.
 pub fn digest(bytes: &[u8]) -> PieceDigest {
     Sha256::digest(bytes).into()
 }
 
-/// Whether `digest` is that of the piece `number` of a version.
-pub fn is_piece(list: &PieceList, number: u32, digest: &PieceDigest) -> bool {
+/// Returns whether `digest` is that of the piece `number` of a version.
+pub fn matches_digest(list: &PieceList, number: u32, digest: &PieceDigest) -> bool {
     list.digests.get(number as usize) == Some(digest)
 }
 
-/// Whether `bytes` are the piece `number` of a version.
-pub fn fits(list: &PieceList, number: u32, bytes: &[u8]) -> bool {
-    is_piece(list, number, &digest(bytes))
+/// Returns whether `bytes` are the piece `number` of a version.
+pub fn matches_bytes(list: &PieceList, number: u32, bytes: &[u8]) -> bool {
+    matches_digest(list, number, &digest(bytes))
 }
 
-/// How many pieces a version has.
-pub fn count(list: &PieceList) -> u32 {
+/// Returns how many pieces a version has.
+pub fn piece_count(list: &PieceList) -> u32 {
     u32::try_from(list.digests.len()).unwrap_or(u32::MAX)
 }
 
-/// The agents that are there, with their ids.
+/// Returns the agents that are present, with their ids.
 pub fn agents(node: &Node) -> Vec<(Arc<str>, AgentRow)> {
     let rows = node.people.present().into_iter();
     let agents = rows.filter_map(|(id, kind, _)| match &*kind {
@@ -68,7 +68,7 @@
     agents.collect()
 }
 
-/// The entries that stay, with their ids.
+/// Returns the entries that are present and not leaving, with their ids.
 pub fn entries(node: &Node) -> Vec<(Arc<str>, EntryRow)> {
     let rows = node.people.present().into_iter();
     let entries = rows.filter_map(|(id, kind, _)| match &*kind {
@@ -78,15 +78,15 @@
     entries.collect()
 }
 
-/// Whether the entries hold all pieces of a version between them.
-pub fn is_here(node: &Node, weights: &Holding) -> bool {
-    let named = wire_name(weights);
+/// Returns whether the entries together hold all pieces of a version.
+pub fn is_at_entries(node: &Node, weights: &Holding) -> bool {
+    let wire = to_wire(weights);
     let entries = entries(node);
-    let holds = |row: &EntryRow| row.holds.contains(&named);
+    let holds = |row: &EntryRow| row.holds.contains(&wire);
     !entries.is_empty() && entries.iter().all(|(_, row)| holds(row))
 }
 
-/// Who asks whom for the pieces of `weights`, as the node `own` sees it.
+/// Returns the layout that says which nodes the node `own` asks for the pieces of `weights`.
 fn layout(node: &Node, own: &str, weights: &Holding, pieces: u32) -> Layout {
     let peer = |id: Arc<str>, zone: &str| Peer {
         id,
@@ -102,8 +102,8 @@
     Layout::new(own, &node.settings.node.zone, &entries, &holders, pieces)
 }
 
-/// Where a node is asked for pieces.
-fn place(node: &Node, id: &str) -> Option<SocketAddr> {
+/// Returns the link address at which a node is asked for pieces.
+fn link_addr(node: &Node, id: &str) -> Option<SocketAddr> {
     let (kind, _, gone) = node.people.find(id)?;
     match &*kind {
         Kind::Agent(row) if !gone => addr(&row.link),
@@ -112,49 +112,49 @@
     }
 }
 
-/// What links call a version.
-pub fn wire_name(weights: &Holding) -> Weights {
+/// Converts a version to its form on links.
+pub fn to_wire(weights: &Holding) -> Weights {
     Weights {
         model: weights.model.to_string(),
         version: weights.version,
     }
 }
 
-/// What is meant by a version's name on a link.
-pub fn holding(weights: &Weights) -> Holding {
+/// Converts a version from its form on links.
+pub fn from_wire(weights: &Weights) -> Holding {
     Holding {
         model: weights.model.as_str().into(),
         version: weights.version,
     }
 }
 
-/// A list of pieces as the voters keep it.
-fn packed(list: &PieceList) -> List {
+/// Converts a list of pieces to the form in which the voters keep it.
+fn encode_list(list: &PieceList) -> List {
     List {
-        weights: wire_name(&list.weights),
+        weights: to_wire(&list.weights),
         bytes: list.bytes,
         digests: list.digests.concat().into(),
     }
 }
 
-/// A list of pieces that the voters keep.
-pub fn unpacked(list: &List) -> PieceList {
+/// Converts a list of pieces from the form in which the voters keep it.
+pub fn decode_list(list: &List) -> PieceList {
     PieceList {
-        weights: holding(&list.weights),
+        weights: from_wire(&list.weights),
         bytes: list.bytes,
-        digests: digests(&list.digests),
+        digests: split_digests(&list.digests),
     }
 }
 
-fn digests(bytes: &[u8]) -> Vec<PieceDigest> {
+fn split_digests(bytes: &[u8]) -> Vec<PieceDigest> {
     let digests = bytes.chunks_exact(size_of::<PieceDigest>());
     digests
         .filter_map(|digest| digest.try_into().ok())
         .collect()
 }
 
-/// The answer to who asks for a list of pieces.
-pub fn manifest(list: Option<Rc<PieceList>>) -> Reply {
+/// Returns the reply to a request for a list of pieces.
+pub fn manifest_reply(list: Option<Rc<PieceList>>) -> Reply {
     let Some(list) = list else {
         return Reply::Failed("the list of pieces is not here; ask another node".into());
     };
@@ -164,7 +164,7 @@
     })
 }
 
-/// The answer of who does not have a piece.
-pub fn not_here() -> Reply {
+/// Returns the reply of a node that does not have a piece.
+pub fn missing_piece() -> Reply {
     Reply::Failed("the piece is not here; ask another node".into())
 }
