--- a/crates/filbertstack-gateway/src/agent/contents.rs
+++ b/crates/filbertstack-gateway/src/agent/contents.rs
@@ -1,4 +1,4 @@
-//! What lies staged at the engine, compared with the lists of pieces that the voters keep.
+//! Compares the pieces staged at the engine with the lists of pieces that the voters keep.
 
 use std::rc::Rc;
 
@@ -9,50 +9,50 @@
 use thiserror::Error;
 
 use crate::agent::Agent;
-use crate::agent::visit::Visit;
-use crate::agent::visit::VisitError;
+use crate::agent::session::Session;
+use crate::agent::session::SessionError;
 use crate::control::node::GroupError;
 use crate::weights;
 use crate::weights::PieceDigest;
 use crate::weights::matches_digest;
 
-/// Why it is not known what lies at the engine.
+/// `ContentsError` describes why the staged pieces are unknown.
 #[derive(Debug, Error)]
 pub enum ContentsError {
     /// The engine could not be asked.
     #[error(transparent)]
-    Visit(#[from] VisitError),
-    /// The voters could not.
+    Session(#[from] SessionError),
+    /// The voters could not be asked.
     #[error(transparent)]
     Group(#[from] GroupError),
 }
 
-/// What lies at the engine, by place.
+/// `Contents` holds the digests of the pieces staged at the engine, by number.
 #[derive(Default)]
 pub struct Contents(Vec<Option<PieceDigest>>);
 
 impl Contents {
-    /// Reads on until `count` places are read.
+    /// Reads digests until `count` of them are known.
     ///
     /// # Errors
-    /// [`VisitError`]; then it is not known what lies there.
+    /// [`SessionError`]; the staged pieces are then unknown.
     pub async fn read(
         &mut self,
-        visit: &mut Visit,
+        session: &mut Session,
         model: &str,
         count: usize,
-    ) -> Result<(), VisitError> {
-        visit.read_places(model, &mut self.0, count).await
+    ) -> Result<(), SessionError> {
+        session.read_digests(model, &mut self.0, count).await
     }
 
-    /// Whether a piece of `list` lies in its place.
+    /// Returns whether the staged piece `number` is the one of `list`.
     pub fn fits(&self, list: &PieceList, number: usize) -> bool {
         let number = u32::try_from(number).unwrap_or(u32::MAX);
         let contents = self.0.get(number as usize).copied().flatten();
         contents.is_some_and(|digest| matches_digest(list, number, &digest))
     }
 
-    /// How the pieces of `list` fit.
+    /// Returns how many of the staged pieces match `list`.
     pub fn fit(&self, list: &PieceList) -> Fit {
         let pieces = list.digests.len();
         Fit {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The places with no piece of any of `lists`.
+    /// Counts the numbers at which no piece of any of `lists` is staged.
     pub fn others(&self, lists: &[Rc<PieceList>]) -> Others {
         let known = |number| lists.iter().any(|list| self.fits(list, number));
         let empty = self.0.iter().filter(|found| found.is_none()).count();
@@ -74,11 +74,11 @@
     }
 }
 
-/// The list that the voters keep of the latest version up to `version`.
+/// Returns the list that the voters keep of the latest version up to `version`.
 ///
 /// # Errors
 /// [`GroupError`] if no voter answers.
-pub async fn list_upto(
+pub async fn latest_list(
     agent: &Agent,
     model: &str,
     version: u64,
@@ -91,28 +91,28 @@
     Ok(list.map(|list| Rc::new(weights::decode_list(&list))))
 }
 
-/// Whether a piece of another version lies where one of `list` should: a put that was carried out late.
-/// What fits no other version has turned bad where it lies.
+/// Returns whether a piece of another version is staged in the place of one of `list`, as a late write leaves
+/// it. A piece that matches no other version is corrupt instead.
 ///
 /// # Errors
-/// [`ContentsError`]; then it is not known.
+/// [`ContentsError`]; it is then unknown.
 pub async fn is_mixed(agent: &Agent, list: &PieceList) -> Result<bool, ContentsError> {
     let model = &list.weights.model;
-    let mut visit = Visit::begin(agent.engine.addr()).await?;
+    let mut session = Session::open(agent.engine.addr()).await?;
     let mut contents = Contents::default();
     let pieces = list.digests.len();
-    contents.read(&mut visit, model, pieces).await?;
+    contents.read(&mut session, model, pieces).await?;
     let wrong: Vec<usize> = (0..pieces).filter(|n| !contents.fits(list, *n)).collect();
     if wrong.is_empty() {
         return Ok(false);
     }
-    let mut next = list_upto(agent, model, u64::MAX).await?;
+    let mut next = latest_list(agent, model, u64::MAX).await?;
     while let Some(other) = next {
         if wrong.iter().any(|n| contents.fits(&other, *n)) {
             return Ok(true);
         }
         next = match other.weights.version.checked_sub(1) {
-            Some(older) => list_upto(agent, model, older).await?,
+            Some(older) => latest_list(agent, model, older).await?,
             None => None,
         };
     }
--- a/crates/filbertstack-gateway/src/agent/engine.rs
+++ b/crates/filbertstack-gateway/src/agent/engine.rs
@@ -1,4 +1,4 @@
-//! The engine beside the agent: calls of it, and what it reported last.
+//! Calls the engine beside the agent and keeps its last report.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -20,64 +20,65 @@
 use crate::client::Connection;
 use crate::client::exchange;
 
-/// How long the engine may take to answer; it is on the same instance.
-pub const PATIENCE: Duration = Duration::from_millis(500);
+/// A call to the engine times out after this time; the engine runs on the same instance.
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The longest answer of the engine, in bytes: a piece, or a list of models.
-pub const LONGEST: usize = 4 << 20;
+/// An answer of the engine has at most this many bytes: a piece, or a list of models.
+pub const MAX_ANSWER: usize = 4 << 20;
 
-/// The engine beside the agent.
+/// `Engine` is the engine beside the agent.
 pub struct Engine {
     addr: SocketAddr,
-    kept: Mutex<Option<Connection>>,
+    idle: Mutex<Option<Connection>>,
     report: RefCell<Option<EngineReport>>,
     loading: Cell<bool>,
-    /// What it serves and must not be used with, and since which start.
+    /// The served version that may contain pieces of another one, and the start of the engine at which it was
+    /// loaded.
     mixed: RefCell<Option<(Holding, u64)>>,
-    news: watch::Sender<u64>,
+    changes: watch::Sender<u64>,
 }
 
 impl Engine {
-    /// The engine at `addr`, not asked yet.
+    /// Creates an engine at `addr` that has not been polled yet.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
-            kept: Mutex::default(),
+            idle: Mutex::default(),
             report: RefCell::default(),
             loading: Cell::new(false),
             mixed: RefCell::default(),
-            news: watch::channel(0).0,
+            changes: watch::channel(0).0,
         }
     }
 
-    /// What it reported last; `None` while it does not answer.
+    /// Returns the last report; `None` while the engine does not answer.
     pub fn report(&self) -> Option<EngineReport> {
         self.report.borrow().clone()
     }
 
-    /// Where it is called.
+    /// Returns the address of the engine.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// The weights that it serves.
+    /// Returns the weights that the engine serves.
     pub fn holding(&self) -> Option<Holding> {
         self.report.borrow().as_ref()?.holding.clone()
     }
 
-    /// Notes whether it takes no new work for an order's sake.
+    /// Sets whether the engine accepts no new work because of an order.
     pub fn set_loading(&self, loading: bool) {
         self.loading.set(loading);
     }
 
-    /// Notes that the engine started at `born` may have loaded `weights` with pieces of another version.
+    /// Records that the engine started at `born` may have loaded `weights` with pieces of another version.
     pub fn set_mixed(&self, weights: Holding, born: u64) {
         *self.mixed.borrow_mut() = Some((weights, born));
     }
 
-    /// Whether it takes no new work: for an order's sake, as it carries one out, as it does not answer, or
-    /// as what it serves may be of two versions.
-    pub fn takes_nothing(&self) -> bool {
+    /// Returns whether the engine accepts no new work: because of an order, while it carries one out, while
+    /// it does not answer, or because it may serve pieces of two versions.
+    pub fn refuses_work(&self) -> bool {
         let report = self.report.borrow();
         let Some(report) = report.as_ref() else {
             return true;
@@ -92,66 +93,66 @@
         })
     }
 
-    /// Told whenever it serves other weights, or answers again.
+    /// Returns a receiver that is notified when the engine serves other weights or answers again.
     pub fn watch(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+        self.changes.subscribe()
     }
 
     /// Calls the engine on a kept connection, one call at a time.
     ///
-    /// An engine may drop an idle connection without notice. A call that fails on a kept one is
-    /// made again on a new one: taken for a failure of the engine, it would make an agent report it
-    /// as gone, and fetch again what lies staged there. These calls may be made twice, and at two
-    /// starts of the engine: pieces are put and read by number. An order may not; it has a [`Visit`].
+    /// An engine may drop an idle connection without notice. A call that fails on a kept connection is
+    /// repeated on a new one: if the agent took it for a failure of the engine, it would report the engine as
+    /// gone and fetch the staged pieces again. These calls may run twice, and at two starts of the engine, as
+    /// pieces are written and read by number. An order must not; it needs a [`Session`].
     ///
-    /// [`Visit`]: crate::agent::visit::Visit
+    /// [`Session`]: crate::agent::session::Session
     ///
     /// # Errors
     /// [`CallFailure`].
     pub async fn call(&self, outgoing: Outgoing) -> Result<Bytes, CallFailure> {
-        let mut kept = self.kept.lock().await;
+        let mut idle = self.idle.lock().await;
         let work = async {
-            if let Some(usable) = kept.take().filter(Connection::is_ready) {
-                let answer = self.exchange(&mut kept, usable, outgoing.clone()).await;
+            if let Some(usable) = idle.take().filter(Connection::is_ready) {
+                let answer = self.exchange(&mut idle, usable, outgoing.clone()).await;
                 if !matches!(answer, Err(CallFailure::Broken(_))) {
                     return answer;
                 }
             }
-            let opened = Connection::open(self.addr, PATIENCE).await?;
-            self.exchange(&mut kept, opened, outgoing).await
+            let opened = Connection::open(self.addr, CALL_TIMEOUT).await?;
+            self.exchange(&mut idle, opened, outgoing).await
         };
-        timeout(PATIENCE, work)
+        timeout(CALL_TIMEOUT, work)
             .await
             .unwrap_or(Err(CallFailure::Timeout))
     }
 
-    /// Makes one call and keeps the connection if it may be used again.
+    /// Makes one call and keeps the connection if it can be used again.
     async fn exchange(
         &self,
-        kept: &mut Option<Connection>,
+        idle: &mut Option<Connection>,
         mut connection: Connection,
         outgoing: Outgoing,
     ) -> Result<Bytes, CallFailure> {
-        let answer = exchange(&mut connection, self.addr, outgoing, LONGEST).await;
-        // A status is an answer like any other; after any other failure the connection goes.
+        let answer = exchange(&mut connection, self.addr, outgoing, MAX_ANSWER).await;
+        // A status is a complete answer; after any other failure the connection is dropped.
         let whole = matches!(answer, Ok(_) | Err(CallFailure::Status(_)));
-        *kept = Some(connection).filter(|_| whole);
+        *idle = Some(connection).filter(|_| whole);
         answer
     }
 
-    /// Asks for a report now.
+    /// Requests a report.
     ///
     /// # Errors
-    /// Why there is none.
-    pub async fn ask_now(&self) -> Result<EngineReport, String> {
+    /// The reason why there is none.
+    pub async fn request_report(&self) -> Result<EngineReport, String> {
         let answer = self.call(ask_report()).await;
         let body = answer.map_err(|e| e.to_string())?;
         read_report(&body).map_err(|e| e.to_string())
     }
 
-    /// Asks for a report, notes it and tells what changed.
-    pub async fn ask(&self) {
-        let read = self.ask_now().await;
+    /// Requests a report, stores it and notifies the watchers if the engine's version or start has changed.
+    pub async fn poll(&self) {
+        let read = self.request_report().await;
         let before = self.report.borrow().clone();
         let after = match read {
             Ok(report) => Some(report),
@@ -162,20 +163,20 @@
                 None
             }
         };
-        tell_changes(before.as_ref(), after.as_ref());
-        let held =
+        log_changes(before.as_ref(), after.as_ref());
+        let identity =
             |report: &Option<EngineReport>| report.as_ref().map(|r| (r.holding.clone(), r.born));
-        let changed = held(&before) != held(&after);
+        let changed = identity(&before) != identity(&after);
         *self.report.borrow_mut() = after;
         if changed {
-            self.news.send_modify(|count| *count += 1);
+            self.changes.send_modify(|count| *count += 1);
         }
     }
 }
 
-/// Logs what an engine did since it was last asked: an order that got no answer may be begun at any
-/// time, and only its count of orders shows when.
-fn tell_changes(before: Option<&EngineReport>, after: Option<&EngineReport>) {
+/// Logs what the engine did since the last poll. The engine may begin an order without an answer at any time,
+/// and only its count of orders shows when.
+fn log_changes(before: Option<&EngineReport>, after: Option<&EngineReport>) {
     let Some(after) = after else {
         return;
     };
--- a/crates/filbertstack-gateway/src/agent/inherited.rs
+++ b/crates/filbertstack-gateway/src/agent/inherited.rs
@@ -1,4 +1,4 @@
-//! What an agent that has ended may have ordered its engine to load.
+//! Finds out which version an earlier agent process may have ordered its engine to load.
 
 use std::rc::Rc;
 
@@ -13,106 +13,106 @@
 use crate::agent::Agent;
 use crate::agent::contents::Contents;
 use crate::agent::contents::ContentsError;
-use crate::agent::contents::list_upto;
-use crate::agent::stage::OpenOrder;
-use crate::agent::visit::Progress;
-use crate::agent::visit::Visit;
+use crate::agent::contents::latest_list;
+use crate::agent::session::Progress;
+use crate::agent::session::Session;
+use crate::agent::stage::PendingOrder;
 use crate::weights;
 
-/// How often what lies at the engine is read again while it is not known: it takes as long as all pieces
-/// take, and lists come within a second of the voters.
-const AGAIN: Millis = Millis(1_000);
+/// The staged pieces are compared again after this time while their version is unknown: reading all pieces
+/// takes long, and the voters get new lists within a second.
+const RETRY_INTERVAL: Millis = Millis(1_000);
 
-/// The orders of the processes before, until nothing of theirs may be begun any more or it is known
-/// which version may.
+/// `Predecessor` tracks the orders of earlier processes, until the engine can begin none of them any more or
+/// the version of the pending one is known.
 pub struct Predecessor {
-    began: Millis,
-    settled: bool,
-    /// When it was last seen that what lies there is not known.
-    unknown: Option<Millis>,
+    started: Millis,
+    resolved: bool,
+    /// When the staged pieces were last found to be of an unknown version.
+    unknown_at: Option<Millis>,
 }
 
 impl Predecessor {
-    /// Nothing is known when the process starts.
+    /// Creates the state of a process that starts at `now` and knows nothing of earlier ones.
     pub fn new(now: Millis) -> Self {
         Self {
-            began: now,
-            settled: false,
-            unknown: None,
+            started: now,
+            resolved: false,
+            unknown_at: None,
         }
     }
 
-    /// Whether pieces may be staged.
-    pub fn is_settled(&self) -> bool {
-        self.settled
+    /// Returns whether pieces may be staged.
+    pub fn is_resolved(&self) -> bool {
+        self.resolved
     }
 
-    /// Looks what lies at the engine, which serves the version `served` of `model`. The process before
-    /// may have been killed while an order was without an answer, and staged over it, the next version
-    /// would be loaded with it.
-    pub async fn settle(&mut self, agent: &Agent, model: &str, served: u64) {
+    /// Inspects the pieces staged at the engine, which serves the version `served` of `model`. The earlier
+    /// process may have been killed before its order was answered. If the agent staged the next version over
+    /// those pieces, the engine would load a mix of both.
+    pub async fn resolve(&mut self, agent: &Agent, model: &str, served: u64) {
         let now = agent.node.clock.now();
-        let lately = |at: Millis| now.since(at) < AGAIN;
-        if self.settled || self.unknown.is_some_and(lately) {
+        let is_recent = |at: Millis| now.since(at) < RETRY_INTERVAL;
+        if self.resolved || self.unknown_at.is_some_and(is_recent) {
             return;
         }
-        match look(agent, model, served).await {
+        match compare(agent, model, served).await {
             Ok(Inherited::Unknown) => {
-                info!("pieces of no known version found, may be ordered",
-                    kv: { served = served, age_ms = now.since(self.began).0 });
-                self.unknown = Some(now);
+                info!("pieces of no known version are staged, an order for them may be pending",
+                    kv: { served = served, age_ms = now.since(self.started).0 });
+                self.unknown_at = Some(now);
             }
-            Ok(Inherited::Nothing | Inherited::Order(_)) => self.settled = true,
-            Err(error) => info!("pieces not compared", kv: { error = error.to_string() }),
+            Ok(Inherited::Nothing | Inherited::Order(_)) => self.resolved = true,
+            Err(error) => info!("staged pieces not compared", kv: { error = error.to_string() }),
         }
-        self.settled |= now.since(self.began) >= LATE_CALL;
+        self.resolved |= now.since(self.started) >= LATE_CALL;
     }
 }
 
-/// Compares what lies at the engine with the lists that the voters keep, and counts the version that may
-/// be ordered as such. Older lists are asked for only while pieces are not known.
-async fn look(agent: &Agent, model: &str, served: u64) -> Result<Inherited, ContentsError> {
-    let mut next = list_upto(agent, model, u64::MAX).await?;
-    let mut visit = Visit::begin(agent.engine.addr()).await?;
-    let made = visit.progress();
+/// Compares the staged pieces with the lists that the voters keep, and records the version that may be
+/// ordered as a pending order. It asks for older lists only while some pieces are unknown.
+async fn compare(agent: &Agent, model: &str, served: u64) -> Result<Inherited, ContentsError> {
+    let mut next = latest_list(agent, model, u64::MAX).await?;
+    let mut session = Session::open(agent.engine.addr()).await?;
+    let progress = session.progress();
     let mut contents = Contents::default();
-    contents.read(&mut visit, model, 1).await?;
+    contents.read(&mut session, model, 1).await?;
     let mut lists: Vec<Rc<PieceList>> = Vec::new();
     while let Some(list) = next {
         let (version, pieces) = (list.weights.version, list.digests.len());
-        contents.read(&mut visit, model, pieces).await?;
+        contents.read(&mut session, model, pieces).await?;
         lists.push(list);
         let known = contents.others(&lists).unknown == 0;
         next = match version.checked_sub(1).filter(|_| !known) {
-            Some(older) => list_upto(agent, model, older).await?,
+            Some(older) => latest_list(agent, model, older).await?,
             None => None,
         };
     }
     let fits: Vec<Fit> = lists.iter().map(|list| contents.fit(list)).collect();
-    let judged = inherited(served, &fits, contents.others(&lists));
-    if let Inherited::Order(version) = judged
+    let verdict = inherited(served, &fits, contents.others(&lists));
+    if let Inherited::Order(version) = verdict
         && let Some(list) = lists.iter().find(|list| list.weights.version == version)
     {
-        count_as_ordered(agent, list, made, &contents);
+        assume_ordered(agent, list, progress, &contents);
     }
-    Ok(judged)
+    Ok(verdict)
 }
 
-/// Counts a version as ordered; the pieces of it that do not lie at the engine are missing.
-fn count_as_ordered(agent: &Agent, list: &Rc<PieceList>, made: Progress, contents: &Contents) {
-    let there = (0..weights::piece_count(list)).filter(|n| contents.fits(list, *n as usize));
-    let there: Vec<u32> = there.collect();
-    info!("pieces found, may be ordered", kv: {
-        version = list.weights.version, bad = list.digests.len() - there.len()
+/// Records a version as ordered; those of its pieces that are not staged are missing.
+fn assume_ordered(agent: &Agent, list: &Rc<PieceList>, progress: Progress, contents: &Contents) {
+    let present = (0..weights::piece_count(list)).filter(|n| contents.fits(list, *n as usize));
+    let present: Vec<u32> = present.collect();
+    info!("staged pieces found, an order for them may be pending", kv: {
+        version = list.weights.version, bad = list.digests.len() - present.len()
     });
     agent.stage.begin(list.clone());
-    for number in there {
-        agent.stage.put(number);
+    for number in present {
+        agent.stage.add_piece(number);
     }
-    agent.stage.set_open_order(Some(OpenOrder {
+    agent.stage.set_pending_order(Some(PendingOrder {
         weights: list.weights.clone(),
-        made,
-        sent: 0,
-        noted: agent.node.clock.now(),
+        progress,
+        send_count: 0,
+        recorded: agent.node.clock.now(),
     }));
 }
--- a/crates/filbertstack-gateway/src/agent/mod.rs
+++ b/crates/filbertstack-gateway/src/agent/mod.rs
@@ -1,5 +1,5 @@
-//! The agent process beside a model engine: it tells the engine's load and brings its engine from
-//! one version of the weights to the next.
+//! The agent process beside a model engine. It reports the engine's load and moves the engine from one
+//! version of the weights to the next.
 
 mod contents;
 mod engine;
@@ -9,8 +9,8 @@
 mod peers;
 pub(crate) mod reports;
 mod rollout;
+mod session;
 mod stage;
-mod visit;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -24,8 +24,8 @@
 
 use crate::agent::engine::Engine;
 use crate::agent::peers::PieceServer;
+use crate::agent::session::Progress;
 use crate::agent::stage::Stage;
-use crate::agent::visit::Progress;
 use crate::clock::Clock;
 use crate::control::follow;
 use crate::control::node::Node;
@@ -42,18 +42,18 @@
 use crate::weights::FIRST_VERSION;
 use crate::weights::LATEST_VERSIONS;
 
-/// Why an agent could not start.
+/// `AgentError` describes why an agent could not start.
 #[derive(Debug, Error)]
 pub enum AgentError {
-    /// There is no engine beside it.
+    /// The settings name no engine.
     #[error("the settings name no engine: set 'engine' in [target]")]
     NoEngine,
-    /// What an entry may fail with, too.
+    /// A failure that an entry can have, too.
     #[error(transparent)]
     Entry(#[from] EntryError),
 }
 
-/// One agent.
+/// `Agent` holds the state of one agent process.
 pub(crate) struct Agent {
     node: Rc<Node>,
     engine: Engine,
@@ -62,39 +62,40 @@
 }
 
 impl Agent {
-    /// The id of its rows.
+    /// Returns the id of the rows that the agent reports.
     fn id(&self) -> String {
         format!("agent {}", self.node.settings.node.name)
     }
 
-    /// Whether the engine takes no new work. One that has begun an order without an answer takes none until
-    /// it is known what it loaded.
-    fn takes_nothing(&self) -> bool {
-        let begun = self.stage.open_order().zip(self.engine.report());
-        let unchecked = begun.is_some_and(|(order, report)| Progress::from(&report) != order.made);
-        unchecked || self.engine.takes_nothing()
+    /// Returns whether the engine accepts no new work. While the outcome of an order is unknown and the
+    /// engine has begun something since, it accepts none until the agent has checked what the engine loaded.
+    fn refuses_work(&self) -> bool {
+        let pending = self.stage.pending_order().zip(self.engine.report());
+        let unchecked =
+            pending.is_some_and(|(order, report)| Progress::from(&report) != order.progress);
+        unchecked || self.engine.refuses_work()
     }
 
-    /// Whether a piece of `weights` lies at the engine, as far as is known. What it serves lay
-    /// there from the start, until another version is staged.
-    fn lies_at_engine(&self, weights: &Holding, number: u32) -> bool {
+    /// Returns whether the engine holds a piece of `weights`, as far as the agent knows. An engine holds all
+    /// pieces of the version that it serves from its start until another version is staged.
+    fn engine_holds(&self, weights: &Holding, number: u32) -> bool {
         match self.stage.weights() {
             Some(staged) => staged == *weights && self.stage.has(number),
             None => self.engine.holding().as_ref() == Some(weights),
         }
     }
 
-    /// The version of which all pieces lie at the engine.
-    fn holds(&self) -> Option<Holding> {
+    /// Returns the version of which the engine holds all pieces.
+    fn complete_version(&self) -> Option<Holding> {
         match self.stage.weights() {
-            Some(_) => self.stage.whole().map(|list| list.weights.clone()),
+            Some(_) => self.stage.complete_list().map(|list| list.weights.clone()),
             None => self.engine.holding(),
         }
     }
 
-    /// The versions that its engine should be brought to: those named, or else the newest that any
-    /// engine serves, as weights that were there from the start are never named.
-    fn wanted(&self) -> Vec<Holding> {
+    /// Returns the versions that the engine should be moved to: the named ones, or else the newest that any
+    /// engine serves, as the weights that engines have from the start are never named.
+    fn wanted_versions(&self) -> Vec<Holding> {
         let declared = &self.node.declared;
         let model = match self.engine.holding() {
             Some(own) => Some(own.model),
@@ -106,9 +107,9 @@
         let named = declared.named(&model).into_iter();
         let mut versions: Vec<u64> = named.map(|named| named.version).collect();
         if versions.is_empty() {
-            versions.push(self.seen(&model).max(FIRST_VERSION));
+            versions.push(self.newest_served(&model).max(FIRST_VERSION));
         }
-        // Older ones are gone from the origin.
+        // The origin no longer has older versions.
         let latest = versions.len().saturating_sub(LATEST_VERSIONS);
         let holding = |version| Holding {
             model: model.clone(),
@@ -117,15 +118,15 @@
         versions.drain(latest..).map(holding).collect()
     }
 
-    /// The newest version that an engine serves.
-    fn seen(&self, model: &str) -> u64 {
+    /// Returns the newest version that any engine serves.
+    fn newest_served(&self, model: &str) -> u64 {
         let agents = weights::agents(&self.node);
         let same = agents.iter().filter(|(_, row)| *row.model == *model);
         same.map(|(_, row)| row.version).max().unwrap_or(0)
     }
 }
 
-/// Runs an agent until it is told to stop.
+/// Runs an agent until it receives a signal to stop.
 ///
 /// # Errors
 /// [`AgentError`] names the remedy.
--- a/crates/filbertstack-gateway/src/agent/orders.rs
+++ b/crates/filbertstack-gateway/src/agent/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load, until their outcome is known.
+//! Sends orders to load, and finds out their outcome.
 
 use std::time::Duration;
 
@@ -13,43 +13,46 @@
 
 use crate::agent::Agent;
 use crate::agent::contents::is_mixed;
-use crate::agent::stage::OpenOrder;
-use crate::agent::visit::Outcome;
-use crate::agent::visit::Progress;
-use crate::agent::visit::Whole;
+use crate::agent::session::Outcome;
+use crate::agent::session::Progress;
+use crate::agent::session::Verified;
+use crate::agent::stage::PendingOrder;
 
-/// How often the engine is asked whether it has begun an order: as often as it reports anyway.
-const LOOK: Duration = Duration::from_millis(100);
+/// The engine is polled at this interval for whether it has begun an order, as often as for its reports.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Sends the order to load what was found, and notes what is known of its outcome.
+/// Sends the order to load the verified pieces, and records what is known of its outcome.
 ///
 /// # Errors
-/// Why it is not known to be taken.
-pub async fn send(agent: &Agent, whole: Whole, running: Running) -> Result<(), String> {
-    let made = whole.progress();
-    let weights = whole.weights().clone();
-    let earlier = agent.stage.open_order().filter(|order| order.made == made);
-    let sent = earlier.as_ref().map_or(0, |order| order.sent) + 1;
+/// The reason why the engine may not have accepted the order.
+pub async fn send(agent: &Agent, verified: Verified, running: Running) -> Result<(), String> {
+    let progress = verified.progress();
+    let weights = verified.weights().clone();
+    let earlier = agent
+        .stage
+        .pending_order()
+        .filter(|order| order.progress == progress);
+    let send_count = earlier.as_ref().map_or(0, |order| order.send_count) + 1;
     let now = agent.node.clock.now();
-    let noted = earlier.as_ref().map_or(now, |order| order.noted);
-    // Noted before it is sent: whatever becomes of this task, the engine may begin it.
-    agent.stage.set_open_order(Some(OpenOrder {
+    let recorded = earlier.as_ref().map_or(now, |order| order.recorded);
+    // Recorded before it is sent, as the engine may begin the order even if this task is dropped.
+    agent.stage.set_pending_order(Some(PendingOrder {
         weights,
-        made,
-        sent,
-        noted,
+        progress,
+        send_count,
+        recorded,
     }));
-    match whole.order(running).await {
+    match verified.order(running).await {
         Outcome::Begun => {
-            agent.stage.set_open_order(None);
+            agent.stage.set_pending_order(None);
             Ok(())
         }
         Outcome::Refused(status) => {
-            agent.stage.set_open_order(earlier);
+            agent.stage.set_pending_order(earlier);
             Err(format!("answered {status}"))
         }
         Outcome::NotSent(error) => {
-            agent.stage.set_open_order(earlier);
+            agent.stage.set_pending_order(earlier);
             Err(error.to_string())
         }
         Outcome::Unknown(error) => {
@@ -59,36 +62,36 @@
     }
 }
 
-/// Finds out whether an order whose outcome is not known still may be begun: an engine that has begun
-/// any other since refuses it.
-pub async fn settle(agent: &Agent) {
-    let Some(order) = agent.stage.open_order() else {
+/// Finds out whether an order with an unknown outcome may still be begun. The engine refuses the order once
+/// it has begun any other.
+pub async fn resolve(agent: &Agent) {
+    let Some(order) = agent.stage.pending_order() else {
         return;
     };
-    let age = agent.node.clock.now().since(order.noted);
-    if order.sent == 0 && agent.stage.whole().is_none() && age >= LATE_CALL {
-        // Its pieces can't be had any more, and nobody would wait for them for good.
-        info!("order given up", kv: { version = order.weights.version, age_ms = age.0 });
-        agent.stage.set_open_order(None);
+    let age = agent.node.clock.now().since(order.recorded);
+    if order.send_count == 0 && agent.stage.complete_list().is_none() && age >= LATE_CALL {
+        // The pieces are no longer available, and waiting for them would never end.
+        info!("order abandoned", kv: { version = order.weights.version, age_ms = age.0 });
+        agent.stage.set_pending_order(None);
         return;
     }
-    // An engine that does not answer may begin it later.
-    let Ok(report) = agent.engine.ask_now().await else {
+    // An engine that does not answer may begin the order later.
+    let Ok(report) = agent.engine.request_report().await else {
         return;
     };
-    if Progress::from(&report) != order.made {
-        info!("order settled", kv: { born = report.born, sequence = report.sequence });
-        if report.born == order.made.born {
+    if Progress::from(&report) != order.progress {
+        info!("order resolved", kv: { born = report.born, sequence = report.sequence });
+        if report.born == order.progress.born {
             check_loaded(agent, &order.weights, report.born).await;
         }
-        agent.stage.set_open_order(None);
+        agent.stage.set_pending_order(None);
     }
 }
 
-/// Reads once more what the engine started at `born` began to load. A put that an earlier process left
-/// without an answer may have been carried out after the pieces were read back and before the engine began
-/// the order; then what it serves is of two versions, and it gets no requests until it serves another or
-/// starts again.
+/// Reads the pieces once more after the engine started at `born` began to load them. The engine may have
+/// carried out a write that an earlier process left without an answer, after the pieces were read back and
+/// before it began the order. It then serves pieces of two versions, and gets no requests until it serves
+/// another version or restarts.
 pub async fn check_loaded(agent: &Agent, weights: &Holding, born: u64) {
     let Some(list) = agent.stage.list(weights) else {
         return;
@@ -97,27 +100,27 @@
         match is_mixed(agent, &list).await {
             Ok(false) => return,
             Ok(true) => break,
-            Err(error) => info!("pieces not compared", kv: { error = error.to_string() }),
+            Err(error) => info!("staged pieces not compared", kv: { error = error.to_string() }),
         }
         let report = agent.engine.report();
         if report.is_some_and(|report| report.born != born) {
             return;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    warn!("engine may have loaded pieces of two versions: name a newer one, or start it again",
+    warn!("engine may have loaded pieces of two versions: name a newer version or restart the engine",
         kv: { version = weights.version, born = born });
     agent.engine.set_mixed(weights.clone(), born);
 }
 
-/// Waits until the outcome of an order is known, or it is time to send it again.
+/// Waits until the outcome of an order is known, or until `pause` has passed and the order is due again.
 pub async fn await_outcome(agent: &Agent, pause: Millis) {
     let known = async {
-        while agent.stage.open_order().is_some() {
-            sleep(LOOK).await;
-            settle(agent).await;
+        while agent.stage.pending_order().is_some() {
+            sleep(POLL_INTERVAL).await;
+            resolve(agent).await;
         }
     };
-    // Whether it is known is seen at the stage.
+    // The caller reads from the stage whether it is known.
     let _ = timeout(pause.into(), known).await;
 }
--- a/crates/filbertstack-gateway/src/agent/peers.rs
+++ b/crates/filbertstack-gateway/src/agent/peers.rs
@@ -1,4 +1,4 @@
-//! What an agent gives to other nodes: pieces that lie at its engine.
+//! Serves the pieces staged at the engine to other nodes.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,22 +21,22 @@
 use crate::weights::manifest_reply;
 use crate::weights::missing_piece;
 
-/// The most pieces that go out at once: events of live streams wait behind one piece only, 42 ms
-/// on today's links, where callers count those that come 120 ms late.
-const UPLOADS: usize = 1;
+/// At most this many pieces are sent at once. Events of live streams then wait behind one piece only, 42 ms
+/// on today's links; callers count events that are 120 ms late.
+const MAX_UPLOADS: usize = 1;
 
-/// Answers other nodes.
+/// `PieceServer` answers the questions of other nodes.
 pub struct PieceServer {
     agent: Rc<Agent>,
     uploads: Arc<Semaphore>,
 }
 
 impl PieceServer {
-    /// A server of what lies at the engine of `agent`.
+    /// Creates a server of the pieces that the engine of `agent` holds.
     pub fn new(agent: Rc<Agent>) -> Self {
         Self {
             agent,
-            uploads: Arc::new(Semaphore::new(UPLOADS)),
+            uploads: Arc::new(Semaphore::new(MAX_UPLOADS)),
         }
     }
 
@@ -45,15 +45,15 @@
         let Ok(slot) = self.uploads.clone().acquire_owned().await else {
             return missing_piece().into();
         };
-        match self.staged(&weights, name.number).await {
+        match self.read_piece(&weights, name.number).await {
             Some(bytes) => Given::slowly(Reply::Piece(bytes), slot),
             None => missing_piece().into(),
         }
     }
 
-    /// A piece as it lies at the engine. Whoever asked checks it against its digest.
-    async fn staged(&self, weights: &Holding, number: u32) -> Option<Bytes> {
-        if !self.agent.lies_at_engine(weights, number) {
+    /// Reads a piece from the engine. The node that asked checks it against its digest.
+    async fn read_piece(&self, weights: &Holding, number: u32) -> Option<Bytes> {
+        if !self.agent.engine_holds(weights, number) {
             return None;
         }
         let staged = self.agent.engine.call(read_staged(&weights.model, number));
@@ -63,7 +63,7 @@
     fn has(&self, name: &PieceName) -> Reply {
         if self
             .agent
-            .lies_at_engine(&from_wire(&name.weights), name.number)
+            .engine_holds(&from_wire(&name.weights), name.number)
         {
             return Reply::Done(Nothing {});
         }
--- a/crates/filbertstack-gateway/src/agent/reports.rs
+++ b/crates/filbertstack-gateway/src/agent/reports.rs
@@ -1,4 +1,4 @@
-//! What the engine says of itself, and what the voters are told of it.
+//! Polls the engine and reports its state and load to the voters.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,42 +15,43 @@
 use crate::link::messages::Row;
 use crate::link::messages::pack;
 
-/// How often the engine is asked: about two passes of a full batch. More often costs processor
-/// time and tells little; less often, entries send to an engine that has filled up since.
-const PERIOD: Duration = Duration::from_millis(100);
+/// The agent polls the engine at this interval, about two passes of a full batch. Polling more often costs
+/// processor time and adds little; polling less often lets entries send to an engine that has filled up
+/// since.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often what has not changed is told again, so that it counts as alive.
+/// The agent repeats an unchanged row after this time, so that it counts as alive.
 pub const AGAIN: Duration = Duration::from_millis(900);
 
-/// How often a load that has not changed is told again: entries miss an engine after 700 ms, and one
-/// report may be lost or late.
-const LOAD_AGAIN: Duration = Duration::from_millis(300);
+/// The agent repeats an unchanged load after this time: entries miss an engine after 700 ms, and one report
+/// may be lost or late.
+const LOAD_REPEAT: Duration = Duration::from_millis(300);
 
-/// Asks the engine again and again, and tells the voters what is new.
+/// Polls the engine and reports changes to the voters, until the process ends.
 pub async fn watch_engine(agent: Rc<Agent>) {
-    let mut teller = Teller::new(&agent);
+    let mut reporter = Reporter::new(&agent);
     let mut next = Instant::now();
     loop {
-        agent.engine.ask().await;
-        teller.tell(&agent);
-        // After a pause of the whole instance the reports missed are not made up for.
-        next = (next + PERIOD).max(Instant::now());
+        agent.engine.poll().await;
+        reporter.report(&agent);
+        // Reports missed during a pause of the whole instance are not made up for.
+        next = (next + POLL_INTERVAL).max(Instant::now());
         sleep_until(next).await;
     }
 }
 
-/// Tells the voters the agent's own row and its engine's load as they change.
-struct Teller {
+/// `Reporter` sends the agent's own row and its engine's load to the voters as they change.
+struct Reporter {
     born: u64,
     sequence: u64,
-    /// What was told last, and when.
+    /// The last row and load sent, and when.
     row: Option<(Kind, Instant)>,
     load: Option<(LoadRow, Instant)>,
 }
 
-impl Teller {
+impl Reporter {
     fn new(agent: &Agent) -> Self {
-        info!("rows are told", kv: { id = agent.id() });
+        info!("reporting rows to the voters", kv: { id = agent.id() });
         Self {
             born: unix_millis(),
             sequence: 0,
@@ -59,17 +60,17 @@
         }
     }
 
-    fn tell(&mut self, agent: &Agent) {
+    fn report(&mut self, agent: &Agent) {
         if agent.node.followed().is_none() {
             return;
         }
-        self.tell_row(agent);
-        self.tell_load(agent);
+        self.send_row(agent);
+        self.send_load(agent);
     }
 
-    fn tell_row(&mut self, agent: &Agent) {
+    fn send_row(&mut self, agent: &Agent) {
         let kind = agent_row(agent);
-        if is_told(self.row.as_ref(), &kind, AGAIN) {
+        if was_sent(self.row.as_ref(), &kind, AGAIN) {
             return;
         }
         self.row = Some((kind.clone(), Instant::now()));
@@ -83,28 +84,28 @@
         }]);
     }
 
-    fn tell_load(&mut self, agent: &Agent) {
+    fn send_load(&mut self, agent: &Agent) {
         let Some(load) = load_row(agent) else {
             self.load = None;
             return;
         };
-        if !is_told(self.load.as_ref(), &load, LOAD_AGAIN) {
+        if !was_sent(self.load.as_ref(), &load, LOAD_REPEAT) {
             self.load = Some((load, Instant::now()));
             agent.node.tell_load(load);
         }
     }
 }
 
-/// Whether `now` was told less than `again` ago.
-fn is_told<T: PartialEq>(told: Option<&(T, Instant)>, now: &T, again: Duration) -> bool {
-    told.is_some_and(|(told, at)| told == now && at.elapsed() < again)
+/// Returns whether `current` was sent less than `interval` ago.
+fn was_sent<T: PartialEq>(last: Option<&(T, Instant)>, current: &T, interval: Duration) -> bool {
+    last.is_some_and(|(sent, at)| sent == current && at.elapsed() < interval)
 }
 
 fn agent_row(agent: &Agent) -> Kind {
     let node = &agent.node.settings.node;
     let holding = agent.engine.holding();
-    let held = agent.holds();
-    let model = holding.as_ref().or(held.as_ref());
+    let complete = agent.complete_version();
+    let model = holding.as_ref().or(complete.as_ref());
     let model = model.map(|h| h.model.to_string());
     let served = holding.map_or(0, |h| h.version);
     Kind::Agent(AgentRow {
@@ -113,8 +114,8 @@
         zone: node.zone.clone(),
         model: model.unwrap_or_default(),
         version: served,
-        loading: agent.takes_nothing(),
-        holds: held.map_or(0, |h| h.version),
+        loading: agent.refuses_work(),
+        holds: complete.map_or(0, |h| h.version),
     })
 }
 
--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -1,4 +1,4 @@
-//! Bringing the engine to the version that it should serve.
+//! Moves the engine to the version that it should serve.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -27,77 +27,76 @@
 use crate::agent::gather::gather;
 use crate::agent::inherited::Predecessor;
 use crate::agent::orders;
-use crate::agent::visit::Found;
-use crate::agent::visit::Visit;
-use crate::agent::visit::Whole;
+use crate::agent::session::ReadBack;
+use crate::agent::session::Session;
+use crate::agent::session::Verified;
 use crate::weights;
 use crate::weights::is_at_entries;
 
-/// How often it is looked whether the engine serves what it should, beside whenever something
-/// changes: turns to load come with time.
-const LOOK: Duration = Duration::from_millis(150);
+/// The agent checks at this interval whether the engine serves the version that it should, and also on every
+/// change: the engine's turn to load comes with time alone.
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How often it is looked whether an engine that takes nothing new has finished what it runs.
-const DRAINING: Duration = Duration::from_millis(20);
+/// The agent polls at this interval whether a draining engine has finished its work.
+const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The pause after an order or a staging that failed.
-const AGAIN: Duration = Duration::from_millis(200);
+/// The agent pauses for this time after an order or a read back that failed.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How long after it was named a version may still be on its way to the entries: a copy passes the
-/// origin's link in 1.3 s. One that takes longer has failed to come.
-const ON_ITS_WAY: Millis = Millis(2_000);
+/// A version may arrive at the entries until this long after it was named: a copy passes the origin's link in
+/// 1.3 s. A version that takes longer has failed to arrive.
+const ARRIVAL_LIMIT: Millis = Millis(2_000);
 
-/// How long an order that was accepted may take: what runs is finished first.
-const LOADED: Duration = Duration::from_secs(12);
+/// An accepted order times out after this time; the engine finishes its running work first.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Keeps the engine at the version that it should serve, until the process ends.
 ///
-/// The engine keeps the pieces of one version only. Where a newer one is named before the one that
-/// lies there is in force, the older gives way only when the entries hold all of the newer: the
-/// origin may fail right after a version is named, and then the one before is all that can be
-/// brought in time.
+/// The engine keeps the staged pieces of one version only. Where a newer version is named before the staged
+/// one is in force, the agent replaces the staged one only when the entries hold all pieces of the newer: the
+/// origin may fail right after a version is named, and the engine can then be moved to the staged one only.
 pub async fn keep_version(agent: Rc<Agent>) {
     let mut gathering = Gathering::default();
     let mut declared = agent.node.declared.watch();
     let mut engine = agent.engine.watch();
     let mut predecessor = Predecessor::new(agent.node.clock.now());
     loop {
-        orders::settle(&agent).await;
+        orders::resolve(&agent).await;
         if let Some(report) = agent.engine.report() {
             let served = report.holding.map_or(0, |holding| holding.version);
             let needed = needed(&agent, served);
             if let Some(newest) = needed.last() {
-                predecessor.settle(&agent, &newest.model, served).await;
+                predecessor.resolve(&agent, &newest.model, served).await;
             }
-            if predecessor.is_settled() {
-                gathering.follow(&agent, &needed);
+            if predecessor.is_resolved() {
+                gathering.update(&agent, &needed);
             }
-            // While pieces of another version come in, what lies there is no longer whole.
-            let whole = agent
+            // While the agent fetches pieces of another version, the staged one is no longer complete.
+            let complete = agent
                 .stage
-                .whole()
+                .complete_list()
                 .filter(|_| gathering.is_idle() && !report.busy);
-            if let Some(list) = whole.filter(|list| is_due(&agent, list, &needed)) {
-                bring(&agent, &list).await;
+            if let Some(list) = complete.filter(|list| is_due(&agent, list, &needed)) {
+                update_engine(&agent, &list).await;
                 agent.engine.set_loading(false);
             }
         }
         tokio::select! {
-            () = sleep(LOOK) => {}
+            () = sleep(CHECK_INTERVAL) => {}
             _ = declared.changed() => {}
             _ = engine.changed() => {}
-            () = agent.stage.becomes_whole() => {}
+            () = agent.stage.await_complete() => {}
         }
     }
 }
 
-/// The versions that the engine should be brought to and does not serve, in their order.
+/// Returns the versions that the engine should be moved to and does not serve, in order.
 fn needed(agent: &Agent, served: u64) -> Vec<Holding> {
-    let wanted = agent.wanted().into_iter();
+    let wanted = agent.wanted_versions().into_iter();
     wanted.filter(|weights| weights.version > served).collect()
 }
 
-/// The version that is being gathered.
+/// `Gathering` is the version whose pieces are being fetched, and the task that fetches them.
 #[derive(Default)]
 struct Gathering(Option<(Holding, JoinHandle<()>)>);
 
@@ -106,21 +105,21 @@
         self.0.as_ref().is_none_or(|(_, task)| task.is_finished())
     }
 
-    /// Gathers what is missing, and stops gathering what is no longer needed.
-    fn follow(&mut self, agent: &Rc<Agent>, needed: &[Holding]) {
+    /// Starts to fetch the chosen version, and stops fetching one that is no longer chosen.
+    fn update(&mut self, agent: &Rc<Agent>, needed: &[Holding]) {
         let versions: Vec<u64> = needed.iter().map(|weights| weights.version).collect();
-        let here = |version: u64| {
+        let at_entries = |version: u64| {
             let weights = needed.iter().find(|weights| weights.version == version);
             weights.is_some_and(|weights| is_at_entries(&agent.node, weights))
         };
-        let whole = agent.stage.whole().map(|list| list.weights.clone());
+        let complete = agent.stage.complete_list().map(|list| list.weights.clone());
         let staged = agent.stage.weights().map(|weights| Staged {
             version: weights.version,
-            whole: whole.is_some(),
+            whole: complete.is_some(),
         });
-        let ordered = agent.stage.open_order().map(|order| order.weights);
+        let ordered = agent.stage.pending_order().map(|order| order.weights);
         let version = ordered.as_ref().map(|weights| weights.version);
-        let chosen = staged_now(&versions, staged, version, here);
+        let chosen = staged_now(&versions, staged, version, at_entries);
         let chosen = needed
             .iter()
             .chain(&ordered)
@@ -132,18 +131,19 @@
             }
             keep && !task.is_finished()
         });
-        let Some(weights) = chosen.filter(|w| self.0.is_none() && whole.as_ref() != Some(w)) else {
+        let Some(weights) = chosen.filter(|w| self.0.is_none() && complete.as_ref() != Some(w))
+        else {
             return;
         };
-        info!("pieces are gathered", kv: { version = weights.version });
+        info!("fetching pieces", kv: { version = weights.version });
         let task = spawn_local(gather(agent.clone(), weights.clone()));
         self.0 = Some((weights.clone(), task));
     }
 }
 
-/// Whether the engine is to be brought to the version that lies there now. An order without an outcome
-/// is sent again: the answer to any of its copies makes the engine refuse all the others. One that an
-/// earlier process may have sent waits for its turn, as long as there is one.
+/// Returns whether the agent should order the engine to load the staged version now. An order without an
+/// outcome is sent again: the answer to any copy makes the engine refuse the others. An order that only an
+/// earlier process may have sent waits for its turn, as long as the version is needed.
 fn is_due(agent: &Agent, list: &PieceList, needed: &[Holding]) -> bool {
     let Some(report) = agent.engine.report() else {
         return false;
@@ -155,42 +155,43 @@
     {
         return false;
     }
-    let open = agent.stage.open_order();
-    if open.is_some_and(|order| order.sent > 0 || !needed.contains(&list.weights)) {
+    let pending = agent.stage.pending_order();
+    if pending.is_some_and(|order| order.send_count > 0 || !needed.contains(&list.weights)) {
         return true;
     }
     let newer = |weights: &&Holding| weights.version > list.weights.version;
     let haste = match needed.iter().find(newer) {
-        Some(newer) if is_on_its_way(agent, newer) => Haste::LastCall,
+        Some(newer) if may_arrive_soon(agent, newer) => Haste::LastCall,
         _ => Haste::Usual,
     };
     needed.contains(&list.weights) && time_to_order(agent, &list.weights, haste) == Millis::ZERO
 }
 
-/// Whether a version will be here soon: it is at the entries, or was named so shortly ago that it
-/// may be.
-fn is_on_its_way(agent: &Agent, weights: &Holding) -> bool {
+/// Returns whether a version will be at the entries soon: it is there already, or was named so recently that
+/// it may still arrive.
+fn may_arrive_soon(agent: &Agent, weights: &Holding) -> bool {
     let now = agent.node.clock.now();
     let named = agent.node.declared.named(&weights.model);
     let named = named.iter().find(|named| named.version == weights.version);
-    let lately = named.is_some_and(|named| now.since(named.at) < ON_ITS_WAY);
-    lately || is_at_entries(&agent.node, weights)
+    let named_recently = named.is_some_and(|named| now.since(named.at) < ARRIVAL_LIMIT);
+    named_recently || is_at_entries(&agent.node, weights)
 }
 
-async fn bring(agent: &Agent, list: &PieceList) {
-    // Read back before the engine stops taking requests, so that it does not for nothing.
-    let whole = read_back(agent, list).await.is_some();
-    if whole && order(agent, list).await {
+async fn update_engine(agent: &Agent, list: &PieceList) {
+    // The pieces are read back before the engine stops accepting requests, so that it does not stop for a
+    // corrupt version.
+    let verified = read_back(agent, list).await.is_some();
+    if verified && order_load(agent, list).await {
         return;
     }
     agent.engine.set_loading(false);
-    match agent.stage.open_order() {
-        Some(order) => orders::await_outcome(agent, repeat_after(order.sent)).await,
-        None => sleep(AGAIN).await,
+    match agent.stage.pending_order() {
+        Some(order) => orders::await_outcome(agent, repeat_after(order.send_count)).await,
+        None => sleep(RETRY_DELAY).await,
     }
 }
 
-/// How long until it is this engine's turn; none for an engine that serves nothing.
+/// Returns how long it is until the turn of this engine; zero for an engine that serves nothing.
 fn time_to_order(agent: &Agent, wanted: &Holding, haste: Haste) -> Millis {
     let Some(served) = agent.engine.holding() else {
         return Millis::ZERO;
@@ -210,32 +211,32 @@
     turn.since(agent.node.clock.now())
 }
 
-/// Reads all staged pieces back. What lies at an engine may turn bad there, so that the order must
-/// follow at once on a visit that found all; what is bad is gathered again.
-async fn read_back(agent: &Agent, list: &PieceList) -> Option<Whole> {
-    let found = match Visit::begin(agent.engine.addr()).await {
-        Ok(visit) => visit.read_back(list).await,
+/// Reads all staged pieces back. Staged pieces can become corrupt, so the order must follow at once in the
+/// session that verified them all; corrupt pieces are fetched again.
+async fn read_back(agent: &Agent, list: &PieceList) -> Option<Verified> {
+    let found = match Session::open(agent.engine.addr()).await {
+        Ok(session) => session.read_back(list).await,
         Err(error) => Err(error),
     };
     match found {
-        Ok(Found::Whole(whole)) => return Some(whole),
-        Ok(Found::Bad(bad)) => {
+        Ok(ReadBack::Complete(verified)) => return Some(verified),
+        Ok(ReadBack::Bad(bad)) => {
             for number in bad {
-                warn!("piece turned bad where it lies", kv: { number = number });
-                agent.stage.lose(number);
+                warn!("staged piece is corrupt", kv: { number = number });
+                agent.stage.remove_piece(number);
             }
         }
         Err(error) => {
             let version = list.weights.version;
-            info!("pieces not read back", kv: { version = version, error = error.to_string() });
+            info!("staged pieces not read back", kv: { version = version, error = error.to_string() });
         }
     }
     None
 }
 
-/// Waits until the engine is to be ordered to load, and tells what becomes of what it runs then. One
-/// that serves nothing gets no requests.
-async fn drained(agent: &Agent, wanted: &Holding) -> Running {
+/// Waits until the order to load should be sent, and returns what becomes of the running requests then. An
+/// engine that serves nothing gets no requests.
+async fn drain_engine(agent: &Agent, wanted: &Holding) -> Running {
     let began = agent.node.clock.now();
     while agent.engine.holding().is_some() {
         let spent = agent.node.clock.now().since(began);
@@ -243,7 +244,7 @@
         let work = report.map_or(0, |report| report.running + report.waiting);
         let may_break = agent.node.declared.may_break_off(&wanted.model);
         match drain(spent, work, may_break) {
-            Drain::Await => sleep(DRAINING).await,
+            Drain::Await => sleep(DRAIN_INTERVAL).await,
             Drain::Finish => break,
             Drain::BreakOff => return Running::BreakOff,
         }
@@ -251,20 +252,20 @@
     Running::Finish
 }
 
-/// Orders the engine to serve the version, and waits until it does. What lies there may have turned
-/// bad while the engine finished its work, so it is read back once more just before the order.
-async fn order(agent: &Agent, list: &PieceList) -> bool {
+/// Orders the engine to serve the version, and waits until it does. Staged pieces may have become corrupt
+/// while the engine finished its work, so they are read back once more just before the order.
+async fn order_load(agent: &Agent, list: &PieceList) -> bool {
     let wanted = &list.weights;
     agent.engine.set_loading(true);
-    let running = drained(agent, wanted).await;
-    let Some(whole) = read_back(agent, list).await else {
+    let running = drain_engine(agent, wanted).await;
+    let Some(verified) = read_back(agent, list).await else {
         return false;
     };
-    let progress = whole.progress();
-    if let Err(error) = orders::send(agent, whole, running).await {
-        let open = agent.stage.open_order().is_some();
-        info!("order not known to be taken", kv: {
-            version = wanted.version, may_be_begun = open, error = error
+    let progress = verified.progress();
+    if let Err(error) = orders::send(agent, verified, running).await {
+        let pending = agent.stage.pending_order().is_some();
+        info!("order refused or its outcome unknown", kv: {
+            version = wanted.version, may_be_begun = pending, error = error
         });
         return false;
     }
@@ -279,20 +280,20 @@
     agent.metrics.agent.orders.add(outcome, 1);
     orders::check_loaded(agent, wanted, progress.born).await;
     let began = agent.node.clock.now();
-    let mut news = agent.engine.watch();
+    let mut changes = agent.engine.watch();
     let loaded = async {
         while agent.engine.holding().as_ref() != Some(wanted) {
-            if news.changed().await.is_err() {
+            if changes.changed().await.is_err() {
                 return;
             }
         }
     };
-    let done = timeout(LOADED, loaded).await.is_ok();
+    let done = timeout(LOAD_TIMEOUT, loaded).await.is_ok();
     agent.engine.set_loading(false);
     if done {
         let took = agent.node.clock.now().since(began);
         agent.metrics.weights.load.record(took.into());
-        info!("engine serves", kv: { version = wanted.version, took_ms = took.0 });
+        info!("engine serves the version", kv: { version = wanted.version, took_ms = took.0 });
     }
     done
 }
--- a/crates/filbertstack-gateway/src/agent/stage.rs
+++ b/crates/filbertstack-gateway/src/agent/stage.rs
@@ -1,7 +1,7 @@
-//! Which pieces lie staged at the engine, as far as its agent knows.
+//! Records which pieces are staged at the engine, as far as its agent knows.
 //!
-//! The engine keeps one copy of a model's pieces, beside the version that it serves. The agent keeps
-//! none itself: what others need of it, it reads back from there.
+//! The engine keeps one staged copy of a model's pieces, beside the version that it serves. The agent keeps
+//! none itself: it reads the pieces that other nodes ask for back from the engine.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -15,166 +15,167 @@
 use slotmap::new_key_type;
 use tokio::sync::Notify;
 
-use crate::agent::visit::Progress;
+use crate::agent::session::Progress;
 use crate::weights::piece_count;
 
 new_key_type! {
-    /// Names a put whose outcome is not known.
+    /// `PutKey` identifies a write of a piece whose outcome is unknown.
     pub struct PutKey;
 }
 
-/// The pieces staged.
+/// `Stage` records the staged pieces, and the calls of the engine whose outcome is unknown.
 #[derive(Debug, Default)]
 pub struct Stage {
     staged: RefCell<Option<Staged>>,
-    /// The order to load them whose outcome is not known.
-    order: RefCell<Option<OpenOrder>>,
-    /// Puts of pieces whose outcome is not known.
-    puts: RefCell<SlotMap<PutKey, OpenPut>>,
-    /// Told when all pieces of a version lie there.
-    whole: Notify,
+    /// The order to load them whose outcome is unknown.
+    order: RefCell<Option<PendingOrder>>,
+    /// Writes of pieces whose outcome is unknown.
+    puts: RefCell<SlotMap<PutKey, PendingPut>>,
+    /// Notified when all pieces of a version are staged.
+    completed: Notify,
 }
 
-/// An order whose outcome is not known. Until it is, nothing else may be staged: the engine loads what
-/// lies there when it begins the order, and was seen to begin one 2 to 12 s after it was sent.
+/// `PendingOrder` is an order whose outcome is unknown. Until it is known, no other version may be staged:
+/// the engine loads what is staged when it begins the order, and engines began orders 2 to 12 s after they
+/// were sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OpenOrder {
-    /// What it orders to load.
+pub struct PendingOrder {
+    /// The version to load.
     pub weights: Holding,
-    /// What the engine had begun when the order was made; once it has begun anything else, it
-    /// refuses the order.
-    pub made: Progress,
+    /// The engine's progress when the order was made. The engine refuses the order once it has begun another
+    /// one.
+    pub progress: Progress,
     /// How often the order was sent; 0 where only an earlier process may have sent it.
-    pub sent: u32,
-    /// When it was first noted.
-    pub noted: Millis,
+    pub send_count: u32,
+    /// When the agent first recorded the order.
+    pub recorded: Millis,
 }
 
-/// A put of a piece whose outcome is not known. Carried out after another version was read back, it
-/// would lie over one of its pieces when the engine begins to load them.
+/// `PendingPut` is a write of a piece whose outcome is unknown. If the engine carried it out after another
+/// version was read back, it would overwrite one of that version's pieces before the engine loads them.
 #[derive(Debug)]
-struct OpenPut {
+struct PendingPut {
     weights: Holding,
-    /// The start of the engine that it was sent to. It is sent on the connection that the reports come
-    /// on, which ends with that start.
+    /// The start of the engine that the write was sent to. It is sent on the connection that carries the
+    /// reports, which ends with that start.
     born: u64,
-    sent: Millis,
+    sent_at: Millis,
 }
 
-impl OpenPut {
-    /// Whether the engine started at `born` may yet carry it out.
-    fn may_come(&self, born: u64, now: Millis) -> bool {
-        self.born == born && now.since(self.sent) < LATE_CALL
+impl PendingPut {
+    /// Returns whether the engine started at `born` may still carry the write out.
+    fn may_run(&self, born: u64, now: Millis) -> bool {
+        self.born == born && now.since(self.sent_at) < LATE_CALL
     }
 }
 
 #[derive(Debug)]
 struct Staged {
     list: Rc<PieceList>,
-    there: BTreeSet<u32>,
+    present: BTreeSet<u32>,
 }
 
 impl Staged {
-    fn is_whole(&self) -> bool {
-        self.there.len() == piece_count(&self.list) as usize
+    fn is_complete(&self) -> bool {
+        self.present.len() == piece_count(&self.list) as usize
     }
 }
 
 impl Stage {
-    /// Begins to stage a version over whatever lies there, unless it is the one.
+    /// Begins to stage a version over any other; does nothing if it is the staged one.
     pub fn begin(&self, list: Rc<PieceList>) {
         if self.weights().as_ref() != Some(&list.weights) {
-            let there = BTreeSet::new();
-            *self.staged.borrow_mut() = Some(Staged { list, there });
+            let present = BTreeSet::new();
+            *self.staged.borrow_mut() = Some(Staged { list, present });
         }
     }
 
-    /// Forgets everything that lies there, so that the list is fetched anew.
-    pub fn forget(&self) {
+    /// Forgets all staged pieces and their list, so that the list is fetched again.
+    pub fn clear(&self) {
         *self.staged.borrow_mut() = None;
     }
 
-    /// The version that is being staged, or was last.
+    /// Returns the version that is being staged or was staged last.
     pub fn weights(&self) -> Option<Holding> {
         let staged = self.staged.borrow();
         staged.as_ref().map(|staged| staged.list.weights.clone())
     }
 
-    /// The list of the pieces of `weights`, if it came.
+    /// Returns the list of the pieces of `weights`, if it is known.
     pub fn list(&self, weights: &Holding) -> Option<Rc<PieceList>> {
         let staged = self.staged.borrow();
         let found = staged.as_ref().map(|staged| &staged.list);
         found.filter(|list| list.weights == *weights).cloned()
     }
 
-    /// The order to load what lies there whose outcome is not known.
-    pub fn open_order(&self) -> Option<OpenOrder> {
+    /// Returns the order whose outcome is unknown.
+    pub fn pending_order(&self) -> Option<PendingOrder> {
         self.order.borrow().clone()
     }
 
-    /// Notes the order whose outcome is not known, or that there is none.
-    pub fn set_open_order(&self, order: Option<OpenOrder>) {
+    /// Sets the order whose outcome is unknown, or that there is none.
+    pub fn set_pending_order(&self, order: Option<PendingOrder>) {
         *self.order.borrow_mut() = order;
     }
 
-    /// Notes that a piece of `weights` is being put at the engine started at `born`. Puts of earlier
-    /// starts, and those too old to be carried out, are forgotten.
-    pub fn open_put(&self, weights: &Holding, born: u64, now: Millis) -> PutKey {
-        let put = OpenPut {
+    /// Records that a piece of `weights` is being written to the engine started at `born`. Writes to earlier
+    /// starts, and those too old to be carried out, are removed.
+    pub fn begin_put(&self, weights: &Holding, born: u64, now: Millis) -> PutKey {
+        let put = PendingPut {
             weights: weights.clone(),
             born,
-            sent: now,
+            sent_at: now,
         };
         let mut puts = self.puts.borrow_mut();
-        puts.retain(|_, put| put.may_come(born, now));
+        puts.retain(|_, put| put.may_run(born, now));
         puts.insert(put)
     }
 
-    /// Notes that the outcome of a put is known.
-    pub fn settle_put(&self, put: PutKey) {
+    /// Records that the outcome of a write is known.
+    pub fn end_put(&self, put: PutKey) {
         self.puts.borrow_mut().remove(put);
     }
 
-    /// Whether a put of another version than `weights` may yet be carried out by the engine started at
-    /// `born`.
+    /// Returns whether the engine started at `born` may still carry out a write of another version than
+    /// `weights`.
     pub fn may_be_overwritten(&self, weights: &Holding, born: u64, now: Millis) -> bool {
         let puts = self.puts.borrow();
         let mut others = puts.values().filter(|put| put.weights != *weights);
-        others.any(|put| put.may_come(born, now))
+        others.any(|put| put.may_run(born, now))
     }
 
-    /// Notes that a piece lies there and was right.
-    pub fn put(&self, number: u32) {
+    /// Records that a piece is staged and matches its digest.
+    pub fn add_piece(&self, number: u32) {
         if let Some(staged) = self.staged.borrow_mut().as_mut() {
-            staged.there.insert(number);
-            if staged.is_whole() {
-                self.whole.notify_one();
+            staged.present.insert(number);
+            if staged.is_complete() {
+                self.completed.notify_one();
             }
         }
     }
 
-    /// Notes that a piece is not there or turned bad.
-    pub fn lose(&self, number: u32) {
+    /// Records that a piece is missing or corrupt.
+    pub fn remove_piece(&self, number: u32) {
         if let Some(staged) = self.staged.borrow_mut().as_mut() {
-            staged.there.remove(&number);
+            staged.present.remove(&number);
         }
     }
 
-    /// Whether a piece of the version lies there.
+    /// Returns whether a piece of the staged version is there.
     pub fn has(&self, number: u32) -> bool {
         let staged = self.staged.borrow();
-        staged.as_ref().is_some_and(|s| s.there.contains(&number))
+        staged.as_ref().is_some_and(|s| s.present.contains(&number))
     }
 
-    /// The version of which all pieces lie there, with its list.
-    pub fn whole(&self) -> Option<Rc<PieceList>> {
+    /// Returns the list of the staged version if all its pieces are there.
+    pub fn complete_list(&self) -> Option<Rc<PieceList>> {
         let staged = self.staged.borrow();
-        let whole = staged.as_ref().filter(|staged| staged.is_whole());
-        whole.map(|staged| staged.list.clone())
+        let complete = staged.as_ref().filter(|staged| staged.is_complete());
+        complete.map(|staged| staged.list.clone())
     }
 
-    /// Ends when all pieces of a version lie there that did not before.
-    pub async fn becomes_whole(&self) {
-        self.whole.notified().await;
+    /// Waits until all pieces of a version are staged that was incomplete before.
+    pub async fn await_complete(&self) {
+        self.completed.notified().await;
     }
 }
