--- a/crates/filbertstack-gateway/src/agent/reports.rs
+++ b/crates/filbertstack-gateway/src/agent/reports.rs
@@ -21,7 +21,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The agent repeats an unchanged row after this time, so that it counts as alive.
-pub const AGAIN: Duration = Duration::from_millis(900);
+pub const ROW_REPEAT: Duration = Duration::from_millis(900);
 
 /// The agent repeats an unchanged load after this time: entries miss an engine after 700 ms, and one report
 /// may be lost or late.
@@ -70,7 +70,7 @@
 
     fn send_row(&mut self, agent: &Agent) {
         let kind = agent_row(agent);
-        if was_sent(self.row.as_ref(), &kind, AGAIN) {
+        if was_sent(self.row.as_ref(), &kind, ROW_REPEAT) {
             return;
         }
         self.row = Some((kind.clone(), Instant::now()));
--- a/crates/filbertstack-gateway/src/control/people.rs
+++ b/crates/filbertstack-gateway/src/control/people.rs
@@ -25,7 +25,7 @@
 /// An entry reports each [`OWN_ROW`](crate::entry::OWN_ROW): three missed.
 const ENTRY_PATIENCE: Millis = Millis(1_600);
 
-/// An agent reports each [`AGAIN`](crate::agent::reports::AGAIN): three missed.
+/// An agent reports each [`ROW_REPEAT`](crate::agent::reports::ROW_REPEAT): three missed.
 const AGENT_PATIENCE: Millis = Millis::secs(3);
 
 struct Follower {
