--- a/tests/gateway/control.rs
+++ b/tests/gateway/control.rs
@@ -2,9 +2,9 @@
 
 use serde_json::json;
 
-use crate::world::World;
-use crate::world::document;
-use crate::world::until;
+use crate::cluster::World;
+use crate::cluster::document;
+use crate::cluster::until;
 
 /// Three voters and an entry without a disk form a group from three seeds. Whatever node an
 /// operator asks, it reads back exactly what was accepted.
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -5,16 +5,16 @@
 
 use serde_json::json;
 
+use crate::cluster::World;
+use crate::cluster::document;
+use crate::cluster::exchange;
+use crate::cluster::get;
+use crate::cluster::until;
 use crate::engine::Engine;
 use crate::engine::answer;
 use crate::model::Model;
 use crate::model::Origin;
 use crate::model::services;
-use crate::world::World;
-use crate::world::document;
-use crate::world::exchange;
-use crate::world::get;
-use crate::world::until;
 
 /// Three entries, an origin, and engines with their agents.
 pub struct Fleet {
--- a/tests/gateway/orders.rs
+++ b/tests/gateway/orders.rs
@@ -1,11 +1,11 @@
 //! Orders to load weights whose outcome is not known.
 
+use crate::cluster::until;
 use crate::fleet::Fleet;
 use crate::model::LATEST;
 use crate::model::Model;
 use crate::model::PIECES;
 use crate::model::piece;
-use crate::world::until;
 
 /// An engine that serves version 2 and has left the order to load version 3 without an answer.
 fn with_open_order() -> Fleet {
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -15,16 +15,16 @@
 
 use serde_json::json;
 
+use crate::cluster::World;
+use crate::cluster::document;
+use crate::cluster::exchange;
+use crate::cluster::get;
+use crate::cluster::until;
 use crate::engine::Engine;
 use crate::engine::Seen;
 use crate::engine::answer;
 use crate::engine::no_room;
 use crate::engine::stream;
-use crate::world::World;
-use crate::world::document;
-use crate::world::exchange;
-use crate::world::get;
-use crate::world::until;
 
 /// Some times what an entry takes to see that an engine broke off.
 const BROKEN: Duration = Duration::from_millis(150);
@@ -68,7 +68,7 @@
     let request = "POST /once/a?b=c HTTP/1.1\r\nHost: h.example\r\nConnection: close\r\n\
                    X-Filbertstack-Attempt-Id: a1\r\nX-Filbertstack-Deadline-Ms: 900\r\n\
                    X-Filbertstack-Tenant: forged\r\nContent-Length: 4\r\n\r\nbody";
-    crate::world::until("it is served", || world.call(0, request).status == 200);
+    crate::cluster::until("it is served", || world.call(0, request).status == 200);
     let got = world.call(0, request);
     assert_eq!((got.status, got.body.as_str()), (200, "booked"));
     assert!(
@@ -98,7 +98,7 @@
 fn a_request_that_has_not_run_is_refused_with_a_return() {
     let engine = Engine::start(Box::new(no_room));
     let world = serving(&[("i-1", "once", &engine)]);
-    crate::world::until("it is asked", || {
+    crate::cluster::until("it is asked", || {
         let _ = world.call(0, &get("/once/", "a1", ""));
         !engine.seen().is_empty()
     });
@@ -183,7 +183,7 @@
         stream(seen, 6, if resumes { 0 } else { 70 })
     }));
     let world = serving(&[("i-1", "stream", &first), ("i-2", "stream", &second)]);
-    crate::world::until("it is served", || {
+    crate::cluster::until("it is served", || {
         world.call(0, &get("/stream/", "probe", "")).status == 200
     });
     let got = world.call(0, &get("/stream/", "a1", ""));
@@ -297,7 +297,7 @@
 fn a_stream_that_nobody_goes_on_with_does_not_look_complete() {
     let engine = Engine::start(Box::new(|seen| stream(seen, 6, 70)));
     let world = serving(&[("i-1", "stream", &engine)]);
-    crate::world::until("it is served", || {
+    crate::cluster::until("it is served", || {
         world.call(0, &get("/stream/", "probe", "")).status == 200
     });
     let got = world.call(0, &get("/stream/", "a1", ""));
@@ -336,7 +336,7 @@
         "an entry that knows nothing yet denies nothing"
     );
     world.put(&[0], &document(1));
-    crate::world::until("it is known", || {
+    crate::cluster::until("it is known", || {
         world.call(0, &get("/other/", "a1", "")).status == 404
     });
 }
@@ -379,8 +379,8 @@
         let before = engine.seen().len();
         let request = get("/once/", "slow", "");
         let addr = world.front(0);
-        let call = scope.spawn(move || crate::world::exchange(&addr, &request));
-        crate::world::until("it is under way or done", || {
+        let call = scope.spawn(move || crate::cluster::exchange(&addr, &request));
+        crate::cluster::until("it is under way or done", || {
             engine.seen().len() > before || !call.is_finished()
         });
         std::thread::sleep(std::time::Duration::from_millis(100));
@@ -423,7 +423,7 @@
     world.kill(1);
     world.kill(2);
     // A read fails as soon as a link breaks; the entry itself misses its leader a little later.
-    crate::world::until("the entry knows of no leader", || !world.is_ready(0));
+    crate::cluster::until("the entry knows of no leader", || !world.is_ready(0));
     assert_eq!(world.announce(0, "i-1", "safe", engine.addr), Some(503));
     world.launch(1);
     world.launch(2);
--- a/tests/gateway/seeds.rs
+++ b/tests/gateway/seeds.rs
@@ -1,9 +1,9 @@
 //! Seeds that change while the system runs: whoever they name, a lost disk is repaired and nodes
 //! without a disk find the voters.
 
-use crate::world::World;
-use crate::world::document;
-use crate::world::until;
+use crate::cluster::World;
+use crate::cluster::document;
+use crate::cluster::until;
 
 /// The seeds are exchanged for entries without a disk. Then a voter loses its disk and comes back:
 /// its seeds know the voters, but none of them leads. It must be taken in all the same, or the loss
--- a/tests/gateway/weights.rs
+++ b/tests/gateway/weights.rs
@@ -1,8 +1,8 @@
 //! New weights on their way from the origin over the entries to the engines.
 
+use crate::cluster::until;
 use crate::fleet::Fleet;
 use crate::model::PIECES;
-use crate::world::until;
 
 /// A version is named to four engines that serve nothing, and a fifth is added later. Each entry
 /// fetches its share from the origin, and the engines get all pieces from the entries: were each
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -8,12 +8,12 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
+use crate::cluster::Answer;
+use crate::cluster::exchange;
+use crate::cluster::get;
 use crate::fleet::ENTRIES;
 use crate::fleet::EVENTS;
 use crate::fleet::Fleet;
-use crate::world::Answer;
-use crate::world::exchange;
-use crate::world::get;
 
 /// Callers at work at the same time.
 const CALLERS: u64 = 6;
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -7,11 +7,11 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
+use crate::cluster::until;
 use crate::fleet::ENTRIES;
 use crate::fleet::Fleet;
 use crate::fleet::VOTERS;
 use crate::proxy::Harm;
-use crate::world::until;
 
 /// Faults of one play.
 const FAULTS: usize = 7;
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -16,6 +16,11 @@
 use serde_json::Value;
 use serde_json::json;
 
+use crate::cluster::World;
+use crate::cluster::document;
+use crate::cluster::exchange;
+use crate::cluster::get;
+use crate::cluster::until;
 use crate::engine::Engine;
 use crate::engine::Seen;
 use crate::engine::answer;
@@ -25,11 +30,6 @@
 use crate::model::services;
 use crate::proxy::Harm;
 use crate::proxy::Proxy;
-use crate::world::World;
-use crate::world::document;
-use crate::world::exchange;
-use crate::world::get;
-use crate::world::until;
 
 /// Entries with a disk.
 pub const VOTERS: usize = 3;
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -12,6 +12,9 @@
 
 mod callers;
 #[allow(dead_code, reason = "shared with the tests of the gateway")]
+#[path = "../gateway/cluster.rs"]
+mod cluster;
+#[allow(dead_code, reason = "shared with the tests of the gateway")]
 #[path = "../gateway/engine.rs"]
 mod engine;
 mod faults;
@@ -21,9 +24,6 @@
 mod model;
 mod operator;
 mod proxy;
-#[allow(dead_code, reason = "shared with the tests of the gateway")]
-#[path = "../gateway/world.rs"]
-mod world;
 
 use std::thread;
 
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -8,9 +8,9 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
+use crate::cluster::until;
 use crate::fleet::ENTRIES;
 use crate::fleet::Fleet;
-use crate::world::until;
 
 /// The pause between two reads.
 const PAUSE: Duration = Duration::from_millis(100);
