--- a/tests/gateway/cluster.rs
+++ b/tests/gateway/cluster.rs
@@ -30,7 +30,7 @@
 static WORLDS: AtomicU32 = AtomicU32::new(0);
 
 /// Some entries that know each other, and agents.
-pub struct World {
+pub struct Cluster {
     folder: TempDir,
     /// The addresses of all processes, entries first.
     ips: Vec<String>,
@@ -53,7 +53,7 @@
     pub body: String,
 }
 
-impl World {
+impl Cluster {
     /// Starts `voters` entries with a disk and `others` without.
     pub fn start(voters: usize, others: usize) -> Self {
         let number = WORLDS.fetch_add(1, Ordering::Relaxed);
@@ -363,7 +363,7 @@
     }
 }
 
-impl Drop for World {
+impl Drop for Cluster {
     fn drop(&mut self) {
         self.end();
     }
--- a/tests/gateway/control.rs
+++ b/tests/gateway/control.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 
-use crate::cluster::World;
+use crate::cluster::Cluster;
 use crate::cluster::document;
 use crate::cluster::until;
 
@@ -10,7 +10,7 @@
 /// operator asks, it reads back exactly what was accepted.
 #[test]
 fn any_node_reads_back_what_any_node_accepted() {
-    let world = World::start(3, 1);
+    let world = Cluster::start(3, 1);
     world.put(&[3], &document(7));
     for n in 0..4 {
         until("it is read back", || world.version(n) == Some(7));
@@ -22,7 +22,7 @@
 /// was accepted first stays.
 #[test]
 fn resends_and_older_versions_change_nothing() {
-    let world = World::start(3, 0);
+    let world = Cluster::start(3, 0);
     world.put(&[0], &document(7));
     let mut other = document(7);
     other["routes"] = json!([]);
@@ -37,7 +37,7 @@
 
 #[test]
 fn an_invalid_document_is_refused_with_the_reason() {
-    let world = World::start(1, 0);
+    let world = Cluster::start(1, 0);
     world.put(&[0], &document(1));
     let mut invalid = document(2);
     invalid["routes"][0]["service"] = json!("gone");
@@ -56,7 +56,7 @@
 /// what is newest and must say so; when the others are back, all read what was acknowledged.
 #[test]
 fn without_a_majority_nothing_is_read() {
-    let mut world = World::start(3, 0);
+    let mut world = Cluster::start(3, 0);
     world.put(&[0], &document(4));
     world.kill(1);
     world.kill(2);
@@ -74,7 +74,7 @@
 /// All processes are killed at once right after an acknowledgement, and start again.
 #[test]
 fn what_was_acknowledged_outlives_all_processes() {
-    let mut world = World::start(3, 1);
+    let mut world = Cluster::start(3, 1);
     world.put(&[3], &document(9));
     for n in 0..4 {
         world.kill(n);
@@ -91,7 +91,7 @@
 /// place again under a new identity: then the loss of a second disk loses nothing either.
 #[test]
 fn a_lost_disk_is_replaced_before_a_second_is_lost() {
-    let mut world = World::start(3, 0);
+    let mut world = Cluster::start(3, 0);
     world.put(&[0], &document(5));
     for n in [2, 0] {
         world.wipe(n);
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -5,7 +5,7 @@
 
 use serde_json::json;
 
-use crate::cluster::World;
+use crate::cluster::Cluster;
 use crate::cluster::document;
 use crate::cluster::exchange;
 use crate::cluster::get;
@@ -19,7 +19,7 @@
 /// Three entries, an origin, and engines with their agents.
 pub struct Fleet {
     /// The processes.
-    pub world: World,
+    pub world: Cluster,
     /// The origin.
     pub origin: Origin,
     /// What each engine holds.
@@ -33,7 +33,7 @@
 impl Fleet {
     /// Starts the entries and `engines` engines that serve nothing yet.
     pub fn start(engines: usize) -> Self {
-        let world = World::start(3, 0);
+        let world = Cluster::start(3, 0);
         let origin = Origin::default();
         let served = origin.start();
         let mut declared = document(1);
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -15,7 +15,7 @@
 
 use serde_json::json;
 
-use crate::cluster::World;
+use crate::cluster::Cluster;
 use crate::cluster::document;
 use crate::cluster::exchange;
 use crate::cluster::get;
@@ -42,8 +42,8 @@
 const GIVEN_UP: Duration = Duration::from_millis(2_500);
 
 /// One entry that knows the engines given, by service.
-fn serving(engines: &[(&str, &str, &Engine)]) -> World {
-    let world = World::start(1, 0);
+fn serving(engines: &[(&str, &str, &Engine)]) -> Cluster {
+    let world = Cluster::start(1, 0);
     world.put(&[0], &document(1));
     for (id, service, engine) in engines {
         world.report(0, id, service, engine.addr);
@@ -223,7 +223,7 @@
         thread::sleep(READING);
         stream(seen, EVENTS, 0)
     }));
-    let world = World::start(1, 0);
+    let world = Cluster::start(1, 0);
     let mut declared = document(1);
     let route = &mut declared["routes"][2];
     route["goalMs"] = json!(500);
@@ -329,7 +329,7 @@
 
 #[test]
 fn what_no_route_takes_is_not_found() {
-    let world = World::start(1, 0);
+    let world = Cluster::start(1, 0);
     let before = world.call(0, &get("/safe/", "a1", ""));
     assert_eq!(
         before.status, 503,
@@ -418,7 +418,7 @@
 #[test]
 fn an_engine_that_came_too_early_is_known_when_there_is_a_leader() {
     let engine = Engine::start(Box::new(|seen| answer(seen, "200 OK", "done")));
-    let mut world = World::start(3, 0);
+    let mut world = Cluster::start(3, 0);
     world.put(&[0], &document(1));
     world.kill(1);
     world.kill(2);
--- a/tests/gateway/seeds.rs
+++ b/tests/gateway/seeds.rs
@@ -1,7 +1,7 @@
 //! Seeds that change while the system runs: whoever they name, a lost disk is repaired and nodes
 //! without a disk find the voters.
 
-use crate::cluster::World;
+use crate::cluster::Cluster;
 use crate::cluster::document;
 use crate::cluster::until;
 
@@ -10,7 +10,7 @@
 /// of another disk takes what was acknowledged with it.
 #[test]
 fn a_lost_disk_is_repaired_when_the_seeds_have_no_disk() {
-    let mut world = World::start(3, 3);
+    let mut world = Cluster::start(3, 3);
     world.put(&[0], &document(5));
     world.name_seeds(&[3, 4, 5], 3);
     for n in [2, 0] {
@@ -25,7 +25,7 @@
 /// Of the seeds that a wiped voter is told two are gone for good, and one has no disk.
 #[test]
 fn a_lost_disk_is_repaired_when_one_seed_is_left() {
-    let mut world = World::start(3, 3);
+    let mut world = Cluster::start(3, 3);
     world.put(&[0], &document(5));
     world.name_seeds(&[4, 5, 3], 3);
     world.kill(4);
@@ -40,7 +40,7 @@
 /// can tell the wiped one.
 #[test]
 fn voters_tell_seeds_that_were_named_after_their_start() {
-    let mut world = World::start(3, 1);
+    let mut world = Cluster::start(3, 1);
     world.put(&[3], &document(5));
     world.kill(3);
     world.name_seeds(&[3], 3);
@@ -53,7 +53,7 @@
 /// newcomer says whom it asked and what came of it.
 #[test]
 fn a_lost_disk_is_repaired_once_its_seed_wakes() {
-    let mut world = World::start(3, 1);
+    let mut world = Cluster::start(3, 1);
     world.put(&[0], &document(5));
     world.name_seeds(&[3], 3);
     // Until then the voters go on telling the wiped one of themselves, as one of their seeds.
@@ -78,7 +78,7 @@
 /// all processes start again at once, and find each other by the last seeds alone.
 #[test]
 fn all_start_again_after_the_seeds_changed_twice() {
-    let mut world = World::start(3, 3);
+    let mut world = Cluster::start(3, 3);
     world.put(&[4], &document(5));
     world.name_seeds(&[1, 4, 5], 3);
     world.wipe(0);
@@ -99,7 +99,7 @@
 /// take what was acknowledged with it: the leader shows it in its metrics and says it once.
 #[test]
 fn a_group_that_is_short_of_voters_shows_it() {
-    let mut world = World::start(3, 0);
+    let mut world = Cluster::start(3, 0);
     world.put(&[0], &document(5));
     world.kill(2);
     let short = |n: usize| {
@@ -120,7 +120,7 @@
 /// change of what is bound at the start is refused by its name.
 #[test]
 fn a_hangup_takes_over_what_may_change_and_refuses_the_rest() {
-    let mut world = World::start(1, 1);
+    let mut world = Cluster::start(1, 1);
     world.put(&[0], &document(1));
     world.name_seeds(&[1], 1);
     world.signal(0, "HUP");
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -16,7 +16,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::cluster::World;
+use crate::cluster::Cluster;
 use crate::cluster::document;
 use crate::cluster::exchange;
 use crate::cluster::get;
@@ -68,7 +68,7 @@
 pub struct Fleet(Arc<Parts>);
 
 struct Parts {
-    world: Mutex<World>,
+    world: Mutex<Cluster>,
     targets: Vec<Target>,
     agents: Vec<usize>,
     published: Origin,
@@ -87,7 +87,7 @@
     /// Starts four entries, two engines for each plain service, and two model engines with agents. Where
     /// weights are named, `names` versions follow each other.
     pub fn start(seed: u64, names: u32) -> Self {
-        let mut world = World::start(VOTERS, ENTRIES - VOTERS);
+        let mut world = Cluster::start(VOTERS, ENTRIES - VOTERS);
         let published = Origin::default();
         let origin = Proxy::start(published.start().addr);
         let services = ["safe", "safe", "once", "once", "stream", "stream"];
@@ -119,7 +119,7 @@
     }
 
     /// The processes.
-    pub fn world(&self) -> MutexGuard<'_, World> {
+    pub fn world(&self) -> MutexGuard<'_, Cluster> {
         self.0.world.lock().expect("not poisoned")
     }
 
