--- a/tests/gateway/cluster.rs
+++ b/tests/gateway/cluster.rs
@@ -243,7 +243,7 @@
     /// Kills an entry, takes its disk away, starts it again and waits until it is a voter again.
     pub fn wipe(&mut self, n: usize) {
         let before = self.lose_disk(n);
-        until(&format!("node {n} is a voter again"), || {
+        wait_until(&format!("node {n} is a voter again"), || {
             self.promotions(n) > before
         });
     }
@@ -312,14 +312,14 @@
     /// Sends a caller's request to an entry and reads until the connection ends.
     pub fn call(&self, n: usize, request: &str) -> Answer {
         let addr = self.front(n);
-        until("the entry listens", || TcpStream::connect(&addr).is_ok());
+        wait_until("the entry listens", || TcpStream::connect(&addr).is_ok());
         exchange(&addr, request).expect("the entry answers")
     }
 
     /// Puts a document at any of the entries given until one takes it.
     pub fn put(&self, entries: &[usize], document: &Value) {
         let text = document.to_string();
-        until("the document is accepted", || {
+        wait_until("the document is accepted", || {
             let mut tried = entries.iter();
             tried.any(|n| {
                 let answer = self.control(*n, "PUT", "/config", &text);
@@ -349,14 +349,14 @@
 
     /// Reports a target to an entry until it is acknowledged.
     pub fn report(&self, n: usize, id: &str, service: &str, addr: SocketAddr) {
-        until("the report is acknowledged", || {
+        wait_until("the report is acknowledged", || {
             self.announce(n, id, service, addr) == Some(200)
         });
     }
 
     /// Waits until an entry serves requests on `path`.
     pub fn await_service(&self, n: usize, path: &str) {
-        until("requests are served", || {
+        wait_until("requests are served", || {
             let answer = exchange(&format!("{}:8005", self.ips[n]), &get(path, "probe", ""));
             answer.is_some_and(|a| a.status == 200)
         });
@@ -370,7 +370,7 @@
 }
 
 /// Waits for a state that must come.
-pub fn until(what: &str, state: impl Fn() -> bool) {
+pub fn wait_until(what: &str, state: impl Fn() -> bool) {
     let began = Instant::now();
     while !state() {
         assert!(began.elapsed() < PATIENCE, "never: {what}");
--- a/tests/gateway/control.rs
+++ b/tests/gateway/control.rs
@@ -4,7 +4,7 @@
 
 use crate::cluster::Cluster;
 use crate::cluster::document;
-use crate::cluster::until;
+use crate::cluster::wait_until;
 
 /// Three voters and an entry without a disk form a group from three seeds. Whatever node an
 /// operator asks, it reads back exactly what was accepted.
@@ -13,7 +13,7 @@
     let world = Cluster::start(3, 1);
     world.put(&[3], &document(7));
     for n in 0..4 {
-        until("it is read back", || world.version(n) == Some(7));
+        wait_until("it is read back", || world.version(n) == Some(7));
     }
 }
 
@@ -60,14 +60,14 @@
     world.put(&[0], &document(4));
     world.kill(1);
     world.kill(2);
-    until("the last one refuses", || {
+    wait_until("the last one refuses", || {
         let answer = world.control(0, "GET", "/config", "");
         answer.is_some_and(|a| a.status == 503)
     });
     world.launch(1);
     world.launch(2);
     for n in 0..3 {
-        until("it is read back", || world.version(n) == Some(4));
+        wait_until("it is read back", || world.version(n) == Some(4));
     }
 }
 
@@ -83,7 +83,7 @@
         world.launch(n);
     }
     for n in 0..4 {
-        until("it is read back", || world.version(n) == Some(9));
+        wait_until("it is read back", || world.version(n) == Some(9));
     }
 }
 
@@ -98,6 +98,6 @@
     }
     world.put(&[0, 1, 2], &document(6));
     for n in 0..3 {
-        until("it is read back", || world.version(n) == Some(6));
+        wait_until("it is read back", || world.version(n) == Some(6));
     }
 }
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -9,7 +9,7 @@
 use crate::cluster::document;
 use crate::cluster::exchange;
 use crate::cluster::get;
-use crate::cluster::until;
+use crate::cluster::wait_until;
 use crate::engine::Engine;
 use crate::engine::answer;
 use crate::model::Model;
@@ -74,7 +74,7 @@
     pub fn name(&self, version: u64) {
         self.origin.publish(version);
         let body = json!({"model": "m", "version": version}).to_string();
-        until("the version is named", || {
+        wait_until("the version is named", || {
             let answer = self.world.control(0, "POST", "/version-put", &body);
             answer.is_some_and(|a| a.status == 200)
         });
@@ -93,7 +93,7 @@
 
     /// Waits until all engines serve a version.
     pub fn await_version(&self, version: u64) {
-        until(&format!("all engines serve version {version}"), || {
+        wait_until(&format!("all engines serve version {version}"), || {
             self.models.iter().all(|m| m.held().version == version)
         });
     }
@@ -102,7 +102,7 @@
     /// each, under an id of its own.
     pub fn await_answer(&self, status: u16) {
         let asked = Cell::new(0);
-        until(&format!("a request ends with {status}"), || {
+        wait_until(&format!("a request ends with {status}"), || {
             asked.set(asked.get() + 1);
             let id = format!("{status}-{}", asked.get());
             self.world.announce(0, &id, "stream", self.addrs[0]);
--- a/tests/gateway/orders.rs
+++ b/tests/gateway/orders.rs
@@ -1,6 +1,6 @@
 //! Orders to load weights whose outcome is not known.
 
-use crate::cluster::until;
+use crate::cluster::wait_until;
 use crate::fleet::Fleet;
 use crate::model::LATEST;
 use crate::model::Model;
@@ -20,7 +20,7 @@
 
 /// Waits until the engine has left an order without an answer.
 fn await_open_order(fleet: &Fleet) {
-    until("an order is left without an answer", || {
+    wait_until("an order is left without an answer", || {
         fleet.models[0].held().unanswered == 1
     });
 }
@@ -143,7 +143,7 @@
         }
         fleet.add_model(model);
     }
-    until("the list of the first version is kept", || {
+    wait_until("the list of the first version is kept", || {
         (0..3).any(|n| fleet.world.has_logged(n, "list of pieces kept"))
     });
     for version in 2..=4 {
@@ -199,7 +199,7 @@
     fleet.await_answer(200);
     fleet.models[0].held().late_puts = 1;
     fleet.name(3);
-    until("a put is left without an answer", || {
+    wait_until("a put is left without an answer", || {
         fleet.models[0].held().late_puts == 0
     });
     let agent = fleet.agents[0];
@@ -208,7 +208,7 @@
     fleet.world.launch_again(agent);
     fleet.await_version(4);
     assert_eq!(fleet.wrong_orders(), 1);
-    until("the agent knows", || {
+    wait_until("the agent knows", || {
         fleet.world.has_logged(agent, "pieces of two versions")
     });
     fleet.await_answer(503);
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -19,7 +19,7 @@
 use crate::cluster::document;
 use crate::cluster::exchange;
 use crate::cluster::get;
-use crate::cluster::until;
+use crate::cluster::wait_until;
 use crate::engine::Engine;
 use crate::engine::Seen;
 use crate::engine::answer;
@@ -68,7 +68,7 @@
     let request = "POST /once/a?b=c HTTP/1.1\r\nHost: h.example\r\nConnection: close\r\n\
                    X-Filbertstack-Attempt-Id: a1\r\nX-Filbertstack-Deadline-Ms: 900\r\n\
                    X-Filbertstack-Tenant: forged\r\nContent-Length: 4\r\n\r\nbody";
-    crate::cluster::until("it is served", || world.call(0, request).status == 200);
+    crate::cluster::wait_until("it is served", || world.call(0, request).status == 200);
     let got = world.call(0, request);
     assert_eq!((got.status, got.body.as_str()), (200, "booked"));
     assert!(
@@ -98,7 +98,7 @@
 fn a_request_that_has_not_run_is_refused_with_a_return() {
     let engine = Engine::start(Box::new(no_room));
     let world = serving(&[("i-1", "once", &engine)]);
-    crate::cluster::until("it is asked", || {
+    crate::cluster::wait_until("it is asked", || {
         let _ = world.call(0, &get("/once/", "a1", ""));
         !engine.seen().is_empty()
     });
@@ -183,7 +183,7 @@
         stream(seen, 6, if resumes { 0 } else { 70 })
     }));
     let world = serving(&[("i-1", "stream", &first), ("i-2", "stream", &second)]);
-    crate::cluster::until("it is served", || {
+    crate::cluster::wait_until("it is served", || {
         world.call(0, &get("/stream/", "probe", "")).status == 200
     });
     let got = world.call(0, &get("/stream/", "a1", ""));
@@ -241,7 +241,7 @@
             }
         }
     });
-    until("the stream ends", || {
+    wait_until("the stream ends", || {
         world.report(0, "i-1", "stream", first.addr);
         if !first.seen().is_empty() {
             world.report(0, "i-2", "stream", next.addr);
@@ -270,12 +270,12 @@
     }));
     let world = serving(&[("i-1", "stream", &first)]);
     let tries = AtomicU32::new(0);
-    until("a stream goes on", || {
+    wait_until("a stream goes on", || {
         let n = tries.fetch_add(1, Ordering::Relaxed);
         let (front, id) = (world.front(0), format!("a{n}"));
         let request = get("/stream/", &id, "");
         let caller = thread::spawn(move || exchange(&front, &request).expect("an answer"));
-        until("it breaks off or is refused", || {
+        wait_until("it breaks off or is refused", || {
             caller.is_finished()
                 || first
                     .seen()
@@ -297,7 +297,7 @@
 fn a_stream_that_nobody_goes_on_with_does_not_look_complete() {
     let engine = Engine::start(Box::new(|seen| stream(seen, 6, 70)));
     let world = serving(&[("i-1", "stream", &engine)]);
-    crate::cluster::until("it is served", || {
+    crate::cluster::wait_until("it is served", || {
         world.call(0, &get("/stream/", "probe", "")).status == 200
     });
     let got = world.call(0, &get("/stream/", "a1", ""));
@@ -336,7 +336,7 @@
         "an entry that knows nothing yet denies nothing"
     );
     world.put(&[0], &document(1));
-    crate::cluster::until("it is known", || {
+    crate::cluster::wait_until("it is known", || {
         world.call(0, &get("/other/", "a1", "")).status == 404
     });
 }
@@ -349,7 +349,7 @@
     let world = serving(&[("i-0", "safe", &engine)]);
     world.await_service(0, "/safe/");
     let round = AtomicU32::new(0);
-    until("a request that came before the service is served", || {
+    wait_until("a request that came before the service is served", || {
         let gone = round.fetch_add(1, Ordering::Relaxed);
         world.control(0, "DELETE", &format!("/instances/i-{gone}"), "");
         thread::sleep(BROKEN);
@@ -380,7 +380,7 @@
         let request = get("/once/", "slow", "");
         let addr = world.front(0);
         let call = scope.spawn(move || crate::cluster::exchange(&addr, &request));
-        crate::cluster::until("it is under way or done", || {
+        crate::cluster::wait_until("it is under way or done", || {
             engine.seen().len() > before || !call.is_finished()
         });
         std::thread::sleep(std::time::Duration::from_millis(100));
@@ -423,7 +423,7 @@
     world.kill(1);
     world.kill(2);
     // A read fails as soon as a link breaks; the entry itself misses its leader a little later.
-    crate::cluster::until("the entry knows of no leader", || !world.is_ready(0));
+    crate::cluster::wait_until("the entry knows of no leader", || !world.is_ready(0));
     assert_eq!(world.announce(0, "i-1", "safe", engine.addr), Some(503));
     world.launch(1);
     world.launch(2);
@@ -454,7 +454,7 @@
             }
         }
     });
-    until("the entry waits for the frozen one", || {
+    wait_until("the entry waits for the frozen one", || {
         world.has_logged(0, "\"target\":\"i-1\",\"attempt\":1")
     });
     // An entry that looks once has found nobody by then.
@@ -477,7 +477,7 @@
     let front = world.front(0);
     let caller = RefCell::new(None);
     // Refused at once until the entry has heard of the engine.
-    until("it was sent", || {
+    wait_until("it was sent", || {
         if !world.has_logged(0, "\"message\":\"sent\"") {
             let mut stream = TcpStream::connect(&front).expect("the entry listens");
             let request = get("/safe/", "a1", "");
@@ -489,7 +489,7 @@
     // The engine accepts and does not read: it is frozen.
     let (mut frozen, _) = listener.accept().expect("the entry connects");
     caller.take();
-    until("the entry has closed", || {
+    wait_until("the entry has closed", || {
         world.has_logged(0, "\"outcome\":\"caller left\"")
     });
     let mut bytes = Vec::new();
@@ -514,12 +514,12 @@
     let long = get("/stream/", "a1", "").replace("Deadline-Ms: 5000", "Deadline-Ms: 9000");
     // Refused at once until the entry has heard of the engine.
     thread::spawn(move || while exchange(&front, &long).is_some_and(|got| got.status == 503) {});
-    until("a stream runs", || {
+    wait_until("a stream runs", || {
         world.has_logged(0, "\"message\":\"sent\"")
     });
     world.signal(0, "TERM");
     let late = AtomicU32::new(0);
-    until("a caller is refused as not run", || {
+    wait_until("a caller is refused as not run", || {
         let n = late.fetch_add(1, Ordering::Relaxed);
         let request = get("/stream/", &format!("late-{n}"), "");
         let mut stream = TcpStream::connect(world.front(0)).expect("it serves on");
--- a/tests/gateway/seeds.rs
+++ b/tests/gateway/seeds.rs
@@ -3,7 +3,7 @@
 
 use crate::cluster::Cluster;
 use crate::cluster::document;
-use crate::cluster::until;
+use crate::cluster::wait_until;
 
 /// The seeds are exchanged for entries without a disk. Then a voter loses its disk and comes back:
 /// its seeds know the voters, but none of them leads. It must be taken in all the same, or the loss
@@ -18,7 +18,7 @@
     }
     world.put(&[0, 1, 2], &document(6));
     for n in 0..6 {
-        until("it is read back", || world.version(n) == Some(6));
+        wait_until("it is read back", || world.version(n) == Some(6));
     }
 }
 
@@ -32,7 +32,7 @@
     world.kill(5);
     world.wipe(1);
     world.put(&[0, 1, 2], &document(6));
-    until("it is read back", || world.version(1) == Some(6));
+    wait_until("it is read back", || world.version(1) == Some(6));
 }
 
 /// The only seed is an entry that started again a moment ago with nobody but itself as a seed, and
@@ -45,7 +45,7 @@
     world.kill(3);
     world.name_seeds(&[3], 3);
     world.launch(3);
-    until("the new seed serves", || world.version(3) == Some(5));
+    wait_until("the new seed serves", || world.version(3) == Some(5));
     world.wipe(2);
 }
 
@@ -57,12 +57,12 @@
     world.put(&[0], &document(5));
     world.name_seeds(&[3], 3);
     // Until then the voters go on telling the wiped one of themselves, as one of their seeds.
-    until("the voters know the new seeds", || {
+    wait_until("the voters know the new seeds", || {
         (0..2).all(|n| world.has_logged(n, "seeds taken over"))
     });
     world.signal(3, "STOP");
     let before = world.lose_disk(2);
-    until("it explains itself", || {
+    wait_until("it explains itself", || {
         world.has_logged(2, "no leader takes this node in") && world.has_logged(2, ": not reached")
     });
     assert_eq!(
@@ -71,7 +71,7 @@
         "nobody could tell it of the group"
     );
     world.signal(3, "CONT");
-    until("it is a voter again", || world.promotions(2) > before);
+    wait_until("it is a voter again", || world.promotions(2) > before);
 }
 
 /// An old seed: a voter that was replaced names the group it knew. Two changes of the seeds later
@@ -90,7 +90,7 @@
         world.launch(n);
     }
     for n in 0..6 {
-        until("it is read back", || world.version(n) == Some(5));
+        wait_until("it is read back", || world.version(n) == Some(5));
     }
     world.wipe(1);
 }
@@ -110,8 +110,8 @@
         };
         line("declared", " 3") && line("holding", " 2")
     };
-    until("the metrics show it", || (0..2).any(short));
-    until("the log says it", || {
+    wait_until("the metrics show it", || (0..2).any(short));
+    wait_until("the log says it", || {
         (0..2).any(|n| world.has_logged(n, "fewer voters hold the log"))
     });
 }
@@ -124,12 +124,12 @@
     world.put(&[0], &document(1));
     world.name_seeds(&[1], 1);
     world.signal(0, "HUP");
-    until("the seeds are taken over", || {
+    wait_until("the seeds are taken over", || {
         world.has_logged(0, "seeds taken over")
     });
     world.move_metrics(0, 8_011);
     world.signal(0, "HUP");
-    until("the change is refused by name", || {
+    wait_until("the change is refused by name", || {
         world.has_logged(0, "not taken over") && world.has_logged(0, "[listen]")
     });
 }
--- a/tests/gateway/weights.rs
+++ b/tests/gateway/weights.rs
@@ -1,6 +1,6 @@
 //! New weights on their way from the origin over the entries to the engines.
 
-use crate::cluster::until;
+use crate::cluster::wait_until;
 use crate::fleet::Fleet;
 use crate::model::PIECES;
 
@@ -11,7 +11,7 @@
 #[test]
 fn engines_get_weights_of_which_the_origin_sends_one_copy() {
     let mut fleet = Fleet::start(4);
-    until("all entries know each other", || {
+    wait_until("all entries know each other", || {
         (0..3).all(|n| fleet.world.knows_all(n))
     });
     fleet.name(2);
@@ -30,7 +30,7 @@
 #[test]
 fn one_entry_asks_the_origin_for_the_list_of_pieces() {
     let fleet = Fleet::start(6);
-    until("all entries know each other", || {
+    wait_until("all entries know each other", || {
         (0..3).all(|n| fleet.world.knows_all(n))
     });
     fleet.name(2);
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -7,7 +7,7 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-use crate::cluster::until;
+use crate::cluster::wait_until;
 use crate::fleet::ENTRIES;
 use crate::fleet::Fleet;
 use crate::fleet::VOTERS;
@@ -122,7 +122,7 @@
             let told = fleet.world().id(n);
             thread::spawn(move || {
                 // Another fault may have killed it and started it again meanwhile.
-                until(&format!("process {n} has ended"), || {
+                wait_until(&format!("process {n} has ended"), || {
                     let mut world = fleet.world();
                     world.has_ended(n) || world.id(n) != told
                 });
@@ -136,7 +136,7 @@
         Fault::Wipe(n) => {
             let before = fleet.world().lose_disk(n);
             // A second disk may be lost only when the first is made up for.
-            until(&format!("entry {n} is a voter again"), || {
+            wait_until(&format!("entry {n} is a voter again"), || {
                 fleet.world().promotions(n) > before
             });
             after(Duration::ZERO, || {})
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -20,7 +20,7 @@
 use crate::cluster::document;
 use crate::cluster::exchange;
 use crate::cluster::get;
-use crate::cluster::until;
+use crate::cluster::wait_until;
 use crate::engine::Engine;
 use crate::engine::Seen;
 use crate::engine::answer;
@@ -110,7 +110,7 @@
             answers: Mutex::default(),
         }));
         fleet.change();
-        until("the first document is acknowledged", || {
+        wait_until("the first document is acknowledged", || {
             fleet.acknowledged() > 0
         });
         fleet.beat();
@@ -221,7 +221,7 @@
         self.0.published.publish(version);
         let body = json!({"model": "m", "version": version}).to_string();
         let fleet = self.clone();
-        until("the weights are named", || {
+        wait_until("the weights are named", || {
             (0..ENTRIES).any(|n| fleet.control(n, "POST", "/version-put", &body).is_some())
         });
         self.0.weights.store(version, Ordering::SeqCst);
@@ -267,7 +267,7 @@
         for n in 0..ENTRIES {
             let addr = self.world().front(n);
             for path in ["/safe/", "/once/", "/stream/"] {
-                until(&format!("entry {n} serves {path}"), || {
+                wait_until(&format!("entry {n} serves {path}"), || {
                     let answer = exchange(&addr, &get(path, &format!("probe-{n}"), ""));
                     answer.is_some_and(|a| a.status == 200)
                 });
@@ -282,7 +282,7 @@
         }
         self.origin().set(Harm::None);
         self.await_service();
-        until("every engine serves the newest weights", || {
+        wait_until("every engine serves the newest weights", || {
             self.models()
                 .all(|t| t.model.held().version == self.weights())
         });
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-use crate::cluster::until;
+use crate::cluster::wait_until;
 use crate::fleet::ENTRIES;
 use crate::fleet::Fleet;
 
@@ -49,7 +49,7 @@
         let broken = self.0.join().expect("the operator ends");
         let newest = fleet.acknowledged();
         for n in 0..ENTRIES {
-            until(&format!("entry {n} reads version {newest}"), || {
+            wait_until(&format!("entry {n} reads version {newest}"), || {
                 let read = fleet.control(n, "GET", "/config", "");
                 let read = read.and_then(|document| document["version"].as_u64());
                 read.is_some_and(|read| read >= newest)
