--- a/tests/gateway/engine.rs
+++ b/tests/gateway/engine.rs
@@ -14,7 +14,7 @@
 
 /// A request as the engine saw it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct Received {
     /// Its first line.
     pub line: String,
     /// Its headers, names in lower case.
@@ -23,7 +23,7 @@
     pub body: Vec<u8>,
 }
 
-impl Seen {
+impl Received {
     /// One header's value; empty if it isn't there.
     pub fn header(&self, name: &str) -> &str {
         let found = self.headers.iter().find(|(n, _)| n == name);
@@ -33,13 +33,13 @@
 
 /// What the engine does with a request: the bytes that it sends. It closes the connection after them
 /// unless they say that it keeps it.
-pub type Behaviour = Box<dyn Fn(&Seen) -> Vec<u8> + Send + Sync>;
+pub type Behaviour = Box<dyn Fn(&Received) -> Vec<u8> + Send + Sync>;
 
 /// A running engine.
 pub struct Engine {
     /// Where it serves.
     pub addr: SocketAddr,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    seen: Arc<Mutex<Vec<Received>>>,
 }
 
 impl Engine {
@@ -65,12 +65,17 @@
     }
 
     /// All requests so far.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<Received> {
         self.seen.lock().expect("not poisoned").clone()
     }
 }
 
-fn serve(mut stream: TcpStream, pause: Duration, kept: &Mutex<Vec<Seen>>, behaviour: &Behaviour) {
+fn serve(
+    mut stream: TcpStream,
+    pause: Duration,
+    kept: &Mutex<Vec<Received>>,
+    behaviour: &Behaviour,
+) {
     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
     while let Some(seen) = read_request(&mut reader) {
         let answer = behaviour(&seen);
@@ -84,7 +89,7 @@
 }
 
 /// The next request of a connection; `None` at its end.
-fn read_request(reader: &mut impl BufRead) -> Option<Seen> {
+fn read_request(reader: &mut impl BufRead) -> Option<Received> {
     let mut line = String::new();
     if reader.read_line(&mut line).unwrap_or(0) == 0 {
         return None;
@@ -98,7 +103,7 @@
         };
         headers.push((name.to_lowercase(), value.to_owned()));
     }
-    let mut seen = Seen {
+    let mut seen = Received {
         line: line.trim_end().into(),
         headers,
         body: Vec::new(),
@@ -129,7 +134,7 @@
 }
 
 /// A whole answer of the engine, sealed.
-pub fn answer(seen: &Seen, status: &str, body: &str) -> Vec<u8> {
+pub fn answer(seen: &Received, status: &str, body: &str) -> Vec<u8> {
     let id = seen.header("x-filbertstack-attempt-id");
     format!(
         "HTTP/1.1 {status}\r\nX-Filbertstack-Attempt-Id: {id}\r\n\
@@ -140,7 +145,7 @@
 }
 
 /// The engine has no room and says that it did not run the request.
-pub fn no_room(_: &Seen) -> Vec<u8> {
+pub fn no_room(_: &Received) -> Vec<u8> {
     b"HTTP/1.1 503 Service Unavailable\r\nX-Filbertstack-Not-Executed: 1\r\n\
       Content-Length: 0\r\n\r\n"
         .to_vec()
@@ -148,7 +153,7 @@
 
 /// A stream of the events after the one that the request resumes, up to `last`; it breaks off
 /// `cut` bytes before its end.
-pub fn stream(seen: &Seen, last: u64, cut: usize) -> Vec<u8> {
+pub fn stream(seen: &Received, last: u64, cut: usize) -> Vec<u8> {
     let id = seen.header("x-filbertstack-attempt-id");
     let after: u64 = seen.header("last-event-id").parse().unwrap_or(0);
     let mut bytes = format!(
--- a/tests/gateway/model.rs
+++ b/tests/gateway/model.rs
@@ -16,7 +16,7 @@
 use sha2::Sha256;
 
 use crate::engine::Engine;
-use crate::engine::Seen;
+use crate::engine::Received;
 
 /// Pieces of a version.
 pub const PIECES: u32 = 12;
@@ -42,7 +42,7 @@
     [head.as_bytes(), body].concat()
 }
 
-fn query(seen: &Seen, name: &str) -> Option<u64> {
+fn query(seen: &Received, name: &str) -> Option<u64> {
     let target = seen.line.split(' ').nth(1)?;
     let query = target.split_once('?')?.1;
     let found = query.split('&').filter_map(|part| part.split_once('='));
@@ -50,12 +50,12 @@
     found.next()?.1.parse().ok()
 }
 
-fn number(seen: &Seen) -> u32 {
+fn number(seen: &Received) -> u32 {
     let number = query(seen, "num").and_then(|n| u32::try_from(n).ok());
     number.unwrap_or(u32::MAX)
 }
 
-fn path(seen: &Seen) -> &str {
+fn path(seen: &Received) -> &str {
     let target = seen.line.split(' ').nth(1).unwrap_or_default();
     target.split('?').next().unwrap_or_default()
 }
@@ -274,7 +274,7 @@
     }
 
     /// Answers calls of its agent; `None` for callers' requests.
-    pub fn answer(&self, seen: &Seen) -> Option<Vec<u8>> {
+    pub fn answer(&self, seen: &Received) -> Option<Vec<u8>> {
         let path = path(seen);
         let answer = if path == "/report" {
             let report = self.held().report();
@@ -291,7 +291,7 @@
         Some(answer)
     }
 
-    fn put(&self, seen: &Seen) -> Vec<u8> {
+    fn put(&self, seen: &Received) -> Vec<u8> {
         let mut held = self.held();
         if !held.leaves(number(seen), &seen.body) {
             held.stage(number(seen), &seen.body);
@@ -302,7 +302,7 @@
         Vec::new()
     }
 
-    fn order(&self, seen: &Seen) -> Vec<u8> {
+    fn order(&self, seen: &Received) -> Vec<u8> {
         let body: Value = serde_json::from_slice(&seen.body).expect("JSON");
         let order = Order {
             version: body["version"].as_u64().expect("a version"),
@@ -354,7 +354,7 @@
         lists.get(&version).copied().unwrap_or(0)
     }
 
-    fn answer(&self, seen: &Seen) -> Vec<u8> {
+    fn answer(&self, seen: &Received) -> Vec<u8> {
         let version = query(seen, "version").unwrap_or(1);
         if version + KEPT <= self.newest.load(Ordering::SeqCst) {
             return plain("410 Gone", b"");
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -21,7 +21,7 @@
 use crate::cluster::get;
 use crate::cluster::wait_until;
 use crate::engine::Engine;
-use crate::engine::Seen;
+use crate::engine::Received;
 use crate::engine::answer;
 use crate::engine::no_room;
 use crate::engine::stream;
@@ -52,7 +52,7 @@
 }
 
 /// An answer after which the engine keeps the connection open.
-fn kept_answer(seen: &Seen) -> Vec<u8> {
+fn kept_answer(seen: &Received) -> Vec<u8> {
     let id = seen.header("x-filbertstack-attempt-id");
     format!(
         "HTTP/1.1 200 OK\r\nConnection: keep-alive\r\nX-Filbertstack-Attempt-Id: {id}\r\n\
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -22,7 +22,7 @@
 use crate::cluster::get;
 use crate::cluster::wait_until;
 use crate::engine::Engine;
-use crate::engine::Seen;
+use crate::engine::Received;
 use crate::engine::answer;
 use crate::engine::stream;
 use crate::model::Model;
@@ -315,7 +315,7 @@
         let runs: Arc<Mutex<BTreeMap<String, u32>>> = Arc::default();
         let model = Model::default();
         let (counted, held) = (runs.clone(), model.clone());
-        let behaviour = move |seen: &Seen| {
+        let behaviour = move |seen: &Received| {
             if let Some(answer) = held.answer(seen) {
                 return answer;
             }
