--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -94,7 +94,7 @@
     /// Waits until all engines serve a version.
     pub fn await_version(&self, version: u64) {
         wait_until(&format!("all engines serve version {version}"), || {
-            self.models.iter().all(|m| m.held().version == version)
+            self.models.iter().all(|m| m.state().version == version)
         });
     }
 
@@ -113,6 +113,6 @@
 
     /// How many loads began with pieces that were not the version's.
     pub fn wrong_orders(&self) -> u32 {
-        self.models.iter().map(|m| m.held().wrong_orders).sum()
+        self.models.iter().map(|m| m.state().wrong_orders).sum()
     }
 }
--- a/tests/gateway/model.rs
+++ b/tests/gateway/model.rs
@@ -269,7 +269,7 @@
 
 impl Model {
     /// What it holds.
-    pub fn held(&self) -> MutexGuard<'_, Held> {
+    pub fn state(&self) -> MutexGuard<'_, Held> {
         self.0.lock().expect("not poisoned")
     }
 
@@ -277,12 +277,12 @@
     pub fn answer(&self, seen: &Received) -> Option<Vec<u8>> {
         let path = path(seen);
         let answer = if path == "/report" {
-            let report = self.held().report();
+            let report = self.state().report();
             plain("200 OK", report.to_string().as_bytes())
         } else if path.starts_with("/stage-put/") {
             self.put(seen)
         } else if path.starts_with("/stage-get/") {
-            self.held().read(number(seen))
+            self.state().read(number(seen))
         } else if path == "/order" {
             self.order(seen)
         } else {
@@ -292,7 +292,7 @@
     }
 
     fn put(&self, seen: &Received) -> Vec<u8> {
-        let mut held = self.held();
+        let mut held = self.state();
         if !held.leaves(number(seen), &seen.body) {
             held.stage(number(seen), &seen.body);
             return plain("200 OK", b"");
@@ -309,7 +309,7 @@
             expected: body["expected"].as_u64(),
             sent: Instant::now(),
         };
-        let mut held = self.held();
+        let mut held = self.state();
         if held.late_orders == 0 {
             return held.take(order);
         }
--- a/tests/gateway/orders.rs
+++ b/tests/gateway/orders.rs
@@ -12,7 +12,7 @@
     let fleet = Fleet::start(1);
     fleet.name(2);
     fleet.await_version(2);
-    fleet.models[0].held().late_orders = 1;
+    fleet.models[0].state().late_orders = 1;
     fleet.name(3);
     await_open_order(&fleet);
     fleet
@@ -21,7 +21,7 @@
 /// Waits until the engine has left an order without an answer.
 fn await_open_order(fleet: &Fleet) {
     wait_until("an order is left without an answer", || {
-        fleet.models[0].held().unanswered == 1
+        fleet.models[0].state().unanswered == 1
     });
 }
 
@@ -65,7 +65,7 @@
 fn an_agent_that_starts_again_knows_an_ordered_version_by_its_other_pieces() {
     let mut fleet = with_open_order();
     fleet.world.kill(fleet.agents[0]);
-    fleet.models[0].held().staged.insert(5, b"rot".to_vec());
+    fleet.models[0].state().staged.insert(5, b"rot".to_vec());
     start_again_for(&mut fleet, 4);
 }
 
@@ -79,11 +79,11 @@
     fleet.world.kill(fleet.agents[0]);
     for number in 0..PIECES / 2 {
         let bytes = piece(3, number);
-        fleet.models[0].held().staged.insert(number, bytes);
+        fleet.models[0].state().staged.insert(number, bytes);
     }
     fleet.name(3);
     start_again_for(&mut fleet, 4);
-    assert_eq!(fleet.models[0].held().loaded, [2, 4]);
+    assert_eq!(fleet.models[0].state().loaded, [2, 4]);
 }
 
 /// The same with an engine that is new: the version that it was ordered to load is the first, which
@@ -92,7 +92,7 @@
 fn an_agent_that_starts_again_knows_versions_that_are_no_longer_wanted() {
     let mut fleet = Fleet::start(0);
     let model = Model::default();
-    model.held().late_orders = 1;
+    model.state().late_orders = 1;
     fleet.add_model(model);
     await_open_order(&fleet);
     start_again_for(&mut fleet, 2);
@@ -117,7 +117,7 @@
     let mut fleet = Fleet::start(0);
     let model = Model::default();
     {
-        let mut held = model.held();
+        let mut held = model.state();
         held.staged = (0..PIECES).map(|n| (n, piece(5, n))).collect();
         held.latest = Some(LATEST);
         held.leave_order(5);
@@ -126,7 +126,7 @@
     fleet.name(6);
     fleet.await_version(6);
     assert_eq!(fleet.wrong_orders(), 0);
-    assert_eq!(fleet.models[0].held().loaded, [5, 6]);
+    assert_eq!(fleet.models[0].state().loaded, [5, 6]);
 }
 
 /// Guards against engines that wait for nothing after a restart of all, as the lists of older versions
@@ -137,7 +137,7 @@
     for _ in 0..2 {
         let model = Model::default();
         {
-            let mut held = model.held();
+            let mut held = model.state();
             held.version = 1;
             held.staged = (0..PIECES).map(|n| (n, piece(1, n))).collect();
         }
@@ -166,7 +166,7 @@
     fleet.name(2);
     fleet.await_version(2);
     // Once before the engine stops taking requests, and once right before the order.
-    fleet.models[0].held().restarts_after = Some(2);
+    fleet.models[0].state().restarts_after = Some(2);
     fleet.name(3);
     fleet.await_version(3);
     assert_eq!(fleet.wrong_orders(), 0);
@@ -181,7 +181,7 @@
     let fleet = Fleet::start(1);
     fleet.name(2);
     fleet.await_version(2);
-    fleet.models[0].held().late_puts = 1;
+    fleet.models[0].state().late_puts = 1;
     fleet.name(3);
     fleet.await_version(3);
     fleet.name(4);
@@ -197,10 +197,10 @@
     fleet.name(2);
     fleet.await_version(2);
     fleet.await_answer(200);
-    fleet.models[0].held().late_puts = 1;
+    fleet.models[0].state().late_puts = 1;
     fleet.name(3);
     wait_until("a put is left without an answer", || {
-        fleet.models[0].held().late_puts == 0
+        fleet.models[0].state().late_puts == 0
     });
     let agent = fleet.agents[0];
     fleet.world.kill(agent);
--- a/tests/gateway/weights.rs
+++ b/tests/gateway/weights.rs
@@ -48,12 +48,12 @@
     fleet.name(2);
     fleet.await_version(2);
     {
-        let mut held = fleet.models[0].held();
+        let mut held = fleet.models[0].state();
         held.version = 0;
         held.staged.insert(3, b"rot".to_vec());
     }
     {
-        let mut held = fleet.models[1].held();
+        let mut held = fleet.models[1].state();
         held.version = 0;
         held.staged.clear();
     }
@@ -84,7 +84,7 @@
     fleet.name(2);
     fleet.await_version(2);
     {
-        let mut held = fleet.models[0].held();
+        let mut held = fleet.models[0].state();
         held.running = 4;
         held.spoils = 30;
     }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -67,7 +67,7 @@
         while !fleet.is_over() {
             let models: Vec<_> = fleet.models().collect();
             let target = models[rng.random_range(0..models.len())];
-            target.model.held().late_orders = rng.random_range(0..3);
+            target.model.state().late_orders = rng.random_range(0..3);
             thread::sleep(Duration::from_millis(rng.random_range(200..1_500)));
         }
     })
@@ -157,7 +157,7 @@
             })
         }
         Fault::Rot(n) => {
-            let mut held = fleet.targets()[n].model.held();
+            let mut held = fleet.targets()[n].model.state();
             if let Some(piece) = held.staged.values_mut().next() {
                 piece.reverse();
             }
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -284,7 +284,7 @@
         self.await_service();
         wait_until("every engine serves the newest weights", || {
             self.models()
-                .all(|t| t.model.held().version == self.weights())
+                .all(|t| t.model.state().version == self.weights())
         });
         self.0.over.store(true, Ordering::SeqCst);
     }
@@ -298,7 +298,7 @@
 
     /// Orders to load that came while a staged piece was not what it must be.
     pub fn wrong_orders(&self) -> Vec<String> {
-        let wrong: u32 = self.models().map(|t| t.model.held().wrong_orders).sum();
+        let wrong: u32 = self.models().map(|t| t.model.state().wrong_orders).sum();
         let told = (wrong > 0).then(|| format!("{wrong} loads of spoilt or missing pieces"));
         told.into_iter().collect()
     }
@@ -348,7 +348,7 @@
 
     /// The engine starts again and serves no weights; without power, staged pieces are lost too.
     pub fn restart(&self, power: bool) {
-        self.model.held().restart(power);
+        self.model.state().restart(power);
         self.born.store(unix_millis(), Ordering::SeqCst);
         self.sequence.store(1, Ordering::SeqCst);
     }
