--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -112,7 +112,7 @@
     }
 
     /// How many loads began with pieces that were not the version's.
-    pub fn wrong_orders(&self) -> u32 {
-        self.models.iter().map(|m| m.state().wrong_orders).sum()
+    pub fn bad_loads(&self) -> u32 {
+        self.models.iter().map(|m| m.state().bad_loads).sum()
     }
 }
--- a/tests/gateway/model.rs
+++ b/tests/gateway/model.rs
@@ -98,7 +98,7 @@
     pub spoils: u32,
     /// How many orders to load were begun when a staged piece was missing, spoilt or another
     /// version's.
-    pub wrong_orders: u32,
+    pub bad_loads: u32,
     /// How many orders are yet to be left without an answer, and carried out late: at the worst
     /// moment, as soon as a piece of another version is staged.
     pub late_orders: u32,
@@ -248,7 +248,7 @@
         }
         let right = |n| self.staged.get(&n) == Some(&piece(order.version, n));
         if !(0..PIECES).all(right) {
-            self.wrong_orders += 1;
+            self.bad_loads += 1;
         }
         self.version = order.version;
         self.loaded.push(order.version);
--- a/tests/gateway/orders.rs
+++ b/tests/gateway/orders.rs
@@ -33,7 +33,7 @@
     fleet.name(version);
     fleet.world.launch_again(agent);
     fleet.await_version(version);
-    assert_eq!(fleet.wrong_orders(), 0);
+    assert_eq!(fleet.bad_loads(), 0);
 }
 
 /// Callers got tokens that no version of the weights makes. Three versions were named within nine
@@ -48,7 +48,7 @@
     let fleet = with_open_order();
     fleet.name(4);
     fleet.await_version(4);
-    assert_eq!(fleet.wrong_orders(), 0);
+    assert_eq!(fleet.bad_loads(), 0);
 }
 
 /// The same, and the agent is killed before it knows the outcome. The one that starts in its place
@@ -108,7 +108,7 @@
     }
     fleet.restart_all();
     fleet.await_version(12);
-    assert_eq!(fleet.wrong_orders(), 0);
+    assert_eq!(fleet.bad_loads(), 0);
 }
 
 /// Guards against staging over an ordered version of which nobody has the list any more.
@@ -125,7 +125,7 @@
     fleet.add_model(model);
     fleet.name(6);
     fleet.await_version(6);
-    assert_eq!(fleet.wrong_orders(), 0);
+    assert_eq!(fleet.bad_loads(), 0);
     assert_eq!(fleet.models[0].state().loaded, [5, 6]);
 }
 
@@ -151,7 +151,7 @@
     }
     fleet.restart_all();
     fleet.await_version(4);
-    assert_eq!(fleet.wrong_orders(), 0);
+    assert_eq!(fleet.bad_loads(), 0);
     for agent in fleet.agents {
         assert!(!fleet.world.has_logged(agent, "pieces of no known version"));
     }
@@ -169,7 +169,7 @@
     fleet.models[0].state().restarts_after = Some(2);
     fleet.name(3);
     fleet.await_version(3);
-    assert_eq!(fleet.wrong_orders(), 0);
+    assert_eq!(fleet.bad_loads(), 0);
 }
 
 /// Callers would get tokens that no version of the weights makes. An engine leaves the put of a piece
@@ -186,7 +186,7 @@
     fleet.await_version(3);
     fleet.name(4);
     fleet.await_version(4);
-    assert_eq!(fleet.wrong_orders(), 0);
+    assert_eq!(fleet.bad_loads(), 0);
 }
 
 /// Guards against answers of two versions: a piece that a killed agent had put without an answer gets into
@@ -207,7 +207,7 @@
     fleet.name(4);
     fleet.world.launch_again(agent);
     fleet.await_version(4);
-    assert_eq!(fleet.wrong_orders(), 1);
+    assert_eq!(fleet.bad_loads(), 1);
     wait_until("the agent knows", || {
         fleet.world.has_logged(agent, "pieces of two versions")
     });
@@ -215,5 +215,5 @@
     fleet.name(5);
     fleet.await_version(5);
     fleet.await_answer(200);
-    assert_eq!(fleet.wrong_orders(), 1);
+    assert_eq!(fleet.bad_loads(), 1);
 }
--- a/tests/gateway/weights.rs
+++ b/tests/gateway/weights.rs
@@ -23,7 +23,7 @@
     let pieces: u32 = copies.map(|(_, times)| times).sum();
     // On a busy machine an owner may be late, and a second entry asks for its pieces.
     assert!(pieces <= 2 * PIECES, "{sent:?}");
-    assert_eq!(fleet.wrong_orders(), 0);
+    assert_eq!(fleet.bad_loads(), 0);
 }
 
 /// Guards against an origin whose narrow link sends its list of pieces to every node.
@@ -58,7 +58,7 @@
         held.staged.clear();
     }
     fleet.await_version(2);
-    assert_eq!(fleet.wrong_orders(), 0);
+    assert_eq!(fleet.bad_loads(), 0);
 }
 
 /// Agents are killed while a version is on its way and start again. They find what lies staged and
@@ -72,7 +72,7 @@
         fleet.world.launch_again(n);
     }
     fleet.await_version(2);
-    assert_eq!(fleet.wrong_orders(), 0);
+    assert_eq!(fleet.bad_loads(), 0);
 }
 
 /// An engine is to load a version that lies there whole, and finishes its work first. Meanwhile one
@@ -90,5 +90,5 @@
     }
     fleet.name(3);
     fleet.await_version(3);
-    assert_eq!(fleet.wrong_orders(), 0);
+    assert_eq!(fleet.bad_loads(), 0);
 }
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -298,7 +298,7 @@
 
     /// Orders to load that came while a staged piece was not what it must be.
     pub fn wrong_orders(&self) -> Vec<String> {
-        let wrong: u32 = self.models().map(|t| t.model.state().wrong_orders).sum();
+        let wrong: u32 = self.models().map(|t| t.model.state().bad_loads).sum();
         let told = (wrong > 0).then(|| format!("{wrong} loads of spoilt or missing pieces"));
         told.into_iter().collect()
     }
