--- a/tests/gateway/cluster.rs
+++ b/tests/gateway/cluster.rs
@@ -305,13 +305,13 @@
     }
 
     /// Where callers reach an entry.
-    pub fn front(&self, n: usize) -> String {
+    pub fn front_addr(&self, n: usize) -> String {
         format!("{}:8005", self.ips[n])
     }
 
     /// Sends a caller's request to an entry and reads until the connection ends.
     pub fn call(&self, n: usize, request: &str) -> Answer {
-        let addr = self.front(n);
+        let addr = self.front_addr(n);
         wait_until("the entry listens", || TcpStream::connect(&addr).is_ok());
         exchange(&addr, request).expect("the entry answers")
     }
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -106,7 +106,7 @@
             asked.set(asked.get() + 1);
             let id = format!("{status}-{}", asked.get());
             self.world.announce(0, &id, "stream", self.addrs[0]);
-            let answer = exchange(&self.world.front(0), &get("/stream/", &id, ""));
+            let answer = exchange(&self.world.front_addr(0), &get("/stream/", &id, ""));
             answer.is_some_and(|a| a.status == status)
         });
     }
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -231,7 +231,7 @@
     route["timeoutMs"] = json!(50_000);
     world.put(&[0], &declared);
     world.report(0, "i-1", "stream", first.addr);
-    let front = world.front(0);
+    let front = world.front_addr(0);
     let patient = get("/stream/", "a1", "").replace("Deadline-Ms: 5000", "Deadline-Ms: 50000");
     let caller = thread::spawn(move || {
         loop {
@@ -272,7 +272,7 @@
     let tries = AtomicU32::new(0);
     wait_until("a stream goes on", || {
         let n = tries.fetch_add(1, Ordering::Relaxed);
-        let (front, id) = (world.front(0), format!("a{n}"));
+        let (front, id) = (world.front_addr(0), format!("a{n}"));
         let request = get("/stream/", &id, "");
         let caller = thread::spawn(move || exchange(&front, &request).expect("an answer"));
         wait_until("it breaks off or is refused", || {
@@ -378,7 +378,7 @@
     let got = std::thread::scope(|scope| {
         let before = engine.seen().len();
         let request = get("/once/", "slow", "");
-        let addr = world.front(0);
+        let addr = world.front_addr(0);
         let call = scope.spawn(move || crate::cluster::exchange(&addr, &request));
         crate::cluster::wait_until("it is under way or done", || {
             engine.seen().len() > before || !call.is_finished()
@@ -444,7 +444,7 @@
     let other = Engine::start(Box::new(|seen| stream(seen, 3, 0)));
     let world = serving(&[("i-1", "stream", &still)]);
     let patient = get("/stream/", "a1", "").replace("Deadline-Ms: 5000", "Deadline-Ms: 50000");
-    let front = world.front(0);
+    let front = world.front_addr(0);
     // Refused at once until the entry has heard of the engine.
     let caller = thread::spawn(move || {
         loop {
@@ -474,7 +474,7 @@
     let addr = listener.local_addr().expect("bound");
     let world = serving(&[]);
     world.report(0, "i-1", "safe", addr);
-    let front = world.front(0);
+    let front = world.front_addr(0);
     let caller = RefCell::new(None);
     // Refused at once until the entry has heard of the engine.
     wait_until("it was sent", || {
@@ -510,7 +510,7 @@
         Box::new(|seen| stream(seen, 40, 0)),
     );
     let world = serving(&[("i-1", "stream", &engine)]);
-    let front = world.front(0);
+    let front = world.front_addr(0);
     let long = get("/stream/", "a1", "").replace("Deadline-Ms: 5000", "Deadline-Ms: 9000");
     // Refused at once until the entry has heard of the engine.
     thread::spawn(move || while exchange(&front, &long).is_some_and(|got| got.status == 503) {});
@@ -522,7 +522,7 @@
     wait_until("a caller is refused as not run", || {
         let n = late.fetch_add(1, Ordering::Relaxed);
         let request = get("/stream/", &format!("late-{n}"), "");
-        let mut stream = TcpStream::connect(world.front(0)).expect("it serves on");
+        let mut stream = TcpStream::connect(world.front_addr(0)).expect("it serves on");
         stream.write_all(request.as_bytes()).expect("sent");
         let mut head = [0; 12];
         stream.read_exact(&mut head).expect("an answer");
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -48,7 +48,7 @@
         let service = ["safe", "once", "stream"][rng.random_range(0..3)];
         let entry = rng.random_range(0..ENTRIES);
         let attempt = format!("s{seed}-c{n}-{}", asked.len());
-        let addr = fleet.world().front(entry);
+        let addr = fleet.world().front_addr(entry);
         let answer = exchange(&addr, &get(&format!("/{service}/"), &attempt, ""));
         let refused = answer
             .as_ref()
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -265,7 +265,7 @@
     /// Waits until every entry serves every service.
     fn await_service(&self) {
         for n in 0..ENTRIES {
-            let addr = self.world().front(n);
+            let addr = self.world().front_addr(n);
             for path in ["/safe/", "/once/", "/stream/"] {
                 wait_until(&format!("entry {n} serves {path}"), || {
                     let answer = exchange(&addr, &get(path, &format!("probe-{n}"), ""));
