--- a/tests/gateway/cluster.rs
+++ b/tests/gateway/cluster.rs
@@ -177,7 +177,7 @@
     }
 
     /// Starts a process unless it runs.
-    pub fn launch_again(&mut self, n: usize) {
+    pub fn ensure_running(&mut self, n: usize) {
         if self.has_ended(n) {
             self.launch(n);
         }
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -87,7 +87,7 @@
             self.world.kill(n);
         }
         for n in all {
-            self.world.launch_again(n);
+            self.world.ensure_running(n);
         }
     }
 
--- a/tests/gateway/orders.rs
+++ b/tests/gateway/orders.rs
@@ -31,7 +31,7 @@
     // It may have been killed before.
     fleet.world.kill(agent);
     fleet.name(version);
-    fleet.world.launch_again(agent);
+    fleet.world.ensure_running(agent);
     fleet.await_version(version);
     assert_eq!(fleet.bad_loads(), 0);
 }
@@ -205,7 +205,7 @@
     let agent = fleet.agents[0];
     fleet.world.kill(agent);
     fleet.name(4);
-    fleet.world.launch_again(agent);
+    fleet.world.ensure_running(agent);
     fleet.await_version(4);
     assert_eq!(fleet.bad_loads(), 1);
     wait_until("the agent knows", || {
--- a/tests/gateway/weights.rs
+++ b/tests/gateway/weights.rs
@@ -69,7 +69,7 @@
     fleet.name(2);
     for n in [0, fleet.agents[0], fleet.agents[1]] {
         fleet.world.kill(n);
-        fleet.world.launch_again(n);
+        fleet.world.ensure_running(n);
     }
     fleet.await_version(2);
     assert_eq!(fleet.bad_loads(), 0);
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -109,12 +109,12 @@
     match fault {
         Fault::Kill(n) => {
             fleet.world().kill(n);
-            after(span, move || fleet.world().launch_again(n))
+            after(span, move || fleet.world().ensure_running(n))
         }
         Fault::KillAll => {
             all.clone().for_each(|n| fleet.world().kill(n));
             after(span, move || {
-                all.for_each(|n| fleet.world().launch_again(n));
+                all.for_each(|n| fleet.world().ensure_running(n));
             })
         }
         Fault::Term(n) => {
@@ -126,7 +126,7 @@
                     let mut world = fleet.world();
                     world.has_ended(n) || world.id(n) != told
                 });
-                fleet.world().launch_again(n);
+                fleet.world().ensure_running(n);
             })
         }
         Fault::Freeze(n) => {
