--- a/tests/gateway/cluster.rs
+++ b/tests/gateway/cluster.rs
@@ -1,4 +1,4 @@
-//! Entries and agents on loopback: each has an address of its own, all have the same ports.
+//! Runs entries and agents on loopback. Each has its own address, and all have the same ports.
 
 use std::fs;
 use std::io::Read as _;
@@ -19,44 +19,45 @@
 use serde_json::json;
 use tempfile::TempDir;
 
-/// How long a state is waited for that must come: far beyond what it takes, so that it only
+/// A test waits at most this long for a state. It is far beyond the time that any state takes, and only
 /// bounds a test that has failed.
-const PATIENCE: Duration = Duration::from_secs(60);
+const STATE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a leader logs when it made somebody a voter.
+/// A leader logs this when it makes a node a voter.
 const PROMOTED: &str = "\"change\":\"Promote";
 
-/// Worlds of this process so far: each gets a part of loopback of its own, and so all its ports.
-static WORLDS: AtomicU32 = AtomicU32::new(0);
+/// The number of clusters that this process has started: each gets its own part of loopback, and so all
+/// ports.
+static CLUSTERS: AtomicU32 = AtomicU32::new(0);
 
-/// Some entries that know each other, and agents.
+/// `Cluster` runs entries that know each other, and agents.
 pub struct Cluster {
     folder: TempDir,
     /// The addresses of all processes, entries first.
     ips: Vec<String>,
     processes: Vec<Option<Child>>,
     entries: usize,
-    /// The nodes that settings written from now on name as seeds.
+    /// The nodes that settings name as seeds when they are written.
     seeds: Vec<usize>,
-    /// Whether it has ended, and nothing starts any more.
-    over: bool,
+    /// Whether the cluster has ended, and starts no more processes.
+    ended: bool,
 }
 
-/// An answer over HTTP.
+/// `Answer` is an HTTP answer.
 #[derive(Debug)]
 pub struct Answer {
     /// The status.
     pub status: u16,
     /// The headers, names in lower case.
     pub head: String,
-    /// Everything after the head that came before the connection ended.
+    /// Everything that was received after the head before the connection ended.
     pub body: String,
 }
 
 impl Cluster {
     /// Starts `voters` entries with a disk and `others` without.
     pub fn start(voters: usize, others: usize) -> Self {
-        let number = WORLDS.fetch_add(1, Ordering::Relaxed);
+        let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
         let process = std::process::id();
         let net = format!(
             "127.{}.{}",
@@ -64,22 +65,23 @@
             (process / 200 + number * 37) % 250
         );
         let count = voters + others;
-        let mut world = Self {
+        let mut cluster = Self {
             folder: TempDir::new().expect("a folder"),
             ips: (1..=count).map(|n| format!("{net}.{n}")).collect(),
             processes: (0..count).map(|_| None).collect(),
             entries: count,
             seeds: (0..count.min(3)).collect(),
-            over: false,
+            ended: false,
         };
         for n in 0..count {
-            world.write_settings(n, n < voters, true);
-            world.launch(n);
+            cluster.write_settings(n, n < voters, true);
+            cluster.launch(n);
         }
-        world
+        cluster
     }
 
-    /// Starts an agent beside an engine of `service`; its number follows those of the entries.
+    /// Starts an agent beside an engine of `service` and returns its number, which follows those of the
+    /// entries.
     pub fn start_agent(&mut self, service: &str, engine: SocketAddr) -> usize {
         let n = self.ips.len();
         let first = &self.ips[0];
@@ -132,7 +134,7 @@
         log.expect("a log").into()
     }
 
-    /// How often a leader made somebody a voter, by the logs of all entries but `n`.
+    /// Counts how often a leader made a node a voter, by the logs of all entries except `n`.
     pub fn promotions(&self, n: usize) -> usize {
         let others = (0..self.entries).filter(|other| *other != n);
         let logs = others.map(|other| {
@@ -145,7 +147,7 @@
 
     /// Starts a process.
     pub fn launch(&mut self, n: usize) {
-        if self.over {
+        if self.ended {
             return;
         }
         let role = if n < self.entries {
@@ -163,12 +165,12 @@
         self.processes[n] = Some(child.expect("the program starts"));
     }
 
-    /// The system's id of a process that was started.
+    /// Returns the process id of a started process.
     pub fn id(&self, n: usize) -> Option<u32> {
         self.processes[n].as_ref().map(Child::id)
     }
 
-    /// Whether a process has ended or was never started.
+    /// Returns whether a process has ended or was never started.
     pub fn has_ended(&mut self, n: usize) -> bool {
         let Some(child) = &mut self.processes[n] else {
             return true;
@@ -176,14 +178,14 @@
         child.try_wait().expect("it is ours").is_some()
     }
 
-    /// Starts a process unless it runs.
+    /// Starts a process unless it is running.
     pub fn ensure_running(&mut self, n: usize) {
         if self.has_ended(n) {
             self.launch(n);
         }
     }
 
-    /// Sends a signal to a process, by its id.
+    /// Sends a signal to a process by its id.
     pub fn signal(&self, n: usize, signal: &str) {
         if let Some(id) = self.id(n) {
             let id = id.to_string();
@@ -202,35 +204,35 @@
         }
     }
 
-    /// Writes other seeds into the settings of all entries, of which the first `voters` have a disk.
-    /// No process is told by a signal.
-    pub fn name_seeds(&mut self, seeds: &[usize], voters: usize) {
+    /// Writes other seeds into the settings of all entries, of which the first `voters` have a disk. It sends
+    /// no signal to the processes.
+    pub fn set_seeds(&mut self, seeds: &[usize], voters: usize) {
         self.seeds = seeds.to_vec();
         for n in 0..self.entries {
             self.write_settings(n, n < voters, false);
         }
     }
 
-    /// Writes another port for metrics into the settings of an entry.
-    pub fn move_metrics(&self, n: usize, port: u16) {
+    /// Writes another metrics port into the settings of an entry.
+    pub fn set_metrics_port(&self, n: usize, port: u16) {
         let text = fs::read_to_string(self.path(n)).expect("the settings");
         let moved = text.replace(":8010", &format!(":{port}"));
         fs::write(self.path(n), moved).expect("the settings");
     }
 
-    /// Whether the log of a process holds `text`.
+    /// Returns whether the log of a process contains `text`.
     pub fn has_logged(&self, n: usize, text: &str) -> bool {
         self.logged(n).contains(text)
     }
 
-    /// The log of a process; empty if there is none.
+    /// Returns the log of a process; empty if there is none.
     pub fn logged(&self, n: usize) -> String {
         let path = self.folder.path().join(format!("log-{n}"));
         fs::read_to_string(path).unwrap_or_default()
     }
 
-    /// Kills an entry, takes its disk away and starts it again; tells how often somebody had been
-    /// made a voter before.
+    /// Kills an entry, deletes its disk and starts it again. Returns how often a node had been made a voter
+    /// before.
     pub fn lose_disk(&mut self, n: usize) -> usize {
         self.kill(n);
         let before = self.promotions(n);
@@ -240,23 +242,23 @@
         before
     }
 
-    /// Kills an entry, takes its disk away, starts it again and waits until it is a voter again.
-    pub fn wipe(&mut self, n: usize) {
+    /// Kills an entry, deletes its disk, starts it again and waits until it is a voter again.
+    pub fn replace_disk(&mut self, n: usize) {
         let before = self.lose_disk(n);
         wait_until(&format!("node {n} is a voter again"), || {
             self.promotions(n) > before
         });
     }
 
-    /// Kills all processes, for good: a fault that still runs down starts none again.
+    /// Kills all processes for good: a fault that is still in progress then starts none again.
     pub fn end(&mut self) {
-        self.over = true;
+        self.ended = true;
         for n in 0..self.processes.len() {
             self.kill(n);
         }
     }
 
-    /// Asks an entry to end and waits until it has.
+    /// Asks an entry to stop and waits until it has. Returns whether it exited without an error.
     pub fn stop(&mut self, n: usize) -> bool {
         self.signal(n, "TERM");
         let mut child = self.processes[n].take().expect("it runs");
@@ -273,38 +275,38 @@
         exchange(&self.control_addr(n), &request)
     }
 
-    /// Where operators reach an entry.
+    /// Returns the address at which operators reach an entry.
     pub fn control_addr(&self, n: usize) -> String {
         format!("{}:8000", self.ips[n])
     }
 
-    /// Whether an entry says that it is ready: it knows what is declared, and is in contact with a
-    /// leader.
+    /// Returns whether an entry reports that it is ready: it knows the declared document and is in contact
+    /// with a leader.
     pub fn is_ready(&self, n: usize) -> bool {
         let addr = format!("{}:8002", self.ips[n]);
         let request = "GET /readiness HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n";
         exchange(&addr, request).is_some_and(|answer| answer.status == 200)
     }
 
-    /// Whether an entry tells callers of all entries, and so knows them all.
+    /// Returns whether an entry gives callers the addresses of all entries, and so knows them all.
     pub fn knows_all(&self, n: usize) -> bool {
         let addr = format!("{}:8009", self.ips[n]);
         let request = "GET /resolve?name=h.example&region=r&zone=z HTTP/1.1\r\nHost: d\r\n\
                        Connection: close\r\n\r\n";
         let answer = exchange(&addr, request).map(|answer| answer.body);
-        let told: Value = serde_json::from_str(&answer.unwrap_or_default()).unwrap_or_default();
-        let addresses = told["addresses"].as_array();
+        let answered: Value = serde_json::from_str(&answer.unwrap_or_default()).unwrap_or_default();
+        let addresses = answered["addresses"].as_array();
         addresses.is_some_and(|addresses| addresses.len() == self.entries)
     }
 
-    /// What an entry's metrics say.
+    /// Returns the metrics of an entry.
     pub fn metrics(&self, n: usize) -> String {
         let addr = format!("{}:8010", self.ips[n]);
         let request = "GET /metrics HTTP/1.1\r\nHost: m\r\nConnection: close\r\n\r\n";
         exchange(&addr, request).map_or(String::new(), |answer| answer.body)
     }
 
-    /// Where callers reach an entry.
+    /// Returns the address at which callers reach an entry.
     pub fn front_addr(&self, n: usize) -> String {
         format!("{}:8005", self.ips[n])
     }
@@ -316,8 +318,8 @@
         exchange(&addr, request).expect("the entry answers")
     }
 
-    /// Puts a document at any of the entries given until one takes it.
-    pub fn put(&self, entries: &[usize], document: &Value) {
+    /// Sends a document to the given entries in turn until one accepts it.
+    pub fn put_document(&self, entries: &[usize], document: &Value) {
         let text = document.to_string();
         wait_until("the document is accepted", || {
             let mut tried = entries.iter();
@@ -328,14 +330,14 @@
         });
     }
 
-    /// The version that an entry reads back, if it is sure.
+    /// Returns the version that an entry reads back, if it has one with certainty.
     pub fn version(&self, n: usize) -> Option<u64> {
         let answer = self.control(n, "GET", "/config", "")?;
         let document: Value = serde_json::from_str(&answer.body).ok()?;
         (answer.status == 200).then(|| document["version"].as_u64())?
     }
 
-    /// Reports a target to an entry once; the status of the answer.
+    /// Reports a target to an entry once and returns the status of the answer.
     pub fn announce(&self, n: usize, id: &str, service: &str, addr: SocketAddr) -> Option<u16> {
         let body = json!({
             "service": service, "address": addr.to_string(), "zone": "z0", "version": "v1",
@@ -348,8 +350,8 @@
     }
 
     /// Reports a target to an entry until it is acknowledged.
-    pub fn report(&self, n: usize, id: &str, service: &str, addr: SocketAddr) {
-        wait_until("the report is acknowledged", || {
+    pub fn register(&self, n: usize, id: &str, service: &str, addr: SocketAddr) {
+        wait_until("the target is registered", || {
             self.announce(n, id, service, addr) == Some(200)
         });
     }
@@ -369,16 +371,16 @@
     }
 }
 
-/// Waits for a state that must come.
+/// Waits until `state` returns true.
 pub fn wait_until(what: &str, state: impl Fn() -> bool) {
     let began = Instant::now();
     while !state() {
-        assert!(began.elapsed() < PATIENCE, "never: {what}");
+        assert!(began.elapsed() < STATE_TIMEOUT, "never: {what}");
         sleep(Duration::from_millis(20));
     }
 }
 
-/// A caller's request without a body, with the headers given.
+/// Returns a caller's request without a body and with the given headers.
 pub fn get(path: &str, attempt: &str, headers: &str) -> String {
     format!(
         "GET {path} HTTP/1.1\r\nHost: h.example\r\nX-Filbertstack-Attempt-Id: {attempt}\r\n\
@@ -389,10 +391,10 @@
 /// Sends a request and reads until the connection ends.
 pub fn exchange(addr: &str, request: &str) -> Option<Answer> {
     let mut stream = TcpStream::connect(addr).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(STATE_TIMEOUT)).ok()?;
     stream.write_all(request.as_bytes()).ok()?;
     let mut bytes = Vec::new();
-    // A connection that is reset ends what came before.
+    // A reset connection ends the answer with the bytes received before.
     let _ = stream.read_to_end(&mut bytes);
     let text = String::from_utf8_lossy(&bytes).into_owned();
     let (head, body) = text.split_once("\r\n\r\n")?;
@@ -403,7 +405,7 @@
     })
 }
 
-/// A document with a route a kind, each to its own service.
+/// Returns a document with a route of each kind, each to its own service.
 pub fn document(version: u64) -> Value {
     let route = |name: &str, kind: &str, resumable: bool| {
         json!({
--- a/tests/gateway/engine.rs
+++ b/tests/gateway/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an engine: it answers each request as it is told to.
+//! Provides a stand-in for an engine that answers each request as its test defines.
 
 use std::io;
 use std::io::BufRead;
@@ -12,38 +12,38 @@
 use std::thread;
 use std::time::Duration;
 
-/// A request as the engine saw it.
+/// `Received` is a request as the engine received it.
 #[derive(Clone, Debug)]
 pub struct Received {
-    /// Its first line.
+    /// The request line.
     pub line: String,
-    /// Its headers, names in lower case.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
 impl Received {
-    /// One header's value; empty if it isn't there.
+    /// Returns the value of a header; empty if the header is missing.
     pub fn header(&self, name: &str) -> &str {
         let found = self.headers.iter().find(|(n, _)| n == name);
         found.map_or("", |(_, value)| value)
     }
 }
 
-/// What the engine does with a request: the bytes that it sends. It closes the connection after them
-/// unless they say that it keeps it.
+/// `Behaviour` returns the bytes that the engine sends for a request. The engine then closes the connection
+/// unless the bytes say that it is kept.
 pub type Behaviour = Box<dyn Fn(&Received) -> Vec<u8> + Send + Sync>;
 
-/// A running engine.
+/// `Engine` is a running stand-in.
 pub struct Engine {
-    /// Where it serves.
+    /// The address at which it serves.
     pub addr: SocketAddr,
-    seen: Arc<Mutex<Vec<Received>>>,
+    received: Arc<Mutex<Vec<Received>>>,
 }
 
 impl Engine {
-    /// Starts an engine at a free port.
+    /// Starts an engine on a free port.
     pub fn start(behaviour: Behaviour) -> Self {
         Self::paced(Duration::ZERO, behaviour)
     }
@@ -52,35 +52,35 @@
     pub fn paced(pause: Duration, behaviour: Behaviour) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("bound");
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let kept = seen.clone();
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let recorded = received.clone();
         let behaviour = Arc::new(behaviour);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (kept, behaviour) = (kept.clone(), behaviour.clone());
-                thread::spawn(move || serve(stream, pause, &kept, &behaviour));
+                let (recorded, behaviour) = (recorded.clone(), behaviour.clone());
+                thread::spawn(move || serve(stream, pause, &recorded, &behaviour));
             }
         });
-        Self { addr, seen }
+        Self { addr, received }
     }
 
-    /// All requests so far.
-    pub fn seen(&self) -> Vec<Received> {
-        self.seen.lock().expect("not poisoned").clone()
+    /// Returns all requests received so far.
+    pub fn received(&self) -> Vec<Received> {
+        self.received.lock().expect("not poisoned").clone()
     }
 }
 
 fn serve(
     mut stream: TcpStream,
     pause: Duration,
-    kept: &Mutex<Vec<Received>>,
+    recorded: &Mutex<Vec<Received>>,
     behaviour: &Behaviour,
 ) {
     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
-    while let Some(seen) = read_request(&mut reader) {
-        let answer = behaviour(&seen);
-        kept.lock().expect("not poisoned").push(seen);
-        // A caller that has left is part of some tests.
+    while let Some(received) = read_request(&mut reader) {
+        let answer = behaviour(&received);
+        recorded.lock().expect("not poisoned").push(received);
+        // The caller leaves in some tests, so that a failure to send is expected.
         let sent = send_answer(&mut stream, pause, &answer);
         if sent.is_err() || !keeps_connection(&answer) {
             return;
@@ -88,7 +88,7 @@
     }
 }
 
-/// The next request of a connection; `None` at its end.
+/// Reads the next request of a connection; `None` at its end.
 fn read_request(reader: &mut impl BufRead) -> Option<Received> {
     let mut line = String::new();
     if reader.read_line(&mut line).unwrap_or(0) == 0 {
@@ -103,15 +103,15 @@
         };
         headers.push((name.to_lowercase(), value.to_owned()));
     }
-    let mut seen = Received {
+    let mut received = Received {
         line: line.trim_end().into(),
         headers,
         body: Vec::new(),
     };
-    let length = seen.header("content-length").parse().unwrap_or(0);
-    seen.body = vec![0; length];
-    reader.read_exact(&mut seen.body).expect("the body");
-    Some(seen)
+    let length = received.header("content-length").parse().unwrap_or(0);
+    received.body = vec![0; length];
+    reader.read_exact(&mut received.body).expect("the body");
+    Some(received)
 }
 
 fn send_answer(stream: &mut TcpStream, pause: Duration, answer: &[u8]) -> io::Result<()> {
@@ -133,9 +133,9 @@
     answer.windows(keep.len()).any(|text| text == keep)
 }
 
-/// A whole answer of the engine, sealed.
-pub fn answer(seen: &Received, status: &str, body: &str) -> Vec<u8> {
-    let id = seen.header("x-filbertstack-attempt-id");
+/// Returns a complete answer of the engine with its seal.
+pub fn answer(received: &Received, status: &str, body: &str) -> Vec<u8> {
+    let id = received.header("x-filbertstack-attempt-id");
     format!(
         "HTTP/1.1 {status}\r\nX-Filbertstack-Attempt-Id: {id}\r\n\
          X-Filbertstack-Response-Seal: sealed\r\nContent-Length: {}\r\n\r\n{body}",
@@ -144,18 +144,18 @@
     .into_bytes()
 }
 
-/// The engine has no room and says that it did not run the request.
+/// Returns the answer of an engine without room, which says that the request did not run.
 pub fn no_room(_: &Received) -> Vec<u8> {
     b"HTTP/1.1 503 Service Unavailable\r\nX-Filbertstack-Not-Executed: 1\r\n\
       Content-Length: 0\r\n\r\n"
         .to_vec()
 }
 
-/// A stream of the events after the one that the request resumes, up to `last`; it breaks off
+/// Returns a stream of the events after the one that the request resumes, up to `last`. The stream breaks off
 /// `cut` bytes before its end.
-pub fn stream(seen: &Received, last: u64, cut: usize) -> Vec<u8> {
-    let id = seen.header("x-filbertstack-attempt-id");
-    let after: u64 = seen.header("last-event-id").parse().unwrap_or(0);
+pub fn stream(received: &Received, last: u64, cut: usize) -> Vec<u8> {
+    let id = received.header("x-filbertstack-attempt-id");
+    let after: u64 = received.header("last-event-id").parse().unwrap_or(0);
     let mut bytes = format!(
         "HTTP/1.1 200 OK\r\nX-Filbertstack-Attempt-Id: {id}\r\n\
          X-Filbertstack-Response-Seal: sealed\r\nContent-Type: text/event-stream\r\n\
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,5 +1,5 @@
-//! Entries and agents of the small instances as real processes on loopback, before stand-ins for
-//! engines and for the origin of weights.
+//! Runs entries and agents on loopback as real processes, with stand-ins for engines and for the origin of
+//! weights.
 
 mod cluster;
 mod control;
--- a/tests/gateway/model.rs
+++ b/tests/gateway/model.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for a model engine, with weights that are staged and loaded, and for their origin.
+//! Provides stand-ins for a model engine, with weights that are staged and loaded, and for the origin of
+//! weights.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,23 +19,23 @@
 use crate::engine::Engine;
 use crate::engine::Received;
 
-/// Pieces of a version.
+/// A version has this many pieces.
 pub const PIECES: u32 = 12;
 
-/// How many versions an origin keeps.
-const KEPT: u64 = 2;
+/// The origin keeps this many versions.
+const KEPT_VERSIONS: u64 = 2;
 
-/// Bytes of a piece.
+/// A piece has this many bytes.
 const PIECE_BYTES: usize = 4 << 10;
 
-/// The bytes of a piece of a version: all differ.
+/// Returns the bytes of a piece; no two pieces are equal.
 pub fn piece(version: u64, number: u32) -> Vec<u8> {
     let line = format!("version {version} piece {number};");
     line.bytes().cycle().take(PIECE_BYTES).collect()
 }
 
-/// A plain answer without a seal on a kept connection, as to calls of the system itself.
-fn plain(status: &str, body: &[u8]) -> Vec<u8> {
+/// Returns an answer without a seal on a kept connection, as for the calls of agents.
+fn plain_answer(status: &str, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "HTTP/1.1 {status}\r\nConnection: keep-alive\r\nContent-Length: {}\r\n\r\n",
         body.len()
@@ -42,31 +43,31 @@
     [head.as_bytes(), body].concat()
 }
 
-fn query(seen: &Received, name: &str) -> Option<u64> {
-    let target = seen.line.split(' ').nth(1)?;
+fn query(received: &Received, name: &str) -> Option<u64> {
+    let target = received.line.split(' ').nth(1)?;
     let query = target.split_once('?')?.1;
     let found = query.split('&').filter_map(|part| part.split_once('='));
     let mut found = found.filter(|(n, _)| *n == name);
     found.next()?.1.parse().ok()
 }
 
-fn number(seen: &Received) -> u32 {
-    let number = query(seen, "num").and_then(|n| u32::try_from(n).ok());
+fn number(received: &Received) -> u32 {
+    let number = query(received, "num").and_then(|n| u32::try_from(n).ok());
     number.unwrap_or(u32::MAX)
 }
 
-fn path(seen: &Received) -> &str {
-    let target = seen.line.split(' ').nth(1).unwrap_or_default();
+fn path(received: &Received) -> &str {
+    let target = received.line.split(' ').nth(1).unwrap_or_default();
     target.split('?').next().unwrap_or_default()
 }
 
-/// How long an engine is silent that does not answer: longer than an agent waits for it.
-const SILENT: Duration = Duration::from_secs(1);
+/// An engine that does not answer is silent for this long, which is longer than an agent waits.
+const SILENCE: Duration = Duration::from_secs(1);
 
-/// How long after it was sent an engine may carry out a call that it left without an answer.
-pub const LATEST: Duration = Duration::from_secs(12);
+/// An engine carries out a call that it left without an answer at most this long after it was sent.
+pub const LATE_LIMIT: Duration = Duration::from_secs(12);
 
-/// A piece that was put and left without an answer.
+/// `LatePut` is a write of a piece that was left without an answer.
 #[derive(Debug)]
 struct LatePut {
     number: u32,
@@ -74,56 +75,55 @@
     sent: Instant,
 }
 
-/// An order to load.
+/// `Order` is an order to load.
 #[derive(Clone, Copy, Debug)]
 struct Order {
     version: u64,
-    /// How many orders the engine must have begun.
+    /// The number of orders that the engine must have begun.
     expected: Option<u64>,
     sent: Instant,
 }
 
-/// What an engine holds.
+/// `ModelState` is the state of the stand-in engine.
 #[derive(Debug, Default)]
-pub struct Held {
-    /// The version that it serves; 0 if none.
+pub struct ModelState {
+    /// The served version; 0 if none.
     pub version: u64,
-    /// The versions that it has loaded, in their order.
+    /// The loaded versions, in order.
     pub loaded: Vec<u64>,
-    /// The pieces staged.
+    /// The staged pieces.
     pub staged: BTreeMap<u32, Vec<u8>>,
-    /// Requests that it says it runs.
+    /// The number of running requests that it reports.
     pub running: u32,
-    /// How many more reports spoil a staged piece when all of them lie there.
-    pub spoils: u32,
-    /// How many orders to load were begun when a staged piece was missing, spoilt or another
-    /// version's.
+    /// The number of further reports at which the engine corrupts a staged piece, if all pieces are staged.
+    pub corruptions: u32,
+    /// The number of loads that began while a staged piece was missing, corrupt or of another version.
     pub bad_loads: u32,
-    /// How many orders are yet to be left without an answer, and carried out late: at the worst
-    /// moment, as soon as a piece of another version is staged.
+    /// The number of further orders that get no answer and are carried out late, at the worst moment: as soon
+    /// as a piece of another version is staged.
     pub late_orders: u32,
-    /// How long after it was sent an order without an answer is carried out whatever lies there; `None`
-    /// if only at the worst moment.
-    pub latest: Option<Duration>,
-    /// How many puts of a piece are yet to be left without an answer, and carried out late: at the
-    /// worst moment, as an order begins, or else at the latest.
+    /// An order without an answer is carried out this long after it was sent, whatever is staged; `None` if
+    /// only at the worst moment.
+    pub late_limit: Option<Duration>,
+    /// The number of further writes of a piece that get no answer and are carried out late: at the worst
+    /// moment, when an order begins, or else at the limit.
     pub late_puts: u32,
     late_put: Option<LatePut>,
-    /// How many orders were left without an answer.
+    /// The number of orders that got no answer.
     pub unanswered: u32,
-    /// After how many readings of the last piece since that was staged it loses its power and starts
-    /// again, empty.
+    /// The engine loses power and restarts empty after this many reads of the last piece, counted since that
+    /// piece was staged.
     pub restarts_after: Option<u32>,
-    readings: u32,
+    reads: u32,
     late: Vec<Order>,
-    /// Orders begun since its start.
+    /// The orders begun since the engine's start.
     sequence: u64,
     born: u64,
 }
 
-impl Held {
-    /// Leaves an order of an agent that has ended without an answer.
-    pub fn leave_order(&mut self, version: u64) {
+impl ModelState {
+    /// Records an order without an answer from an agent that has ended.
+    pub fn withhold_order(&mut self, version: u64) {
         self.unanswered += 1;
         self.late.push(Order {
             version,
@@ -133,9 +133,9 @@
     }
 
     fn report(&mut self) -> Value {
-        self.load_overdue();
-        if self.spoils > 0 && self.staged.len() == PIECES as usize {
-            self.spoils -= 1;
+        self.load_overdue_orders();
+        if self.corruptions > 0 && self.staged.len() == PIECES as usize {
+            self.corruptions -= 1;
             self.staged.insert(5, b"rot".to_vec());
         }
         let models = match self.version {
@@ -148,36 +148,36 @@
         })
     }
 
-    /// Carries out a put that was left without an answer.
-    fn put_late(&mut self) {
+    /// Carries out the write that was left without an answer.
+    fn apply_late_put(&mut self) {
         if let Some(late) = self.late_put.take() {
             self.staged.insert(late.number, late.bytes);
         }
     }
 
-    /// Carries out what can't be put off any longer.
-    fn put_overdue(&mut self) {
+    /// Carries out the write that got no answer if its limit has passed.
+    fn apply_overdue_put(&mut self) {
         let late = self.late_put.as_ref();
-        if late.is_some_and(|late| late.sent.elapsed() >= LATEST) {
-            self.put_late();
+        if late.is_some_and(|late| late.sent.elapsed() >= LATE_LIMIT) {
+            self.apply_late_put();
         }
     }
 
-    /// Carries out orders that can't be put off any longer.
-    fn load_overdue(&mut self) {
-        let Some(latest) = self.latest else {
+    /// Carries out the orders without an answer whose limit has passed.
+    fn load_overdue_orders(&mut self) {
+        let Some(late_limit) = self.late_limit else {
             return;
         };
-        let overdue = |order: &Order| order.sent.elapsed() >= latest;
+        let overdue = |order: &Order| order.sent.elapsed() >= late_limit;
         let (due, late): (Vec<_>, Vec<_>) = self.late.drain(..).partition(overdue);
         self.late = late;
         for order in due {
-            self.take(order);
+            self.begin_order(order);
         }
     }
 
-    /// Whether the put of a piece is to be left without an answer.
-    fn leaves(&mut self, number: u32, bytes: &[u8]) -> bool {
+    /// Returns whether the write of a piece is to be left without an answer, and records it if so.
+    fn withholds_put(&mut self, number: u32, bytes: &[u8]) -> bool {
         if self.late_puts == 0 {
             return false;
         }
@@ -193,27 +193,27 @@
     fn stage(&mut self, number: u32, bytes: &[u8]) {
         self.staged.insert(number, bytes.to_vec());
         if number + 1 == PIECES {
-            self.readings = 0;
+            self.reads = 0;
         }
-        let undercuts = |order: &Order| bytes != piece(order.version, number);
-        let (due, late) = self.late.drain(..).partition(undercuts);
+        let overwrites = |order: &Order| bytes != piece(order.version, number);
+        let (due, late) = self.late.drain(..).partition(overwrites);
         self.late = late;
         for order in due {
-            self.take(order);
+            self.begin_order(order);
         }
     }
 
-    /// Reads a staged piece, and starts again after it where it is to.
+    /// Reads a staged piece, and restarts the engine after it if the test asks for that.
     fn read(&mut self, number: u32) -> Vec<u8> {
-        self.put_overdue();
+        self.apply_overdue_put();
         let answer = match self.staged.get(&number) {
-            Some(bytes) => plain("200 OK", bytes),
-            None if number >= PIECES => plain("400 Bad Request", b""),
-            None => plain("404 Not Found", b""),
+            Some(bytes) => plain_answer("200 OK", bytes),
+            None if number >= PIECES => plain_answer("400 Bad Request", b""),
+            None => plain_answer("404 Not Found", b""),
         };
         if number + 1 == PIECES {
-            self.readings += 1;
-            if self.restarts_after == Some(self.readings) {
+            self.reads += 1;
+            if self.restarts_after == Some(self.reads) {
                 self.restarts_after = None;
                 self.restart(true);
                 return close_after(&answer);
@@ -222,8 +222,8 @@
         answer
     }
 
-    /// Starts again and serves nothing; orders not yet begun are gone, and without power, so are the
-    /// staged pieces.
+    /// Restarts the engine, which then serves nothing. Orders that have not begun are lost, and so are the
+    /// staged pieces if it lost `power`.
     pub fn restart(&mut self, power: bool) {
         if power {
             self.staged.clear();
@@ -235,16 +235,16 @@
         self.born += 1;
     }
 
-    fn take(&mut self, order: Order) -> Vec<u8> {
+    fn begin_order(&mut self, order: Order) -> Vec<u8> {
         if order.expected.is_some_and(|begun| begun != self.sequence) {
-            return plain("409 Conflict", b"");
+            return plain_answer("409 Conflict", b"");
         }
         if order.version == self.version {
-            return plain("200 OK", b"");
+            return plain_answer("200 OK", b"");
         }
         let late = self.late_put.as_ref();
         if late.is_some_and(|late| late.bytes != piece(order.version, late.number)) {
-            self.put_late();
+            self.apply_late_put();
         }
         let right = |n| self.staged.get(&n) == Some(&piece(order.version, n));
         if !(0..PIECES).all(right) {
@@ -253,77 +253,78 @@
         self.version = order.version;
         self.loaded.push(order.version);
         self.sequence += 1;
-        plain("202 Accepted", b"")
+        plain_answer("202 Accepted", b"")
     }
 }
 
-/// The same answer, after which the connection is closed without a word.
+/// Returns the same answer without the header that keeps the connection open, so that the connection is
+/// closed after it.
 fn close_after(answer: &[u8]) -> Vec<u8> {
     let text = String::from_utf8_lossy(answer).into_owned();
     text.replace("Connection: keep-alive\r\n", "").into_bytes()
 }
 
-/// A model engine: callers' requests are answered as it is told to, by the engine it stands for.
+/// `Model` is a model engine. The stand-in beside it answers callers' requests.
 #[derive(Clone, Default)]
-pub struct Model(Arc<Mutex<Held>>);
+pub struct Model(Arc<Mutex<ModelState>>);
 
 impl Model {
-    /// What it holds.
-    pub fn state(&self) -> MutexGuard<'_, Held> {
+    /// Returns the state of the engine.
+    pub fn state(&self) -> MutexGuard<'_, ModelState> {
         self.0.lock().expect("not poisoned")
     }
 
-    /// Answers calls of its agent; `None` for callers' requests.
-    pub fn answer(&self, seen: &Received) -> Option<Vec<u8>> {
-        let path = path(seen);
+    /// Answers calls of the agent; returns `None` for callers' requests.
+    pub fn answer(&self, received: &Received) -> Option<Vec<u8>> {
+        let path = path(received);
         let answer = if path == "/report" {
             let report = self.state().report();
-            plain("200 OK", report.to_string().as_bytes())
+            plain_answer("200 OK", report.to_string().as_bytes())
         } else if path.starts_with("/stage-put/") {
-            self.put(seen)
+            self.put(received)
         } else if path.starts_with("/stage-get/") {
-            self.state().read(number(seen))
+            self.state().read(number(received))
         } else if path == "/order" {
-            self.order(seen)
+            self.order(received)
         } else {
             return None;
         };
         Some(answer)
     }
 
-    fn put(&self, seen: &Received) -> Vec<u8> {
-        let mut held = self.state();
-        if !held.leaves(number(seen), &seen.body) {
-            held.stage(number(seen), &seen.body);
-            return plain("200 OK", b"");
+    fn put(&self, received: &Received) -> Vec<u8> {
+        let mut state = self.state();
+        if !state.withholds_put(number(received), &received.body) {
+            state.stage(number(received), &received.body);
+            return plain_answer("200 OK", b"");
         }
-        drop(held);
-        thread::sleep(SILENT);
+        drop(state);
+        thread::sleep(SILENCE);
         Vec::new()
     }
 
-    fn order(&self, seen: &Received) -> Vec<u8> {
-        let body: Value = serde_json::from_slice(&seen.body).expect("JSON");
+    fn order(&self, received: &Received) -> Vec<u8> {
+        let body: Value = serde_json::from_slice(&received.body).expect("JSON");
         let order = Order {
             version: body["version"].as_u64().expect("a version"),
             expected: body["expected"].as_u64(),
             sent: Instant::now(),
         };
-        let mut held = self.state();
-        if held.late_orders == 0 {
-            return held.take(order);
+        let mut state = self.state();
+        if state.late_orders == 0 {
+            return state.begin_order(order);
         }
-        held.late_orders -= 1;
-        held.unanswered += 1;
-        held.late.push(order);
-        drop(held);
-        thread::sleep(SILENT);
+        state.late_orders -= 1;
+        state.unanswered += 1;
+        state.late.push(order);
+        drop(state);
+        thread::sleep(SILENCE);
         Vec::new()
     }
 }
 
-/// The origin of weights, which counts the pieces and lists that it sent. It keeps the newest version
-/// that was named and the one before it.
+/// `Origin` is the origin of weights. It counts the pieces and lists that it sends, and keeps the newest
+/// named version and the one before it.
 #[derive(Clone, Default)]
 pub struct Origin {
     newest: Arc<AtomicU64>,
@@ -332,42 +333,42 @@
 }
 
 impl Origin {
-    /// Starts it.
+    /// Starts the origin.
     pub fn start(&self) -> Engine {
         let origin = self.clone();
-        Engine::start(Box::new(move |seen| origin.answer(seen)))
+        Engine::start(Box::new(move |received| origin.answer(received)))
     }
 
-    /// Notes that a version is named: older ones than the one before it are gone.
+    /// Records that a version is named, and deletes all older ones except the one before it.
     pub fn publish(&self, version: u64) {
         self.newest.fetch_max(version, Ordering::SeqCst);
     }
 
-    /// How often each piece was sent, by version and number.
+    /// Returns how often each piece was sent, by version and number.
     pub fn sent(&self) -> BTreeMap<(u64, u32), u32> {
         self.sent.lock().expect("not poisoned").clone()
     }
 
-    /// How often the list of a version's pieces was sent.
+    /// Returns how often the list of a version's pieces was sent.
     pub fn lists(&self, version: u64) -> u32 {
         let lists = self.lists.lock().expect("not poisoned");
         lists.get(&version).copied().unwrap_or(0)
     }
 
-    fn answer(&self, seen: &Received) -> Vec<u8> {
-        let version = query(seen, "version").unwrap_or(1);
-        if version + KEPT <= self.newest.load(Ordering::SeqCst) {
-            return plain("410 Gone", b"");
+    fn answer(&self, received: &Received) -> Vec<u8> {
+        let version = query(received, "version").unwrap_or(1);
+        if version + KEPT_VERSIONS <= self.newest.load(Ordering::SeqCst) {
+            return plain_answer("410 Gone", b"");
         }
-        if path(seen).starts_with("/manifest/") {
+        if path(received).starts_with("/manifest/") {
             let mut lists = self.lists.lock().expect("not poisoned");
             *lists.entry(version).or_default() += 1;
-            return plain("200 OK", manifest(version).to_string().as_bytes());
+            return plain_answer("200 OK", manifest(version).to_string().as_bytes());
         }
-        let number = number(seen);
+        let number = number(received);
         let mut sent = self.sent.lock().expect("not poisoned");
         *sent.entry((version, number)).or_default() += 1;
-        plain("200 OK", &piece(version, number))
+        plain_answer("200 OK", &piece(version, number))
     }
 }
 
@@ -380,7 +381,7 @@
     })
 }
 
-/// The part of a document that tells where weights come from and who serves them.
+/// Returns the part of a document that names the origin of weights and the services.
 pub fn services(origin: std::net::SocketAddr) -> Value {
     json!([
         {"name": "safe"}, {"name": "once"},
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -1,4 +1,4 @@
-//! A caller's request, before engines that refuse, fail and break off.
+//! Tests callers' requests with engines that refuse, fail and break off.
 
 use std::cell::RefCell;
 use std::io::Read as _;
@@ -26,34 +26,34 @@
 use crate::engine::no_room;
 use crate::engine::stream;
 
-/// Some times what an entry takes to see that an engine broke off.
-const BROKEN: Duration = Duration::from_millis(150);
+/// A test waits this long for an entry to notice that an engine broke off, a few times longer than it takes.
+const BREAK_DELAY: Duration = Duration::from_millis(150);
 
-/// The events of a stream that runs for longer than its caller would wait for the first.
+/// A stream of this many events runs for longer than its caller would wait for the first.
 const EVENTS: u64 = 6;
 
-/// The pause after each of them.
-const PACE: Duration = Duration::from_millis(500);
+/// The engine pauses for this time after each of them.
+const EVENT_PAUSE: Duration = Duration::from_millis(500);
 
-/// What an engine takes to read a prompt anew.
-const READING: Duration = Duration::from_millis(400);
+/// An engine takes this long to process a prompt again.
+const PROMPT_DELAY: Duration = Duration::from_millis(400);
 
-/// Beyond twice the goal of the tests' routes, after which a silent engine is given up.
-const GIVEN_UP: Duration = Duration::from_millis(2_500);
+/// A silent engine is given up within this time: more than twice the goal of the tests' routes.
+const GIVE_UP_DELAY: Duration = Duration::from_millis(2_500);
 
-/// One entry that knows the engines given, by service.
-fn serving(engines: &[(&str, &str, &Engine)]) -> Cluster {
-    let world = Cluster::start(1, 0);
-    world.put(&[0], &document(1));
+/// Starts one entry that knows the given engines, by service.
+fn start_serving(engines: &[(&str, &str, &Engine)]) -> Cluster {
+    let cluster = Cluster::start(1, 0);
+    cluster.put_document(&[0], &document(1));
     for (id, service, engine) in engines {
-        world.report(0, id, service, engine.addr);
+        cluster.register(0, id, service, engine.addr);
     }
-    world
+    cluster
 }
 
-/// An answer after which the engine keeps the connection open.
-fn kept_answer(seen: &Received) -> Vec<u8> {
-    let id = seen.header("x-filbertstack-attempt-id");
+/// Returns an answer after which the engine keeps the connection open.
+fn keep_alive_answer(received: &Received) -> Vec<u8> {
+    let id = received.header("x-filbertstack-attempt-id");
     format!(
         "HTTP/1.1 200 OK\r\nConnection: keep-alive\r\nX-Filbertstack-Attempt-Id: {id}\r\n\
          X-Filbertstack-Response-Seal: sealed\r\nContent-Length: 2\r\n\r\nok"
@@ -62,47 +62,47 @@
 }
 
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
-    let engine = Engine::start(Box::new(|seen| answer(seen, "200 OK", "booked")));
-    let world = serving(&[("i-1", "once", &engine)]);
+fn a_request_is_forwarded_unchanged_and_its_answer_returned() {
+    let engine = Engine::start(Box::new(|received| answer(received, "200 OK", "booked")));
+    let cluster = start_serving(&[("i-1", "once", &engine)]);
     let request = "POST /once/a?b=c HTTP/1.1\r\nHost: h.example\r\nConnection: close\r\n\
                    X-Filbertstack-Attempt-Id: a1\r\nX-Filbertstack-Deadline-Ms: 900\r\n\
                    X-Filbertstack-Tenant: forged\r\nContent-Length: 4\r\n\r\nbody";
-    crate::cluster::wait_until("it is served", || world.call(0, request).status == 200);
-    let got = world.call(0, request);
+    crate::cluster::wait_until("it is served", || cluster.call(0, request).status == 200);
+    let got = cluster.call(0, request);
     assert_eq!((got.status, got.body.as_str()), (200, "booked"));
     assert!(
         got.head.contains("x-filbertstack-response-seal: sealed"),
         "{}",
         got.head
     );
-    let seen = engine.seen().pop().expect("it was asked");
-    assert_eq!(seen.line, "POST /once/a?b=c HTTP/1.1");
-    assert_eq!(seen.body, b"body");
-    assert_eq!(seen.header("x-filbertstack-expect-instance"), "i-1");
+    let received = engine.received().pop().expect("it was asked");
+    assert_eq!(received.line, "POST /once/a?b=c HTTP/1.1");
+    assert_eq!(received.body, b"body");
+    assert_eq!(received.header("x-filbertstack-expect-instance"), "i-1");
     assert_eq!(
-        seen.header("x-filbertstack-tenant"),
+        received.header("x-filbertstack-tenant"),
         "",
         "no key, no organisation"
     );
-    let left: u64 = seen
+    let left: u64 = received
         .header("x-filbertstack-deadline-ms")
         .parse()
         .expect("a number");
     assert!(left <= 900);
 }
 
-/// The only engine has no room. The caller must learn that its request has not run, and when to
-/// come back; the request must not run later.
+/// The only engine has no room. The caller must learn that its request has not run and when to retry, and the
+/// request must not run later.
 #[test]
-fn a_request_that_has_not_run_is_refused_with_a_return() {
+fn a_request_that_has_not_run_is_refused_with_a_retry_time() {
     let engine = Engine::start(Box::new(no_room));
-    let world = serving(&[("i-1", "once", &engine)]);
+    let cluster = start_serving(&[("i-1", "once", &engine)]);
     crate::cluster::wait_until("it is asked", || {
-        let _ = world.call(0, &get("/once/", "a1", ""));
-        !engine.seen().is_empty()
+        let _ = cluster.call(0, &get("/once/", "a1", ""));
+        !engine.received().is_empty()
     });
-    let got = world.call(0, &get("/once/", "a2", ""));
+    let got = cluster.call(0, &get("/once/", "a2", ""));
     assert_eq!(got.status, 503);
     assert!(got.head.contains("retry-after: "), "{}", got.head);
     assert!(
@@ -112,25 +112,26 @@
     );
 }
 
-/// An engine takes a request and closes without an answer: it may have run. A request that may
-/// run once only must not go to another engine, and the caller must not be told "not run".
+/// An engine accepts a request and closes the connection without an answer, so that the request may have run.
+/// A request that may run only once must not go to another engine, and the caller must not get "not run".
 #[test]
-fn an_unknown_outcome_is_neither_repeated_nor_denied() {
+fn an_unknown_outcome_is_neither_retried_nor_reported_as_not_run() {
     let engines = [(); 2].map(|()| {
-        Engine::start(Box::new(|seen| {
-            if seen.header("x-filbertstack-attempt-id") == "a1" {
+        Engine::start(Box::new(|received| {
+            if received.header("x-filbertstack-attempt-id") == "a1" {
                 return Vec::new();
             }
-            answer(seen, "200 OK", "ok")
+            answer(received, "200 OK", "ok")
         }))
     });
-    let world = serving(&[("i-1", "once", &engines[0]), ("i-2", "once", &engines[1])]);
-    world.await_service(0, "/once/");
-    let got = world.call(0, &get("/once/", "a1", ""));
+    let cluster = start_serving(&[("i-1", "once", &engines[0]), ("i-2", "once", &engines[1])]);
+    cluster.await_service(0, "/once/");
+    let got = cluster.call(0, &get("/once/", "a1", ""));
     assert_eq!(got.status, 502);
     let runs = |e: &Engine| {
-        let seen = e.seen().into_iter();
-        seen.filter(|s| s.header("x-filbertstack-attempt-id") == "a1")
+        let received = e.received().into_iter();
+        received
+            .filter(|s| s.header("x-filbertstack-attempt-id") == "a1")
             .count()
     };
     assert_eq!(runs(&engines[0]) + runs(&engines[1]), 1);
@@ -140,28 +141,29 @@
 #[test]
 fn a_kept_connection_that_was_closed_is_replaced_by_a_new_one() {
     let closes = AtomicBool::new(true);
-    let engine = Engine::start(Box::new(move |seen| {
-        let kept = seen.header("x-filbertstack-attempt-id") == "a1";
+    let engine = Engine::start(Box::new(move |received| {
+        let kept = received.header("x-filbertstack-attempt-id") == "a1";
         if kept && closes.swap(false, Ordering::SeqCst) {
             return Vec::new();
         }
-        kept_answer(seen)
+        keep_alive_answer(received)
     }));
-    let world = serving(&[("i-1", "safe", &engine)]);
-    world.await_service(0, "/safe/");
-    let got = world.call(0, &get("/safe/", "a1", ""));
+    let cluster = start_serving(&[("i-1", "safe", &engine)]);
+    cluster.await_service(0, "/safe/");
+    let got = cluster.call(0, &get("/safe/", "a1", ""));
     assert_eq!((got.status, got.body.as_str()), (200, "ok"));
 }
 
-/// The same loss of an idempotent request: another engine answers, and the caller sees no failure.
+/// An engine closes the connection of an idempotent request without an answer. Another engine answers, and
+/// the caller sees no failure.
 #[test]
-fn an_idempotent_request_is_repeated_elsewhere() {
+fn an_idempotent_request_is_retried_at_another_engine() {
     let broken = Engine::start(Box::new(|_| Vec::new()));
-    let whole = Engine::start(Box::new(|seen| answer(seen, "200 OK", "whole")));
-    let world = serving(&[("i-1", "safe", &broken), ("i-2", "safe", &whole)]);
-    world.await_service(0, "/safe/");
+    let whole = Engine::start(Box::new(|received| answer(received, "200 OK", "whole")));
+    let cluster = start_serving(&[("i-1", "safe", &broken), ("i-2", "safe", &whole)]);
+    cluster.await_service(0, "/safe/");
     for n in 0..8 {
-        let got = world.call(0, &get("/safe/", &format!("a{n}"), ""));
+        let got = cluster.call(0, &get("/safe/", &format!("a{n}"), ""));
         assert_eq!(
             (got.status, got.body.as_str()),
             (200, "whole"),
@@ -170,23 +172,23 @@
     }
 }
 
-/// An engine breaks off a stream in the middle of an event. Another goes on after the last whole
-/// event; the caller sees each event once, in order, and the end.
+/// An engine breaks off a stream in the middle of an event. Another resumes after the last whole event, and
+/// the caller sees each event once, in order, and the end.
 #[test]
-fn a_broken_stream_goes_on_at_another_engine() {
-    let first = Engine::start(Box::new(|seen| {
-        let resumes = !seen.header("last-event-id").is_empty();
-        stream(seen, 6, if resumes { 0 } else { 70 })
+fn a_broken_stream_resumes_at_another_engine() {
+    let first = Engine::start(Box::new(|received| {
+        let resumes = !received.header("last-event-id").is_empty();
+        stream(received, 6, if resumes { 0 } else { 70 })
     }));
-    let second = Engine::start(Box::new(|seen| {
-        let resumes = !seen.header("last-event-id").is_empty();
-        stream(seen, 6, if resumes { 0 } else { 70 })
+    let second = Engine::start(Box::new(|received| {
+        let resumes = !received.header("last-event-id").is_empty();
+        stream(received, 6, if resumes { 0 } else { 70 })
     }));
-    let world = serving(&[("i-1", "stream", &first), ("i-2", "stream", &second)]);
+    let cluster = start_serving(&[("i-1", "stream", &first), ("i-2", "stream", &second)]);
     crate::cluster::wait_until("it is served", || {
-        world.call(0, &get("/stream/", "probe", "")).status == 200
+        cluster.call(0, &get("/stream/", "probe", "")).status == 200
     });
-    let got = world.call(0, &get("/stream/", "a1", ""));
+    let got = cluster.call(0, &get("/stream/", "a1", ""));
     let events: Vec<&str> = got
         .body
         .lines()
@@ -199,7 +201,7 @@
         "it looks complete: {:?}",
         got.body
     );
-    let resumed = first.seen().into_iter().chain(second.seen());
+    let resumed = first.received().into_iter().chain(second.received());
     let resumed = resumed.filter(|s| s.header("x-filbertstack-attempt-id") == "a1");
     let after: Vec<String> = resumed
         .map(|s| s.header("last-event-id").to_owned())
@@ -207,31 +209,32 @@
     assert!(after.iter().any(|id| !id.is_empty()), "{after:?}");
 }
 
-/// A stream has run for longer than its caller would wait for a first event when its engine breaks off.
-/// Another engine takes some hundred milliseconds to go on, and the caller, who has events, waits for
-/// them. Its last attempt was given up after the first look at it, a tenth of a second: the time that a
-/// caller waits for a first event was taken from when the request came. (The entry had logged `target
-/// silent, given up waited_ms=100 forsaken=true`, then `stream not resumed why="the route allows no more
-/// attempts"`, for 29 of 46 streams that ended broken on a day of many loads.)
+/// Guards against a stream that is not resumed because it has run for longer than its caller would wait for a
+/// first event. The engine breaks off then, and another takes some hundred milliseconds to resume. The
+/// caller, which has events, waits for them. The time for a first event must not count from the arrival of
+/// the request: the last attempt would be given up at the first check, a tenth of a second later.
 #[test]
-fn a_stream_that_breaks_late_gets_the_time_to_go_on() {
-    let first = Engine::paced(PACE, Box::new(|seen| stream(seen, EVENTS, 70)));
-    let next = Engine::start(Box::new(|seen| {
-        if seen.header("last-event-id").is_empty() {
-            return no_room(seen);
+fn a_stream_that_breaks_late_gets_the_time_to_resume() {
+    let first = Engine::paced(
+        EVENT_PAUSE,
+        Box::new(|received| stream(received, EVENTS, 70)),
+    );
+    let next = Engine::start(Box::new(|received| {
+        if received.header("last-event-id").is_empty() {
+            return no_room(received);
         }
-        thread::sleep(READING);
-        stream(seen, EVENTS, 0)
+        thread::sleep(PROMPT_DELAY);
+        stream(received, EVENTS, 0)
     }));
-    let world = Cluster::start(1, 0);
+    let cluster = Cluster::start(1, 0);
     let mut declared = document(1);
     let route = &mut declared["routes"][2];
     route["goalMs"] = json!(500);
     route["itlTargetMs"] = json!(250);
     route["timeoutMs"] = json!(50_000);
-    world.put(&[0], &declared);
-    world.report(0, "i-1", "stream", first.addr);
-    let front = world.front_addr(0);
+    cluster.put_document(&[0], &declared);
+    cluster.register(0, "i-1", "stream", first.addr);
+    let front = cluster.front_addr(0);
     let patient = get("/stream/", "a1", "").replace("Deadline-Ms: 5000", "Deadline-Ms: 50000");
     let caller = thread::spawn(move || {
         loop {
@@ -242,9 +245,9 @@
         }
     });
     wait_until("the stream ends", || {
-        world.report(0, "i-1", "stream", first.addr);
-        if !first.seen().is_empty() {
-            world.report(0, "i-2", "stream", next.addr);
+        cluster.register(0, "i-1", "stream", first.addr);
+        if !first.received().is_empty() {
+            cluster.register(0, "i-2", "stream", next.addr);
         }
         caller.is_finished()
     });
@@ -254,198 +257,197 @@
         got.body.contains(&last),
         "{}\n{}",
         got.body,
-        world.logged(0)
+        cluster.logged(0)
     );
 }
 
-/// All engines stop at once, and one is back a moment later: a stream that broke off goes on there,
-/// as its caller still waits. An entry that looks once ends it. The engine comes after the break, as
-/// long as the caller waits; should this machine be too slow for that, all is done again.
+/// All engines stop at once, and one is back a moment later. A broken stream resumes there, as its caller
+/// still waits; an entry that looks for a target only once would end it. The engine comes back after the
+/// break while the caller waits. If the machine is too slow for that, the test repeats the whole sequence.
 #[test]
 fn a_broken_stream_waits_for_the_next_engine() {
-    let first = Engine::start(Box::new(|seen| stream(seen, 6, 70)));
-    let next = Engine::start(Box::new(|seen| {
-        let resumes = !seen.header("last-event-id").is_empty();
-        stream(seen, 6, if resumes { 0 } else { 70 })
+    let first = Engine::start(Box::new(|received| stream(received, 6, 70)));
+    let next = Engine::start(Box::new(|received| {
+        let resumes = !received.header("last-event-id").is_empty();
+        stream(received, 6, if resumes { 0 } else { 70 })
     }));
-    let world = serving(&[("i-1", "stream", &first)]);
+    let cluster = start_serving(&[("i-1", "stream", &first)]);
     let tries = AtomicU32::new(0);
-    wait_until("a stream goes on", || {
+    wait_until("a stream is resumed", || {
         let n = tries.fetch_add(1, Ordering::Relaxed);
-        let (front, id) = (world.front_addr(0), format!("a{n}"));
+        let (front, id) = (cluster.front_addr(0), format!("a{n}"));
         let request = get("/stream/", &id, "");
         let caller = thread::spawn(move || exchange(&front, &request).expect("an answer"));
         wait_until("it breaks off or is refused", || {
             caller.is_finished()
                 || first
-                    .seen()
+                    .received()
                     .iter()
                     .any(|s| s.header("x-filbertstack-attempt-id") == id)
         });
-        // The entry has seen the break by then.
-        thread::sleep(BROKEN);
+        // The entry has noticed the break by then.
+        thread::sleep(BREAK_DELAY);
         let instance = format!("i-2-{n}");
-        world.report(0, &instance, "stream", next.addr);
+        cluster.register(0, &instance, "stream", next.addr);
         let got = caller.join().expect("it ends");
-        world.control(0, "DELETE", &format!("/instances/{instance}"), "");
+        cluster.control(0, "DELETE", &format!("/instances/{instance}"), "");
         got.body.contains("data: piece 6")
     });
 }
 
-/// Nobody can go on with a broken stream. It must not look complete.
+/// No engine can resume a broken stream. The stream must not look complete.
 #[test]
-fn a_stream_that_nobody_goes_on_with_does_not_look_complete() {
-    let engine = Engine::start(Box::new(|seen| stream(seen, 6, 70)));
-    let world = serving(&[("i-1", "stream", &engine)]);
+fn a_stream_that_no_engine_resumes_does_not_look_complete() {
+    let engine = Engine::start(Box::new(|received| stream(received, 6, 70)));
+    let cluster = start_serving(&[("i-1", "stream", &engine)]);
     crate::cluster::wait_until("it is served", || {
-        world.call(0, &get("/stream/", "probe", "")).status == 200
+        cluster.call(0, &get("/stream/", "probe", "")).status == 200
     });
-    let got = world.call(0, &get("/stream/", "a1", ""));
+    let got = cluster.call(0, &get("/stream/", "a1", ""));
     assert!(!got.body.ends_with("0\r\n\r\n"), "{:?}", got.body);
 }
 
-/// An answer without the engine's seal, or to another request, must not reach the caller as a
-/// success: it may be somebody else's.
+/// An answer without the engine's seal, or to another request, must not reach the caller as a success: it may
+/// belong to another caller.
 #[test]
-fn an_answer_that_is_not_this_requests_is_not_given_back() {
-    let engine = Engine::start(Box::new(|seen| {
-        match seen.header("x-filbertstack-attempt-id") {
+fn an_answer_to_another_request_is_not_returned() {
+    let engine = Engine::start(Box::new(|received| {
+        match received.header("x-filbertstack-attempt-id") {
             "unsealed" => b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad".to_vec(),
             "crossed" => b"HTTP/1.1 200 OK\r\nX-Filbertstack-Attempt-Id: other\r\n\
                            X-Filbertstack-Response-Seal: s\r\nContent-Length: 3\r\n\r\nbad"
                 .to_vec(),
             "garbage" => b"\x00\x01\x02\r\n\r\n".to_vec(),
-            _ => answer(seen, "200 OK", "ok"),
+            _ => answer(received, "200 OK", "ok"),
         }
     }));
-    let world = serving(&[("i-1", "once", &engine)]);
-    world.await_service(0, "/once/");
+    let cluster = start_serving(&[("i-1", "once", &engine)]);
+    cluster.await_service(0, "/once/");
     for attempt in ["unsealed", "crossed", "garbage"] {
-        let got = world.call(0, &get("/once/", attempt, ""));
+        let got = cluster.call(0, &get("/once/", attempt, ""));
         assert_eq!(got.status, 502, "{attempt}");
         assert!(!got.body.contains("bad"), "{attempt}");
     }
 }
 
 #[test]
-fn what_no_route_takes_is_not_found() {
-    let world = Cluster::start(1, 0);
-    let before = world.call(0, &get("/safe/", "a1", ""));
+fn a_request_without_a_route_is_not_found() {
+    let cluster = Cluster::start(1, 0);
+    let before = cluster.call(0, &get("/safe/", "a1", ""));
     assert_eq!(
         before.status, 503,
-        "an entry that knows nothing yet denies nothing"
+        "an entry without a document does not answer \"not found\""
     );
-    world.put(&[0], &document(1));
+    cluster.put_document(&[0], &document(1));
     crate::cluster::wait_until("it is known", || {
-        world.call(0, &get("/other/", "a1", "")).status == 404
+        cluster.call(0, &get("/other/", "a1", "")).status == 404
     });
 }
 
-/// Guards against callers that are refused while a service is away for a moment, with most of their time
-/// left.
+/// Guards against refusing callers that have most of their time left while a service is away for a moment.
 #[test]
 fn a_request_waits_for_a_service_that_comes_back() {
-    let engine = Engine::start(Box::new(|seen| answer(seen, "200 OK", "whole")));
-    let world = serving(&[("i-0", "safe", &engine)]);
-    world.await_service(0, "/safe/");
+    let engine = Engine::start(Box::new(|received| answer(received, "200 OK", "whole")));
+    let cluster = start_serving(&[("i-0", "safe", &engine)]);
+    cluster.await_service(0, "/safe/");
     let round = AtomicU32::new(0);
     wait_until("a request that came before the service is served", || {
         let gone = round.fetch_add(1, Ordering::Relaxed);
-        world.control(0, "DELETE", &format!("/instances/i-{gone}"), "");
-        thread::sleep(BROKEN);
+        cluster.control(0, "DELETE", &format!("/instances/i-{gone}"), "");
+        thread::sleep(BREAK_DELAY);
         thread::scope(|scope| {
-            let call = scope.spawn(|| world.call(0, &get("/safe/", &format!("a{gone}"), "")));
-            thread::sleep(READING);
+            let call = scope.spawn(|| cluster.call(0, &get("/safe/", &format!("a{gone}"), "")));
+            thread::sleep(PROMPT_DELAY);
             let waits = !call.is_finished();
-            world.report(0, &format!("i-{}", gone + 1), "safe", engine.addr);
+            cluster.register(0, &format!("i-{}", gone + 1), "safe", engine.addr);
             waits && call.join().expect("the caller").status == 200
         })
     });
 }
 
-/// An entry is told to end while a request is being answered. The request gets its whole answer,
-/// and the process ends by itself.
+/// An entry is asked to stop while a request is being answered. The request gets its whole answer, and the
+/// process exits by itself.
 #[test]
-fn a_planned_end_cuts_off_nothing() {
-    let engine = Engine::start(Box::new(|seen| {
-        if seen.header("x-filbertstack-attempt-id") == "slow" {
+fn a_graceful_stop_cuts_off_no_request() {
+    let engine = Engine::start(Box::new(|received| {
+        if received.header("x-filbertstack-attempt-id") == "slow" {
             std::thread::sleep(std::time::Duration::from_millis(600));
         }
-        answer(seen, "200 OK", "whole")
+        answer(received, "200 OK", "whole")
     }));
-    let mut world = serving(&[("i-1", "once", &engine)]);
-    world.await_service(0, "/once/");
+    let mut cluster = start_serving(&[("i-1", "once", &engine)]);
+    cluster.await_service(0, "/once/");
     let got = std::thread::scope(|scope| {
-        let before = engine.seen().len();
+        let before = engine.received().len();
         let request = get("/once/", "slow", "");
-        let addr = world.front_addr(0);
+        let addr = cluster.front_addr(0);
         let call = scope.spawn(move || crate::cluster::exchange(&addr, &request));
-        crate::cluster::wait_until("it is under way or done", || {
-            engine.seen().len() > before || !call.is_finished()
+        crate::cluster::wait_until("it is in progress or done", || {
+            engine.received().len() > before || !call.is_finished()
         });
         std::thread::sleep(std::time::Duration::from_millis(100));
-        assert!(world.stop(0), "it ends by itself, in order");
+        assert!(cluster.stop(0), "it exits by itself without an error");
         call.join().expect("the caller")
     });
     let got = got.expect("an answer");
     assert_eq!((got.status, got.body.as_str()), (200, "whole"));
 }
 
-/// An answer goes through, and a request that no target can take is refused: the metrics tell both,
-/// with the reason, so that a rise of refusals shows its cause without a log.
+/// One request is answered, and another that no target can serve is refused. The metrics show both, with the
+/// reason, so that a rise of refusals shows its cause without a log.
 #[test]
-fn metrics_tell_how_requests_ended() {
-    let engine = Engine::start(Box::new(|seen| answer(seen, "200 OK", "done")));
-    let world = serving(&[("i-1", "safe", &engine)]);
-    world.await_service(0, "/safe/");
-    let refused = world.call(0, &get("/once/", "a1", ""));
+fn metrics_show_how_requests_ended() {
+    let engine = Engine::start(Box::new(|received| answer(received, "200 OK", "done")));
+    let cluster = start_serving(&[("i-1", "safe", &engine)]);
+    cluster.await_service(0, "/safe/");
+    let refused = cluster.call(0, &get("/once/", "a1", ""));
     assert_eq!(refused.status, 503);
-    let metrics = world.metrics(0);
-    let told = [
+    let metrics = cluster.metrics(0);
+    let expected_lines = [
         "filbertstack_entry_requests_total{outcome=\"target's answer\"}",
         "filbertstack_entry_refusals_total{reason=\"no target can serve it in time\"}",
         "filbertstack_entry_duration_seconds_bucket{outcome=\"answered\"",
         "# HELP filbertstack_entry_requests_total",
     ];
-    for line in told {
+    for line in expected_lines {
         assert!(metrics.contains(line), "{line} is not in {metrics}");
     }
 }
 
-/// All entries start again at once, and an engine announces itself before they have a leader. It is
-/// told to come back, as nothing was registered; but callers are not refused until its next turn:
-/// the entry passes its statement on when there is a leader.
+/// All entries restart at once, and an engine announces itself before they have a leader. The entry refuses
+/// the announcement, as nothing was registered, but passes it on once there is a leader. Callers need not
+/// wait for the engine's next announcement.
 #[test]
-fn an_engine_that_came_too_early_is_known_when_there_is_a_leader() {
-    let engine = Engine::start(Box::new(|seen| answer(seen, "200 OK", "done")));
-    let mut world = Cluster::start(3, 0);
-    world.put(&[0], &document(1));
-    world.kill(1);
-    world.kill(2);
-    // A read fails as soon as a link breaks; the entry itself misses its leader a little later.
-    crate::cluster::wait_until("the entry knows of no leader", || !world.is_ready(0));
-    assert_eq!(world.announce(0, "i-1", "safe", engine.addr), Some(503));
-    world.launch(1);
-    world.launch(2);
-    world.await_service(0, "/safe/");
+fn an_engine_announced_before_there_is_a_leader_is_registered() {
+    let engine = Engine::start(Box::new(|received| answer(received, "200 OK", "done")));
+    let mut cluster = Cluster::start(3, 0);
+    cluster.put_document(&[0], &document(1));
+    cluster.kill(1);
+    cluster.kill(2);
+    // A read fails as soon as a link breaks; the entry itself notices the loss of its leader a little later.
+    crate::cluster::wait_until("the entry knows of no leader", || !cluster.is_ready(0));
+    assert_eq!(cluster.announce(0, "i-1", "safe", engine.addr), Some(503));
+    cluster.launch(1);
+    cluster.launch(2);
+    cluster.await_service(0, "/safe/");
 }
 
-/// An engine stands still with a request, and nobody else could take it at first. Another comes a
-/// while later: the caller gets its answer from there, long before it would leave.
+/// An engine freezes with a request while no other can serve it. Another engine comes later, and the caller
+/// gets its answer from there, long before it would leave.
 #[test]
-fn a_request_at_a_frozen_engine_goes_to_the_next_that_comes() {
+fn a_request_at_a_frozen_engine_moves_to_one_that_comes_later() {
     let (wake, frozen) = mpsc::channel::<()>();
     let frozen = Mutex::new(frozen);
-    let still = Engine::start(Box::new(move |_| {
+    let frozen_engine = Engine::start(Box::new(move |_| {
         // Ends with the test.
         let _ = frozen.lock().expect("not poisoned").recv();
         Vec::new()
     }));
-    let other = Engine::start(Box::new(|seen| stream(seen, 3, 0)));
-    let world = serving(&[("i-1", "stream", &still)]);
+    let other = Engine::start(Box::new(|received| stream(received, 3, 0)));
+    let cluster = start_serving(&[("i-1", "stream", &frozen_engine)]);
     let patient = get("/stream/", "a1", "").replace("Deadline-Ms: 5000", "Deadline-Ms: 50000");
-    let front = world.front_addr(0);
-    // Refused at once until the entry has heard of the engine.
+    let front = cluster.front_addr(0);
+    // Requests are refused at once until the entry knows the engine.
     let caller = thread::spawn(move || {
         loop {
             let got = exchange(&front, &patient).expect("an answer");
@@ -455,42 +457,42 @@
         }
     });
     wait_until("the entry waits for the frozen one", || {
-        world.has_logged(0, "\"target\":\"i-1\",\"attempt\":1")
+        cluster.has_logged(0, "\"target\":\"i-1\",\"attempt\":1")
     });
-    // An entry that looks once has found nobody by then.
-    thread::sleep(GIVEN_UP);
-    world.report(0, "i-2", "stream", other.addr);
+    // An entry that looks for a target only once has found none by then.
+    thread::sleep(GIVE_UP_DELAY);
+    cluster.register(0, "i-2", "stream", other.addr);
     let got = caller.join().expect("it ends");
     assert_eq!(got.status, 200);
     assert!(got.body.contains("data: piece 3"), "{}", got.body);
     drop(wake);
 }
 
-/// An engine is frozen when its caller leaves. The entry must close the connection at once, or the
-/// request runs for nobody when the engine wakes.
+/// An engine is frozen when its caller leaves. The entry must close the connection at once, or the request
+/// runs without a caller when the engine resumes.
 #[test]
-fn a_frozen_engine_finds_the_request_closed_when_it_wakes() {
+fn the_connection_to_a_frozen_engine_closes_when_the_caller_leaves() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("bound");
-    let world = serving(&[]);
-    world.report(0, "i-1", "safe", addr);
-    let front = world.front_addr(0);
+    let cluster = start_serving(&[]);
+    cluster.register(0, "i-1", "safe", addr);
+    let front = cluster.front_addr(0);
     let caller = RefCell::new(None);
-    // Refused at once until the entry has heard of the engine.
+    // Requests are refused at once until the entry knows the engine.
     wait_until("it was sent", || {
-        if !world.has_logged(0, "\"message\":\"sent\"") {
+        if !cluster.has_logged(0, "\"message\":\"sent\"") {
             let mut stream = TcpStream::connect(&front).expect("the entry listens");
             let request = get("/safe/", "a1", "");
             stream.write_all(request.as_bytes()).expect("sent");
             caller.replace(Some(stream));
         }
-        world.has_logged(0, "\"message\":\"sent\"")
+        cluster.has_logged(0, "\"message\":\"sent\"")
     });
-    // The engine accepts and does not read: it is frozen.
+    // The frozen engine accepts the connection and does not read.
     let (mut frozen, _) = listener.accept().expect("the entry connects");
     caller.take();
     wait_until("the entry has closed", || {
-        world.has_logged(0, "\"outcome\":\"caller left\"")
+        cluster.has_logged(0, "\"outcome\":\"caller left\"")
     });
     let mut bytes = Vec::new();
     let read = frozen.read_to_end(&mut bytes);
@@ -500,36 +502,36 @@
     );
 }
 
-/// An entry is told to end while a stream runs through it, and goes on serving. A caller with an old
-/// address comes seconds later: taken, its stream would be cut off by the end of the process. It is
-/// refused as not run, and the engine never sees it.
+/// An entry is asked to stop while a stream runs through it, and keeps serving. A caller with an old address
+/// comes seconds later. If the entry accepted it, the end of the process would cut its stream off. The caller
+/// is refused as not run, and the engine never receives the request.
 #[test]
-fn a_leaving_entry_takes_no_stream_that_it_may_have_to_cut() {
+fn a_leaving_entry_refuses_a_stream_that_it_may_have_to_cut() {
     let engine = Engine::paced(
         Duration::from_millis(400),
-        Box::new(|seen| stream(seen, 40, 0)),
+        Box::new(|received| stream(received, 40, 0)),
     );
-    let world = serving(&[("i-1", "stream", &engine)]);
-    let front = world.front_addr(0);
+    let cluster = start_serving(&[("i-1", "stream", &engine)]);
+    let front = cluster.front_addr(0);
     let long = get("/stream/", "a1", "").replace("Deadline-Ms: 5000", "Deadline-Ms: 9000");
-    // Refused at once until the entry has heard of the engine.
+    // Requests are refused at once until the entry knows the engine.
     thread::spawn(move || while exchange(&front, &long).is_some_and(|got| got.status == 503) {});
     wait_until("a stream runs", || {
-        world.has_logged(0, "\"message\":\"sent\"")
+        cluster.has_logged(0, "\"message\":\"sent\"")
     });
-    world.signal(0, "TERM");
+    cluster.signal(0, "TERM");
     let late = AtomicU32::new(0);
     wait_until("a caller is refused as not run", || {
         let n = late.fetch_add(1, Ordering::Relaxed);
         let request = get("/stream/", &format!("late-{n}"), "");
-        let mut stream = TcpStream::connect(world.front_addr(0)).expect("it serves on");
+        let mut stream = TcpStream::connect(cluster.front_addr(0)).expect("it keeps serving");
         stream.write_all(request.as_bytes()).expect("sent");
         let mut head = [0; 12];
         stream.read_exact(&mut head).expect("an answer");
         head == *b"HTTP/1.1 503"
     });
     let last = format!("late-{}", late.load(Ordering::Relaxed) - 1);
-    let seen = engine.seen().into_iter();
-    let mut runs = seen.filter(|s| s.header("x-filbertstack-attempt-id") == last);
+    let received = engine.received().into_iter();
+    let mut runs = received.filter(|s| s.header("x-filbertstack-attempt-id") == last);
     assert!(runs.next().is_none(), "what was refused has not run");
 }
