--- a/crates/filbertstack-gateway/src/agent/mod.rs
+++ b/crates/filbertstack-gateway/src/agent/mod.rs
@@ -4,9 +4,9 @@
 mod contents;
 mod engine;
 mod gather;
-mod inherited;
 mod orders;
 mod peers;
+mod predecessor;
 pub(crate) mod reports;
 mod rollout;
 mod session;
--- a/crates/filbertstack-gateway/src/agent/peers.rs
+++ b/crates/filbertstack-gateway/src/agent/peers.rs
@@ -22,7 +22,7 @@
 use crate::weights::missing_piece;
 
 /// At most this many pieces are sent at once. Events of live streams then wait behind one piece only, 42 ms
-/// on today's links; callers count events that are 120 ms late.
+/// on the current links; callers count events that are 120 ms late.
 const MAX_UPLOADS: usize = 1;
 
 /// `PieceServer` answers the questions of other nodes.
--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -25,8 +25,8 @@
 
 use crate::agent::Agent;
 use crate::agent::gather::gather;
-use crate::agent::inherited::Predecessor;
 use crate::agent::orders;
+use crate::agent::predecessor::Predecessor;
 use crate::agent::session::ReadBack;
 use crate::agent::session::Session;
 use crate::agent::session::Verified;
--- a/crates/filbertstack-gateway/src/weights/cache.rs
+++ b/crates/filbertstack-gateway/src/weights/cache.rs
@@ -39,7 +39,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// At most this many pieces are sent at once: a frame of each is held in memory until it has been sent, 0.4
-/// MB in all today.
+/// MB in all at the current piece size.
 const MAX_UPLOADS: usize = 8;
 
 /// `Cache` holds the pieces that an entry keeps.
--- a/crates/filbertstack-gateway/src/weights/fetch.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch.rs
@@ -70,7 +70,7 @@
 /// took an agent's whole share of a core at 65 agents.
 const LAYOUT_AGE: Duration = Duration::from_millis(400);
 
-/// After this many mismatches of one piece the list itself is considered wrong and fetched again.
+/// After this many mismatches of one piece, the list itself is considered wrong and fetched again.
 const MAX_MISMATCHES: u32 = 4;
 
 /// `Fetch` fetches one version for one node.
@@ -146,7 +146,7 @@
         self.origin_paused.set(origin_paused);
     }
 
-    /// Returns the layout of the present nodes, which is recomputed from time to time.
+    /// Returns the layout of the nodes that are present, recomputed when it is older than [`LAYOUT_AGE`].
     pub fn layout(&self, list: &PieceList) -> Rc<Layout> {
         let kept = self.layout.borrow().clone();
         if let Some((layout, _)) = kept.filter(|(_, at)| at.elapsed() < LAYOUT_AGE) {
--- a/crates/filbertstack-gateway/src/weights/piece_set.rs
+++ b/crates/filbertstack-gateway/src/weights/piece_set.rs
@@ -19,7 +19,7 @@
 use crate::weights::fetch::Fetch;
 
 /// At most this many pieces are downloaded from other entries at once. Their links carry a piece in 10 ms or
-/// less; the limit bounds memory, 0.4 MB today.
+/// less; the limit bounds memory, 0.4 MB at the current piece size.
 const MAX_DOWNLOADS: u32 = 8;
 
 /// A version that has received no piece for this long does not progress: its source has failed. A version
