--- a/crates/filbertstack-gateway/src/weights/fetch.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch.rs
@@ -146,7 +146,7 @@
         self.origin_paused.set(origin_paused);
     }
 
-    /// Returns the layout of the nodes that are present, recomputed when it is older than [`LAYOUT_AGE`].
+    /// Returns the layout of the nodes that are present, recomputed when it is older than `LAYOUT_AGE`.
     pub fn layout(&self, list: &PieceList) -> Rc<Layout> {
         let kept = self.layout.borrow().clone();
         if let Some((layout, _)) = kept.filter(|(_, at)| at.elapsed() < LAYOUT_AGE) {
--- a/tests/gateway/model.rs
+++ b/tests/gateway/model.rs
@@ -223,9 +223,9 @@
     }
 
     /// Restarts the engine, which then serves nothing. Orders that have not begun are lost, and so are the
-    /// staged pieces if it lost `power`.
-    pub fn restart(&mut self, power: bool) {
-        if power {
+    /// staged pieces if the engine lost power.
+    pub fn restart(&mut self, power_lost: bool) {
+        if power_lost {
             self.staged.clear();
         }
         self.late.clear();
