--- a/crates/filbertstack-gateway/src/control/registry.rs
+++ b/crates/filbertstack-gateway/src/control/registry.rs
@@ -28,7 +28,7 @@
 const ENTRY_TIMEOUT: Millis = Millis(1_600);
 
 /// How long an agent may be silent before it is removed: three missed reports, one each
-/// [`AGAIN`](crate::agent::reports::AGAIN).
+/// [`ROW_REPEAT`](crate::agent::reports::AGAIN).
 const AGENT_TIMEOUT: Millis = Millis::secs(3);
 
 struct Follower {
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -7,11 +7,11 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
+use crate::cluster::wait_until;
 use crate::fleet::ENTRIES;
 use crate::fleet::Fleet;
 use crate::fleet::VOTERS;
 use crate::proxy::Harm;
-use crate::world::until;
 
 /// Faults of one play.
 const FAULTS: usize = 7;
@@ -67,7 +67,7 @@
         while !fleet.is_over() {
             let models: Vec<_> = fleet.models().collect();
             let target = models[rng.random_range(0..models.len())];
-            target.model.held().late_orders = rng.random_range(0..3);
+            target.model.state().late_orders = rng.random_range(0..3);
             thread::sleep(Duration::from_millis(rng.random_range(200..1_500)));
         }
     })
@@ -109,12 +109,12 @@
     match fault {
         Fault::Kill(n) => {
             fleet.world().kill(n);
-            after(span, move || fleet.world().launch_again(n))
+            after(span, move || fleet.world().ensure_running(n))
         }
         Fault::KillAll => {
             all.clone().for_each(|n| fleet.world().kill(n));
             after(span, move || {
-                all.for_each(|n| fleet.world().launch_again(n));
+                all.for_each(|n| fleet.world().ensure_running(n));
             })
         }
         Fault::Term(n) => {
@@ -122,11 +122,11 @@
             let told = fleet.world().id(n);
             thread::spawn(move || {
                 // Another fault may have killed it and started it again meanwhile.
-                until(&format!("process {n} has ended"), || {
+                wait_until(&format!("process {n} has ended"), || {
                     let mut world = fleet.world();
                     world.has_ended(n) || world.id(n) != told
                 });
-                fleet.world().launch_again(n);
+                fleet.world().ensure_running(n);
             })
         }
         Fault::Freeze(n) => {
@@ -136,7 +136,7 @@
         Fault::Wipe(n) => {
             let before = fleet.world().lose_disk(n);
             // A second disk may be lost only when the first is made up for.
-            until(&format!("entry {n} is a voter again"), || {
+            wait_until(&format!("entry {n} is a voter again"), || {
                 fleet.world().promotions(n) > before
             });
             after(Duration::ZERO, || {})
@@ -157,7 +157,7 @@
             })
         }
         Fault::Rot(n) => {
-            let mut held = fleet.targets()[n].model.held();
+            let mut held = fleet.targets()[n].model.state();
             if let Some(piece) = held.staged.values_mut().next() {
                 piece.reverse();
             }
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -16,8 +16,13 @@
 use serde_json::Value;
 use serde_json::json;
 
+use crate::cluster::Cluster;
+use crate::cluster::document;
+use crate::cluster::exchange;
+use crate::cluster::get;
+use crate::cluster::wait_until;
 use crate::engine::Engine;
-use crate::engine::Seen;
+use crate::engine::Received;
 use crate::engine::answer;
 use crate::engine::stream;
 use crate::model::Model;
@@ -25,11 +30,6 @@
 use crate::model::services;
 use crate::proxy::Harm;
 use crate::proxy::Proxy;
-use crate::world::World;
-use crate::world::document;
-use crate::world::exchange;
-use crate::world::get;
-use crate::world::until;
 
 /// Entries with a disk.
 pub const VOTERS: usize = 3;
@@ -68,7 +68,7 @@
 pub struct Fleet(Arc<Parts>);
 
 struct Parts {
-    world: Mutex<World>,
+    world: Mutex<Cluster>,
     targets: Vec<Target>,
     agents: Vec<usize>,
     published: Origin,
@@ -87,7 +87,7 @@
     /// Starts four entries, two engines for each plain service, and two model engines with agents. Where
     /// weights are named, `names` versions follow each other.
     pub fn start(seed: u64, names: u32) -> Self {
-        let mut world = World::start(VOTERS, ENTRIES - VOTERS);
+        let mut world = Cluster::start(VOTERS, ENTRIES - VOTERS);
         let published = Origin::default();
         let origin = Proxy::start(published.start().addr);
         let services = ["safe", "safe", "once", "once", "stream", "stream"];
@@ -110,7 +110,7 @@
             answers: Mutex::default(),
         }));
         fleet.change();
-        until("the first document is acknowledged", || {
+        wait_until("the first document is acknowledged", || {
             fleet.acknowledged() > 0
         });
         fleet.beat();
@@ -119,7 +119,7 @@
     }
 
     /// The processes.
-    pub fn world(&self) -> MutexGuard<'_, World> {
+    pub fn world(&self) -> MutexGuard<'_, Cluster> {
         self.0.world.lock().expect("not poisoned")
     }
 
@@ -221,7 +221,7 @@
         self.0.published.publish(version);
         let body = json!({"model": "m", "version": version}).to_string();
         let fleet = self.clone();
-        until("the weights are named", || {
+        wait_until("the weights are named", || {
             (0..ENTRIES).any(|n| fleet.control(n, "POST", "/version-put", &body).is_some())
         });
         self.0.weights.store(version, Ordering::SeqCst);
@@ -265,9 +265,9 @@
     /// Waits until every entry serves every service.
     fn await_service(&self) {
         for n in 0..ENTRIES {
-            let addr = self.world().front(n);
+            let addr = self.world().front_addr(n);
             for path in ["/safe/", "/once/", "/stream/"] {
-                until(&format!("entry {n} serves {path}"), || {
+                wait_until(&format!("entry {n} serves {path}"), || {
                     let answer = exchange(&addr, &get(path, &format!("probe-{n}"), ""));
                     answer.is_some_and(|a| a.status == 200)
                 });
@@ -282,9 +282,9 @@
         }
         self.origin().set(Harm::None);
         self.await_service();
-        until("every engine serves the newest weights", || {
+        wait_until("every engine serves the newest weights", || {
             self.models()
-                .all(|t| t.model.held().version == self.weights())
+                .all(|t| t.model.state().version == self.weights())
         });
         self.0.over.store(true, Ordering::SeqCst);
     }
@@ -298,7 +298,7 @@
 
     /// Orders to load that came while a staged piece was not what it must be.
     pub fn wrong_orders(&self) -> Vec<String> {
-        let wrong: u32 = self.models().map(|t| t.model.held().wrong_orders).sum();
+        let wrong: u32 = self.models().map(|t| t.model.state().bad_loads).sum();
         let told = (wrong > 0).then(|| format!("{wrong} loads of spoilt or missing pieces"));
         told.into_iter().collect()
     }
@@ -315,7 +315,7 @@
         let runs: Arc<Mutex<BTreeMap<String, u32>>> = Arc::default();
         let model = Model::default();
         let (counted, held) = (runs.clone(), model.clone());
-        let behaviour = move |seen: &Seen| {
+        let behaviour = move |seen: &Received| {
             if let Some(answer) = held.answer(seen) {
                 return answer;
             }
@@ -348,7 +348,7 @@
 
     /// The engine starts again and serves no weights; without power, staged pieces are lost too.
     pub fn restart(&self, power: bool) {
-        self.model.held().restart(power);
+        self.model.state().restart(power);
         self.born.store(unix_millis(), Ordering::SeqCst);
         self.sequence.store(1, Ordering::SeqCst);
     }
