--- a/crates/filbertstack-log/src/config.rs
+++ b/crates/filbertstack-log/src/config.rs
@@ -2,36 +2,38 @@
 
 use std::time::Duration;
 
-/// How long the parts of the protocol take.
+/// Holds the durations that the protocol works with.
 ///
-/// The defaults suit small instances some milliseconds apart: a leader that dies is replaced
-/// within about [`Timing::election_max`] and one round trip.
+/// The defaults suit small instances with round trips of a few milliseconds: a leader that dies is
+/// replaced within about [`Timing::election_max`] and one round trip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// The time between two heartbeats of a leader to at most four followers; longer to more.
+    /// The interval between two heartbeats of a leader with at most four followers; it is longer
+    /// with more.
     pub heartbeat: Duration,
-    /// For how long a voter that heard a leader grants no vote, and the least time in which a
-    /// follower campaigns.
+    /// The time during which a voter that heard a leader grants no vote, and the shortest election
+    /// timeout.
     pub election_min: Duration,
-    /// The most time in which a follower campaigns.
+    /// The longest election timeout.
     pub election_max: Duration,
-    /// For how long a leader serves reads after the start of a heartbeat round that a majority
-    /// confirmed. Less than `election_min` by the drift allowed between two clocks.
+    /// The time during which a leader serves reads after the start of a heartbeat round that a
+    /// majority confirmed. It is shorter than `election_min` by the drift allowed between two
+    /// clocks.
     pub lease: Duration,
-    /// After how long without an answer entries or a piece of a snapshot are sent again.
+    /// The time without an answer after which entries or a piece of a snapshot are sent again.
     pub resend: Duration,
 }
 
-/// Five heartbeats fit one election timeout, so that one lost packet or a pause of the scheduler
-/// costs no election; see the design note for what they cost.
+/// Five heartbeats fit into one election timeout, so that one lost packet or one pause of the
+/// scheduler causes no election.
 pub const HEARTBEAT: Duration = Duration::from_millis(200);
-/// Above the pauses of a small instance under load.
+/// Exceeds the scheduling pauses of a small instance under load.
 pub const ELECTION_MIN: Duration = Duration::from_secs(1);
-/// Twice the least, so that two followers seldom campaign together.
+/// Twice the shortest timeout, so that two followers seldom campaign at the same time.
 pub const ELECTION_MAX: Duration = Duration::from_secs(2);
-/// Allows one clock to run a quarter faster than another, far above what crystals do.
+/// Allows one clock to run a quarter faster than another, far more than real clocks drift.
 pub const LEASE: Duration = Duration::from_millis(800);
-/// Two heartbeats.
+/// Two heartbeats, so that one late answer causes no resend.
 pub const RESEND: Duration = Duration::from_millis(400);
 
 impl Default for Timing {
@@ -46,24 +48,25 @@
     }
 }
 
-/// Bounds on what one replica holds and sends.
+/// Bounds what one replica holds and sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The most bytes of entries in one message.
+    /// The largest total size of the entries in one message, in bytes.
     pub append_bytes: usize,
-    /// The most messages with entries under way to one follower.
+    /// The largest number of unacknowledged messages with entries to one follower.
     pub inflight: usize,
-    /// The most bytes of entries that are not committed; beyond it proposals are refused.
+    /// The largest total size of uncommitted entries, in bytes; beyond it proposals are refused.
     pub uncommitted_bytes: usize,
-    /// The longest command, in bytes.
+    /// The size of the longest command, in bytes.
     pub command_bytes: usize,
-    /// The bytes of one piece of a snapshot.
+    /// The size of one piece of a snapshot, in bytes.
     pub piece_bytes: usize,
-    /// The longest encoded snapshot that is taken from a leader, in bytes.
+    /// The size of the longest encoded snapshot that a follower accepts from a leader, in bytes.
     pub snapshot_bytes: usize,
-    /// How many entries stay in memory behind a snapshot, for followers a little behind.
+    /// The number of entries that stay in memory behind a snapshot, for followers that lag a
+    /// little.
     pub kept_entries: u64,
-    /// The most reads that wait for one heartbeat round.
+    /// The largest number of reads that wait for one heartbeat round.
     pub reads: usize,
 }
 
@@ -82,9 +85,9 @@
     }
 }
 
-/// The protections of the protocol, each of which a test may switch off.
+/// Selects the protections of the protocol; a test may switch off each of them alone.
 ///
-/// For tests only: they show that the checker notices a replica without the protection. A
+/// It exists for tests, which show that the checker detects a replica without the protection. A
 /// [`Replica`](crate::Replica) always runs with all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[expect(
@@ -96,25 +99,26 @@
     pub durable_votes: bool,
     /// Entries are durable before they are acknowledged.
     pub durable_entries: bool,
-    /// Only entries of the leader's own term are committed by counting.
+    /// Only entries of the leader's own term are committed by counting acknowledgements.
     pub own_term: bool,
-    /// The lease counts from the sending of a round, not from the receipt of its answers.
+    /// The lease starts when a round is sent, not when its answers arrive.
     pub lease_from_send: bool,
-    /// A voter that heard a leader lately grants no vote, also just after its own restart.
+    /// A voter that heard a leader recently grants no vote; a restart counts as hearing a leader.
     pub sticky: bool,
     /// A follower asks whether it would be elected before it raises its term.
     pub pre_vote: bool,
-    /// A replica that holds nothing of its group belongs to none, and grants no vote.
+    /// A replica without any entry or snapshot belongs to no group and grants no vote.
     pub members_vote: bool,
-    /// A leader that no majority answers steps down.
+    /// A leader steps down when no majority answers it.
     pub check_quorum: bool,
-    /// A learner becomes a voter only when it holds everything committed.
+    /// A learner becomes a voter only when it holds every committed entry.
     pub caught_up: bool,
-    /// One change of membership at a time, and only by a leader that committed in its term.
+    /// Membership changes one at a time, and only through a leader that has committed an entry of
+    /// its term.
     pub one_change: bool,
-    /// A read waits for the entry that opens the leader's term.
+    /// A read waits until the leader has committed the no-op entry of its term.
     pub opened_reads: bool,
-    /// After it bade a voter to campaign, a leader serves no read under its lease.
+    /// A leader serves no read under its lease after it told a voter to campaign.
     pub transfer_lease: bool,
 }
 
--- a/crates/filbertstack-log/src/entries.rs
+++ b/crates/filbertstack-log/src/entries.rs
@@ -1,16 +1,16 @@
-//! The part of the log that is held in memory.
+//! The part of the log that is kept in memory.
 
 use std::collections::VecDeque;
 
 use crate::ids::Position;
 use crate::message::Entry;
 
-/// The entries after `base`, without a gap.
+/// Holds the entries after `base`, without a gap.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Entries {
     base: Position,
     list: VecDeque<Entry>,
-    /// For each entry the cost of all up to it, counted from the start of the process.
+    /// The total cost of all entries up to each entry, counted from the start of the process.
     sums: VecDeque<usize>,
 }
 
@@ -50,7 +50,8 @@
         self.term(place.index) == Some(place.term)
     }
 
-    /// Entries from `from` on, at least one if there is one, within `bytes` beyond that.
+    /// Returns the entries from `from` on whose total cost stays within `bytes`, but at least one
+    /// if there is one.
     pub(crate) fn slice(&self, from: u64, bytes: usize) -> Vec<Entry> {
         let mut total = 0;
         let mut chosen = Vec::new();
@@ -73,7 +74,7 @@
         self.list.push_back(entry);
     }
 
-    /// Drops the entries from `index` on.
+    /// Drops the entry at `index` and all entries after it.
     pub(crate) fn truncate(&mut self, index: u64) {
         let kept = index.saturating_sub(self.base.index + 1);
         let kept = usize::try_from(kept).unwrap_or(usize::MAX);
@@ -94,7 +95,8 @@
         self.base = Position { term, index };
     }
 
-    /// The first index of the run of entries of one term that ends at `index`.
+    /// Returns the first index of the run of entries that have the same term as the entry at
+    /// `index`.
     pub(crate) fn run_start(&self, index: u64) -> u64 {
         let term = self.term(index);
         let mut start = index;
@@ -104,7 +106,7 @@
         start
     }
 
-    /// The cost in memory of the entries after `index`, in bytes.
+    /// Returns the memory used by the entries after `index`, in bytes.
     pub(crate) fn cost_after(&self, index: u64) -> usize {
         let skip = index.saturating_sub(self.base.index);
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
--- a/crates/filbertstack-log/src/formation.rs
+++ b/crates/filbertstack-log/src/formation.rs
@@ -1,4 +1,5 @@
-//! How a group comes to be: once, by one replica, and never again from an empty folder.
+//! Formation of a group: one replica creates it once, and an empty data folder never creates a
+//! second one.
 
 use crate::ids::ClusterId;
 use crate::ids::NodeId;
@@ -6,12 +7,13 @@
 use crate::membership::Member;
 use crate::membership::Membership;
 
-/// What a replica tells the others listed in the settings before it belongs to a group.
+/// A replica announces itself to the other replicas listed in the settings before it belongs to a
+/// group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announcement {
-    /// The name of its instance, as the settings list it.
+    /// The name of its instance, as listed in the settings.
     pub name: String,
-    /// Where it is reached.
+    /// The address at which it receives messages.
     pub address: String,
     /// Its identity.
     pub node: NodeId,
@@ -19,26 +21,28 @@
     pub cluster: Option<ClusterId>,
 }
 
-/// What a replica without a group does next.
+/// The next step of a replica that belongs to no group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Formation {
-    /// Create the group: this is the first listed, and none of the listed has a group.
+    /// The replica creates the group: it is the first one listed, and none of the listed replicas
+    /// has a group.
     Create,
-    /// Wait for the announcements of these.
+    /// The replica waits for the announcements of other replicas.
     Wait {
-        /// The names listed that have not been heard.
+        /// The listed names whose announcements have not arrived.
         missing: Vec<String>,
     },
-    /// Wait to be added to a group as a learner.
+    /// The replica waits until a leader adds it to a group as a learner.
     Join,
 }
 
 impl Formation {
-    /// Decides for the replica called `name`, given the listed names and what was heard of each.
+    /// Decides the next step of the replica called `name`, given the listed names and the
+    /// announcements that arrived.
     ///
-    /// Only the first listed creates, and only after every other listed replica said that it has
-    /// no group. A first replica that lost its disk thus finds the group that it was in, and does
-    /// not create a second one beside it. Whoever cannot be reached is waited for.
+    /// Only the first listed replica creates a group, and only after every other listed replica
+    /// announced that it has none. A first replica that lost its disk therefore finds its old group
+    /// and does not create a second one beside it. It waits for replicas that cannot be reached.
     pub fn decide(name: &str, listed: &[String], heard: &[Announcement]) -> Self {
         let grouped = heard.iter().any(|a| a.cluster.is_some());
         if grouped || listed.first().map(String::as_str) != Some(name) {
@@ -53,10 +57,10 @@
         Self::Wait { missing }
     }
 
-    /// The next change that brings the listed replicas into a group that is still forming.
+    /// Returns the next change that brings the listed replicas into a group that is still forming.
     ///
-    /// The leader proposes it again until it returns `None`; a promotion that is refused because
-    /// the learner is behind is proposed again later.
+    /// The leader proposes it again until this function returns `None`. A promotion that is refused
+    /// because the learner lags is proposed again later.
     pub fn next(now: &Membership, listed: &[String], heard: &[Announcement]) -> Option<Change> {
         if now.forming == 0 {
             return None;
--- a/crates/filbertstack-log/src/ids.rs
+++ b/crates/filbertstack-log/src/ids.rs
@@ -2,10 +2,11 @@
 
 use std::fmt;
 
-/// The identity of one replica's memory: drawn at random when its data folder is first used.
+/// Identifies the durable state of one replica. It is drawn at random when the data folder is first
+/// used.
 ///
-/// A replica whose disk was lost comes back under another `NodeId`, so that no vote is ever asked
-/// of a memory that has forgotten what it promised.
+/// A replica whose disk was lost comes back under another `NodeId`, so that no vote is requested
+/// from a replica that has forgotten its earlier votes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u64);
 
@@ -15,7 +16,8 @@
     }
 }
 
-/// The identity of a cluster: drawn at random when it is created; 0 is no cluster.
+/// Identifies a cluster. It is drawn at random when the cluster is created; 0 stands for no
+/// cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClusterId(pub u64);
 
@@ -25,11 +27,11 @@
     }
 }
 
-/// A place in the log: two entries at one place are the same entry.
+/// Names a position in the log: two entries at the same position are the same entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
     /// The term of the leader that appended the entry.
     pub term: u64,
-    /// The entry's index; the first is 1, and 0 stands before it.
+    /// The index of the entry; the first entry has index 1, and 0 is the position before it.
     pub index: u64,
 }
--- a/crates/filbertstack-log/src/lib.rs
+++ b/crates/filbertstack-log/src/lib.rs
@@ -1,9 +1,9 @@
 //! The replicated log: a pure consensus state machine and its durable storage.
 //!
-//! [`Node`] is the protocol: it has no thread, clock, network or disk, and is given messages, the
-//! time, proposals and the results of writes. [`storage::Storage`] keeps what it must remember
-//! in one data folder. [`Replica`] runs both with threads, applies what is committed to a
-//! [`Machine`] and sends through a [`Transport`].
+//! [`Node`] implements the protocol. It has no thread, clock, network or disk; its inputs are
+//! messages, the time, proposals and the results of writes. [`storage::Storage`] keeps the durable
+//! state in one data folder. [`Replica`] runs both with threads, applies committed commands to a
+//! [`Machine`] and sends messages through a [`Transport`].
 
 mod config;
 mod entries;
--- a/crates/filbertstack-log/src/machine.rs
+++ b/crates/filbertstack-log/src/machine.rs
@@ -1,23 +1,23 @@
-//! The state that the log's commands build.
+//! The state machine that applies the commands of the log.
 
 use std::error::Error;
 
-/// A deterministic state machine: the same commands give the same state on every replica.
+/// Applies commands deterministically: the same commands give the same state on every replica.
 pub trait Machine: Send + 'static {
-    /// What one command led to, for whoever proposed it.
+    /// The result of one command, returned to its proposer.
     type Outcome: Send + 'static;
-    /// Why a snapshot cannot be read.
+    /// The error for a snapshot that cannot be restored.
     type RestoreError: Error + Send + Sync + 'static;
 
-    /// Applies a committed command. Neither a clock nor chance may enter here.
+    /// Applies a committed command. The result must not depend on a clock or on randomness.
     fn apply(&mut self, index: u64, command: &[u8]) -> Self::Outcome;
 
-    /// The whole state as bytes.
+    /// Returns the whole state as bytes.
     fn snapshot(&self) -> Vec<u8>;
 
-    /// Replaces the whole state by that of a snapshot.
+    /// Replaces the whole state with that of a snapshot.
     ///
     /// # Errors
-    /// When the bytes are not a snapshot that this version reads; the replica then stops.
+    /// Fails if the bytes are not a snapshot that this version reads; the replica then stops.
     fn restore(&mut self, bytes: &[u8]) -> Result<(), Self::RestoreError>;
 }
--- a/crates/filbertstack-log/src/membership.rs
+++ b/crates/filbertstack-log/src/membership.rs
@@ -1,11 +1,11 @@
-//! Who votes, who follows, and which change of that is allowed.
+//! The voters and learners of a group, and the changes of membership that are allowed.
 
 use crate::ids::NodeId;
 
-/// The most voters that a group may have.
+/// The largest number of voters in a group.
 pub const MAX_VOTERS: usize = 8;
 
-/// One replica as the others know it.
+/// Describes one replica to the other members.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Member {
     /// The replica's [`NodeId`].
@@ -14,40 +14,42 @@
     /// The name of its instance.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Where it is reached.
+    /// The address at which it receives messages.
     #[prost(string, tag = "3")]
     pub address: String,
 }
 
 impl Member {
-    /// The replica's identity.
+    /// Returns the identity of the replica.
     pub fn id(&self) -> NodeId {
         NodeId(self.node)
     }
 }
 
-/// The members of a group.
+/// Lists the members of a group.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Membership {
-    /// Those whose acknowledgement and vote count.
+    /// The members whose acknowledgements and votes count.
     #[prost(message, repeated, tag = "1")]
     pub voters: Vec<Member>,
-    /// Those that only copy the log.
+    /// The members that copy the log without counting towards a majority.
     #[prost(message, repeated, tag = "2")]
     pub learners: Vec<Member>,
-    /// How many voters the group must once have had before it takes commands; 0 when it has.
+    /// The number of voters that the group must reach before it takes commands; 0 once it has
+    /// reached it.
     ///
-    /// A group starts as one voter. A command accepted then would be lost with that one disk.
+    /// A group starts as one voter. A command accepted at that point would be lost with that one
+    /// disk.
     #[prost(uint32, tag = "3")]
     pub forming: u32,
 }
 
-/// A change of membership: one at a time, one member each.
+/// Changes the membership by one member; changes are made one at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Adds a member that copies the log and does not count.
+    /// Adds a member that copies the log without counting towards a majority.
     AddLearner(Member),
-    /// Makes a learner that holds everything committed a voter.
+    /// Makes a learner that holds every committed entry a voter.
     Promote(NodeId),
     /// Removes a voter or a learner.
     Remove(NodeId),
@@ -55,47 +57,47 @@
     Move(Member),
 }
 
-/// Why a change of membership is refused; nothing was changed.
+/// The reason why a change of membership is refused; the membership is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// An earlier change is not committed yet.
+    /// An earlier change is not yet committed.
     #[error("another change of membership is not committed yet; try again when it is")]
     Pending,
-    /// The leader has not committed an entry of its term yet.
+    /// The leader has not yet committed an entry of its term.
     #[error("the leader has only just been elected; try again in a second")]
     NewLeader,
-    /// There is no such member.
+    /// The group has no such member.
     #[error("no member {node}; `status` lists the members")]
     Unknown {
-        /// The member asked for.
+        /// The member named in the change.
         node: NodeId,
     },
-    /// The member is there already.
+    /// The group already has the member, or the member already votes.
     #[error("member {node} is there already; `status` lists the members")]
     Present {
-        /// The member asked for.
+        /// The member named in the change.
         node: NodeId,
     },
-    /// The learner does not hold everything that is committed.
+    /// The learner does not hold every committed entry.
     #[error("learner {node} is {behind} entries behind; promote it when it holds everything")]
     Behind {
         /// The learner.
         node: NodeId,
-        /// How many committed entries it lacks.
+        /// The number of committed entries that it lacks.
         behind: u64,
     },
-    /// The leader is not removed while it leads.
+    /// The member to remove is the leader.
     #[error("member {node} leads; transfer the leadership first, then remove it")]
     Leads {
         /// The leader.
         node: NodeId,
     },
-    /// Too few of the voters that there would be answer now.
+    /// Too few voters of the changed membership answer now.
     #[error("only {answer} of the {voters} voters then would answer now; bring one back first")]
     NoQuorum {
-        /// How many answer, this leader included.
+        /// The number of voters that answer, this leader included.
         answer: usize,
-        /// How many there would be.
+        /// The number of voters after the change.
         voters: usize,
     },
     /// The group would have too many voters.
@@ -104,7 +106,8 @@
 }
 
 impl Membership {
-    /// A group of one voter that takes commands once it has had `wanted` voters.
+    /// Returns the membership of a group of one voter that takes commands once it has had `wanted`
+    /// voters.
     #[must_use]
     pub fn first(voter: Member, wanted: u32) -> Self {
         Self {
@@ -114,37 +117,38 @@
         }
     }
 
-    /// Whether the member counts.
+    /// Returns whether the member is a voter.
     pub fn is_voter(&self, node: NodeId) -> bool {
         self.voters.iter().any(|m| m.node == node.0)
     }
 
-    /// Whether the member only copies.
+    /// Returns whether the member is a learner.
     pub fn is_learner(&self, node: NodeId) -> bool {
         self.learners.iter().any(|m| m.node == node.0)
     }
 
-    /// Voters, then learners.
+    /// Returns the voters, then the learners.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.voters.iter().chain(&self.learners)
     }
 
-    /// How many voters make a majority.
+    /// Returns the number of voters that make a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// The greatest value that a majority of the voters has reached, given each one's value.
+    /// Returns the greatest value that a majority of the voters has reached, given the value of
+    /// each voter.
     pub fn reached<T: Copy + Ord>(&self, value: impl Fn(NodeId) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters.iter().map(|m| value(m.id())).collect();
         values.sort_unstable();
         values.len().checked_sub(self.quorum()).map(|i| values[i])
     }
 
-    /// The membership after `change`.
+    /// Returns the membership after `change`.
     ///
     /// # Errors
-    /// [`ChangeError`] if the change does not fit this membership.
+    /// Returns [`ChangeError`] if the change does not fit this membership.
     pub fn after(&self, change: &Change) -> Result<Self, ChangeError> {
         let mut next = self.clone();
         match change {
--- a/crates/filbertstack-log/src/message.rs
+++ b/crates/filbertstack-log/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas send each other and what their disks hold, as `prost` messages.
+//! The messages between replicas and the stored records, as `prost` messages.
 
 use bytes::Bytes;
 use prost::Message as _;
@@ -7,37 +7,37 @@
 use crate::ids::Position;
 use crate::membership::Membership;
 
-/// What an entry of the log is for.
+/// Tells what an entry of the log holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum EntryKind {
-    /// A command of the machine.
+    /// A command of the state machine.
     Command = 0,
-    /// The entry with which a leader opens its term.
+    /// The empty entry that a leader appends at the start of its term.
     Opening = 1,
-    /// A [`Membership`], in force from the moment it is appended.
+    /// A [`Membership`], which is in force from the moment it is appended.
     Membership = 2,
 }
 
-/// One entry of the log.
+/// Stores one entry of the log.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Entry {
     /// The entry's index.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// The term of the leader that appended it.
+    /// The term of the leader that appended the entry.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// What it is for.
+    /// The kind of the entry, an [`EntryKind`].
     #[prost(enumeration = "EntryKind", tag = "3")]
     pub kind: i32,
-    /// The command, or an encoded [`Membership`].
+    /// The command or an encoded [`Membership`].
     #[prost(bytes = "bytes", tag = "4")]
     pub data: Bytes,
 }
 
 impl Entry {
-    /// The entry's place in the log.
+    /// Returns the position of the entry in the log.
     pub fn position(&self) -> Position {
         Position {
             term: self.term,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The membership that the entry holds, if it is of that kind.
+    /// Returns the membership that the entry holds, if it is of that kind.
     pub fn membership(&self) -> Option<Membership> {
         if self.kind() != EntryKind::Membership {
             return None;
@@ -53,16 +53,16 @@
         Membership::decode(self.data.clone()).ok()
     }
 
-    /// The bytes that the entry takes in memory and, nearly, on disk.
+    /// Returns the bytes that the entry takes in memory and, approximately, on disk.
     pub fn cost(&self) -> usize {
         self.data.len() + ENTRY_COST
     }
 }
 
-/// The cost of an entry beside its data, in bytes.
+/// The size that an entry takes beside its data, in bytes.
 const ENTRY_COST: usize = 64;
 
-/// The state of the machine after the entry at `index`.
+/// Stores the state of the state machine after the entry at `index`.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Snapshot {
     /// The last index that the snapshot covers.
@@ -74,16 +74,16 @@
     /// The membership in force at that entry.
     #[prost(message, required, tag = "3")]
     pub membership: Membership,
-    /// The cluster that the snapshot is of.
+    /// The cluster that the snapshot belongs to.
     #[prost(fixed64, tag = "4")]
     pub cluster: u64,
-    /// What `Machine::snapshot` returned.
+    /// The bytes that [`Machine::snapshot`](crate::Machine::snapshot) returned.
     #[prost(bytes = "bytes", tag = "5")]
     pub data: Bytes,
 }
 
 impl Snapshot {
-    /// The place in the log up to which the snapshot stands.
+    /// Returns the position of the last entry that the snapshot covers.
     pub fn position(&self) -> Position {
         Position {
             term: self.term,
@@ -92,21 +92,21 @@
     }
 }
 
-/// What must be durable before any message that depends on it.
+/// Stores the part of the state that must be durable before a message that depends on it is sent.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct HardState {
     /// The latest term that the replica has seen.
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// The candidate that it voted for in that term; 0 is none.
+    /// The candidate that the replica voted for in that term; 0 for none.
     #[prost(fixed64, tag = "2")]
     pub vote: u64,
-    /// The cluster that it belongs to; 0 until it has joined one.
+    /// The cluster that the replica belongs to; 0 until it has joined one.
     #[prost(fixed64, tag = "3")]
     pub cluster: u64,
 }
 
-/// A message from one replica to another.
+/// Carries one message from one replica to another.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Message {
     /// The sender's cluster.
@@ -118,15 +118,15 @@
     /// The receiver's [`NodeId`].
     #[prost(fixed64, tag = "3")]
     pub to: u64,
-    /// The sender's term; for a pre-vote, the term that it would campaign in.
+    /// The sender's term; in a pre-vote request, the term in which it would campaign.
     #[prost(uint64, tag = "4")]
     pub term: u64,
-    /// What is said.
+    /// The content of the message.
     #[prost(oneof = "Body", tags = "5, 6, 7, 8, 9, 10, 11")]
     pub body: Option<Body>,
 }
 
-/// A message whose bytes are not those of a [`Message`].
+/// Reports bytes that do not decode as a [`Message`].
 #[derive(Debug, thiserror::Error)]
 #[error("a peer's log message is malformed ({source}); check that both run compatible versions")]
 pub struct MessageError {
@@ -134,7 +134,7 @@
 }
 
 impl Message {
-    /// The message as bytes for a frame.
+    /// Returns the message as bytes for a frame.
     pub fn to_bytes(&self) -> Vec<u8> {
         self.encode_to_vec()
     }
@@ -142,35 +142,35 @@
     /// Reads a message from a frame's bytes.
     ///
     /// # Errors
-    /// [`MessageError`] if the bytes are not a message.
+    /// Returns [`MessageError`] if the bytes are not a message.
     pub fn from_bytes(bytes: impl Into<Bytes>) -> Result<Self, MessageError> {
         Self::decode(bytes.into()).map_err(|source| MessageError { source })
     }
 
-    /// Whom the message is for.
+    /// Returns the receiver of the message.
     pub fn recipient(&self) -> NodeId {
         NodeId(self.to)
     }
 
-    /// Who sent the message.
+    /// Returns the sender of the message.
     pub fn sender(&self) -> NodeId {
         NodeId(self.from)
     }
 }
 
-/// What a message says.
+/// Holds the content of a message.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Oneof)]
 pub enum Body {
-    /// A candidate asks for a vote or a pre-vote.
+    /// A request for a vote or a pre-vote.
     #[prost(message, tag = "5")]
     Vote(Vote),
     /// The answer to a [`Vote`].
     #[prost(message, tag = "6")]
     VoteReply(VoteReply),
-    /// The leader's entries and heartbeats.
+    /// Entries or a heartbeat of the leader.
     #[prost(message, tag = "7")]
     Append(Append),
-    /// The answer to an [`Append`] or to a whole snapshot.
+    /// The answer to an [`Append`] or to a complete snapshot.
     #[prost(message, tag = "8")]
     AppendReply(AppendReply),
     /// A piece of a snapshot.
@@ -179,12 +179,12 @@
     /// The answer to a [`Piece`].
     #[prost(message, tag = "10")]
     PieceReply(PieceReply),
-    /// The leader bids a voter to campaign at once.
+    /// Tells a voter to campaign at once, without waiting for its election timeout.
     #[prost(message, tag = "11")]
     Campaign(Campaign),
 }
 
-/// A candidate asks for a vote.
+/// Requests a vote for a candidate.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Vote {
     /// The candidate's last index.
@@ -193,10 +193,10 @@
     /// The term of that entry.
     #[prost(uint64, tag = "2")]
     pub last_term: u64,
-    /// Whether this only asks if a vote would be granted.
+    /// Whether this is a pre-vote request, which asks if a vote would be granted.
     #[prost(bool, tag = "3")]
     pub pre: bool,
-    /// Whether the leader itself bade the candidate to campaign.
+    /// Whether the leader told the candidate to campaign.
     #[prost(bool, tag = "4")]
     pub transfer: bool,
 }
@@ -212,13 +212,13 @@
     pub pre: bool,
 }
 
-/// Entries from the leader; without entries, a heartbeat.
+/// Carries entries from the leader; without entries it is a heartbeat.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Append {
     /// The index before the first entry.
     #[prost(uint64, tag = "1")]
     pub prev_index: u64,
-    /// The term of the entry there.
+    /// The term of the entry at `prev_index`.
     #[prost(uint64, tag = "2")]
     pub prev_term: u64,
     /// The entries that follow it.
@@ -232,25 +232,25 @@
     pub round: u64,
 }
 
-/// The answer to an [`Append`].
+/// Answers an [`Append`].
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct AppendReply {
-    /// Whether the entry before the first was missing or another.
+    /// Whether the follower has no entry at `prev_index`, or one of another term.
     #[prost(bool, tag = "1")]
     pub reject: bool,
-    /// Accepted: the index up to which the follower durably holds the leader's log.
-    /// Rejected: the latest index at which the logs may agree.
+    /// If accepted, the index up to which the follower durably holds the leader's log. If rejected,
+    /// the latest index at which the two logs may agree.
     #[prost(uint64, tag = "2")]
     pub index: u64,
-    /// The `prev_index` that is answered.
+    /// The `prev_index` of the answered [`Append`].
     #[prost(uint64, tag = "3")]
     pub prev_index: u64,
-    /// The heartbeat round that is confirmed.
+    /// The heartbeat round that this answer confirms.
     #[prost(uint64, tag = "4")]
     pub round: u64,
 }
 
-/// A piece of a snapshot for a follower that is too far behind for entries.
+/// Carries a piece of a snapshot to a follower that lags too far behind for entries.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Piece {
     /// The last index that the snapshot covers.
@@ -259,13 +259,13 @@
     /// The term of that entry.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// The length of the whole encoded snapshot, in bytes.
+    /// The size of the whole encoded snapshot, in bytes.
     #[prost(uint64, tag = "3")]
     pub total: u64,
     /// The CRC32 of the whole encoded snapshot.
     #[prost(fixed32, tag = "4")]
     pub crc: u32,
-    /// Where this piece starts.
+    /// The offset of this piece in the encoded snapshot, in bytes.
     #[prost(uint64, tag = "5")]
     pub offset: u64,
     /// The bytes of this piece.
@@ -276,14 +276,14 @@
 /// The answer to a [`Piece`].
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct PieceReply {
-    /// The snapshot's last index.
+    /// The last index that the snapshot covers.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// How many bytes the follower holds.
+    /// The number of bytes of the snapshot that the follower holds.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
 }
 
-/// The leader bids a voter to campaign at once.
+/// Tells a voter to campaign at once, without waiting for its election timeout.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Campaign {}
--- a/crates/filbertstack-log/src/node/changes.rs
+++ b/crates/filbertstack-log/src/node/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of membership, one at a time.
+//! Changes of the membership, one at a time.
 
 use prost::Message as _;
 
@@ -62,8 +62,8 @@
         Ok(next)
     }
 
-    /// A change after which no majority answers could not be committed, nor taken back: the group
-    /// would stand still for good.
+    /// Refuses a change after which no majority answers: it could be neither committed nor undone,
+    /// and the group would be unavailable for good.
     fn check_quorum(&self, leader: &Leader, next: &Membership) -> Result<(), ChangeError> {
         let least = self.config.timing.election_min;
         let answers = |node: NodeId| match leader.peers.get(&node) {
@@ -78,9 +78,12 @@
         Ok(())
     }
 
-    /// Two memberships in force at once share a majority only if they differ by one member, and
-    /// only if the earlier one is committed: a leader that has not committed in its own term may
-    /// hold a change that the others never saw.
+    /// Refuses a change before the previous one is committed, or before the leader has committed an
+    /// entry of its own term.
+    ///
+    /// Two memberships in force at once share a majority only if they differ by one member and the
+    /// earlier one is committed. A leader that has not committed in its own term may hold a change
+    /// that the other replicas never received.
     fn check_order(&self, opened: u64) -> Result<(), ChangeError> {
         if self.commit < opened {
             return Err(ChangeError::NewLeader);
--- a/crates/filbertstack-log/src/node/election.rs
+++ b/crates/filbertstack-log/src/node/election.rs
@@ -1,4 +1,4 @@
-//! Who leads: pre-votes, votes, and when a voter keeps silent.
+//! Leader election: pre-votes, votes, and when a voter refuses them.
 
 use std::collections::BTreeSet;
 
@@ -12,12 +12,12 @@
 use crate::node::Role;
 use crate::node::persist::Gate;
 
-/// How many of the longest election timeouts a learner waits before it campaigns: long enough for
-/// any voter that can win to have won.
+/// The number of longest election timeouts that a learner waits before it campaigns: any voter that
+/// can win has won by then.
 const LAST_RESORT: u32 = 4;
 
 impl Node {
-    /// Whether a leader was heard so lately that its lease may still run.
+    /// Returns whether a leader was heard so recently that its lease may still run.
     pub(super) fn heard_leader(&self) -> bool {
         if !self.config.safeguards.sticky {
             return false;
@@ -29,7 +29,7 @@
         self.heard.is_some_and(|at| self.now < at + least)
     }
 
-    /// Becomes a follower in `term`, of `leader` if one is known.
+    /// Makes the node a follower in `term`, of `leader` if one is known.
     pub(super) fn follow(&mut self, term: u64, leader: Option<NodeId>) {
         self.abandon_reads();
         if term > self.hard.term {
@@ -52,21 +52,21 @@
             self.campaign(false);
             return;
         }
-        // A voter cut off alone would raise its term again and again, and on its return force the
-        // leader of the others to step down. Asking first costs one round trip and no term.
+        // A voter that is cut off would raise its term again and again, and on its return force the
+        // leader of the others to step down. A pre-vote costs one round trip and raises no term.
         let votes = BTreeSet::from([self.config.id]);
         self.role = Role::PreCandidate { votes };
         self.ask_votes(true, false);
         self.count_pre_votes();
     }
 
-    /// Voters campaign, and learners as the last resort.
+    /// Returns whether this node may campaign: a voter always, a learner as the last resort.
     ///
-    /// A leader that dies for good may leave its last entries on a learner alone, while one of the
-    /// voters holds a promotion of that learner that was never committed. That voter then needs
-    /// the learner's vote, which its shorter log does not get, and no other voter can win: the
-    /// group would stand still though a majority lives. The learner, elected by the voters, brings
-    /// its entries to them and passes the leadership on.
+    /// A leader that dies for good may leave its last entries on one learner alone, while a voter
+    /// holds an uncommitted promotion of that learner. That voter then needs the learner's vote,
+    /// which the learner refuses because the voter's log is shorter, and no other voter can win.
+    /// The group would be unavailable although a majority of the voters is alive. Once elected by
+    /// the voters, the learner replicates its entries to them and transfers the leadership.
     fn may_campaign(&self) -> bool {
         let membership = self.membership();
         let patience = self.config.timing.election_max * LAST_RESORT;
@@ -104,7 +104,7 @@
             term: vote.last_term,
             index: vote.last_index,
         };
-        // A replica that belongs to no group yet holds nothing to compare with.
+        // A replica that belongs to no group has no log to compare with.
         let member = !self.members.is_empty() || !self.config.safeguards.members_vote;
         let fit = theirs >= self.log.last() && member;
         let free = self.hard.vote == 0 || self.hard.vote == from.0;
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The candidate's own vote counts once it is durable, as any other vote does.
+    /// Counts the candidate's own vote once it is durable, as any other vote.
     pub(super) fn count_own_vote(&mut self) {
         let own = self.config.id;
         let sure = self.disk.written >= self.disk.hard_seq && !self.disk.hard_dirty;
@@ -177,8 +177,9 @@
         counted >= membership.quorum()
     }
 
-    /// Answers a message of an earlier term, so that a leader or candidate that was passed over
-    /// learns of it. Without it, a replica whose term ran ahead of its leader's is never led.
+    /// Answers a message of an earlier term, so that its sender, a superseded leader or candidate,
+    /// learns of the current term. Without the answer, a replica whose term is ahead of its
+    /// leader's would never follow that leader.
     pub(super) fn answer_stale(&mut self, from: NodeId, body: &Body) {
         let reply = match body {
             Body::Append(_) | Body::Piece(_) => Body::AppendReply(AppendReply {
--- a/crates/filbertstack-log/src/node/follower.rs
+++ b/crates/filbertstack-log/src/node/follower.rs
@@ -1,4 +1,4 @@
-//! How a follower takes the leader's entries.
+//! Replication on a follower.
 
 use crate::ids::NodeId;
 use crate::message::Append;
@@ -10,7 +10,8 @@
 use crate::node::persist::Gate;
 
 impl Node {
-    /// Notes that the leader of this term was heard; false if the node itself leads it.
+    /// Records that the leader of this term was heard; returns false if the node itself leads the
+    /// term.
     pub(super) fn hear_leader(&mut self, from: NodeId) -> bool {
         if matches!(self.role, Role::Leader(_)) {
             self.output.broken = Some(format!("{from} leads term {} as well", self.hard.term));
@@ -38,8 +39,8 @@
             return;
         }
         self.commit = self.commit.max(append.commit.min(verified));
-        // An answer to a heartbeat tells only of what is durable already: it need not wait for a
-        // slow disk, which would cost the leader its lease.
+        // An answer to a heartbeat covers only entries that are durable already. It does not wait
+        // for a slow disk, which would cost the leader its lease.
         let (index, gate) = if heartbeat {
             (verified.min(self.durable), Gate::Hard)
         } else {
@@ -54,7 +55,8 @@
         self.send(from, gate, Body::AppendReply(reply));
     }
 
-    /// What lies at or below the base is committed, hence equal to the leader's.
+    /// Drops the entries at or below the base of the log: they are committed and therefore equal to
+    /// the leader's.
     fn skip_compacted(&self, append: &mut Append) {
         let base = self.log.base();
         if append.prev_index >= base.index {
@@ -88,7 +90,7 @@
         self.send(from, Gate::Hard, Body::AppendReply(reply));
     }
 
-    /// Appends what is new; false if that would drop a committed entry.
+    /// Appends the entries that are new; returns false if that would replace a committed entry.
     fn take_entries(&mut self, entries: Vec<Entry>) -> bool {
         for entry in entries {
             if self.log.holds(entry.position()) {
@@ -108,7 +110,8 @@
     }
 }
 
-/// Whether the entries follow one another, so that a malformed message leaves no gap.
+/// Returns whether the indices of the entries are consecutive, so that a malformed message leaves
+/// no gap.
 fn contiguous(append: &Append) -> bool {
     let places = append.prev_index + 1..;
     append.entries.iter().zip(places).all(|(e, i)| e.index == i)
--- a/crates/filbertstack-log/src/node/io.rs
+++ b/crates/filbertstack-log/src/node/io.rs
@@ -1,4 +1,4 @@
-//! What goes into a node and what comes out of it.
+//! The inputs and outputs of a node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,44 +19,44 @@
 use crate::message::Message;
 use crate::message::Snapshot;
 
-/// Names a proposal, read or change between the node and its driver.
+/// Identifies a proposal, read or change between the node and its driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What a node is told.
+/// An event that a node handles.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// A message came in.
+    /// A message has arrived.
     Message(Message),
     /// A command to append.
     Propose {
-        /// Names the answer.
+        /// The ticket of the answer.
         ticket: Ticket,
         /// The command.
         command: Bytes,
     },
-    /// A linearizable read is wanted.
+    /// A linearizable read is requested.
     Read {
-        /// Names the answer.
+        /// The ticket of the answer.
         ticket: Ticket,
     },
     /// A change of membership to append.
     Change {
-        /// Names the answer.
+        /// The ticket of the answer.
         ticket: Ticket,
         /// The change.
         change: Change,
     },
-    /// The leadership is to pass to another voter.
+    /// The leadership is to be transferred to another voter.
     Transfer {
-        /// Names the answer.
+        /// The ticket of the answer.
         ticket: Ticket,
-        /// To whom; `None` leaves the choice to the leader.
+        /// The voter that is to lead; `None` leaves the choice to the leader.
         to: Option<NodeId>,
     },
-    /// The machine's state after the entry at `index`.
+    /// The state of the state machine after the entry at `index`.
     Snapshot {
         /// The last index applied.
         index: u64,
@@ -68,79 +68,80 @@
         /// The last write that is durable.
         seq: u64,
     },
-    /// The write `seq` and all after it were refused for want of space and left no trace.
+    /// The write `seq` and all later ones were refused because the disk is full; they left no
+    /// trace.
     Refused {
         /// The first write that was refused.
         seq: u64,
     },
-    /// The snapshot of write `seq` could not be kept; the rest of that write is durable.
+    /// The snapshot of write `seq` could not be stored; the rest of that write is durable.
     SnapshotLost {
-        /// The write.
+        /// The number of the write.
         seq: u64,
     },
-    /// The clock may have stood still while others' went on.
+    /// The monotonic clock may have been paused while those of other replicas ran.
     ClockDoubt,
-    /// A group is to be created, of which this node is the only voter so far.
+    /// A group is to be created, with this node as its only voter at first.
     Create {
-        /// Names the answer.
+        /// The ticket of the answer.
         ticket: Ticket,
-        /// The new group.
+        /// The identity of the new group.
         cluster: ClusterId,
         /// Its first membership.
         membership: Membership,
-        /// The machine's first state.
+        /// The first state of the state machine.
         data: Bytes,
     },
 }
 
-/// What must be made durable, in the order of `seq`.
+/// State to be made durable, in the order of `seq`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Write {
     /// The number of the write.
     pub seq: u64,
-    /// The number of refusals that the node knew of: after a refusal, a write with an older
-    /// number builds on what was refused and is refused as well.
+    /// The number of refused writes that the node knew of. After a refusal, a write with an older
+    /// number depends on refused state and is skipped.
     pub epoch: u64,
     /// Term, vote and cluster.
     pub hard: Option<HardState>,
-    /// Entries; each drops what the log holds from its index on.
+    /// The entries to append; each replaces the log from its index on.
     pub entries: Vec<Entry>,
-    /// A snapshot to keep, in place of earlier ones.
+    /// A snapshot to store in place of earlier ones.
     pub snapshot: Option<Snapshot>,
     /// Whether the snapshot comes from the leader and replaces the log.
     pub install: bool,
 }
 
-/// Why a request is refused: it has changed nothing and will change nothing.
+/// The reason why a request is refused: it has changed nothing and will change nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     /// This replica does not lead.
     #[error("this replica does not lead; ask the leader")]
     NotLeader {
-        /// Who leads, as far as known.
+        /// The current leader, if known.
         leader: Option<NodeId>,
     },
-    /// The leadership is being passed on.
+    /// A transfer of the leadership is in progress.
     #[error("the leadership is being passed on; try again in a second")]
     Transferring,
-    /// The group has not yet had all its first voters.
+    /// The group has not yet reached its first number of voters.
     #[error("the group is still forming; start the other voters that the settings list")]
     Forming,
-    /// Too much waits to be committed.
+    /// Too many uncommitted entries or reads are waiting.
     #[error("too much waits to be committed; try again in a second")]
     Busy,
     /// The command is too long.
     #[error("the command has {length} bytes; {most} is the most")]
     TooLong {
-        /// The command's length.
+        /// The size of the command.
         length: usize,
-        /// The longest allowed.
+        /// The largest size allowed.
         most: usize,
     },
-    /// There is no other voter.
+    /// The group has no other voter.
     #[error("there is no other voter to lead; add one first")]
     NoOther,
-    /// The replica belongs to a group.
+    /// The replica belongs to a group already.
     #[error("this replica belongs to a group already; create a group only from an empty folder")]
     Grouped,
     /// The replica has stopped.
@@ -154,46 +155,48 @@
     Change(#[from] ChangeError),
 }
 
-/// What became of a request at first.
+/// The first result of an accepted request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Accepted {
-    /// Appended: done once the entry committed at this index is of this term.
+    /// The entry was appended. The request is done once the entry committed at this index is of
+    /// this term.
     Appended(Position),
-    /// A read sees everything once this index is applied.
+    /// The read is linearizable once this index is applied.
     Readable(u64),
-    /// The leadership is being passed on.
+    /// A transfer of the leadership is in progress.
     Transferring,
-    /// The group is being created; done when the machine was given its first state.
+    /// The group is being created. The request is done when the state machine has received its
+    /// first state.
     Creating,
 }
 
-/// The answer to a request.
+/// Answers a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The request.
+    /// The ticket of the request.
     pub ticket: Ticket,
-    /// What became of it.
+    /// The result of the request.
     pub result: Result<Accepted, Refusal>,
 }
 
-/// What a node wants done.
+/// The actions that a node requests from its driver.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
-    /// To be made durable.
+    /// The write to make durable.
     pub write: Option<Write>,
-    /// To be sent.
+    /// The messages to send.
     pub messages: Vec<Message>,
-    /// A state that replaces the machine's, before `committed` is applied.
+    /// A snapshot to restore before `committed` is applied.
     pub restore: Option<Snapshot>,
-    /// To be applied, in order.
+    /// The entries to apply, in order.
     pub committed: Vec<Entry>,
-    /// To be answered.
+    /// The answers to requests.
     pub answers: Vec<Answer>,
-    /// The protocol's safety was broken by others; the replica must stop.
+    /// A violation of the protocol by another replica; the replica must stop.
     pub broken: Option<String>,
 }
 
-/// What a replica remembers over a restart.
+/// The state that a replica reads back after a restart.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Memory {
     /// Term, vote and cluster.
@@ -204,57 +207,57 @@
     pub entries: Vec<Entry>,
 }
 
-/// What a node is started with.
+/// The configuration of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeConfig {
-    /// The identity.
+    /// The identity of the node.
     pub id: NodeId,
-    /// Seeds the spread of election timeouts.
+    /// The seed of the random election timeouts.
     pub seed: u64,
-    /// How long things take.
+    /// The durations of the protocol.
     pub timing: Timing,
-    /// How much is held.
+    /// The bounds on state and messages.
     pub limits: Limits,
-    /// For tests.
+    /// The protections in use; only tests switch any off.
     pub safeguards: Safeguards,
 }
 
-/// What a node is at the moment.
+/// The role of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoleName {
-    /// Follows a leader, or waits for one.
+    /// The node follows a leader or waits for one.
     Follower,
-    /// Asks whether it would be elected.
+    /// The node asks for pre-votes.
     PreCandidate,
-    /// Campaigns.
+    /// The node asks for votes.
     Candidate,
-    /// Leads.
+    /// The node leads the group.
     Leader,
 }
 
-/// A node as others may see it.
+/// A summary of a node's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeStatus {
     /// The latest term seen.
     pub term: u64,
-    /// Whom the node follows, or itself if it leads.
+    /// The leader that the node follows, or the node itself if it leads.
     pub leader: Option<NodeId>,
     /// The node's role.
     pub role: RoleName,
     /// The last index appended.
     pub last: u64,
-    /// The last index that is durable here.
+    /// The last index that is durable on this replica.
     pub durable: u64,
     /// The last index known to be committed.
     pub commit: u64,
     /// The last index covered by a snapshot.
     pub snapshot: u64,
-    /// The log index of the latest change of the members; 0 before the first.
+    /// The log index of the latest membership entry; 0 before the first.
     pub membership_index: u64,
-    /// The members, by the latest change appended.
+    /// The membership by the latest entry appended.
     pub membership: Arc<Membership>,
-    /// Until when this leader serves reads without asking, in the node's time.
+    /// The end of the time in which this leader serves reads without asking, on the node's clock.
     pub lease: Option<Duration>,
-    /// Whether the disk refuses writes.
+    /// Whether the disk is full and refuses writes.
     pub full: bool,
 }
--- a/crates/filbertstack-log/src/node/leader.rs
+++ b/crates/filbertstack-log/src/node/leader.rs
@@ -1,4 +1,4 @@
-//! How a leader replicates and commits.
+//! Replication and commit on a leader.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -23,27 +23,28 @@
 use crate::node::snapshots::Outgoing;
 use crate::node::transfer::Transfer;
 
-/// Up to how many followers heartbeats are not spaced out.
+/// The largest number of followers at which the heartbeat interval is not lengthened.
 const UNSPACED: u32 = 4;
 
-/// How entries go to one follower.
+/// The state of replication to one follower.
 #[derive(Debug)]
 pub(super) enum Flow {
-    /// Not known where the logs agree: one message, then its answer.
+    /// The leader does not know where the logs agree: it sends one message and waits for the
+    /// answer.
     Probe {
-        /// Whether the message is under way.
+        /// Whether the message has been sent and is unanswered.
         sent: bool,
     },
-    /// Known: several messages under way; each one's last index.
+    /// The leader knows where the logs agree and keeps several messages in flight.
     Pipeline {
-        /// The last index of each message under way.
+        /// The last index of each message in flight.
         inflight: VecDeque<u64>,
     },
-    /// Too far behind for entries.
+    /// The follower lags too far behind for entries and receives a snapshot.
     Snapshot(Outgoing),
 }
 
-/// One follower as the leader knows it.
+/// The leader's view of one follower.
 #[derive(Debug)]
 pub(super) struct Peer {
     /// The index up to which the follower durably holds this log.
@@ -52,28 +53,30 @@
     pub(super) flow: Flow,
     /// The latest heartbeat round that it confirmed.
     pub(super) round: u64,
-    /// When something was last sent that wants an answer, or the last answer came.
+    /// The time at which a message that needs an answer was last sent, or at which the last answer
+    /// arrived.
     pub(super) touched: Duration,
-    /// When it last answered.
+    /// The time of its last answer.
     pub(super) heard: Duration,
-    /// The commit index that it was last told.
+    /// The commit index that was last sent to it.
     pub(super) told: u64,
 }
 
-/// The state that only a leader has.
+/// The state that only a leader keeps.
 #[derive(Debug)]
 pub(super) struct Leader {
     pub(super) peers: BTreeMap<NodeId, Peer>,
-    /// The index of the entry that opened the term.
+    /// The index of the no-op entry of this term.
     pub(super) opened: u64,
     pub(super) round: u64,
-    /// When each round began, for those that no majority has confirmed.
+    /// The number and start of each round that no majority has confirmed.
     pub(super) rounds: VecDeque<(u64, Duration)>,
-    /// The beginning of the latest round that a majority confirmed, or of the term.
+    /// The start of the latest round that a majority confirmed, or of the term.
     pub(super) confirmed: Duration,
     pub(super) lease_from: Option<Duration>,
     pub(super) lease_void: bool,
-    /// Rounds up to this one renew no lease: the clock may have stood still since they began.
+    /// The latest round that cannot renew the lease, because the clock may have been paused since
+    /// it began.
     pub(super) doubtful: u64,
     pub(super) heartbeat_at: Duration,
     pub(super) reads: VecDeque<WaitingRead>,
@@ -102,7 +105,7 @@
         self.count_own_entries();
     }
 
-    /// Brings the followers known in line with the membership.
+    /// Updates the list of followers to the current membership.
     pub(super) fn refresh_peers(&mut self) {
         let membership = self.membership();
         let own = self.config.id;
@@ -160,13 +163,14 @@
         (waiting + command.len() > limits.uncommitted_bytes).then_some(Refusal::Busy)
     }
 
-    /// What a leader does as time passes.
+    /// Performs the periodic work of a leader: steps down without a majority, sends heartbeats,
+    /// resends.
     pub(super) fn lead_on(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        // A leader that no majority answers cannot commit. Without stepping down it would keep
-        // its callers waiting and its followers from electing, for as long as it can only send.
+        // A leader that no majority answers cannot commit. If it can send but not receive, it would
+        // keep its callers waiting and its followers from electing another leader.
         let quiet = self.now >= leader.confirmed + self.config.timing.election_min;
         let deposed = quiet && self.config.safeguards.check_quorum && !self.alone();
         if deposed || self.disk_hangs() {
@@ -190,7 +194,7 @@
         membership.voters.len() == 1 && membership.is_voter(self.config.id)
     }
 
-    /// Begins a heartbeat round: every follower is asked to confirm the leader.
+    /// Starts a heartbeat round, which asks every follower to confirm the leader.
     pub(super) fn start_round(&mut self) {
         let now = self.now;
         let timing = self.config.timing;
@@ -204,7 +208,8 @@
         let round = leader.round;
         let held: Vec<(NodeId, u64)> = leader.peers.iter().map(|(id, p)| (*id, p.held)).collect();
         for (id, held) in held {
-            // The entry at `held` may be compacted; then only the leader is confirmed.
+            // The entry at the matching index may be compacted; the heartbeat then confirms the
+            // leader only.
             let prev_index = if self.log.term(held).is_some() {
                 held
             } else {
@@ -222,10 +227,11 @@
         self.confirm_rounds();
     }
 
-    /// Sends again what was not answered for a while, to followers that have answered anything since.
+    /// Resends unanswered messages to followers that have answered anything since.
     ///
-    /// One that answers no heartbeat either is down, frozen or cut off. What is sent to it waits in
-    /// its link, and a frozen one reads it all, the same entries many times, before anything new.
+    /// A follower that answers no heartbeat either is down, frozen or cut off. Messages to it queue
+    /// in its link, and a frozen follower would read the same entries many times before anything
+    /// new.
     fn resend_quiet(&mut self) {
         let now = self.now;
         let wait = self.config.timing.resend;
@@ -247,7 +253,7 @@
         }
     }
 
-    /// Sends each follower what it lacks, as far as its flow allows.
+    /// Sends each follower the entries it lacks, as far as its flow allows.
     pub(super) fn replicate(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -258,7 +264,7 @@
         }
     }
 
-    /// Sends one message to a follower; false if there is nothing to send.
+    /// Sends one message to a follower; returns false if there is nothing to send.
     fn feed(&mut self, id: NodeId) -> bool {
         let limits = self.config.limits;
         let (last, base) = (self.log.last().index, self.log.base().index);
@@ -306,7 +312,7 @@
         if reply.reject {
             peer.on_reject(reply);
         } else {
-            // An answer to a heartbeat that tells nothing new must not put off sending again.
+            // An answer to a heartbeat that acknowledges nothing new must not delay the resend.
             if reply.index > peer.held {
                 peer.touched = now;
             }
@@ -317,7 +323,7 @@
         self.hurry_transfer();
     }
 
-    /// Counts what is durable here, as any voter's acknowledgement.
+    /// Counts the entries that are durable on this replica, as an acknowledgement of any voter.
     pub(super) fn count_own_entries(&mut self) {
         self.advance_commit();
     }
@@ -334,8 +340,8 @@
         };
         let membership = self.membership();
         let reached = membership.reached(held).unwrap_or(0);
-        // An entry of an earlier term may be on a majority and still be replaced by the leader of
-        // a term between. Only an entry of the own term fixes all before it.
+        // An entry of an earlier term may be on a majority and still be replaced by a leader of a
+        // term in between. Only an entry of the leader's own term commits all entries before it.
         let own_term = self.log.term(reached) == Some(self.hard.term);
         if reached > self.commit && (own_term || !self.config.safeguards.own_term) {
             self.commit = reached;
@@ -343,9 +349,11 @@
     }
 }
 
-/// The time between two heartbeat rounds to so many followers. A leader of eight would spend at
-/// rest all that a node may spend on control (8 KB/s); with longer pauses it spends little more
-/// than a leader of five, and two rounds still fit an election timeout.
+/// Returns the interval between heartbeat rounds to this number of followers.
+///
+/// At the default interval, a leader of eight voters at rest would use the whole bandwidth that a
+/// node may spend on control (8 KB/s). With longer intervals it uses little more than a leader of
+/// five, and two rounds still fit into an election timeout.
 fn spaced(timing: Timing, followers: usize) -> Duration {
     let followers = u32::try_from(followers).unwrap_or(u32::MAX).max(UNSPACED);
     let wanted = timing.heartbeat.saturating_mul(followers) / UNSPACED;
@@ -354,7 +362,8 @@
 }
 
 impl Peer {
-    /// Whether the flow takes one more message; if so, it counts as sent.
+    /// Returns whether one more message may be sent in this flow; if so, the message counts as
+    /// sent.
     fn may_send(&mut self, news: bool, most: usize, now: Duration) -> bool {
         match &mut self.flow {
             Flow::Probe { sent: false } => {
--- a/crates/filbertstack-log/src/node/mod.rs
+++ b/crates/filbertstack-log/src/node/mod.rs
@@ -1,8 +1,8 @@
 //! The consensus protocol as a pure state machine.
 //!
-//! A [`Node`] is given [`Input`]s with the time at which each arrives, and [`Node::output`] then
-//! tells what to write, send, apply and answer. It never waits: a write's result comes back as an
-//! input, and messages that depend on a write are held until then.
+//! A [`Node`] handles [`Input`]s, each with the time of its arrival, and [`Node::output`] returns
+//! what to write, send, apply and answer. The node never blocks: the result of a write arrives as
+//! an input, and messages that depend on a write are held back until then.
 
 mod changes;
 mod election;
@@ -54,7 +54,7 @@
     Leader(Box<Leader>),
 }
 
-/// One replica's protocol state.
+/// Holds the protocol state of one replica.
 #[derive(Debug)]
 pub struct Node {
     config: NodeConfig,
@@ -69,7 +69,7 @@
     commit: u64,
     handed: u64,
     durable: u64,
-    /// Memberships by the index of their entry, the first being the one at the log's base.
+    /// The memberships with the index of their entry; the first is the one at the base of the log.
     members: Vec<(u64, Arc<Membership>)>,
     snapshot: Option<Snapshot>,
     incoming: Option<Incoming>,
@@ -79,7 +79,7 @@
 }
 
 impl Node {
-    /// Starts a node from what it remembers. Its time starts at `now`.
+    /// Creates a node from its durable state. Its clock starts at `now`.
     pub fn new(config: NodeConfig, memory: Memory, now: Duration) -> Self {
         let mut hard = memory.hard;
         let base = memory.snapshot.as_ref().map(Snapshot::position);
@@ -90,7 +90,7 @@
             hard.term = hard.term.max(snapshot.term);
             members.push((snapshot.index, Arc::new(snapshot.membership.clone())));
         }
-        // A replica that holds nothing of its group has promised it nothing, and may join any.
+        // A replica without any entry or snapshot has acknowledged nothing and may join any group.
         let empty = memory.snapshot.is_none() && memory.entries.is_empty();
         if empty && config.safeguards.members_vote {
             hard.cluster = 0;
@@ -111,9 +111,10 @@
             hard,
             role: Role::Follower,
             leader: None,
-            // What was promised to a leader is forgotten in a restart: a voter that answered a
+            // A restart loses the time at which the leader was last heard. A voter that answered a
             // heartbeat, restarted and voted at once would let a second leader commit while the
-            // first still serves reads under its lease. So a start counts as hearing a leader.
+            // first still serves reads under its lease. A start therefore counts as hearing a
+            // leader.
             heard: config.safeguards.sticky.then_some(now),
             elect_at: now,
             log,
@@ -131,7 +132,7 @@
         node
     }
 
-    /// Takes one input that arrives at `now`.
+    /// Handles one input that arrives at `now`.
     pub fn step(&mut self, now: Duration, input: Input) {
         self.now = self.now.max(now);
         if self.output.broken.is_some() {
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Takes what the inputs since the last call led to.
+    /// Returns the actions that follow from the inputs since the last call.
     pub fn output(&mut self) -> Output {
         self.replicate();
         self.issue_write();
@@ -167,7 +168,7 @@
         std::mem::take(&mut self.output)
     }
 
-    /// When the node next has something to do unless an input comes before.
+    /// Returns the time at which the node needs a tick if no input arrives before.
     pub fn wake_at(&self) -> Duration {
         if let Some(until) = self.disk.full_until {
             return until;
@@ -178,33 +179,33 @@
         }
     }
 
-    /// The node's identity.
+    /// Returns the identity of the node.
     pub fn id(&self) -> NodeId {
         self.config.id
     }
 
-    /// The cluster that the node belongs to, 0 if none.
+    /// Returns the cluster that the node belongs to, 0 if none.
     pub fn cluster(&self) -> u64 {
         self.hard.cluster
     }
 
-    /// The latest membership appended; empty before the node belongs to a group.
+    /// Returns the latest membership appended; it is empty before the node belongs to a group.
     pub fn membership(&self) -> Arc<Membership> {
         let latest = self.members.last();
         latest.map(|(_, m)| Arc::clone(m)).unwrap_or_default()
     }
 
-    /// The entry at `index`, if it is in memory.
+    /// Returns the entry at `index` if it is in memory.
     pub fn entry(&self, index: u64) -> Option<&Entry> {
         self.log.get(index)
     }
 
-    /// The cost in memory of the entries after `index`, in bytes.
+    /// Returns the memory used by the entries after `index`, in bytes.
     pub fn cost_after(&self, index: u64) -> usize {
         self.log.cost_after(index)
     }
 
-    /// The node as others may see it.
+    /// Returns a summary of the node's state.
     pub fn status(&self) -> NodeStatus {
         let role = match &self.role {
             Role::Follower => RoleName::Follower,
@@ -266,7 +267,8 @@
         }
     }
 
-    /// Whether the message is of the node's cluster. A node without one takes its leader's.
+    /// Returns whether the message belongs to the node's cluster. A node without a cluster joins
+    /// its leader's.
     fn same_cluster(&mut self, message: &Message) -> bool {
         let leads = matches!(message.body, Some(Body::Append(_) | Body::Piece(_)));
         if self.hard.cluster == 0 && leads {
@@ -276,7 +278,8 @@
         message.cluster != 0 && message.cluster == self.hard.cluster
     }
 
-    /// Takes over a higher term where the message calls for it; false if it is to be dropped.
+    /// Adopts a higher term if the message calls for it; returns false if the message is to be
+    /// dropped.
     fn raise_term(&mut self, from: NodeId, term: u64, body: &Body) -> bool {
         match body {
             Body::Vote(vote) if vote.pre => {}
--- a/crates/filbertstack-log/src/node/persist.rs
+++ b/crates/filbertstack-log/src/node/persist.rs
@@ -1,4 +1,4 @@
-//! What is written, and which messages wait for it.
+//! Durable writes and the messages that wait for them.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,18 +16,18 @@
 use crate::node::Role;
 use crate::node::Write;
 
-/// What a message waits for.
+/// The durable state that a message waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Gate {
-    /// Nothing: it tells of nothing that could be forgotten.
+    /// Nothing: the message reveals no state that a crash could lose.
     Open,
-    /// That term and vote are durable.
+    /// Term and vote.
     Hard,
-    /// That everything so far is durable.
+    /// Everything issued so far.
     Entries,
 }
 
-/// A write under way.
+/// A write that has been issued and has no result yet.
 #[derive(Debug)]
 pub(super) struct Pending {
     pub(super) seq: u64,
@@ -37,30 +37,30 @@
     pub(super) install: bool,
 }
 
-/// What the disk has still to do, and what waits for it.
+/// The unwritten state, the pending writes and the messages that wait for them.
 #[derive(Debug, Default)]
 pub(super) struct Work {
     pub(super) pending: VecDeque<Pending>,
-    /// Messages by the write that they wait for.
+    /// Messages with the number of the write that they wait for.
     pub(super) held: VecDeque<(u64, Message)>,
-    /// Messages since the last output.
+    /// Messages created since the last output.
     pub(super) outbox: Vec<(Gate, Message)>,
-    /// The first index that no write holds.
+    /// The first index that no write contains.
     pub(super) unsaved: u64,
     pub(super) hard_dirty: bool,
     /// A snapshot to write, and whether it comes from the leader.
     pub(super) snapshot_dirty: Option<(Snapshot, bool)>,
-    /// The last write that holds term and vote.
+    /// The number of the last write that contains term and vote.
     pub(super) hard_seq: u64,
     pub(super) issued: u64,
     pub(super) written: u64,
     pub(super) epoch: u64,
-    /// The disk refuses writes; when it is tried again.
+    /// The time of the next write attempt while the disk is full.
     pub(super) full_until: Option<Duration>,
 }
 
 impl Work {
-    /// Nothing to do: the log up to `last` was read from the disk.
+    /// Returns an empty queue for a log that was read from the disk up to `last`.
     pub(super) fn after(last: u64) -> Self {
         Self {
             unsaved: last + 1,
@@ -152,7 +152,7 @@
         self.count_own_entries();
     }
 
-    /// Releases what waited, in the order in which it was said.
+    /// Releases the messages that waited for this write, in the order in which they were created.
     fn release_held(&mut self, seq: u64) {
         for (after, message) in std::mem::take(&mut self.disk.held) {
             if after <= seq {
@@ -164,7 +164,7 @@
     }
 
     fn settle(&mut self, done: Pending) {
-        // An entry that was replaced since it was written is no longer the log's.
+        // An entry that was replaced after this write was issued no longer belongs to the log.
         if let Some(last) = done.last
             && self.log.holds(last)
         {
@@ -180,9 +180,10 @@
         }
     }
 
-    /// The disk is full: nothing since the refused write is remembered, so none of it may be
-    /// relied on. Until a write succeeds the replica is silent, as if it were down: it neither
-    /// votes, acknowledges nor leads, and refuses proposals as not run.
+    /// Drops everything since the refused write: none of it is durable, so nothing may rely on it.
+    ///
+    /// Until a write succeeds the replica is silent, as if it were down: it neither votes,
+    /// acknowledges nor leads, and refuses proposals as not run.
     pub(super) fn on_refused(&mut self, seq: u64) {
         if !self.disk.pending.iter().any(|p| p.seq == seq) {
             return;
@@ -202,15 +203,15 @@
         self.disk.full_until = Some(self.now + self.config.timing.resend);
     }
 
-    /// Whether a write has been under way for so long that the disk is taken to hang. A leader on
-    /// such a disk could send heartbeats for ever and never tell a caller that it committed.
+    /// Returns whether a write has been pending for so long that the disk counts as hung. A leader
+    /// on such a disk could send heartbeats forever and never commit.
     pub(super) fn disk_hangs(&self) -> bool {
         let most = self.config.timing.election_max;
         let oldest = self.disk.pending.front();
         oldest.is_some_and(|p| self.now >= p.issued + most)
     }
 
-    /// Tries whether the disk takes term and vote again.
+    /// Writes term and vote again to find out whether the disk still refuses writes.
     pub(super) fn try_disk(&mut self) {
         self.disk.full_until = Some(self.now + self.config.timing.resend);
         if self.disk.pending.is_empty() {
@@ -227,7 +228,7 @@
         self.members.retain(|(at, _)| *at < index || *at <= base);
     }
 
-    /// Appends an entry of the own term; its place is returned.
+    /// Appends an entry of the node's own term and returns its position.
     pub(super) fn append_own(&mut self, kind: EntryKind, data: Bytes) -> Position {
         let entry = Entry {
             index: self.log.last().index + 1,
@@ -247,7 +248,7 @@
         self.log.push(entry);
     }
 
-    /// Hands over what is committed and durable here.
+    /// Outputs the entries that are committed and durable on this replica.
     pub(super) fn hand_committed(&mut self) {
         if self.installing {
             return;
--- a/crates/filbertstack-log/src/node/reads.rs
+++ b/crates/filbertstack-log/src/node/reads.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads: under the leader's lease, else by a heartbeat round.
+//! Linearizable reads, served under the leader's lease or after a heartbeat round.
 
 use std::time::Duration;
 
@@ -38,8 +38,10 @@
         (leader.reads.len() >= self.config.limits.reads).then_some(Refusal::Busy)
     }
 
-    /// What a read must see. A new leader does not know how far its predecessor committed before
-    /// its own first entry is committed; a read served earlier could miss an accepted change.
+    /// Returns the index that must be applied before a read is served.
+    ///
+    /// Before its own first entry is committed, a new leader does not know how far its predecessor
+    /// committed. A read served earlier could miss an accepted change.
     fn read_index(&self) -> u64 {
         match &self.role {
             Role::Leader(leader) if self.config.safeguards.opened_reads => {
@@ -49,8 +51,8 @@
         }
     }
 
-    /// A round that began before the read came proves nothing about it: the read waits for the
-    /// next one, which is begun at once unless another read has begun it.
+    /// Queues a read for the next heartbeat round and starts that round unless another read has
+    /// started it. A round that began before the read arrived proves nothing about the read.
     fn queue_read(&mut self, ticket: Ticket, index: u64) {
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Counts which rounds a majority has confirmed, and what follows from it.
+    /// Determines which rounds a majority has confirmed, then renews the lease and releases reads.
     pub(super) fn confirm_rounds(&mut self) {
         let own = self.config.id;
         let membership = self.membership();
@@ -84,8 +86,8 @@
         let reached = membership.reached(seen).unwrap_or(0);
         let mut news = false;
         while leader.rounds.front().is_some_and(|(r, _)| *r <= reached) {
-            // What a majority promised counts from when they were asked. Counted from when their
-            // answers came, a leader frozen between the two would serve reads after it was
+            // The promise of a majority starts when its members were asked. If it counted from the
+            // arrival of their answers, a leader frozen in between would serve reads after it was
             // replaced.
             let (round, begun) = leader.rounds.pop_front().unwrap_or_default();
             leader.confirmed = if from_send { begun } else { now };
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Until when reads are served without asking.
+    /// Returns the end of the lease, until which reads are served without a heartbeat round.
     pub(super) fn lease_until(&self) -> Option<Duration> {
         let Role::Leader(leader) = &self.role else {
             return None;
@@ -140,7 +142,8 @@
         leader.lease_from.map(|at| at + self.config.timing.lease)
     }
 
-    /// The lease is measured by a clock that may have stood still: only a new round renews it.
+    /// Ends the lease because the clock that measures it may have been paused; only a new round
+    /// renews it.
     pub(super) fn on_clock_doubt(&mut self) {
         if let Role::Leader(leader) = &mut self.role {
             leader.lease_from = None;
--- a/crates/filbertstack-log/src/node/snapshots.rs
+++ b/crates/filbertstack-log/src/node/snapshots.rs
@@ -1,4 +1,5 @@
-//! Snapshots: kept here, sent to followers far behind, and taken from a leader.
+//! Snapshots: stored on this replica, sent to followers that lag far behind, and received from a
+//! leader.
 
 use std::sync::Arc;
 
@@ -23,7 +24,7 @@
 use crate::node::leader::Flow;
 use crate::node::persist::Gate;
 
-/// A snapshot on its way to a follower, one piece at a time.
+/// A snapshot that is being sent to a follower, one piece at a time.
 #[derive(Debug)]
 pub(super) struct Outgoing {
     place: Position,
@@ -38,7 +39,8 @@
         self.place.index
     }
 
-    /// Sends the last piece again, or all if the follower had the whole and did not say more.
+    /// Marks the last piece to be sent again, or the whole snapshot if the follower received all of
+    /// it and did not confirm.
     pub(super) fn again(&mut self) {
         if self.offset >= self.bytes.len() {
             self.offset = 0;
@@ -63,7 +65,7 @@
     }
 }
 
-/// A snapshot that comes in piece by piece.
+/// A snapshot that is being received piece by piece.
 #[derive(Debug)]
 pub(super) struct Incoming {
     place: Position,
@@ -116,7 +118,7 @@
 }
 
 impl Node {
-    /// Keeps the machine's state after `index`.
+    /// Stores the state of the state machine after `index` as a snapshot.
     pub(super) fn on_snapshot(&mut self, index: u64, data: Bytes) {
         let latest = self.snapshot.as_ref().map_or(0, |s| s.index);
         let busy =
@@ -140,7 +142,7 @@
         self.disk.snapshot_dirty = Some((snapshot, false));
     }
 
-    /// Creates a group: its first entry is a snapshot, as if a leader of term 1 had sent it.
+    /// Creates a group. Its first entry is a snapshot, as if a leader of term 1 had sent it.
     pub(super) fn on_create(
         &mut self,
         ticket: Ticket,
@@ -168,7 +170,8 @@
         self.answer(ticket, Ok(Accepted::Creating));
     }
 
-    /// A snapshot of the own machine is durable: what it covers may go.
+    /// Handles a durable snapshot of this replica's state machine: drops the entries that it
+    /// covers.
     pub(super) fn kept(&mut self, snapshot: Snapshot) {
         let keep = self.config.limits.kept_entries;
         self.log.compact(snapshot.index.saturating_sub(keep));
@@ -179,7 +182,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// A snapshot of the leader is durable: it replaces log and machine.
+    /// Handles a durable snapshot from the leader: it replaces the log and the state.
     pub(super) fn installed(&mut self, snapshot: Snapshot) {
         let index = snapshot.index;
         self.installing = false;
@@ -269,7 +272,7 @@
         self.feed_snapshot(id)
     }
 
-    /// Sends the next piece; never more than one is under way.
+    /// Sends the next piece; at most one piece is unanswered at any time.
     pub(super) fn feed_snapshot(&mut self, id: NodeId) -> bool {
         let most = self.config.limits.piece_bytes;
         let now = self.now;
--- a/crates/filbertstack-log/src/node/transfer.rs
+++ b/crates/filbertstack-log/src/node/transfer.rs
@@ -1,4 +1,4 @@
-//! A planned change of leader.
+//! Planned transfer of the leadership.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::node::Ticket;
 use crate::node::persist::Gate;
 
-/// A change of leader under way.
+/// A leadership transfer in progress.
 #[derive(Debug)]
 pub(super) struct Transfer {
     to: NodeId,
@@ -28,7 +28,7 @@
         self.hurry_transfer();
     }
 
-    /// A learner that had to lead passes the leadership to a voter.
+    /// Transfers the leadership from a learner, which was elected as the last resort, to a voter.
     pub(super) fn hand_over(&mut self) {
         if self.begin_transfer(None).is_ok() {
             self.hurry_transfer();
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    /// Bids the chosen voter to campaign once it holds the whole log.
+    /// Tells the chosen voter to campaign once it holds the whole log.
     pub(super) fn hurry_transfer(&mut self) {
         let last = self.log.last().index;
         let Role::Leader(leader) = &mut self.role else {
@@ -77,13 +77,13 @@
             return;
         }
         transfer.sent = true;
-        // Voters grant a vote to the one chosen although they heard this leader, at once or much
-        // later if the bid is delayed: from here on the lease holds nobody back.
+        // Voters grant their vote to the chosen voter although they heard this leader recently, and
+        // the message may be delayed for long. From here on the lease protects no read.
         leader.lease_void |= self.config.safeguards.transfer_lease;
         self.send(to, Gate::Open, Body::Campaign(Campaign {}));
     }
 
-    /// Gives up a transfer that did not come about, so that proposals are taken again.
+    /// Cancels a transfer that did not complete in time, so that proposals are accepted again.
     pub(super) fn expire_transfer(&mut self) {
         let now = self.now;
         if let Role::Leader(leader) = &mut self.role
--- a/crates/filbertstack-log/src/replica/core.rs
+++ b/crates/filbertstack-log/src/replica/core.rs
@@ -1,4 +1,4 @@
-//! The thread that runs the protocol and the machine.
+//! The thread that runs the protocol and the state machine.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -42,19 +42,21 @@
 use crate::replica::waiters::Wanted;
 use crate::storage::frame;
 
-/// The most events that are taken before their results are sent and written: enough to share one
-/// sync among many, few enough that a heartbeat is never late for it.
+/// The largest number of events handled before their results are sent and written: enough to share
+/// one sync among many, few enough that no heartbeat is late.
 const BATCH: usize = 1_024;
 
-/// How far the system's clock may run ahead of the monotonic one between two looks. Beyond it the
-/// monotonic clock is taken to have stood still, as it does while a machine is suspended.
+/// The largest difference by which the system clock may advance more than the monotonic clock
+/// between two comparisons. Beyond it the monotonic clock counts as paused, as it is while an
+/// instance is suspended.
 const CLOCK_LEAP: Duration = Duration::from_millis(100);
 
-/// What is told when the machine panics. The next start applies the same command again.
+/// The failure reported when the state machine panics. The next start applies the same command
+/// again.
 const PANICKED: &str = "the machine panicked at a command; run a version that applies it";
 
-/// Tells at the end of the thread, however it comes about, that the replica leads no longer. If a
-/// panic of the machine left the status as it was, callers would go on being sent here.
+/// Marks the replica as stopped when the thread ends for any reason. If a panic of the state
+/// machine left the status unchanged, callers would still be sent to this replica.
 struct Ending {
     shared: Arc<Shared>,
     failed: Option<String>,
@@ -69,7 +71,7 @@
     }
 }
 
-/// The protocol, its machine, and who waits.
+/// Holds the protocol, the state machine and the waiting callers.
 pub(super) struct Core<M: Machine, T: Transport> {
     node: Node,
     settings: ReplicaSettings,
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Gives the machine its state back.
+    /// Restores the state machine from the snapshot.
     pub(super) fn begin(mut self) -> Result<(Self, Arc<Shared>), StartError> {
         self.settle().map_err(|why| StartError::Restore { why })?;
         let shared = Arc::clone(&self.shared);
@@ -172,7 +174,7 @@
         self.node.step(self.start.elapsed(), input);
     }
 
-    /// Takes one event; false if the replica is to stop.
+    /// Handles one event; returns false if the replica is to stop.
     fn take(&mut self, event: Event<M::Outcome>) -> Result<bool, String> {
         match event {
             Event::Message(message) => {
@@ -238,7 +240,7 @@
         });
     }
 
-    /// Does what the node wants done.
+    /// Performs the actions that the node requests.
     fn settle(&mut self) -> Result<(), String> {
         let output = self.node.output();
         if let Some(broken) = &output.broken {
@@ -299,7 +301,8 @@
         self.waiters.applied(entry.position(), outcome);
     }
 
-    /// Takes a snapshot once the log costs more than it: each byte is so written about twice.
+    /// Takes a snapshot once the log since the last one is larger than it, so that each byte is
+    /// written about twice.
     fn consider_snapshot(&mut self) {
         let latest = self.node.status().snapshot.max(self.snapshot_tried);
         let most = self.settings.snapshot_bytes.max(self.snapshot_size);
--- a/crates/filbertstack-log/src/replica/error.rs
+++ b/crates/filbertstack-log/src/replica/error.rs
@@ -1,33 +1,33 @@
-//! What became of a request, as far as it is known.
+//! The errors of requests and of the start.
 
 use crate::node::Refusal;
 use crate::storage::StorageError;
 
-/// Why a proposal or change brought no outcome.
+/// Reports that a proposal or change returned no outcome.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// It was not accepted: it has not run and will not run.
+    /// The request was not accepted: it has not run and will not run.
     #[error("not run: {0}")]
     Refused(#[from] Refusal),
-    /// Another leader's entry took its place: it has not run and will not run.
+    /// Another leader's entry replaced it: the request has not run and will not run.
     #[error("not run: another leader replaced it; try again")]
     Replaced,
-    /// It may have run, or may still run.
+    /// The request may have run, or may still run.
     #[error("it is not known whether it ran ({0}); ask again under the same request id")]
     Unknown(Doubt),
 }
 
 impl ProposeError {
-    /// Whether it is certain that the request has not run and will not run.
+    /// Returns whether it is certain that the request has not run and will not run.
     pub fn is_certain(&self) -> bool {
         !matches!(self, Self::Unknown(_))
     }
 }
 
-/// Why it is not known what became of a request.
+/// The reason why the outcome of a request is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Doubt {
-    /// The replica stopped leading while the request was under way.
+    /// The replica lost the leadership while the request was in progress.
     #[error("the leader changed")]
     LeaderLost,
     /// The deadline passed.
@@ -38,16 +38,16 @@
     Stopped,
 }
 
-/// Why a replica does not start.
+/// Reports why a replica does not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The data folder cannot be used.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The machine does not read its snapshot.
+    /// The state machine cannot restore the snapshot.
     #[error("the machine does not read its snapshot ({why}); run the version that wrote it")]
     Restore {
-        /// Why.
+        /// The error of the state machine.
         why: String,
     },
     /// A thread cannot be started.
--- a/crates/filbertstack-log/src/replica/mod.rs
+++ b/crates/filbertstack-log/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! One replica with its threads: the protocol, the disk, and the machine.
+//! A running replica with its threads for the protocol, the disk and the state machine.
 
 mod core;
 mod error;
@@ -50,32 +50,35 @@
 use crate::storage::frame;
 use crate::storage::frame::End;
 
-/// Carries messages to the other replicas. A message may be lost, late, doubled or out of order.
+/// Carries messages to the other replicas. A message may be lost, delayed, duplicated or reordered.
 pub trait Transport: Send + 'static {
-    /// Sends a message, or drops it. It must not wait for the network.
+    /// Sends a message or drops it. It must not block on the network.
     ///
-    /// A replica that has just been added knows no addresses yet: an answer to a replica that was
-    /// heard must reach it all the same.
+    /// A replica that has just been added knows no addresses yet. An answer to a replica that sent
+    /// it a message must be delivered nevertheless.
     fn send(&self, to: NodeId, message: Message);
 
-    /// Tells who the members are, and where, whenever that changes.
+    /// Informs the transport of the members and their addresses whenever they change.
     fn configure(&self, membership: &Membership) {
         let _ = membership;
     }
 }
 
-/// Settings of a replica.
+/// The settings of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaSettings {
-    /// How long things take.
+    /// The durations of the protocol.
     pub timing: Timing,
-    /// How much is held.
+    /// The bounds on state and messages.
     pub limits: Limits,
-    /// The bytes of log, in memory, after which a snapshot is taken; more for a larger state.
+    /// The size of the log in memory after which a snapshot is taken, in bytes; it is larger if the
+    /// state is larger.
     pub snapshot_bytes: usize,
-    /// The most messages that wait to be handled; more are dropped, as the network may do.
+    /// The largest number of messages that wait to be handled; further messages are dropped, as if
+    /// the network had lost them.
     pub inbox: usize,
-    /// The most requests that wait to be handled; more are refused as not run.
+    /// The largest number of requests that wait to be handled; further requests are refused as not
+    /// run.
     pub requests: usize,
     /// The size of a segment of the log on disk, in bytes.
     pub segment_bytes: u64,
@@ -94,33 +97,33 @@
     }
 }
 
-/// A command that was committed and applied here.
+/// A command that was committed and applied on this replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied<T> {
-    /// Its place in the log.
+    /// The index of its entry in the log.
     pub index: u64,
-    /// What the machine answered.
+    /// The outcome that the state machine returned.
     pub outcome: T,
 }
 
-/// A replica as others may see it.
+/// A summary of a replica's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
     /// Its identity.
     pub id: NodeId,
     /// The group that it belongs to.
     pub cluster: Option<ClusterId>,
-    /// The protocol's state.
+    /// The state of the protocol.
     pub node: NodeStatus,
-    /// The last index applied to the machine.
+    /// The last index applied to the state machine.
     pub applied: u64,
-    /// Until when this leader serves reads without asking the others.
+    /// The end of the time in which this leader serves reads without asking the followers.
     pub lease: Option<Instant>,
-    /// Why the replica stopped, if it did so by itself.
+    /// The reason why the replica stopped, if it failed.
     pub failed: Option<String>,
 }
 
-/// What the threads tell the protocol's thread.
+/// An event sent to the protocol thread.
 enum Event<T> {
     Message(Message),
     Request(Request<T>),
@@ -129,7 +132,7 @@
     Stop,
 }
 
-/// What callers and threads share.
+/// The state that callers and threads share.
 struct Shared {
     status: Mutex<ReplicaStatus>,
     messages: AtomicUsize,
@@ -158,7 +161,7 @@
     }
 }
 
-/// One running replica of a machine. Dropping it stops it at once; see [`Replica::stop`].
+/// Runs one replica of a state machine. Dropping it stops it at once; see [`Replica::stop`].
 pub struct Replica<M: Machine> {
     shared: Arc<Shared>,
     settings: ReplicaSettings,
@@ -167,11 +170,11 @@
 }
 
 impl<M: Machine> Replica<M> {
-    /// Opens the disk and starts the threads. The machine is given its state back from the
-    /// snapshot first; later entries are applied once the group has a leader.
+    /// Opens the disk and starts the threads. The state machine is first restored from the
+    /// snapshot; later entries are applied once the group has a leader.
     ///
     /// # Errors
-    /// [`StartError`] names the remedy.
+    /// Returns [`StartError`], which names the remedy.
     pub fn start<D>(
         disk: D,
         settings: ReplicaSettings,
@@ -200,7 +203,7 @@
         })
     }
 
-    /// Takes in a message from another replica.
+    /// Accepts a message from another replica.
     pub fn deliver(&self, message: Message) {
         if self.shared.messages.fetch_add(1, Ordering::Relaxed) >= self.settings.inbox {
             self.shared.messages.fetch_sub(1, Ordering::Relaxed);
@@ -209,10 +212,11 @@
         let _ = self.events.send(Event::Message(message));
     }
 
-    /// Proposes a command and waits until it is applied here.
+    /// Proposes a command and waits until it is applied on this replica.
     ///
     /// # Errors
-    /// [`ProposeError`] tells whether the command certainly has not run or may have.
+    /// Returns [`ProposeError`], which tells whether the command certainly has not run or may have
+    /// run.
     pub fn propose(
         &self,
         command: impl Into<Bytes>,
@@ -222,29 +226,30 @@
         self.ask(deadline, |reply| Wanted::Propose { command, reply })
     }
 
-    /// Waits until everything that was accepted before the call is applied here, and returns the
-    /// index up to which that is. What is then read from the machine is linearizable.
+    /// Waits until every command accepted before the call is applied on this replica, and returns
+    /// the last applied index. A subsequent read of the state machine is linearizable.
     ///
     /// # Errors
-    /// [`ProposeError::Refused`] if this replica does not lead, or [`ProposeError::Unknown`] if
-    /// that was not confirmed in time; a read changes nothing either way.
+    /// Returns [`ProposeError::Refused`] if this replica does not lead, or
+    /// [`ProposeError::Unknown`] if the leadership was not confirmed in time. A read changes
+    /// nothing in either case.
     pub fn read_barrier(&self, deadline: Instant) -> Result<u64, ProposeError> {
         self.ask(deadline, |reply| Wanted::Read { reply })
     }
 
-    /// Adds a member that copies the log without counting.
+    /// Adds a member that copies the log without counting towards a majority.
     ///
     /// # Errors
-    /// As for [`Replica::propose`].
+    /// Returns the errors of [`Replica::propose`].
     pub fn add_learner(&self, member: Member, deadline: Instant) -> Result<u64, ProposeError> {
         self.change(Change::AddLearner(member), deadline)
     }
 
-    /// Makes a learner a voter as soon as it holds everything committed. Under load it does so
-    /// only from time to time; that is waited for.
+    /// Makes a learner a voter as soon as it holds every committed entry. Under load it catches up
+    /// only from time to time, so this call retries until the deadline.
     ///
     /// # Errors
-    /// As for [`Replica::propose`].
+    /// Returns the errors of [`Replica::propose`].
     pub fn promote(&self, node: NodeId, deadline: Instant) -> Result<u64, ProposeError> {
         loop {
             let result = self.change(Change::Promote(node), deadline);
@@ -261,10 +266,10 @@
         }
     }
 
-    /// Tells the group that a member is reached at another address.
+    /// Changes the name or address of a member.
     ///
     /// # Errors
-    /// As for [`Replica::propose`].
+    /// Returns the errors of [`Replica::propose`].
     pub fn move_member(&self, member: Member, deadline: Instant) -> Result<u64, ProposeError> {
         self.change(Change::Move(member), deadline)
     }
@@ -272,23 +277,24 @@
     /// Removes a member that does not lead.
     ///
     /// # Errors
-    /// As for [`Replica::propose`].
+    /// Returns the errors of [`Replica::propose`].
     pub fn remove(&self, node: NodeId, deadline: Instant) -> Result<u64, ProposeError> {
         self.change(Change::Remove(node), deadline)
     }
 
-    /// Changes the membership and waits until that is committed.
+    /// Changes the membership and waits until the change is committed.
     ///
     /// # Errors
-    /// As for [`Replica::propose`].
+    /// Returns the errors of [`Replica::propose`].
     pub fn change(&self, change: Change, deadline: Instant) -> Result<u64, ProposeError> {
         self.ask(deadline, |reply| Wanted::Change { change, reply })
     }
 
-    /// Begins to pass the leadership to `to`, or to the voter that holds most.
+    /// Starts a transfer of the leadership to `to`, or to the voter with the longest log.
     ///
     /// # Errors
-    /// [`ProposeError::Refused`] if this replica does not lead or there is no such voter.
+    /// Returns [`ProposeError::Refused`] if this replica does not lead or the group has no such
+    /// voter.
     pub fn transfer_leader(
         &self,
         to: Option<NodeId>,
@@ -297,11 +303,12 @@
         self.ask(deadline, |reply| Wanted::Transfer { to, reply })
     }
 
-    /// Creates a group with this replica as its only voter so far. It takes commands once it has
-    /// had `wanted` voters. The machine starts from `state`, such as a backup, or as it is.
+    /// Creates a group with this replica as its only voter at first. The group takes commands once
+    /// it has had `wanted` voters. The state machine starts from `state`, such as a backup, or from
+    /// its present state.
     ///
     /// # Errors
-    /// [`ProposeError::Refused`] if the folder belongs to a group already.
+    /// Returns [`ProposeError::Refused`] if the folder belongs to a group already.
     pub fn create(
         &self,
         member: Member,
@@ -317,21 +324,21 @@
         })
     }
 
-    /// The machine's state as applied here, sealed against damage; see [`open_backup`].
+    /// Returns the state applied on this replica, with a checksum; see [`open_backup`].
     ///
     /// # Errors
-    /// [`ProposeError`] if the replica has stopped or the deadline passed.
+    /// Returns [`ProposeError`] if the replica has stopped or the deadline passed.
     pub fn backup(&self, deadline: Instant) -> Result<Bytes, ProposeError> {
         self.ask(deadline, |reply| Wanted::Backup { reply })
     }
 
-    /// The replica as it is now.
+    /// Returns the current status of the replica.
     pub fn status(&self) -> ReplicaStatus {
         self.shared.status().clone()
     }
 
-    /// Stops the replica. If it leads, it passes the leadership on first, for at most `patience`,
-    /// so that the others need no election.
+    /// Stops the replica. A leader transfers its leadership first, for at most `patience`, so that
+    /// the group needs no election timeout.
     pub fn stop(&self, patience: Duration) {
         let until = Instant::now() + patience;
         if self.leads() && self.transfer_leader(None, until).is_ok() {
@@ -351,7 +358,8 @@
         let _ = self.events.send(Event::Stop);
         let threads = self.threads.lock();
         let mut threads = threads.unwrap_or_else(PoisonError::into_inner);
-        // The transport may hold the last handle: then this runs on the thread that ends.
+        // The transport may hold the last reference to the replica; this code then runs on the
+        // thread that ends, which must not join itself.
         let own = thread::current().id();
         for thread in threads.drain(..).filter(|t| t.thread().id() != own) {
             let _ = thread.join();
@@ -379,7 +387,7 @@
         let left = deadline.saturating_duration_since(Instant::now());
         match answer.recv_timeout(left) {
             Ok(result) => result,
-            // Nobody had taken the request up: now nobody will.
+            // The request has not been handled, and taking the claim ensures that it never will be.
             Err(_) if claim.take() => Err(Refusal::Busy.into()),
             Err(mpsc::RecvTimeoutError::Timeout) => Err(ProposeError::Unknown(Doubt::Timeout)),
             Err(mpsc::RecvTimeoutError::Disconnected) => Err(ProposeError::Unknown(Doubt::Stopped)),
@@ -393,10 +401,10 @@
     }
 }
 
-/// Opens what [`Replica::backup`] returned: the state for [`Replica::create`].
+/// Checks a backup of [`Replica::backup`] and returns the state for [`Replica::create`].
 ///
 /// # Errors
-/// [`StorageError::Backup`] if it is not a whole, unchanged backup.
+/// Returns [`StorageError::Backup`] if the bytes are not a whole, unchanged backup.
 pub fn open_backup(bytes: &[u8]) -> Result<Bytes, StorageError> {
     let frames = frame::decode(bytes);
     match (frames.payloads.as_slice(), frames.end) {
@@ -405,7 +413,7 @@
     }
 }
 
-/// How often it is looked whether another leads, or a learner has caught up.
+/// The interval at which a stopping leader checks for its successor and a promotion is retried.
 const POLL: Duration = Duration::from_millis(5);
 
 fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<JoinHandle<()>, StartError> {
@@ -413,7 +421,7 @@
     builder.spawn(work).map_err(StartError::Thread)
 }
 
-/// Writes what is asked, as much as waits with one sync, until nobody asks any more.
+/// Performs the queued writes, as many as possible with one sync, until the queue closes.
 fn run_disk<D: Disk, T>(
     mut storage: Storage<D>,
     queue: &Receiver<Write>,
--- a/crates/filbertstack-log/src/replica/waiters.rs
+++ b/crates/filbertstack-log/src/replica/waiters.rs
@@ -1,4 +1,4 @@
-//! Who waits for what.
+//! The callers that wait for the results of their requests.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -18,28 +18,28 @@
 use crate::replica::Doubt;
 use crate::replica::ProposeError;
 
-/// Where an answer goes.
+/// The channel on which a caller receives its answer.
 pub(super) type Reply<T> = SyncSender<Result<T, ProposeError>>;
 
-/// Decides between a caller that gives up and the thread that takes its request up, so that a
-/// request given up on before that is certain not to run.
+/// Settles the race between a caller that gives up and the thread that handles its request. A
+/// request given up before it is handled is certain not to run.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Claim(Arc<AtomicBool>);
 
 impl Claim {
-    /// True for the first of both.
+    /// Takes the claim; returns true for the first of the two.
     pub(super) fn take(&self) -> bool {
         !self.0.swap(true, Ordering::AcqRel)
     }
 }
 
-/// A caller's request.
+/// A request of a caller.
 pub(super) struct Request<T> {
     pub(super) claim: Claim,
     pub(super) wanted: Wanted<T>,
 }
 
-/// What a caller wants.
+/// The operation that a caller requests.
 pub(super) enum Wanted<T> {
     Propose {
         command: Bytes,
@@ -67,7 +67,7 @@
     },
 }
 
-/// A caller that waits.
+/// A waiting caller.
 pub(super) enum Waiter<T> {
     Command(Reply<Applied<T>>),
     Index(Reply<u64>),
@@ -76,7 +76,7 @@
 
 impl<T> Waiter<T> {
     pub(super) fn fail(self, error: ProposeError) {
-        // A caller that went away needs no answer.
+        // The caller may have left; it then needs no answer.
         let _ = match self {
             Self::Command(reply) => reply.try_send(Err(error)).is_ok(),
             Self::Index(reply) => reply.try_send(Err(error)).is_ok(),
@@ -85,7 +85,7 @@
     }
 }
 
-/// All who wait.
+/// Holds all waiting callers.
 pub(super) struct Waiters<T> {
     next: u64,
     asked: HashMap<Ticket, Waiter<T>>,
@@ -150,7 +150,8 @@
         }
     }
 
-    /// The entry at `place` is applied, with this outcome if it is a command.
+    /// Answers the caller whose entry was appended at `place`, once an entry is applied there;
+    /// `outcome` is set if that entry is a command.
     pub(super) fn applied(&mut self, place: Position, outcome: Option<T>) {
         let Some((term, waiter)) = self.appended.remove(&place.index) else {
             return;
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Everything up to `index` is applied.
+    /// Answers the reads that waited for an index up to `index`.
     pub(super) fn reached(&mut self, index: u64) {
         while let Some(first) = self.reads.first_entry() {
             if first.key().0 > index {
@@ -179,7 +180,8 @@
         }
     }
 
-    /// The replica leads no longer: what was appended may or may not be committed by another.
+    /// Answers callers whose entries were appended: the replica lost the leadership, and another
+    /// leader may or may not commit them.
     pub(super) fn lost_leader(&mut self) {
         for (_, waiter) in std::mem::take(&mut self.appended).into_values() {
             waiter.fail(ProposeError::Unknown(Doubt::LeaderLost));
--- a/crates/filbertstack-log/src/storage/disk.rs
+++ b/crates/filbertstack-log/src/storage/disk.rs
@@ -1,4 +1,4 @@
-//! The operations on a data folder, so that tests can make them fail.
+//! The operations on a data folder, as traits so that tests can inject failures.
 
 use std::fs;
 use std::fs::File;
@@ -11,91 +11,93 @@
 
 use crate::storage::error::StorageError;
 
-/// A data folder.
+/// Provides the operations on a data folder.
 pub trait Disk {
-    /// A file open for appending.
+    /// The type of a file open for appending.
     type File: DiskFile;
 
-    /// The names of all files.
+    /// Returns the names of all files.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the system.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// The whole content of a file.
+    /// Returns the whole content of a file.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the system.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// A new, empty file in place of any of that name.
+    /// Creates an empty file, replacing any file of that name.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the system.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Gives a file another name, in place of any of that name.
+    /// Renames a file, replacing any file of the new name.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the system.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the system.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Makes created, renamed and removed names durable.
+    /// Makes the creation, renaming and removal of files durable.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the system.
     fn sync_names(&self) -> io::Result<()>;
 }
 
-/// A file open for appending.
+/// Provides the operations on a file open for appending.
 pub trait DiskFile {
-    /// Writes all the bytes at the end.
+    /// Appends all the bytes to the file.
     ///
     /// # Errors
-    /// Those of the system; some of the bytes may be there then.
+    /// Returns the error of the system; some of the bytes may have been written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
     /// Makes the content durable.
     ///
     /// # Errors
-    /// Those of the system; nothing is known of the content since the last sync then.
+    /// Returns the error of the system; what the disk holds of the content since the last sync is
+    /// then unknown.
     fn sync(&mut self) -> io::Result<()>;
 
-    /// Cuts the file to `length` bytes.
+    /// Truncates the file to `length` bytes.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the system.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
 }
 
-/// Whether an operation failed for want of space.
+/// Returns whether an operation failed because the disk is full or a quota is exceeded.
 pub fn is_full(error: &io::Error) -> bool {
     use io::ErrorKind::QuotaExceeded;
     use io::ErrorKind::StorageFull;
     matches!(error.kind(), StorageFull | QuotaExceeded)
 }
 
-/// A folder of the file system, locked against other processes for as long as this lives.
+/// Opens a folder of the file system and locks it against other processes until it is dropped.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
     _lock: File,
 }
 
-/// The file whose lock stands for the folder.
+/// The name of the file whose lock protects the folder.
 const LOCK: &str = "lock";
 
 impl Folder {
-    /// Locks the folder, which is created if it is not there.
+    /// Locks the folder and creates it if it does not exist.
     ///
     /// # Errors
-    /// [`StorageError::Locked`] if another process has it, else an error of the file system.
+    /// Returns [`StorageError::Locked`] if another process holds the lock, else an error of the
+    /// file system.
     pub fn lock(path: impl Into<PathBuf>) -> Result<Self, StorageError> {
         let path = path.into();
         let shown = path.display().to_string();
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Where the folder is.
+    /// Returns the path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
--- a/crates/filbertstack-log/src/storage/error.rs
+++ b/crates/filbertstack-log/src/storage/error.rs
@@ -1,11 +1,11 @@
-//! Why a data folder cannot be used, and what to do about it.
+//! The errors of a data folder and their remedies.
 
 use std::io;
 
-/// An error of the durable state; each names its remedy.
+/// Reports that the durable state cannot be used; each message names the remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// Another process has the folder.
+    /// Another process holds the lock of the folder.
     #[error("another process uses {folder}; stop it, or give this one a folder of its own")]
     Locked {
         /// The folder.
@@ -14,14 +14,14 @@
     /// An operation failed.
     #[error("cannot {action} {file}: {source}; mend the disk or its permissions, then start again")]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         action: &'static str,
         /// The file.
         file: String,
-        /// Why it failed.
+        /// The error of the system.
         source: io::Error,
     },
-    /// A sync failed: what was written since the last one may be lost.
+    /// A sync failed: data written since the last sync may be lost.
     #[error(
         "cannot sync {file}: {source}; the replica has stopped, since what it wrote last may be \
          lost: check the disk, then start again"
@@ -29,10 +29,10 @@
     Sync {
         /// The file.
         file: String,
-        /// Why it failed.
+        /// The error of the system.
         source: io::Error,
     },
-    /// A file holds what was never written.
+    /// A file is damaged.
     #[error(
         "{file} is damaged at byte {offset} ({why}); the start is refused, since accepted changes \
          may be lost: set the folder aside, remove this voter from the group and start with an \
@@ -41,12 +41,12 @@
     Damaged {
         /// The file.
         file: String,
-        /// Where the damage begins, in bytes.
+        /// The offset at which the damage begins, in bytes.
         offset: u64,
-        /// What is wrong there.
+        /// The kind of damage.
         why: &'static str,
     },
-    /// The log begins after a snapshot that is not there.
+    /// The log begins after a snapshot that does not exist.
     #[error(
         "the log begins after index {index}: the segment before or the snapshot up to there is \
          missing; restore it, or set the folder aside, remove this voter and start with an empty folder, to join anew"
@@ -55,7 +55,7 @@
         /// The index up to which a snapshot must reach.
         index: u64,
     },
-    /// A file of the log or the identity is gone.
+    /// A segment of the log or the identity is missing.
     #[error(
         "{file} is missing; restore it, or set the folder aside, remove this voter and start with \
          an empty folder, to join anew as a learner"
@@ -70,7 +70,7 @@
         /// The file.
         file: String,
     },
-    /// A backup is cut short or changed.
+    /// A backup is truncated or damaged.
     #[error("the backup is cut short or damaged; use another one")]
     Backup,
     /// A file was written by a later version.
--- a/crates/filbertstack-log/src/storage/files.rs
+++ b/crates/filbertstack-log/src/storage/files.rs
@@ -1,4 +1,4 @@
-//! The files of a data folder and what they hold.
+//! The files of a data folder and their contents.
 
 use std::io;
 
@@ -16,18 +16,18 @@
 use crate::storage::frame;
 use crate::storage::frame::End;
 
-/// The version of what the files hold.
+/// The format version of the files.
 const FORMAT: u32 = 1;
 const IDENTITY: &str = "identity";
 const SEGMENT: &str = "wal-";
 const SNAPSHOT: &str = "snapshot-";
 const TEMPORARY: &str = ".tmp";
 
-/// A segment of the log.
+/// Describes a segment of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Segment {
     pub(super) number: u64,
-    /// The highest index in it.
+    /// The highest index in the segment.
     pub(super) last: u64,
 }
 
@@ -42,28 +42,29 @@
     pub(super) number: u64,
     #[prost(message, optional, tag = "4")]
     pub(super) hard: Option<HardState>,
-    /// The place that the segment's first entry follows, unless it replaces earlier ones.
+    /// The position before the segment's first entry, unless that entry replaces earlier ones.
     #[prost(message, optional, tag = "5")]
     pub(super) last: Option<Place>,
 }
 
-/// Every later frame of a segment.
+/// Any later frame of a segment.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Record {
     #[prost(message, optional, tag = "1")]
     pub(super) hard: Option<HardState>,
-    /// The log starts anew after this place.
+    /// The position after which the log restarts, if it does.
     #[prost(message, optional, tag = "2")]
     pub(super) reset: Option<Place>,
-    /// Each drops what the log holds from its index on.
+    /// The entries to append; each replaces the log from its index on.
     #[prost(message, repeated, tag = "3")]
     pub(super) entries: Vec<Entry>,
-    /// The last frame of a segment that another follows; its number is that of the other's first.
+    /// Whether this is the last frame of a segment that another follows. Its number is that of the
+    /// next segment's first frame.
     #[prost(bool, tag = "4")]
     pub(super) closed: bool,
 }
 
-/// A [`Position`] on disk.
+/// Stores a [`Position`] on disk.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(super) struct Place {
     #[prost(uint64, tag = "1")]
@@ -156,7 +157,7 @@
     disk.list().map_err(|e| io("list", "the data folder", e))
 }
 
-/// The numbers of the segments, in order.
+/// Returns the numbers of the segments, in order.
 pub(super) fn segment_numbers<D: Disk>(disk: &D) -> Result<Vec<u64>, StorageError> {
     let names = names(disk)?;
     let numbers = names.iter().filter_map(|n| n.strip_prefix(SEGMENT));
@@ -165,7 +166,7 @@
     Ok(numbers)
 }
 
-/// Writes a file so that it is there whole or not at all.
+/// Writes a file atomically: after a crash it exists whole or not at all.
 pub(super) fn write_whole<D: Disk>(
     disk: &D,
     name: &str,
@@ -186,7 +187,7 @@
     })
 }
 
-/// Removes what a crash left half-written.
+/// Removes temporary files that a crash left behind.
 pub(super) fn remove_temporary<D: Disk>(disk: &D) -> Result<(), StorageError> {
     for name in names(disk)?.iter().filter(|n| n.ends_with(TEMPORARY)) {
         disk.remove(name).map_err(|e| io("remove", name, e))?;
@@ -194,22 +195,22 @@
     Ok(())
 }
 
-/// The one payload of a file of one frame.
+/// Returns the payload of a file that consists of one frame.
 fn read_single<D: Disk>(disk: &D, name: &str) -> Result<Bytes, StorageError> {
     let bytes = Bytes::from(disk.read(name).map_err(|e| io("read", name, e))?);
     let frames = frame::decode(&bytes);
     match (frames.payloads.as_slice(), frames.end) {
-        // A part of what was read, not a copy: a snapshot may be large.
+        // The payload is a slice of the bytes read, not a copy: a snapshot may be large.
         ([payload], End::Whole) => Ok(bytes.slice_ref(payload)),
         _ => Err(damaged(name, frames.length, "it is not one whole record")),
     }
 }
 
-/// The identity in the folder. A folder without any file of the log gets `fresh`.
+/// Returns the identity stored in the folder. A folder without any file of the log gets `fresh`.
 ///
-/// The first segment is written before the identity. So an identity without a log is a log that
-/// was lost, and its memory with it; a log without an identity is a first start cut short, if it
-/// holds nothing yet.
+/// The first segment is written before the identity. An identity without a log therefore means that
+/// the log was lost. A log without an identity comes from an interrupted first start, if it holds
+/// no records yet.
 pub(super) fn identity<D: Disk>(disk: &D, fresh: NodeId) -> Result<NodeId, StorageError> {
     let names = names(disk)?;
     let numbers = segment_numbers(disk)?;
@@ -233,7 +234,7 @@
     Ok(fresh)
 }
 
-/// Whether the first segment holds more than its header.
+/// Returns whether the first segment holds more than its header.
 fn used<D: Disk>(disk: &D, numbers: &[u64]) -> Result<bool, StorageError> {
     if numbers.is_empty() {
         return Ok(false);
@@ -256,7 +257,7 @@
     Ok(())
 }
 
-/// The latest snapshot.
+/// Returns the latest snapshot.
 pub(super) fn read_snapshot<D: Disk>(disk: &D) -> Result<Option<Snapshot>, StorageError> {
     let names = names(disk)?;
     let latest = names.iter().filter(|n| n.starts_with(SNAPSHOT)).max();
@@ -266,14 +267,14 @@
     Ok(Some(snapshot))
 }
 
-/// Writes a snapshot; it is durable on return.
+/// Writes a snapshot, which is durable on return.
 pub(super) fn keep_snapshot<D: Disk>(disk: &D, snapshot: &Snapshot) -> Result<(), StorageError> {
     let bytes = frame::encode(snapshot.index, &snapshot.encode_to_vec());
     write_whole(disk, &snapshot_name(snapshot.index), &bytes)?;
     Ok(())
 }
 
-/// Removes all snapshots but `kept`.
+/// Removes all snapshots older than `kept`.
 pub(super) fn drop_snapshots<D: Disk>(disk: &D, kept: &str) {
     let names = disk.list().unwrap_or_default();
     let old = names
--- a/crates/filbertstack-log/src/storage/frame.rs
+++ b/crates/filbertstack-log/src/storage/frame.rs
@@ -1,17 +1,18 @@
-//! Frames: the unit of one sync, each with checksums and a number.
+//! Frames: records with checksums and a number, each written with one sync.
 //!
-//! A frame is only written after the one before it is synced. So a frame that does not read and
-//! is followed by one that does was durable once, and is damage; one at the very end may be the
-//! trace of a crash, and was then never acknowledged.
+//! A frame is written only after the previous frame is synced. An unreadable frame that a readable
+//! one follows was therefore durable once and is damaged. An unreadable frame at the very end may
+//! be the result of a crash; it was then never acknowledged.
 
-/// Opens every frame.
+/// The first bytes of every frame.
 const MAGIC: [u8; 4] = *b"FbLg";
-/// Magic, length, number, checksum of the payload, checksum of the header.
+/// The size of a frame's header, in bytes: magic, length, number, checksum of the payload, checksum
+/// of the header.
 const HEADER: usize = 24;
-/// What a disk writes whole or not at all, in bytes.
+/// The unit that a disk writes atomically, in bytes.
 const SECTOR: usize = 512;
 
-/// The payload as a frame with this number.
+/// Encodes the payload as a frame with this number.
 pub fn encode(number: u64, payload: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER + payload.len());
     bytes.extend_from_slice(&MAGIC);
@@ -25,32 +26,32 @@
     bytes
 }
 
-/// What a row of frames holds.
+/// Holds a decoded sequence of frames.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Frames<'a> {
     /// The payloads, in order.
     pub payloads: Vec<&'a [u8]>,
-    /// How many bytes the whole frames take.
+    /// The total size of the complete frames, in bytes.
     pub length: usize,
     /// The number of the first frame.
     pub first: u64,
-    /// How the row ends.
+    /// The way in which the sequence ends.
     pub end: End,
 }
 
-/// How a row of frames ends.
+/// Describes how a sequence of frames ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum End {
-    /// With its last frame.
+    /// The last frame is complete.
     #[default]
     Whole,
-    /// With a frame that a crash cut off before it was synced.
+    /// The last frame was cut off by a crash before it was synced.
     Torn,
-    /// With damage, which says what is wrong.
+    /// A frame is damaged in the way described.
     Damaged(&'static str),
 }
 
-/// Reads a row of frames whose first may have any number.
+/// Decodes a sequence of frames whose first frame may have any number.
 pub fn decode(bytes: &[u8]) -> Frames<'_> {
     let mut frames = Frames::default();
     while frames.length < bytes.len() {
@@ -77,7 +78,7 @@
     frames
 }
 
-/// The number and payload of the frame at the start of `bytes`, if it reads.
+/// Returns the number and payload of the frame at the start of `bytes`, if it is valid.
 fn read_one(bytes: &[u8]) -> Option<(u64, &[u8])> {
     let (number, length, crc) = read_header(bytes)?;
     let payload = bytes.get(HEADER..HEADER.checked_add(length)?)?;
@@ -93,10 +94,10 @@
     sound.then_some((number, length, word(16)?))
 }
 
-/// Whether the frame at `at`, which does not read, is the trace of a crash.
+/// Classifies the unreadable frame at `at` as torn by a crash or as damaged.
 ///
-/// A crash leaves the frame cut short, or with whole sectors that never reached the disk and read
-/// as zeros. Anything else, such as a flipped bit, was written and synced and then changed.
+/// A crash leaves the frame truncated, or with whole sectors that never reached the disk and read
+/// as zeros. Anything else, such as a flipped bit, changed after it was written and synced.
 fn judge(bytes: &[u8], at: usize) -> End {
     let later = (at + 1..bytes.len()).filter(|i| bytes[*i..].starts_with(&MAGIC));
     if later.into_iter().any(|i| read_one(&bytes[i..]).is_some()) {
--- a/crates/filbertstack-log/src/storage/mod.rs
+++ b/crates/filbertstack-log/src/storage/mod.rs
@@ -1,10 +1,10 @@
-//! What a replica must remember, in one data folder.
+//! The durable state of a replica, in one data folder.
 //!
-//! The write-ahead log is a row of segments `wal-NNNNNNNNNN`, each a row of [frames](frame) with
-//! one sync a frame; `snapshot-NNNN...` holds the latest snapshot; `identity` the replica's
-//! [`NodeId`](crate::NodeId). Nothing is acknowledged before it is synced. On opening, the last
-//! segment is written anew and synced: after a sync that failed, the pages read back may be the
-//! kernel's and not the disk's.
+//! The write-ahead log consists of segments `wal-NNNNNNNNNN`, each a sequence of [frames](frame)
+//! with one sync per frame. `snapshot-NNNN...` holds the latest snapshot, and `identity` the
+//! replica's [`NodeId`](crate::NodeId). Nothing is acknowledged before it is synced. Opening the
+//! folder rewrites and syncs the last segment: after a failed sync, the data read back may come
+//! from the kernel's page cache and not from the disk.
 
 pub mod disk;
 mod error;
@@ -30,11 +30,11 @@
 use crate::storage::files::snapshot_name;
 use crate::storage::replay::Replay;
 
-/// The size beyond which a segment is closed, in bytes. A start writes one segment anew, and
-/// space is given back by whole segments: this bounds both to some 100 ms of a small disk.
+/// The size beyond which a segment is closed, in bytes. A start rewrites one segment, and disk
+/// space is freed by whole segments: this size bounds both to about 100 ms on a small disk.
 pub const SEGMENT_BYTES: u64 = 4 << 20;
 
-/// The durable state of one replica.
+/// Manages the durable state of one replica.
 #[derive(Debug)]
 pub struct Storage<D: Disk> {
     disk: D,
@@ -51,19 +51,19 @@
 }
 
 impl<D: Disk> Storage<D> {
-    /// Opens the folder and returns what it remembers. An empty folder takes the identity `fresh`.
+    /// Opens the folder and returns its durable state. An empty folder gets the identity `fresh`.
     ///
     /// # Errors
-    /// [`StorageError`] if the folder cannot be used; nothing in it was changed then, but for
-    /// temporary files.
+    /// Returns [`StorageError`] if the folder cannot be used; nothing but temporary files was then
+    /// changed in it.
     pub fn open(disk: D, fresh: NodeId) -> Result<(Self, Memory), StorageError> {
         Self::open_sized(disk, fresh, SEGMENT_BYTES)
     }
 
-    /// As [`Storage::open`], with another size of segments.
+    /// Opens the folder as [`Storage::open`] does, with another segment size.
     ///
     /// # Errors
-    /// As [`Storage::open`].
+    /// Returns the errors of [`Storage::open`].
     pub fn open_sized(
         disk: D,
         fresh: NodeId,
@@ -92,7 +92,8 @@
         };
         let last = entries.last().map(Entry::position).or(covered);
         storage.last = last.unwrap_or_default();
-        // The log ends elsewhere on disk: a snapshot of a leader came in and the log was not reset.
+        // A snapshot of a leader was stored and the log was not reset before the crash: the log on
+        // disk ends elsewhere.
         if written != storage.last && !storage.reset(storage.last)? {
             return Err(files::full("reset the log in"));
         }
@@ -104,17 +105,17 @@
         Ok((storage, memory))
     }
 
-    /// The replica's identity.
+    /// Returns the identity of the replica.
     pub fn node(&self) -> NodeId {
         self.node
     }
 
-    /// Makes the writes durable, as many as possible with one sync, and returns what became of
-    /// them, for the node.
+    /// Makes the writes durable, as many as possible with one sync, and returns their results as
+    /// inputs for the node.
     ///
     /// # Errors
-    /// [`StorageError`] if it is not known what is durable now: the replica must stop. What is on
-    /// the disk is found out when it is opened again.
+    /// Returns [`StorageError`] if it is unknown what is durable: the replica must stop. Opening
+    /// the folder again determines what the disk holds.
     pub fn write(&mut self, writes: Vec<Write>) -> Result<Vec<Input>, StorageError> {
         let mut results = Vec::new();
         let mut batch = Batch::default();
@@ -155,14 +156,15 @@
         Ok(())
     }
 
-    /// Keeps a snapshot; false if the disk has no space for it.
+    /// Stores a snapshot; returns false if the disk is full.
     fn take_snapshot(&mut self, snapshot: &Snapshot, install: bool) -> Result<bool, StorageError> {
         match files::keep_snapshot(&self.disk, snapshot) {
             Err(StorageError::Io { source, .. }) if is_full(&source) => return Ok(false),
             other => other?,
         }
         self.snapshot = snapshot.index;
-        // Without this record the snapshot counts on the next start, and until then the log.
+        // Until this record is written the old log stays valid; after a crash in between, the next
+        // start uses the snapshot.
         if install && !self.reset(snapshot.position())? {
             return Ok(false);
         }
@@ -170,7 +172,7 @@
         Ok(true)
     }
 
-    /// Starts the log anew after `place`; false if the disk has no space.
+    /// Restarts the log after `place`; returns false if the disk is full.
     fn reset(&mut self, place: Position) -> Result<bool, StorageError> {
         self.append(&Record {
             reset: Some(place.into()),
@@ -178,7 +180,8 @@
         })
     }
 
-    /// Appends one record, durably; false if the disk has no space, and then no trace is left.
+    /// Appends one record and syncs it; returns false if the disk is full, and the record then
+    /// leaves no trace.
     fn append(&mut self, record: &Record) -> Result<bool, StorageError> {
         if !self.append_frame(record)? {
             return Ok(false);
@@ -205,8 +208,8 @@
             cut.map_err(|e| files::io("cut", &name, e))?;
             return Ok(false);
         }
-        // After a failed sync the kernel may drop the pages and call the next one a success. Only
-        // the start after a stop finds out what is on the disk.
+        // After a failed sync the kernel may drop the unwritten pages and report the next sync as a
+        // success. Only a restart determines what the disk holds.
         let synced = self.file.sync();
         synced.map_err(|source| StorageError::Sync { file: name, source })?;
         self.size += bytes.len() as u64;
@@ -228,7 +231,8 @@
         }
     }
 
-    /// Begins the next segment. If there is no space for it, the present one grows on.
+    /// Starts the next segment. If the disk has no space for it, the current segment continues to
+    /// grow.
     fn rotate(&mut self) -> Result<(), StorageError> {
         let number = self.number() + 1;
         let header = files::header(self.node, number, self.hard, self.last);
@@ -237,9 +241,10 @@
             Err(StorageError::Io { source, .. }) if is_full(&source) => return Ok(()),
             other => other?,
         };
-        // Without a mark that another segment follows, a lost newest one would go unnoticed, and
-        // with it what was accepted last. Written after the next segment, it never claims one that
-        // a crash prevented. Without space for it only that notice is lost.
+        // Without a mark that another segment follows, the loss of the newest segment, and with it
+        // of the last accepted entries, would go unnoticed. The mark is written after the next
+        // segment exists, so it never announces a segment that a crash prevented. If the disk has
+        // no space for the mark, only this detection is lost.
         let close = Record {
             closed: true,
             ..Record::default()
@@ -254,8 +259,8 @@
         Ok(())
     }
 
-    /// Gives back the space of segments and snapshots that the latest snapshot replaces. A file
-    /// that cannot be removed only takes space; the next call tries it again.
+    /// Removes the segments and snapshots that the latest snapshot covers. A file that cannot be
+    /// removed only takes space; the next call tries again.
     fn drop_covered(&mut self) {
         while self.segments.len() > 1 && self.segments[0].last <= self.snapshot {
             let name = segment_name(self.segments[0].number);
@@ -272,7 +277,7 @@
     }
 }
 
-/// Writes that share one sync.
+/// Collects the writes that share one sync.
 #[derive(Debug, Default)]
 struct Batch {
     record: Record,
--- a/crates/filbertstack-log/src/storage/replay.rs
+++ b/crates/filbertstack-log/src/storage/replay.rs
@@ -1,4 +1,4 @@
-//! Reading the log back.
+//! Reading the log back at the start.
 
 use bytes::Bytes;
 use prost::Message as _;
@@ -19,14 +19,14 @@
 use crate::storage::frame;
 use crate::storage::frame::End;
 
-/// What the segments hold.
+/// Holds the state read from the segments.
 #[derive(Debug, Default)]
 pub(super) struct Replay {
     pub(super) hard: HardState,
     base: Position,
     entries: Vec<Entry>,
     pub(super) segments: Vec<Segment>,
-    /// The whole frames of the last segment.
+    /// The complete frames of the last segment.
     pub(super) tail: Vec<u8>,
     pub(super) next_frame: u64,
     closed: bool,
@@ -60,8 +60,8 @@
         mut bytes: Vec<u8>,
     ) -> Result<(), StorageError> {
         let frames = frame::decode(&bytes);
-        // A crash cuts off the newest segment, or the closing frame of the one before. If more is
-        // missing there, the numbers of the frames show it.
+        // A crash truncates the newest segment, or the closing frame of the segment before it. If
+        // more is missing there, the frame numbers reveal it.
         if let End::Damaged(why) = frames.end {
             return Err(damaged(name, frames.length, why));
         }
@@ -128,7 +128,7 @@
             return Err(damaged(name, 0, "entries are missing"));
         }
         if entry.index <= self.base.index {
-            // What lies below was in a segment that a snapshot covers.
+            // The entries below were in a segment that a snapshot covers.
             self.entries.clear();
             let index = entry.index.saturating_sub(1);
             self.base = Position { term: 0, index };
@@ -143,7 +143,7 @@
         Ok(())
     }
 
-    /// The name of the segment that is written to.
+    /// Returns the name of the newest segment, which receives new records.
     pub(super) fn newest(&self) -> String {
         segment_name(self.segments.last().map_or(1, |s| s.number))
     }
@@ -152,10 +152,10 @@
         self.entries.last().map_or(self.base, Entry::position)
     }
 
-    /// Takes the entries that follow the snapshot.
+    /// Removes and returns the entries that follow the snapshot.
     ///
-    /// A log that does not hold the snapshot's last entry is older than the snapshot, or another
-    /// leader's: the crash came after the snapshot and before the log was reset.
+    /// A log without the snapshot's last entry is older than the snapshot or comes from another
+    /// leader: the crash happened after the snapshot was stored and before the log was reset.
     pub(super) fn take_after(
         &mut self,
         snapshot: Option<&Snapshot>,
