--- a/crates/filbertstack-log/benches/measure.rs
+++ b/crates/filbertstack-log/benches/measure.rs
@@ -157,7 +157,7 @@
         snapshot: Some(Snapshot {
             index: 1,
             term: 1,
-            membership: Membership::first(Member::default(), 1),
+            membership: Membership::initial(Member::default(), 1),
             cluster: 1,
             data: vec![5; state].into(),
         }),
--- a/crates/filbertstack-log/src/config.rs
+++ b/crates/filbertstack-log/src/config.rs
@@ -54,7 +54,7 @@
     /// The largest total size of the entries in one message, in bytes.
     pub append_bytes: usize,
     /// The largest number of unacknowledged messages with entries to one follower.
-    pub inflight: usize,
+    pub inflight_appends: usize,
     /// The largest total size of uncommitted entries, in bytes; beyond it proposals are refused.
     pub uncommitted_bytes: usize,
     /// The size of the longest command, in bytes.
@@ -67,20 +67,20 @@
     /// little.
     pub kept_entries: u64,
     /// The largest number of reads that wait for one heartbeat round.
-    pub reads: usize,
+    pub pending_reads: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             append_bytes: 256 << 10,
-            inflight: 16,
+            inflight_appends: 16,
             uncommitted_bytes: 8 << 20,
             command_bytes: 1 << 20,
             piece_bytes: 256 << 10,
             snapshot_bytes: 64 << 20,
             kept_entries: 1_000,
-            reads: 10_000,
+            pending_reads: 10_000,
         }
     }
 }
@@ -100,11 +100,11 @@
     /// Entries are durable before they are acknowledged.
     pub durable_entries: bool,
     /// Only entries of the leader's own term are committed by counting acknowledgements.
-    pub own_term: bool,
+    pub commit_own_term: bool,
     /// The lease starts when a round is sent, not when its answers arrive.
     pub lease_from_send: bool,
     /// A voter that heard a leader recently grants no vote; a restart counts as hearing a leader.
-    pub sticky: bool,
+    pub sticky_leader: bool,
     /// A follower asks whether it would be elected before it raises its term.
     pub pre_vote: bool,
     /// A replica without any entry or snapshot belongs to no group and grants no vote.
@@ -117,7 +117,7 @@
     /// its term.
     pub one_change: bool,
     /// A read waits until the leader has committed the no-op entry of its term.
-    pub opened_reads: bool,
+    pub read_after_noop: bool,
     /// A leader serves no read under its lease after it told a voter to campaign.
     pub transfer_lease: bool,
 }
@@ -127,15 +127,15 @@
         Self {
             durable_votes: true,
             durable_entries: true,
-            own_term: true,
+            commit_own_term: true,
             lease_from_send: true,
-            sticky: true,
+            sticky_leader: true,
             pre_vote: true,
             members_vote: true,
             check_quorum: true,
             caught_up: true,
             one_change: true,
-            opened_reads: true,
+            read_after_noop: true,
             transfer_lease: true,
         }
     }
--- a/crates/filbertstack-log/src/formation.rs
+++ b/crates/filbertstack-log/src/formation.rs
@@ -43,12 +43,12 @@
     /// Only the first listed replica creates a group, and only after every other listed replica
     /// announced that it has none. A first replica that lost its disk therefore finds its old group
     /// and does not create a second one beside it. It waits for replicas that cannot be reached.
-    pub fn decide(name: &str, listed: &[String], heard: &[Announcement]) -> Self {
-        let grouped = heard.iter().any(|a| a.cluster.is_some());
+    pub fn decide(name: &str, listed: &[String], announcements: &[Announcement]) -> Self {
+        let grouped = announcements.iter().any(|a| a.cluster.is_some());
         if grouped || listed.first().map(String::as_str) != Some(name) {
             return Self::Join;
         }
-        let known = |wanted: &String| heard.iter().any(|a| a.name == *wanted);
+        let known = |wanted: &String| announcements.iter().any(|a| a.name == *wanted);
         let missing = listed.iter().filter(|l| *l != name && !known(l));
         let missing: Vec<String> = missing.cloned().collect();
         if missing.is_empty() {
@@ -61,15 +61,23 @@
     ///
     /// The leader proposes it again until this function returns `None`. A promotion that is refused
     /// because the learner lags is proposed again later.
-    pub fn next(now: &Membership, listed: &[String], heard: &[Announcement]) -> Option<Change> {
-        if now.forming == 0 {
+    pub fn next(
+        membership: &Membership,
+        listed: &[String],
+        announcements: &[Announcement],
+    ) -> Option<Change> {
+        if membership.forming == 0 {
             return None;
         }
-        if let Some(learner) = now.learners.iter().find(|m| listed.contains(&m.name)) {
+        if let Some(learner) = membership
+            .learners
+            .iter()
+            .find(|m| listed.contains(&m.name))
+        {
             return Some(Change::Promote(learner.id()));
         }
-        let known = |a: &Announcement| now.members().any(|m| m.name == a.name);
-        let fresh = heard
+        let known = |a: &Announcement| membership.members().any(|m| m.name == a.name);
+        let fresh = announcements
             .iter()
             .find(|a| listed.contains(&a.name) && !known(a))?;
         Some(Change::AddLearner(Member {
--- a/crates/filbertstack-log/src/membership.rs
+++ b/crates/filbertstack-log/src/membership.rs
@@ -109,7 +109,7 @@
     /// Returns the membership of a group of one voter that takes commands once it has had `wanted`
     /// voters.
     #[must_use]
-    pub fn first(voter: Member, wanted: u32) -> Self {
+    pub fn initial(voter: Member, wanted: u32) -> Self {
         Self {
             voters: vec![voter],
             learners: Vec::new(),
@@ -139,7 +139,7 @@
 
     /// Returns the greatest value that a majority of the voters has reached, given the value of
     /// each voter.
-    pub fn reached<T: Copy + Ord>(&self, value: impl Fn(NodeId) -> T) -> Option<T> {
+    pub fn quorum_value<T: Copy + Ord>(&self, value: impl Fn(NodeId) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters.iter().map(|m| value(m.id())).collect();
         values.sort_unstable();
         values.len().checked_sub(self.quorum()).map(|i| values[i])
@@ -149,7 +149,7 @@
     ///
     /// # Errors
     /// Returns [`ChangeError`] if the change does not fit this membership.
-    pub fn after(&self, change: &Change) -> Result<Self, ChangeError> {
+    pub fn with_change(&self, change: &Change) -> Result<Self, ChangeError> {
         let mut next = self.clone();
         match change {
             Change::AddLearner(member) => next.add(member)?,
--- a/crates/filbertstack-log/src/message.rs
+++ b/crates/filbertstack-log/src/message.rs
@@ -14,7 +14,7 @@
     /// A command of the state machine.
     Command = 0,
     /// The empty entry that a leader appends at the start of its term.
-    Opening = 1,
+    NoOp = 1,
     /// A [`Membership`], which is in force from the moment it is appended.
     Membership = 2,
 }
--- a/crates/filbertstack-log/src/node/changes.rs
+++ b/crates/filbertstack-log/src/node/changes.rs
@@ -36,15 +36,15 @@
         if leader.transfer.is_some() {
             return Err(Refusal::Transferring);
         }
-        let next = self.membership().after(change)?;
+        let next = self.membership().with_change(change)?;
         if self.config.safeguards.one_change {
-            self.check_order(leader.opened)?;
+            self.check_order(leader.noop_index)?;
         }
         match change {
             Change::Promote(_) if !self.config.safeguards.caught_up => {}
             Change::Promote(node) => {
-                let held = leader.peers.get(node).map_or(0, |p| p.held);
-                let behind = self.commit.saturating_sub(held);
+                let match_index = leader.peers.get(node).map_or(0, |p| p.match_index);
+                let behind = self.commit.saturating_sub(match_index);
                 if behind > 0 {
                     return Err(ChangeError::Behind {
                         node: *node,
@@ -67,7 +67,7 @@
     fn check_quorum(&self, leader: &Leader, next: &Membership) -> Result<(), ChangeError> {
         let least = self.config.timing.election_min;
         let answers = |node: NodeId| match leader.peers.get(&node) {
-            Some(peer) => self.now < peer.heard + least,
+            Some(peer) => self.now < peer.heard_at + least,
             None => node == self.config.id,
         };
         let answer = next.voters.iter().filter(|m| answers(m.id())).count();
@@ -84,11 +84,11 @@
     /// Two memberships in force at once share a majority only if they differ by one member and the
     /// earlier one is committed. A leader that has not committed in its own term may hold a change
     /// that the other replicas never received.
-    fn check_order(&self, opened: u64) -> Result<(), ChangeError> {
-        if self.commit < opened {
+    fn check_order(&self, noop_index: u64) -> Result<(), ChangeError> {
+        if self.commit < noop_index {
             return Err(ChangeError::NewLeader);
         }
-        let latest = self.members.last().map_or(0, |(at, _)| *at);
+        let latest = self.memberships.last().map_or(0, |(at, _)| *at);
         if latest > self.commit {
             return Err(ChangeError::Pending);
         }
--- a/crates/filbertstack-log/src/node/election.rs
+++ b/crates/filbertstack-log/src/node/election.rs
@@ -10,28 +10,28 @@
 use crate::message::VoteReply;
 use crate::node::Node;
 use crate::node::Role;
-use crate::node::persist::Gate;
+use crate::node::persist::Durability;
 
 /// The number of longest election timeouts that a learner waits before it campaigns: any voter that
 /// can win has won by then.
-const LAST_RESORT: u32 = 4;
+const LEARNER_TIMEOUTS: u32 = 4;
 
 impl Node {
     /// Returns whether a leader was heard so recently that its lease may still run.
     pub(super) fn heard_leader(&self) -> bool {
-        if !self.config.safeguards.sticky {
+        if !self.config.safeguards.sticky_leader {
             return false;
         }
         if matches!(self.role, Role::Leader(_)) {
             return true;
         }
         let least = self.config.timing.election_min;
-        self.heard.is_some_and(|at| self.now < at + least)
+        self.leader_heard_at.is_some_and(|at| self.now < at + least)
     }
 
     /// Makes the node a follower in `term`, of `leader` if one is known.
-    pub(super) fn follow(&mut self, term: u64, leader: Option<NodeId>) {
-        self.abandon_reads();
+    pub(super) fn become_follower(&mut self, term: u64, leader: Option<NodeId>) {
+        self.fail_reads();
         if term > self.hard.term {
             self.hard.term = term;
             self.hard.vote = 0;
@@ -56,7 +56,7 @@
         // leader of the others to step down. A pre-vote costs one round trip and raises no term.
         let votes = BTreeSet::from([self.config.id]);
         self.role = Role::PreCandidate { votes };
-        self.ask_votes(true, false);
+        self.request_votes(true, false);
         self.count_pre_votes();
     }
 
@@ -69,21 +69,21 @@
     /// the voters, the learner replicates its entries to them and transfers the leadership.
     fn may_campaign(&self) -> bool {
         let membership = self.membership();
-        let patience = self.config.timing.election_max * LAST_RESORT;
-        let silent = self.now >= self.heard.unwrap_or_default() + patience;
+        let patience = self.config.timing.election_max * LEARNER_TIMEOUTS;
+        let silent = self.now >= self.leader_heard_at.unwrap_or_default() + patience;
         membership.is_voter(self.config.id) || (silent && membership.is_learner(self.config.id))
     }
 
     pub(super) fn campaign(&mut self, transfer: bool) {
-        self.follow(self.hard.term + 1, None);
+        self.become_follower(self.hard.term + 1, None);
         self.hard.vote = self.config.id.0;
         self.disk.hard_dirty = true;
         let votes = BTreeSet::new();
         self.role = Role::Candidate { votes };
-        self.ask_votes(false, transfer);
+        self.request_votes(false, transfer);
     }
 
-    fn ask_votes(&mut self, pre: bool, transfer: bool) {
+    fn request_votes(&mut self, pre: bool, transfer: bool) {
         let last = self.log.last();
         let term = self.hard.term + u64::from(pre);
         let vote = Vote {
@@ -94,7 +94,7 @@
         };
         for member in &self.membership().voters {
             if member.id() != self.config.id {
-                self.send_at(member.id(), Gate::Hard, term, Body::Vote(vote));
+                self.send_at(member.id(), Durability::HardState, term, Body::Vote(vote));
             }
         }
     }
@@ -105,13 +105,13 @@
             index: vote.last_index,
         };
         // A replica that belongs to no group has no log to compare with.
-        let member = !self.members.is_empty() || !self.config.safeguards.members_vote;
-        let fit = theirs >= self.log.last() && member;
-        let free = self.hard.vote == 0 || self.hard.vote == from.0;
+        let member = !self.memberships.is_empty() || !self.config.safeguards.members_vote;
+        let eligible = theirs >= self.log.last() && member;
+        let may_vote = self.hard.vote == 0 || self.hard.vote == from.0;
         let granted = if vote.pre {
-            fit && term > self.hard.term && !self.heard_leader()
+            eligible && term > self.hard.term && !self.heard_leader()
         } else {
-            fit && free && (vote.transfer || !self.heard_leader())
+            eligible && may_vote && (vote.transfer || !self.heard_leader())
         };
         if granted && !vote.pre {
             self.disk.hard_dirty |= self.hard.vote != from.0;
@@ -121,7 +121,7 @@
         let term = if granted { term } else { self.hard.term };
         let pre = vote.pre;
         let reply = VoteReply { granted, pre };
-        self.send_at(from, Gate::Hard, term, Body::VoteReply(reply));
+        self.send_at(from, Durability::HardState, term, Body::VoteReply(reply));
     }
 
     pub(super) fn on_vote_reply(&mut self, from: NodeId, term: u64, reply: VoteReply) {
@@ -145,7 +145,7 @@
         let Role::PreCandidate { votes } = &self.role else {
             return;
         };
-        if self.majority(votes) {
+        if self.has_majority(votes) {
             self.campaign(false);
         }
     }
@@ -154,7 +154,7 @@
         let Role::Candidate { votes } = &self.role else {
             return;
         };
-        if self.majority(votes) {
+        if self.has_majority(votes) {
             self.become_leader();
         }
     }
@@ -162,16 +162,16 @@
     /// Counts the candidate's own vote once it is durable, as any other vote.
     pub(super) fn count_own_vote(&mut self) {
         let own = self.config.id;
-        let sure = self.disk.written >= self.disk.hard_seq && !self.disk.hard_dirty;
+        let durable = self.disk.written >= self.disk.hard_seq && !self.disk.hard_dirty;
         if let Role::Candidate { votes } = &mut self.role
-            && sure
+            && durable
             && votes.insert(own)
         {
             self.count_votes();
         }
     }
 
-    fn majority(&self, votes: &BTreeSet<NodeId>) -> bool {
+    fn has_majority(&self, votes: &BTreeSet<NodeId>) -> bool {
         let membership = self.membership();
         let counted = votes.iter().filter(|id| membership.is_voter(**id)).count();
         counted >= membership.quorum()
@@ -180,7 +180,7 @@
     /// Answers a message of an earlier term, so that its sender, a superseded leader or candidate,
     /// learns of the current term. Without the answer, a replica whose term is ahead of its
     /// leader's would never follow that leader.
-    pub(super) fn answer_stale(&mut self, from: NodeId, body: &Body) {
+    pub(super) fn reply_stale(&mut self, from: NodeId, body: &Body) {
         let reply = match body {
             Body::Append(_) | Body::Piece(_) => Body::AppendReply(AppendReply {
                 reject: true,
@@ -192,7 +192,7 @@
             }),
             _ => return,
         };
-        self.send(from, Gate::Hard, reply);
+        self.send(from, Durability::HardState, reply);
     }
 
     pub(super) fn on_campaign(&mut self) {
--- a/crates/filbertstack-log/src/node/follower.rs
+++ b/crates/filbertstack-log/src/node/follower.rs
@@ -7,7 +7,7 @@
 use crate::message::Entry;
 use crate::node::Node;
 use crate::node::Role;
-use crate::node::persist::Gate;
+use crate::node::persist::Durability;
 
 impl Node {
     /// Records that the leader of this term was heard; returns false if the node itself leads the
@@ -19,7 +19,7 @@
         }
         self.role = Role::Follower;
         self.leader = Some(from);
-        self.heard = Some(self.now);
+        self.leader_heard_at = Some(self.now);
         self.reset_election();
         true
     }
@@ -35,16 +35,16 @@
         }
         let verified = append.prev_index + append.entries.len() as u64;
         let heartbeat = append.entries.is_empty();
-        if !self.take_entries(append.entries) {
+        if !self.merge_entries(append.entries) {
             return;
         }
         self.commit = self.commit.max(append.commit.min(verified));
         // An answer to a heartbeat covers only entries that are durable already. It does not wait
         // for a slow disk, which would cost the leader its lease.
-        let (index, gate) = if heartbeat {
-            (verified.min(self.durable), Gate::Hard)
+        let (index, requires) = if heartbeat {
+            (verified.min(self.durable), Durability::HardState)
         } else {
-            (verified, Gate::Entries)
+            (verified, Durability::Everything)
         };
         let reply = AppendReply {
             reject: false,
@@ -52,7 +52,7 @@
             prev_index: append.prev_index,
             round: append.round,
         };
-        self.send(from, gate, Body::AppendReply(reply));
+        self.send(from, requires, Body::AppendReply(reply));
     }
 
     /// Drops the entries at or below the base of the log: they are committed and therefore equal to
@@ -87,11 +87,11 @@
             prev_index: append.prev_index,
             round: append.round,
         };
-        self.send(from, Gate::Hard, Body::AppendReply(reply));
+        self.send(from, Durability::HardState, Body::AppendReply(reply));
     }
 
     /// Appends the entries that are new; returns false if that would replace a committed entry.
-    fn take_entries(&mut self, entries: Vec<Entry>) -> bool {
+    fn merge_entries(&mut self, entries: Vec<Entry>) -> bool {
         for entry in entries {
             if self.log.holds(entry.position()) {
                 continue;
@@ -102,7 +102,7 @@
                     self.output.broken = Some(text);
                     return false;
                 }
-                self.drop_from(entry.index);
+                self.truncate_log(entry.index);
             }
             self.push_entry(entry);
         }
--- a/crates/filbertstack-log/src/node/io.rs
+++ b/crates/filbertstack-log/src/node/io.rs
@@ -70,17 +70,17 @@
     },
     /// The write `seq` and all later ones were refused because the disk is full; they left no
     /// trace.
-    Refused {
+    WriteRefused {
         /// The first write that was refused.
         seq: u64,
     },
     /// The snapshot of write `seq` could not be stored; the rest of that write is durable.
-    SnapshotLost {
+    SnapshotFailed {
         /// The number of the write.
         seq: u64,
     },
     /// The monotonic clock may have been paused while those of other replicas ran.
-    ClockDoubt,
+    ClockJump,
     /// A group is to be created, with this node as its only voter at first.
     Create {
         /// The ticket of the answer.
@@ -140,10 +140,10 @@
     },
     /// The group has no other voter.
     #[error("there is no other voter to lead; add one first")]
-    NoOther,
+    NoOtherVoter,
     /// The replica belongs to a group already.
     #[error("this replica belongs to a group already; create a group only from an empty folder")]
-    Grouped,
+    AlreadyGrouped,
     /// The replica has stopped.
     #[error("this replica has stopped; `status` tells why")]
     Stopped,
@@ -198,7 +198,7 @@
 
 /// The state that a replica reads back after a restart.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Memory {
+pub struct DurableState {
     /// Term, vote and cluster.
     pub hard: HardState,
     /// The latest snapshot.
--- a/crates/filbertstack-log/src/node/leader.rs
+++ b/crates/filbertstack-log/src/node/leader.rs
@@ -18,13 +18,13 @@
 use crate::node::Refusal;
 use crate::node::Role;
 use crate::node::Ticket;
-use crate::node::persist::Gate;
+use crate::node::persist::Durability;
 use crate::node::reads::WaitingRead;
 use crate::node::snapshots::Outgoing;
 use crate::node::transfer::Transfer;
 
 /// The largest number of followers at which the heartbeat interval is not lengthened.
-const UNSPACED: u32 = 4;
+const UNSPACED_FOLLOWERS: u32 = 4;
 
 /// The state of replication to one follower.
 #[derive(Debug)]
@@ -48,18 +48,18 @@
 #[derive(Debug)]
 pub(super) struct Peer {
     /// The index up to which the follower durably holds this log.
-    pub(super) held: u64,
-    pub(super) next: u64,
+    pub(super) match_index: u64,
+    pub(super) next_index: u64,
     pub(super) flow: Flow,
     /// The latest heartbeat round that it confirmed.
-    pub(super) round: u64,
+    pub(super) confirmed_round: u64,
     /// The time at which a message that needs an answer was last sent, or at which the last answer
     /// arrived.
-    pub(super) touched: Duration,
+    pub(super) waiting_since: Duration,
     /// The time of its last answer.
-    pub(super) heard: Duration,
+    pub(super) heard_at: Duration,
     /// The commit index that was last sent to it.
-    pub(super) told: u64,
+    pub(super) sent_commit: u64,
 }
 
 /// The state that only a leader keeps.
@@ -67,17 +67,17 @@
 pub(super) struct Leader {
     pub(super) peers: BTreeMap<NodeId, Peer>,
     /// The index of the no-op entry of this term.
-    pub(super) opened: u64,
+    pub(super) noop_index: u64,
     pub(super) round: u64,
     /// The number and start of each round that no majority has confirmed.
-    pub(super) rounds: VecDeque<(u64, Duration)>,
+    pub(super) open_rounds: VecDeque<(u64, Duration)>,
     /// The start of the latest round that a majority confirmed, or of the term.
-    pub(super) confirmed: Duration,
-    pub(super) lease_from: Option<Duration>,
+    pub(super) confirmed_at: Duration,
+    pub(super) lease_start: Option<Duration>,
     pub(super) lease_void: bool,
     /// The latest round that cannot renew the lease, because the clock may have been paused since
     /// it began.
-    pub(super) doubtful: u64,
+    pub(super) doubtful_round: u64,
     pub(super) heartbeat_at: Duration,
     pub(super) reads: VecDeque<WaitingRead>,
     pub(super) transfer: Option<Transfer>,
@@ -88,18 +88,18 @@
         self.leader = Some(self.config.id);
         self.role = Role::Leader(Box::new(Leader {
             peers: BTreeMap::new(),
-            opened: self.log.last().index + 1,
+            noop_index: self.log.last().index + 1,
             round: 0,
-            rounds: VecDeque::new(),
-            confirmed: self.now,
-            lease_from: None,
+            open_rounds: VecDeque::new(),
+            confirmed_at: self.now,
+            lease_start: None,
             lease_void: false,
-            doubtful: 0,
+            doubtful_round: 0,
             heartbeat_at: self.now,
             reads: VecDeque::new(),
             transfer: None,
         }));
-        self.append_own(EntryKind::Opening, Bytes::new());
+        self.append_own(EntryKind::NoOp, Bytes::new());
         self.refresh_peers();
         self.start_round();
         self.count_own_entries();
@@ -109,8 +109,8 @@
     pub(super) fn refresh_peers(&mut self) {
         let membership = self.membership();
         let own = self.config.id;
-        let next = self.log.last().index;
-        let touched = self.now;
+        let next_index = self.log.last().index;
+        let waiting_since = self.now;
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
@@ -118,13 +118,13 @@
         leader.peers.retain(|id, _| listed(id));
         for member in membership.members().filter(|m| m.id() != own) {
             leader.peers.entry(member.id()).or_insert_with(|| Peer {
-                held: 0,
-                next,
+                match_index: 0,
+                next_index,
                 flow: Flow::Probe { sent: false },
-                round: 0,
-                touched,
-                heard: Duration::ZERO,
-                told: 0,
+                confirmed_round: 0,
+                waiting_since,
+                heard_at: Duration::ZERO,
+                sent_commit: 0,
             });
         }
     }
@@ -156,7 +156,7 @@
                 most: limits.command_bytes,
             });
         }
-        if self.members.last().is_some_and(|(_, m)| m.forming > 0) {
+        if self.memberships.last().is_some_and(|(_, m)| m.forming > 0) {
             return Some(Refusal::Forming);
         }
         let waiting = self.log.cost_after(self.commit);
@@ -165,31 +165,31 @@
 
     /// Performs the periodic work of a leader: steps down without a majority, sends heartbeats,
     /// resends.
-    pub(super) fn lead_on(&mut self) {
+    pub(super) fn tick_leader(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
         // A leader that no majority answers cannot commit. If it can send but not receive, it would
         // keep its callers waiting and its followers from electing another leader.
-        let quiet = self.now >= leader.confirmed + self.config.timing.election_min;
-        let deposed = quiet && self.config.safeguards.check_quorum && !self.alone();
+        let unconfirmed = self.now >= leader.confirmed_at + self.config.timing.election_min;
+        let deposed = unconfirmed && self.config.safeguards.check_quorum && !self.sole_voter();
         if deposed || self.disk_hangs() {
-            self.follow(self.hard.term, None);
+            self.become_follower(self.hard.term, None);
             return;
         }
         let due = self.now >= leader.heartbeat_at;
-        let opened = self.commit >= leader.opened;
+        let committed = self.commit >= leader.noop_index;
         self.expire_transfer();
-        if opened && !self.is_voter() {
-            self.hand_over();
+        if committed && !self.is_voter() {
+            self.yield_leadership();
         }
         if due {
             self.start_round();
-            self.resend_quiet();
+            self.resend_unanswered();
         }
     }
 
-    pub(super) fn alone(&self) -> bool {
+    pub(super) fn sole_voter(&self) -> bool {
         let membership = self.membership();
         membership.voters.len() == 1 && membership.is_voter(self.config.id)
     }
@@ -201,17 +201,21 @@
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let heartbeat = spaced(timing, leader.peers.len());
+        let heartbeat = heartbeat_interval(timing, leader.peers.len());
         leader.round += 1;
-        leader.rounds.push_back((leader.round, now));
+        leader.open_rounds.push_back((leader.round, now));
         leader.heartbeat_at = now + heartbeat;
         let round = leader.round;
-        let held: Vec<(NodeId, u64)> = leader.peers.iter().map(|(id, p)| (*id, p.held)).collect();
-        for (id, held) in held {
+        let followers: Vec<(NodeId, u64)> = leader
+            .peers
+            .iter()
+            .map(|(id, p)| (*id, p.match_index))
+            .collect();
+        for (id, match_index) in followers {
             // The entry at the matching index may be compacted; the heartbeat then confirms the
             // leader only.
-            let prev_index = if self.log.term(held).is_some() {
-                held
+            let prev_index = if self.log.term(match_index).is_some() {
+                match_index
             } else {
                 0
             };
@@ -219,10 +223,10 @@
                 prev_index,
                 prev_term: self.log.term(prev_index).unwrap_or(0),
                 entries: Vec::new(),
-                commit: self.commit.min(held),
+                commit: self.commit.min(match_index),
                 round,
             };
-            self.send(id, Gate::Open, Body::Append(append));
+            self.send(id, Durability::Nothing, Body::Append(append));
         }
         self.confirm_rounds();
     }
@@ -232,7 +236,7 @@
     /// A follower that answers no heartbeat either is down, frozen or cut off. Messages to it queue
     /// in its link, and a frozen follower would read the same entries many times before anything
     /// new.
-    fn resend_quiet(&mut self) {
+    fn resend_unanswered(&mut self) {
         let now = self.now;
         let wait = self.config.timing.resend;
         let last = self.log.last().index;
@@ -240,13 +244,13 @@
             return;
         };
         for peer in leader.peers.values_mut() {
-            let silent = peer.heard <= peer.touched;
-            if silent || now < peer.touched + wait || peer.held >= last {
+            let silent = peer.heard_at <= peer.waiting_since;
+            if silent || now < peer.waiting_since + wait || peer.match_index >= last {
                 continue;
             }
-            peer.touched = now;
+            peer.waiting_since = now;
             match &mut peer.flow {
-                Flow::Snapshot(outgoing) => outgoing.again(),
+                Flow::Snapshot(outgoing) => outgoing.resend(),
                 Flow::Probe { sent } => *sent = false,
                 Flow::Pipeline { .. } => peer.probe(),
             }
@@ -260,12 +264,12 @@
         };
         let ids: Vec<NodeId> = leader.peers.keys().copied().collect();
         for id in ids {
-            while self.feed(id) {}
+            while self.send_next(id) {}
         }
     }
 
     /// Sends one message to a follower; returns false if there is nothing to send.
-    fn feed(&mut self, id: NodeId) -> bool {
+    fn send_next(&mut self, id: NodeId) -> bool {
         let limits = self.config.limits;
         let (last, base) = (self.log.last().index, self.log.base().index);
         let (commit, now) = (self.commit, self.now);
@@ -276,17 +280,17 @@
             return false;
         };
         if matches!(peer.flow, Flow::Snapshot(_)) {
-            return self.feed_snapshot(id);
+            return self.send_piece(id);
         }
-        if peer.next <= base {
+        if peer.next_index <= base {
             return self.begin_snapshot(id);
         }
-        let news = peer.next <= last || peer.told < commit;
-        if !peer.may_send(news, limits.inflight, now) {
+        let unsent = peer.next_index <= last || peer.sent_commit < commit;
+        if !peer.may_send(unsent, limits.inflight_appends, now) {
             return false;
         }
-        let prev_index = peer.next - 1;
-        let entries = self.log.slice(peer.next, limits.append_bytes);
+        let prev_index = peer.next_index - 1;
+        let entries = self.log.slice(peer.next_index, limits.append_bytes);
         peer.note_sent(entries.last(), commit);
         let append = Append {
             prev_index,
@@ -295,7 +299,7 @@
             commit,
             round: 0,
         };
-        self.send(id, Gate::Open, Body::Append(append));
+        self.send(id, Durability::Nothing, Body::Append(append));
         true
     }
 
@@ -307,20 +311,20 @@
         let Some(peer) = leader.peers.get_mut(&from) else {
             return;
         };
-        peer.heard = now;
-        peer.round = peer.round.max(reply.round);
+        peer.heard_at = now;
+        peer.confirmed_round = peer.confirmed_round.max(reply.round);
         if reply.reject {
             peer.on_reject(reply);
         } else {
             // An answer to a heartbeat that acknowledges nothing new must not delay the resend.
-            if reply.index > peer.held {
-                peer.touched = now;
+            if reply.index > peer.match_index {
+                peer.waiting_since = now;
             }
             peer.on_accept(reply.index);
         }
         self.confirm_rounds();
         self.advance_commit();
-        self.hurry_transfer();
+        self.advance_transfer();
     }
 
     /// Counts the entries that are durable on this replica, as an acknowledgement of any voter.
@@ -333,17 +337,17 @@
             return;
         };
         let own = self.config.id;
-        let held = |id: NodeId| match leader.peers.get(&id) {
-            Some(peer) => peer.held,
+        let match_index = |id: NodeId| match leader.peers.get(&id) {
+            Some(peer) => peer.match_index,
             None if id == own => self.durable,
             None => 0,
         };
         let membership = self.membership();
-        let reached = membership.reached(held).unwrap_or(0);
+        let reached = membership.quorum_value(match_index).unwrap_or(0);
         // An entry of an earlier term may be on a majority and still be replaced by a leader of a
         // term in between. Only an entry of the leader's own term commits all entries before it.
         let own_term = self.log.term(reached) == Some(self.hard.term);
-        if reached > self.commit && (own_term || !self.config.safeguards.own_term) {
+        if reached > self.commit && (own_term || !self.config.safeguards.commit_own_term) {
             self.commit = reached;
         }
     }
@@ -354,9 +358,11 @@
 /// At the default interval, a leader of eight voters at rest would use the whole bandwidth that a
 /// node may spend on control (8 KB/s). With longer intervals it uses little more than a leader of
 /// five, and two rounds still fit into an election timeout.
-fn spaced(timing: Timing, followers: usize) -> Duration {
-    let followers = u32::try_from(followers).unwrap_or(u32::MAX).max(UNSPACED);
-    let wanted = timing.heartbeat.saturating_mul(followers) / UNSPACED;
+fn heartbeat_interval(timing: Timing, followers: usize) -> Duration {
+    let followers = u32::try_from(followers)
+        .unwrap_or(u32::MAX)
+        .max(UNSPACED_FOLLOWERS);
+    let wanted = timing.heartbeat.saturating_mul(followers) / UNSPACED_FOLLOWERS;
     let most = (timing.election_min * 2 / 5).max(timing.heartbeat);
     wanted.min(most)
 }
@@ -364,16 +370,16 @@
 impl Peer {
     /// Returns whether one more message may be sent in this flow; if so, the message counts as
     /// sent.
-    fn may_send(&mut self, news: bool, most: usize, now: Duration) -> bool {
+    fn may_send(&mut self, unsent: bool, most: usize, now: Duration) -> bool {
         match &mut self.flow {
             Flow::Probe { sent: false } => {
                 self.flow = Flow::Probe { sent: true };
-                self.touched = now;
+                self.waiting_since = now;
                 true
             }
-            Flow::Pipeline { inflight } if inflight.len() < most && news => {
+            Flow::Pipeline { inflight } if inflight.len() < most && unsent => {
                 if inflight.is_empty() {
-                    self.touched = now;
+                    self.waiting_since = now;
                 }
                 true
             }
@@ -382,26 +388,28 @@
     }
 
     fn note_sent(&mut self, end: Option<&Entry>, commit: u64) {
-        self.told = commit;
+        self.sent_commit = commit;
         if let (Flow::Pipeline { inflight }, Some(end)) = (&mut self.flow, end) {
             inflight.push_back(end.index);
-            self.next = end.index + 1;
+            self.next_index = end.index + 1;
         }
     }
 
     pub(super) fn probe(&mut self) {
-        self.next = self.held + 1;
+        self.next_index = self.match_index + 1;
         self.flow = Flow::Probe { sent: false };
     }
 
     fn on_reject(&mut self, reply: AppendReply) {
-        let stale = reply.prev_index <= self.held;
+        let stale = reply.prev_index <= self.match_index;
         match &self.flow {
             Flow::Snapshot(_) => {}
             _ if stale => {}
-            Flow::Probe { .. } if reply.prev_index + 1 != self.next => {}
+            Flow::Probe { .. } if reply.prev_index + 1 != self.next_index => {}
             Flow::Probe { .. } => {
-                self.next = (reply.index + 1).min(reply.prev_index).max(self.held + 1);
+                self.next_index = (reply.index + 1)
+                    .min(reply.prev_index)
+                    .max(self.match_index + 1);
                 self.flow = Flow::Probe { sent: false };
             }
             Flow::Pipeline { .. } => self.probe(),
@@ -409,21 +417,21 @@
     }
 
     fn on_accept(&mut self, index: u64) {
-        self.held = self.held.max(index);
-        self.next = self.next.max(self.held + 1);
+        self.match_index = self.match_index.max(index);
+        self.next_index = self.next_index.max(self.match_index + 1);
         match &mut self.flow {
             Flow::Pipeline { inflight } => {
                 while inflight.front().is_some_and(|end| *end <= index) {
                     inflight.pop_front();
                 }
             }
-            Flow::Snapshot(outgoing) if outgoing.index() > self.held => {}
-            Flow::Probe { .. } if index + 1 < self.next => {}
+            Flow::Snapshot(outgoing) if outgoing.index() > self.match_index => {}
+            Flow::Probe { .. } if index + 1 < self.next_index => {}
             _ => {
                 self.flow = Flow::Pipeline {
                     inflight: VecDeque::new(),
                 };
-                self.next = self.held + 1;
+                self.next_index = self.match_index + 1;
             }
         }
     }
--- a/crates/filbertstack-log/src/node/mod.rs
+++ b/crates/filbertstack-log/src/node/mod.rs
@@ -32,8 +32,8 @@
 use crate::message::Snapshot;
 pub use crate::node::io::Accepted;
 pub use crate::node::io::Answer;
+pub use crate::node::io::DurableState;
 pub use crate::node::io::Input;
-pub use crate::node::io::Memory;
 pub use crate::node::io::NodeConfig;
 pub use crate::node::io::NodeStatus;
 pub use crate::node::io::Output;
@@ -42,8 +42,8 @@
 pub use crate::node::io::Ticket;
 pub use crate::node::io::Write;
 use crate::node::leader::Leader;
-use crate::node::persist::Gate;
-use crate::node::persist::Work;
+use crate::node::persist::Durability;
+use crate::node::persist::WriteQueue;
 use crate::node::snapshots::Incoming;
 
 #[derive(Debug)]
@@ -63,45 +63,45 @@
     hard: HardState,
     role: Role,
     leader: Option<NodeId>,
-    heard: Option<Duration>,
-    elect_at: Duration,
+    leader_heard_at: Option<Duration>,
+    election_at: Duration,
     log: Entries,
     commit: u64,
-    handed: u64,
+    delivered: u64,
     durable: u64,
     /// The memberships with the index of their entry; the first is the one at the base of the log.
-    members: Vec<(u64, Arc<Membership>)>,
+    memberships: Vec<(u64, Arc<Membership>)>,
     snapshot: Option<Snapshot>,
     incoming: Option<Incoming>,
     installing: bool,
-    disk: Work,
+    disk: WriteQueue,
     output: Output,
 }
 
 impl Node {
     /// Creates a node from its durable state. Its clock starts at `now`.
-    pub fn new(config: NodeConfig, memory: Memory, now: Duration) -> Self {
-        let mut hard = memory.hard;
-        let base = memory.snapshot.as_ref().map(Snapshot::position);
+    pub fn new(config: NodeConfig, saved: DurableState, now: Duration) -> Self {
+        let mut hard = saved.hard;
+        let base = saved.snapshot.as_ref().map(Snapshot::position);
         let base = base.unwrap_or_default();
-        let mut members = Vec::new();
-        if let Some(snapshot) = &memory.snapshot {
+        let mut memberships = Vec::new();
+        if let Some(snapshot) = &saved.snapshot {
             hard.cluster = snapshot.cluster;
             hard.term = hard.term.max(snapshot.term);
-            members.push((snapshot.index, Arc::new(snapshot.membership.clone())));
+            memberships.push((snapshot.index, Arc::new(snapshot.membership.clone())));
         }
         // A replica without any entry or snapshot has acknowledged nothing and may join any group.
-        let empty = memory.snapshot.is_none() && memory.entries.is_empty();
+        let empty = saved.snapshot.is_none() && saved.entries.is_empty();
         if empty && config.safeguards.members_vote {
             hard.cluster = 0;
         }
-        for entry in &memory.entries {
-            members.extend(entry.membership().map(|m| (entry.index, Arc::new(m))));
+        for entry in &saved.entries {
+            memberships.extend(entry.membership().map(|m| (entry.index, Arc::new(m))));
         }
-        let log = Entries::new(base, memory.entries);
+        let log = Entries::new(base, saved.entries);
         let last = log.last().index;
         let output = Output {
-            restore: memory.snapshot.clone(),
+            restore: saved.snapshot.clone(),
             ..Output::default()
         };
         let mut node = Self {
@@ -115,17 +115,17 @@
             // heartbeat, restarted and voted at once would let a second leader commit while the
             // first still serves reads under its lease. A start therefore counts as hearing a
             // leader.
-            heard: config.safeguards.sticky.then_some(now),
-            elect_at: now,
+            leader_heard_at: config.safeguards.sticky_leader.then_some(now),
+            election_at: now,
             log,
             commit: base.index,
-            handed: base.index,
+            delivered: base.index,
             durable: last,
-            members,
-            snapshot: memory.snapshot,
+            memberships,
+            snapshot: saved.snapshot,
             incoming: None,
             installing: false,
-            disk: Work::after(last),
+            disk: WriteQueue::after(last),
             output,
         };
         node.reset_election();
@@ -140,8 +140,8 @@
         }
         match input {
             Input::Written { seq } => self.on_written(seq),
-            Input::Refused { seq } => self.on_refused(seq),
-            Input::SnapshotLost { seq } => self.on_snapshot_lost(seq),
+            Input::WriteRefused { seq } => self.on_write_refused(seq),
+            Input::SnapshotFailed { seq } => self.on_snapshot_failed(seq),
             Input::Tick => self.on_tick(),
             Input::Message(message) => self.on_message(message),
             Input::Propose { ticket, command } => self.on_propose(ticket, command),
@@ -149,7 +149,7 @@
             Input::Change { ticket, change } => self.on_change(ticket, &change),
             Input::Transfer { ticket, to } => self.on_transfer(ticket, to),
             Input::Snapshot { index, data } => self.on_snapshot(index, data),
-            Input::ClockDoubt => self.on_clock_doubt(),
+            Input::ClockJump => self.on_clock_jump(),
             Input::Create {
                 ticket,
                 cluster,
@@ -164,7 +164,7 @@
         self.replicate();
         self.issue_write();
         self.release_messages();
-        self.hand_committed();
+        self.deliver_committed();
         std::mem::take(&mut self.output)
     }
 
@@ -175,7 +175,7 @@
         }
         match &self.role {
             Role::Leader(leader) => leader.heartbeat_at,
-            _ => self.elect_at,
+            _ => self.election_at,
         }
     }
 
@@ -191,7 +191,7 @@
 
     /// Returns the latest membership appended; it is empty before the node belongs to a group.
     pub fn membership(&self) -> Arc<Membership> {
-        let latest = self.members.last();
+        let latest = self.memberships.last();
         latest.map(|(_, m)| Arc::clone(m)).unwrap_or_default()
     }
 
@@ -221,7 +221,7 @@
             durable: self.durable,
             commit: self.commit,
             snapshot: self.snapshot.as_ref().map_or(0, |s| s.index),
-            membership_index: self.members.last().map_or(0, |(index, _)| *index),
+            membership_index: self.memberships.last().map_or(0, |(index, _)| *index),
             membership: self.membership(),
             lease: self.lease_until(),
             full: self.disk.full_until.is_some(),
@@ -230,21 +230,21 @@
 
     fn on_tick(&mut self) {
         if self.disk.full_until.is_some_and(|until| self.now >= until) {
-            self.try_disk();
+            self.retry_disk();
         }
         if self.disk.full_until.is_some() {
             return;
         }
         if matches!(self.role, Role::Leader(_)) {
-            self.lead_on();
-        } else if self.now >= self.elect_at {
+            self.tick_leader();
+        } else if self.now >= self.election_at {
             self.start_election();
         }
     }
 
     fn on_message(&mut self, message: Message) {
-        let strange = message.to != self.config.id.0 || message.from == self.config.id.0;
-        if strange || self.disk.full_until.is_some() || !self.same_cluster(&message) {
+        let misaddressed = message.to != self.config.id.0 || message.from == self.config.id.0;
+        if misaddressed || self.disk.full_until.is_some() || !self.accept_cluster(&message) {
             return;
         }
         let from = message.sender();
@@ -253,7 +253,7 @@
             return;
         }
         if message.term < self.hard.term {
-            self.answer_stale(from, &body);
+            self.reply_stale(from, &body);
             return;
         }
         match body {
@@ -269,9 +269,9 @@
 
     /// Returns whether the message belongs to the node's cluster. A node without a cluster joins
     /// its leader's.
-    fn same_cluster(&mut self, message: &Message) -> bool {
-        let leads = matches!(message.body, Some(Body::Append(_) | Body::Piece(_)));
-        if self.hard.cluster == 0 && leads {
+    fn accept_cluster(&mut self, message: &Message) -> bool {
+        let from_leader = matches!(message.body, Some(Body::Append(_) | Body::Piece(_)));
+        if self.hard.cluster == 0 && from_leader {
             self.hard.cluster = message.cluster;
             self.disk.hard_dirty = true;
         }
@@ -285,17 +285,17 @@
             Body::Vote(vote) if vote.pre => {}
             Body::VoteReply(reply) if reply.pre && reply.granted => {}
             Body::Vote(vote) if !vote.transfer && self.heard_leader() => return false,
-            Body::Append(_) | Body::Piece(_) => self.follow(term, Some(from)),
-            _ => self.follow(term, None),
+            Body::Append(_) | Body::Piece(_) => self.become_follower(term, Some(from)),
+            _ => self.become_follower(term, None),
         }
         true
     }
 
-    fn send(&mut self, to: NodeId, gate: Gate, body: Body) {
-        self.send_at(to, gate, self.hard.term, body);
+    fn send(&mut self, to: NodeId, requires: Durability, body: Body) {
+        self.send_at(to, requires, self.hard.term, body);
     }
 
-    fn send_at(&mut self, to: NodeId, gate: Gate, term: u64, body: Body) {
+    fn send_at(&mut self, to: NodeId, requires: Durability, term: u64, body: Body) {
         let message = Message {
             cluster: self.hard.cluster,
             from: self.config.id.0,
@@ -303,7 +303,7 @@
             term,
             body: Some(body),
         };
-        self.disk.outbox.push((gate, message));
+        self.disk.outbox.push((requires, message));
     }
 
     fn answer(&mut self, ticket: Ticket, result: Result<Accepted, Refusal>) {
@@ -321,11 +321,11 @@
         let spread = timing.election_max.saturating_sub(timing.election_min);
         let extra = self.rng.random_range(0..=spread.as_micros().max(1));
         let extra = Duration::from_micros(u64::try_from(extra).unwrap_or(u64::MAX));
-        self.elect_at = self.now + timing.election_min + extra;
+        self.election_at = self.now + timing.election_min + extra;
     }
 
     fn is_voter(&self) -> bool {
-        let latest = self.members.last();
+        let latest = self.memberships.last();
         latest.is_some_and(|(_, m)| m.is_voter(self.config.id))
     }
 }
--- a/crates/filbertstack-log/src/node/persist.rs
+++ b/crates/filbertstack-log/src/node/persist.rs
@@ -18,18 +18,18 @@
 
 /// The durable state that a message waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Gate {
+pub(super) enum Durability {
     /// Nothing: the message reveals no state that a crash could lose.
-    Open,
+    Nothing,
     /// Term and vote.
-    Hard,
+    HardState,
     /// Everything issued so far.
-    Entries,
+    Everything,
 }
 
 /// A write that has been issued and has no result yet.
 #[derive(Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingWrite {
     pub(super) seq: u64,
     pub(super) issued: Duration,
     pub(super) last: Option<Position>,
@@ -39,12 +39,12 @@
 
 /// The unwritten state, the pending writes and the messages that wait for them.
 #[derive(Debug, Default)]
-pub(super) struct Work {
-    pub(super) pending: VecDeque<Pending>,
+pub(super) struct WriteQueue {
+    pub(super) pending: VecDeque<PendingWrite>,
     /// Messages with the number of the write that they wait for.
-    pub(super) held: VecDeque<(u64, Message)>,
+    pub(super) waiting: VecDeque<(u64, Message)>,
     /// Messages created since the last output.
-    pub(super) outbox: Vec<(Gate, Message)>,
+    pub(super) outbox: Vec<(Durability, Message)>,
     /// The first index that no write contains.
     pub(super) unsaved: u64,
     pub(super) hard_dirty: bool,
@@ -59,7 +59,7 @@
     pub(super) full_until: Option<Duration>,
 }
 
-impl Work {
+impl WriteQueue {
     /// Returns an empty queue for a log that was read from the disk up to `last`.
     pub(super) fn after(last: u64) -> Self {
         Self {
@@ -88,7 +88,7 @@
         }
         let (snapshot, install) = snapshot.map_or((None, false), |(s, i)| (Some(s), i));
         self.disk.unsaved = self.log.last().index + 1;
-        self.disk.pending.push_back(Pending {
+        self.disk.pending.push_back(PendingWrite {
             seq,
             issued: self.now,
             last: entries.last().map(Entry::position),
@@ -118,14 +118,14 @@
             return;
         }
         let guards = self.config.safeguards;
-        for (gate, message) in std::mem::take(&mut self.disk.outbox) {
-            let after = match gate {
-                Gate::Hard if guards.durable_votes => self.disk.hard_seq,
-                Gate::Entries if guards.durable_entries => self.disk.issued,
+        for (requires, message) in std::mem::take(&mut self.disk.outbox) {
+            let after = match requires {
+                Durability::HardState if guards.durable_votes => self.disk.hard_seq,
+                Durability::Everything if guards.durable_entries => self.disk.issued,
                 _ => 0,
             };
             if after > self.disk.written {
-                self.disk.held.push_back((after, message));
+                self.disk.waiting.push_back((after, message));
             } else {
                 self.output.messages.push(message);
             }
@@ -136,16 +136,16 @@
         self.disk.written = self.disk.written.max(seq);
         while self.disk.pending.front().is_some_and(|p| p.seq <= seq) {
             if let Some(done) = self.disk.pending.pop_front() {
-                self.settle(done);
+                self.complete_write(done);
             }
         }
-        self.release_held(seq);
+        self.release_waiting(seq);
         if self.disk.full_until.is_some()
             && self.disk.written >= self.disk.hard_seq
             && !self.disk.hard_dirty
         {
             self.disk.full_until = None;
-            self.heard = Some(self.now);
+            self.leader_heard_at = Some(self.now);
             self.reset_election();
         }
         self.count_own_vote();
@@ -153,17 +153,17 @@
     }
 
     /// Releases the messages that waited for this write, in the order in which they were created.
-    fn release_held(&mut self, seq: u64) {
-        for (after, message) in std::mem::take(&mut self.disk.held) {
+    fn release_waiting(&mut self, seq: u64) {
+        for (after, message) in std::mem::take(&mut self.disk.waiting) {
             if after <= seq {
                 self.output.messages.push(message);
             } else {
-                self.disk.held.push_back((after, message));
+                self.disk.waiting.push_back((after, message));
             }
         }
     }
 
-    fn settle(&mut self, done: Pending) {
+    fn complete_write(&mut self, done: PendingWrite) {
         // An entry that was replaced after this write was issued no longer belongs to the log.
         if let Some(last) = done.last
             && self.log.holds(last)
@@ -174,9 +174,9 @@
             return;
         };
         if done.install {
-            self.installed(snapshot);
+            self.snapshot_installed(snapshot);
         } else {
-            self.kept(snapshot);
+            self.snapshot_stored(snapshot);
         }
     }
 
@@ -184,20 +184,20 @@
     ///
     /// Until a write succeeds the replica is silent, as if it were down: it neither votes,
     /// acknowledges nor leads, and refuses proposals as not run.
-    pub(super) fn on_refused(&mut self, seq: u64) {
+    pub(super) fn on_write_refused(&mut self, seq: u64) {
         if !self.disk.pending.iter().any(|p| p.seq == seq) {
             return;
         }
         self.disk.epoch += 1;
         self.disk.pending.clear();
-        self.disk.held.clear();
+        self.disk.waiting.clear();
         self.disk.outbox.clear();
         self.disk.snapshot_dirty = None;
         self.installing = false;
         self.incoming = None;
-        self.drop_from(self.durable + 1);
+        self.truncate_log(self.durable + 1);
         self.commit = self.commit.min(self.log.last().index);
-        self.follow(self.hard.term, None);
+        self.become_follower(self.hard.term, None);
         self.disk.hard_dirty = false;
         self.disk.hard_seq = u64::MAX;
         self.disk.full_until = Some(self.now + self.config.timing.resend);
@@ -212,7 +212,7 @@
     }
 
     /// Writes term and vote again to find out whether the disk still refuses writes.
-    pub(super) fn try_disk(&mut self) {
+    pub(super) fn retry_disk(&mut self) {
         self.disk.full_until = Some(self.now + self.config.timing.resend);
         if self.disk.pending.is_empty() {
             self.disk.hard_dirty = true;
@@ -220,12 +220,13 @@
     }
 
     /// Drops the log from `index` on.
-    pub(super) fn drop_from(&mut self, index: u64) {
+    pub(super) fn truncate_log(&mut self, index: u64) {
         self.log.truncate(index);
         self.disk.unsaved = self.disk.unsaved.min(index);
         self.durable = self.durable.min(index.saturating_sub(1));
         let base = self.log.base().index;
-        self.members.retain(|(at, _)| *at < index || *at <= base);
+        self.memberships
+            .retain(|(at, _)| *at < index || *at <= base);
     }
 
     /// Appends an entry of the node's own term and returns its position.
@@ -243,23 +244,23 @@
 
     pub(super) fn push_entry(&mut self, entry: Entry) {
         let membership = entry.membership();
-        self.members
+        self.memberships
             .extend(membership.map(|m| (entry.index, Arc::new(m))));
         self.log.push(entry);
     }
 
     /// Outputs the entries that are committed and durable on this replica.
-    pub(super) fn hand_committed(&mut self) {
+    pub(super) fn deliver_committed(&mut self) {
         if self.installing {
             return;
         }
         let until = self.commit.min(self.durable);
-        while self.handed < until {
-            let Some(entry) = self.log.get(self.handed + 1) else {
+        while self.delivered < until {
+            let Some(entry) = self.log.get(self.delivered + 1) else {
                 break;
             };
             self.output.committed.push(entry.clone());
-            self.handed += 1;
+            self.delivered += 1;
         }
     }
 
--- a/crates/filbertstack-log/src/node/reads.rs
+++ b/crates/filbertstack-log/src/node/reads.rs
@@ -35,7 +35,7 @@
         let Role::Leader(leader) = &self.role else {
             return Some(self.not_leader());
         };
-        (leader.reads.len() >= self.config.limits.reads).then_some(Refusal::Busy)
+        (leader.reads.len() >= self.config.limits.pending_reads).then_some(Refusal::Busy)
     }
 
     /// Returns the index that must be applied before a read is served.
@@ -44,8 +44,8 @@
     /// committed. A read served earlier could miss an accepted change.
     fn read_index(&self) -> u64 {
         match &self.role {
-            Role::Leader(leader) if self.config.safeguards.opened_reads => {
-                self.commit.max(leader.opened)
+            Role::Leader(leader) if self.config.safeguards.read_after_noop => {
+                self.commit.max(leader.noop_index)
             }
             _ => self.commit,
         }
@@ -78,25 +78,29 @@
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let seen = |id: NodeId| match leader.peers.get(&id) {
-            Some(peer) => peer.round,
+        let confirmed = |id: NodeId| match leader.peers.get(&id) {
+            Some(peer) => peer.confirmed_round,
             None if id == own => leader.round,
             None => 0,
         };
-        let reached = membership.reached(seen).unwrap_or(0);
-        let mut news = false;
-        while leader.rounds.front().is_some_and(|(r, _)| *r <= reached) {
+        let reached = membership.quorum_value(confirmed).unwrap_or(0);
+        let mut advanced = false;
+        while leader
+            .open_rounds
+            .front()
+            .is_some_and(|(r, _)| *r <= reached)
+        {
             // The promise of a majority starts when its members were asked. If it counted from the
             // arrival of their answers, a leader frozen in between would serve reads after it was
             // replaced.
-            let (round, begun) = leader.rounds.pop_front().unwrap_or_default();
-            leader.confirmed = if from_send { begun } else { now };
-            if round > leader.doubtful {
-                leader.lease_from = Some(leader.confirmed);
+            let (round, begun) = leader.open_rounds.pop_front().unwrap_or_default();
+            leader.confirmed_at = if from_send { begun } else { now };
+            if round > leader.doubtful_round {
+                leader.lease_start = Some(leader.confirmed_at);
             }
-            news = true;
+            advanced = true;
         }
-        if news {
+        if advanced {
             self.release_reads(reached);
         }
     }
@@ -117,7 +121,7 @@
         }
     }
 
-    pub(super) fn abandon_reads(&mut self) {
+    pub(super) fn fail_reads(&mut self) {
         let refusal = Refusal::NotLeader { leader: None };
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -136,18 +140,18 @@
         if leader.lease_void {
             return None;
         }
-        if self.alone() {
+        if self.sole_voter() {
             return Some(self.now + self.config.timing.lease);
         }
-        leader.lease_from.map(|at| at + self.config.timing.lease)
+        leader.lease_start.map(|at| at + self.config.timing.lease)
     }
 
     /// Ends the lease because the clock that measures it may have been paused; only a new round
     /// renews it.
-    pub(super) fn on_clock_doubt(&mut self) {
+    pub(super) fn on_clock_jump(&mut self) {
         if let Role::Leader(leader) = &mut self.role {
-            leader.lease_from = None;
-            leader.doubtful = leader.round;
+            leader.lease_start = None;
+            leader.doubtful_round = leader.round;
         }
     }
 }
--- a/crates/filbertstack-log/src/node/snapshots.rs
+++ b/crates/filbertstack-log/src/node/snapshots.rs
@@ -22,12 +22,12 @@
 use crate::node::Role;
 use crate::node::Ticket;
 use crate::node::leader::Flow;
-use crate::node::persist::Gate;
+use crate::node::persist::Durability;
 
 /// A snapshot that is being sent to a follower, one piece at a time.
 #[derive(Debug)]
 pub(super) struct Outgoing {
-    place: Position,
+    position: Position,
     bytes: Bytes,
     crc: u32,
     offset: usize,
@@ -36,27 +36,27 @@
 
 impl Outgoing {
     pub(super) fn index(&self) -> u64 {
-        self.place.index
+        self.position.index
     }
 
     /// Marks the last piece to be sent again, or the whole snapshot if the follower received all of
     /// it and did not confirm.
-    pub(super) fn again(&mut self) {
+    pub(super) fn resend(&mut self) {
         if self.offset >= self.bytes.len() {
             self.offset = 0;
         }
         self.sent = false;
     }
 
-    fn piece(&mut self, most: usize) -> Option<Piece> {
+    fn next_piece(&mut self, most: usize) -> Option<Piece> {
         if self.sent || self.offset >= self.bytes.len() {
             return None;
         }
         self.sent = true;
         let end = self.bytes.len().min(self.offset + most);
         Some(Piece {
-            index: self.place.index,
-            term: self.place.term,
+            index: self.position.index,
+            term: self.position.term,
             total: self.bytes.len() as u64,
             crc: self.crc,
             offset: self.offset as u64,
@@ -68,28 +68,28 @@
 /// A snapshot that is being received piece by piece.
 #[derive(Debug)]
 pub(super) struct Incoming {
-    place: Position,
+    position: Position,
     total: u64,
     crc: u32,
     bytes: Vec<u8>,
 }
 
 impl Incoming {
-    fn of(piece: &Piece) -> Self {
+    fn new(piece: &Piece) -> Self {
         Self {
-            place: place_of(piece),
+            position: piece_position(piece),
             total: piece.total,
             crc: piece.crc,
             bytes: Vec::new(),
         }
     }
 
-    fn same(&self, piece: &Piece) -> bool {
-        let whole = (self.place, self.total, self.crc);
-        whole == (place_of(piece), piece.total, piece.crc)
+    fn matches(&self, piece: &Piece) -> bool {
+        let whole = (self.position, self.total, self.crc);
+        whole == (piece_position(piece), piece.total, piece.crc)
     }
 
-    fn take(&mut self, piece: &Piece) {
+    fn append(&mut self, piece: &Piece) {
         let held = self.bytes.len() as u64;
         let fits = held + piece.data.len() as u64 <= self.total;
         if piece.offset == held && fits {
@@ -97,7 +97,7 @@
         }
     }
 
-    fn whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.bytes.len() as u64 == self.total
     }
 
@@ -106,11 +106,11 @@
             return None;
         }
         let snapshot = Snapshot::decode(Bytes::from(self.bytes)).ok()?;
-        (snapshot.position() == self.place).then_some(snapshot)
+        (snapshot.position() == self.position).then_some(snapshot)
     }
 }
 
-fn place_of(piece: &Piece) -> Position {
+fn piece_position(piece: &Piece) -> Position {
     Position {
         term: piece.term,
         index: piece.index,
@@ -126,10 +126,10 @@
         let Some(term) = self.log.term(index) else {
             return;
         };
-        if busy || index <= latest || index > self.handed {
+        if busy || index <= latest || index > self.delivered {
             return;
         }
-        let members = self.members.iter().rev().find(|(at, _)| *at <= index);
+        let members = self.memberships.iter().rev().find(|(at, _)| *at <= index);
         let snapshot = Snapshot {
             index,
             term,
@@ -150,9 +150,9 @@
         membership: Membership,
         data: Bytes,
     ) {
-        let fresh = self.members.is_empty() && self.hard.cluster == 0 && !self.installing;
+        let fresh = self.memberships.is_empty() && self.hard.cluster == 0 && !self.installing;
         if !fresh || self.disk.full_until.is_some() {
-            self.answer(ticket, Err(Refusal::Grouped));
+            self.answer(ticket, Err(Refusal::AlreadyGrouped));
             return;
         }
         self.hard.cluster = cluster.0;
@@ -172,24 +172,24 @@
 
     /// Handles a durable snapshot of this replica's state machine: drops the entries that it
     /// covers.
-    pub(super) fn kept(&mut self, snapshot: Snapshot) {
+    pub(super) fn snapshot_stored(&mut self, snapshot: Snapshot) {
         let keep = self.config.limits.kept_entries;
         self.log.compact(snapshot.index.saturating_sub(keep));
         let base = self.log.base().index;
-        while self.members.get(1).is_some_and(|(at, _)| *at <= base) {
-            self.members.remove(0);
+        while self.memberships.get(1).is_some_and(|(at, _)| *at <= base) {
+            self.memberships.remove(0);
         }
         self.snapshot = Some(snapshot);
     }
 
     /// Handles a durable snapshot from the leader: it replaces the log and the state.
-    pub(super) fn installed(&mut self, snapshot: Snapshot) {
+    pub(super) fn snapshot_installed(&mut self, snapshot: Snapshot) {
         let index = snapshot.index;
         self.installing = false;
         self.log = Entries::new(snapshot.position(), Vec::new());
-        self.members = vec![(index, Arc::new(snapshot.membership.clone()))];
+        self.memberships = vec![(index, Arc::new(snapshot.membership.clone()))];
         self.commit = index;
-        self.handed = index;
+        self.delivered = index;
         self.durable = index;
         self.disk.unsaved = index + 1;
         self.snapshot = Some(snapshot.clone());
@@ -199,7 +199,7 @@
         }
     }
 
-    pub(super) fn on_snapshot_lost(&mut self, seq: u64) {
+    pub(super) fn on_snapshot_failed(&mut self, seq: u64) {
         let lost = self.disk.pending.iter_mut().find(|p| p.seq == seq);
         if let Some(lost) = lost
             && lost.snapshot.take().is_some()
@@ -213,7 +213,7 @@
         if !self.hear_leader(from) || self.installing {
             return;
         }
-        if self.log.holds(place_of(piece)) {
+        if self.log.holds(piece_position(piece)) {
             self.commit = self.commit.max(piece.index);
         }
         if piece.index <= self.commit {
@@ -225,16 +225,16 @@
             return;
         }
         let mut incoming = match self.incoming.take() {
-            Some(incoming) if incoming.same(piece) => incoming,
-            _ => Incoming::of(piece),
+            Some(incoming) if incoming.matches(piece) => incoming,
+            _ => Incoming::new(piece),
         };
-        incoming.take(piece);
+        incoming.append(piece);
         let reply = PieceReply {
             index: piece.index,
             offset: incoming.bytes.len() as u64,
         };
-        self.send(from, Gate::Hard, Body::PieceReply(reply));
-        if !incoming.whole() {
+        self.send(from, Durability::HardState, Body::PieceReply(reply));
+        if !incoming.is_complete() {
             self.incoming = Some(incoming);
         } else if let Some(snapshot) = incoming.decode() {
             self.installing = true;
@@ -249,7 +249,7 @@
             prev_index: 0,
             round: 0,
         };
-        self.send(leader, Gate::Hard, Body::AppendReply(reply));
+        self.send(leader, Durability::HardState, Body::AppendReply(reply));
     }
 
     pub(super) fn begin_snapshot(&mut self, id: NodeId) -> bool {
@@ -258,7 +258,7 @@
         };
         let bytes = Bytes::from(snapshot.encode_to_vec());
         let outgoing = Outgoing {
-            place: snapshot.position(),
+            position: snapshot.position(),
             crc: crc32fast::hash(&bytes),
             bytes,
             offset: 0,
@@ -269,11 +269,11 @@
         {
             peer.flow = Flow::Snapshot(outgoing);
         }
-        self.feed_snapshot(id)
+        self.send_piece(id)
     }
 
     /// Sends the next piece; at most one piece is unanswered at any time.
-    pub(super) fn feed_snapshot(&mut self, id: NodeId) -> bool {
+    pub(super) fn send_piece(&mut self, id: NodeId) -> bool {
         let most = self.config.limits.piece_bytes;
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else {
@@ -285,9 +285,9 @@
         let Flow::Snapshot(outgoing) = &mut peer.flow else {
             return false;
         };
-        if let Some(piece) = outgoing.piece(most) {
-            peer.touched = now;
-            self.send(id, Gate::Open, Body::Piece(piece));
+        if let Some(piece) = outgoing.next_piece(most) {
+            peer.waiting_since = now;
+            self.send(id, Durability::Nothing, Body::Piece(piece));
         }
         false
     }
@@ -304,7 +304,7 @@
             let offset = usize::try_from(reply.offset).unwrap_or(0);
             outgoing.offset = offset.min(outgoing.bytes.len());
             outgoing.sent = false;
-            peer.touched = now;
+            peer.waiting_since = now;
         }
     }
 }
--- a/crates/filbertstack-log/src/node/transfer.rs
+++ b/crates/filbertstack-log/src/node/transfer.rs
@@ -11,13 +11,13 @@
 use crate::node::Refusal;
 use crate::node::Role;
 use crate::node::Ticket;
-use crate::node::persist::Gate;
+use crate::node::persist::Durability;
 
 /// A leadership transfer in progress.
 #[derive(Debug)]
 pub(super) struct Transfer {
     to: NodeId,
-    until: Duration,
+    deadline: Duration,
     sent: bool,
 }
 
@@ -25,19 +25,19 @@
     pub(super) fn on_transfer(&mut self, ticket: Ticket, to: Option<NodeId>) {
         let result = self.begin_transfer(to);
         self.answer(ticket, result.map(|()| Accepted::Transferring));
-        self.hurry_transfer();
+        self.advance_transfer();
     }
 
     /// Transfers the leadership from a learner, which was elected as the last resort, to a voter.
-    pub(super) fn hand_over(&mut self) {
+    pub(super) fn yield_leadership(&mut self) {
         if self.begin_transfer(None).is_ok() {
-            self.hurry_transfer();
+            self.advance_transfer();
         }
     }
 
     fn begin_transfer(&mut self, to: Option<NodeId>) -> Result<(), Refusal> {
         let membership = self.membership();
-        let until = self.now + self.config.timing.election_min;
+        let deadline = self.now + self.config.timing.election_min;
         let refusal = self.not_leader();
         let Role::Leader(leader) = &mut self.role else {
             return Err(refusal);
@@ -49,21 +49,23 @@
             .peers
             .iter()
             .filter(|(id, _)| membership.is_voter(**id));
-        let best = voters.max_by_key(|(_, peer)| peer.held).map(|(id, _)| *id);
-        let to = to.or(best).ok_or(Refusal::NoOther)?;
+        let best = voters
+            .max_by_key(|(_, peer)| peer.match_index)
+            .map(|(id, _)| *id);
+        let to = to.or(best).ok_or(Refusal::NoOtherVoter)?;
         if !membership.is_voter(to) || !leader.peers.contains_key(&to) {
             return Err(ChangeError::Unknown { node: to }.into());
         }
         leader.transfer = Some(Transfer {
             to,
-            until,
+            deadline,
             sent: false,
         });
         Ok(())
     }
 
     /// Tells the chosen voter to campaign once it holds the whole log.
-    pub(super) fn hurry_transfer(&mut self) {
+    pub(super) fn advance_transfer(&mut self) {
         let last = self.log.last().index;
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -72,7 +74,7 @@
             return;
         };
         let to = transfer.to;
-        let ready = leader.peers.get(&to).is_some_and(|p| p.held == last);
+        let ready = leader.peers.get(&to).is_some_and(|p| p.match_index == last);
         if transfer.sent || !ready {
             return;
         }
@@ -80,14 +82,14 @@
         // Voters grant their vote to the chosen voter although they heard this leader recently, and
         // the message may be delayed for long. From here on the lease protects no read.
         leader.lease_void |= self.config.safeguards.transfer_lease;
-        self.send(to, Gate::Open, Body::Campaign(Campaign {}));
+        self.send(to, Durability::Nothing, Body::Campaign(Campaign {}));
     }
 
     /// Cancels a transfer that did not complete in time, so that proposals are accepted again.
     pub(super) fn expire_transfer(&mut self) {
         let now = self.now;
         if let Role::Leader(leader) = &mut self.role
-            && leader.transfer.as_ref().is_some_and(|t| now >= t.until)
+            && leader.transfer.as_ref().is_some_and(|t| now >= t.deadline)
         {
             leader.transfer = None;
         }
--- a/crates/filbertstack-log/src/replica/core.rs
+++ b/crates/filbertstack-log/src/replica/core.rs
@@ -23,8 +23,8 @@
 use crate::message::Snapshot;
 use crate::node::Accepted;
 use crate::node::Answer;
+use crate::node::DurableState;
 use crate::node::Input;
-use crate::node::Memory;
 use crate::node::Node;
 use crate::node::NodeConfig;
 use crate::node::Output;
@@ -36,20 +36,20 @@
 use crate::replica::Shared;
 use crate::replica::StartError;
 use crate::replica::Transport;
+use crate::replica::waiters::Operation;
 use crate::replica::waiters::Request;
 use crate::replica::waiters::Waiter;
 use crate::replica::waiters::Waiters;
-use crate::replica::waiters::Wanted;
 use crate::storage::frame;
 
 /// The largest number of events handled before their results are sent and written: enough to share
 /// one sync among many, few enough that no heartbeat is late.
-const BATCH: usize = 1_024;
+const EVENT_BATCH: usize = 1_024;
 
 /// The largest difference by which the system clock may advance more than the monotonic clock
 /// between two comparisons. Beyond it the monotonic clock counts as paused, as it is while an
 /// instance is suspended.
-const CLOCK_LEAP: Duration = Duration::from_millis(100);
+const CLOCK_JUMP: Duration = Duration::from_millis(100);
 
 /// The failure reported when the state machine panics. The next start applies the same command
 /// again.
@@ -57,12 +57,12 @@
 
 /// Marks the replica as stopped when the thread ends for any reason. If a panic of the state
 /// machine left the status unchanged, callers would still be sent to this replica.
-struct Ending {
+struct StopGuard {
     shared: Arc<Shared>,
     failed: Option<String>,
 }
 
-impl Drop for Ending {
+impl Drop for StopGuard {
     fn drop(&mut self) {
         let mut status = self.shared.status();
         status.failed = self.failed.take();
@@ -81,19 +81,19 @@
     waiters: Waiters<M::Outcome>,
     shared: Arc<Shared>,
     start: Instant,
-    looked: (Instant, SystemTime),
+    clock_sample: (Instant, SystemTime),
     applied: u64,
     snapshot_tried: u64,
     snapshot_size: usize,
-    told: Arc<Membership>,
-    led: bool,
+    configured: Arc<Membership>,
+    was_leader: bool,
 }
 
 impl<M: Machine, T: Transport> Core<M, T> {
     pub(super) fn new(
         id: NodeId,
         settings: ReplicaSettings,
-        memory: Memory,
+        saved: DurableState,
         machine: M,
         transport: T,
         writes: Sender<Write>,
@@ -105,7 +105,7 @@
             limits: settings.limits,
             safeguards: Safeguards::default(),
         };
-        let node = Node::new(config, memory, Duration::ZERO);
+        let node = Node::new(config, saved, Duration::ZERO);
         let shared = Arc::new(Shared::new(&node));
         Self {
             node,
@@ -116,28 +116,28 @@
             waiters: Waiters::default(),
             shared,
             start: Instant::now(),
-            looked: (Instant::now(), SystemTime::now()),
+            clock_sample: (Instant::now(), SystemTime::now()),
             applied: 0,
             snapshot_tried: 0,
             snapshot_size: 0,
-            told: Arc::default(),
-            led: false,
+            configured: Arc::default(),
+            was_leader: false,
         }
     }
 
     /// Restores the state machine from the snapshot.
-    pub(super) fn begin(mut self) -> Result<(Self, Arc<Shared>), StartError> {
-        self.settle().map_err(|why| StartError::Restore { why })?;
+    pub(super) fn restore_machine(mut self) -> Result<(Self, Arc<Shared>), StartError> {
+        self.advance().map_err(|why| StartError::Restore { why })?;
         let shared = Arc::clone(&self.shared);
         Ok((self, shared))
     }
 
     pub(super) fn run(mut self, inbox: &Receiver<Event<M::Outcome>>) {
-        let mut ending = Ending {
+        let mut guard = StopGuard {
             shared: Arc::clone(&self.shared),
             failed: Some(PANICKED.to_owned()),
         };
-        ending.failed = self.serve(inbox).err();
+        guard.failed = self.serve(inbox).err();
         self.waiters.stopped();
     }
 
@@ -149,24 +149,24 @@
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             };
-            self.watch_clock();
-            for event in first.into_iter().chain(inbox.try_iter().take(BATCH)) {
-                if !self.take(event)? {
+            self.check_clock();
+            for event in first.into_iter().chain(inbox.try_iter().take(EVENT_BATCH)) {
+                if !self.handle(event)? {
                     return Ok(());
                 }
             }
             self.step(Input::Tick);
-            self.settle()?;
+            self.advance()?;
         }
     }
 
-    fn watch_clock(&mut self) {
-        let (instant, wall) = self.looked;
-        self.looked = (Instant::now(), SystemTime::now());
-        let steady = self.looked.0.duration_since(instant);
-        let passed = self.looked.1.duration_since(wall).unwrap_or_default();
-        if passed > steady + CLOCK_LEAP {
-            self.step(Input::ClockDoubt);
+    fn check_clock(&mut self) {
+        let (instant, wall) = self.clock_sample;
+        self.clock_sample = (Instant::now(), SystemTime::now());
+        let steady = self.clock_sample.0.duration_since(instant);
+        let passed = self.clock_sample.1.duration_since(wall).unwrap_or_default();
+        if passed > steady + CLOCK_JUMP {
+            self.step(Input::ClockJump);
         }
     }
 
@@ -175,14 +175,14 @@
     }
 
     /// Handles one event; returns false if the replica is to stop.
-    fn take(&mut self, event: Event<M::Outcome>) -> Result<bool, String> {
+    fn handle(&mut self, event: Event<M::Outcome>) -> Result<bool, String> {
         match event {
             Event::Message(message) => {
-                self.shared.messages.fetch_sub(1, Ordering::Relaxed);
+                self.shared.pending_messages.fetch_sub(1, Ordering::Relaxed);
                 self.step(Input::Message(message));
             }
             Event::Request(request) => {
-                self.shared.requests.fetch_sub(1, Ordering::Relaxed);
+                self.shared.pending_requests.fetch_sub(1, Ordering::Relaxed);
                 self.request(request);
             }
             Event::Disk(results) => results.into_iter().for_each(|r| self.step(r)),
@@ -196,34 +196,34 @@
         if !request.claim.take() {
             return;
         }
-        match request.wanted {
-            Wanted::Propose { command, reply } => {
-                let ticket = self.waiters.ask(Waiter::Command(reply));
+        match request.operation {
+            Operation::Propose { command, reply } => {
+                let ticket = self.waiters.register(Waiter::Command(reply));
                 self.step(Input::Propose { ticket, command });
             }
-            Wanted::Read { reply } => {
-                let ticket = self.waiters.ask(Waiter::Index(reply));
+            Operation::Read { reply } => {
+                let ticket = self.waiters.register(Waiter::Index(reply));
                 self.step(Input::Read { ticket });
             }
-            Wanted::Change { change, reply } => {
-                let ticket = self.waiters.ask(Waiter::Index(reply));
+            Operation::Change { change, reply } => {
+                let ticket = self.waiters.register(Waiter::Index(reply));
                 self.step(Input::Change { ticket, change });
             }
-            Wanted::Transfer { to, reply } => {
-                let ticket = self.waiters.ask(Waiter::Done(reply));
+            Operation::Transfer { to, reply } => {
+                let ticket = self.waiters.register(Waiter::Done(reply));
                 self.step(Input::Transfer { ticket, to });
             }
-            Wanted::Backup { reply } => {
+            Operation::Backup { reply } => {
                 let sealed = frame::encode(self.applied, &self.machine.snapshot());
                 let _ = reply.try_send(Ok(sealed.into()));
             }
-            Wanted::Create {
+            Operation::Create {
                 member,
                 wanted,
                 state,
                 reply,
             } => {
-                let ticket = self.waiters.ask(Waiter::Done(reply));
+                let ticket = self.waiters.register(Waiter::Done(reply));
                 self.create(ticket, member, wanted, state);
             }
         }
@@ -235,13 +235,13 @@
         self.step(Input::Create {
             ticket,
             cluster: ClusterId(rand::rng().random()),
-            membership: Membership::first(member, wanted),
+            membership: Membership::initial(member, wanted),
             data,
         });
     }
 
     /// Performs the actions that the node requests.
-    fn settle(&mut self) -> Result<(), String> {
+    fn advance(&mut self) -> Result<(), String> {
         let output = self.node.output();
         if let Some(broken) = &output.broken {
             return Err(format!(
@@ -249,7 +249,7 @@
             ));
         }
         self.perform(output)?;
-        self.consider_snapshot();
+        self.maybe_snapshot();
         self.publish();
         Ok(())
     }
@@ -303,7 +303,7 @@
 
     /// Takes a snapshot once the log since the last one is larger than it, so that each byte is
     /// written about twice.
-    fn consider_snapshot(&mut self) {
+    fn maybe_snapshot(&mut self) {
         let latest = self.node.status().snapshot.max(self.snapshot_tried);
         let most = self.settings.snapshot_bytes.max(self.snapshot_size);
         if self.applied <= latest || self.node.cost_after(latest) < most {
@@ -321,13 +321,13 @@
     fn publish(&mut self) {
         let node = self.node.status();
         let leads = node.role == RoleName::Leader;
-        if self.led && !leads {
+        if self.was_leader && !leads {
             self.waiters.lost_leader();
         }
-        self.led = leads;
-        if self.told != node.membership {
-            self.told = Arc::clone(&node.membership);
-            self.transport.configure(&self.told);
+        self.was_leader = leads;
+        if self.configured != node.membership {
+            self.configured = Arc::clone(&node.membership);
+            self.transport.configure(&self.configured);
         }
         let lease = node.lease.map(|until| self.start + until);
         let mut status = self.shared.status();
--- a/crates/filbertstack-log/src/replica/error.rs
+++ b/crates/filbertstack-log/src/replica/error.rs
@@ -14,7 +14,7 @@
     Replaced,
     /// The request may have run, or may still run.
     #[error("it is not known whether it ran ({0}); ask again under the same request id")]
-    Unknown(Doubt),
+    Unknown(UnknownReason),
 }
 
 impl ProposeError {
@@ -26,7 +26,7 @@
 
 /// The reason why the outcome of a request is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Doubt {
+pub enum UnknownReason {
     /// The replica lost the leadership while the request was in progress.
     #[error("the leader changed")]
     LeaderLost,
--- a/crates/filbertstack-log/src/replica/mod.rs
+++ b/crates/filbertstack-log/src/replica/mod.rs
@@ -38,12 +38,12 @@
 use crate::node::RoleName;
 use crate::node::Write;
 use crate::replica::core::Core;
-pub use crate::replica::error::Doubt;
 pub use crate::replica::error::ProposeError;
 pub use crate::replica::error::StartError;
+pub use crate::replica::error::UnknownReason;
 use crate::replica::waiters::Claim;
+use crate::replica::waiters::Operation;
 use crate::replica::waiters::Request;
-use crate::replica::waiters::Wanted;
 use crate::storage::Storage;
 use crate::storage::StorageError;
 use crate::storage::disk::Disk;
@@ -76,10 +76,10 @@
     pub snapshot_bytes: usize,
     /// The largest number of messages that wait to be handled; further messages are dropped, as if
     /// the network had lost them.
-    pub inbox: usize,
+    pub pending_messages: usize,
     /// The largest number of requests that wait to be handled; further requests are refused as not
     /// run.
-    pub requests: usize,
+    pub pending_requests: usize,
     /// The size of a segment of the log on disk, in bytes.
     pub segment_bytes: u64,
 }
@@ -90,8 +90,8 @@
             timing: Timing::default(),
             limits: Limits::default(),
             snapshot_bytes: 4 << 20,
-            inbox: 4_096,
-            requests: 10_000,
+            pending_messages: 4_096,
+            pending_requests: 10_000,
             segment_bytes: crate::storage::SEGMENT_BYTES,
         }
     }
@@ -135,8 +135,8 @@
 /// The state that callers and threads share.
 struct Shared {
     status: Mutex<ReplicaStatus>,
-    messages: AtomicUsize,
-    requests: AtomicUsize,
+    pending_messages: AtomicUsize,
+    pending_requests: AtomicUsize,
 }
 
 impl Shared {
@@ -151,8 +151,8 @@
         };
         Self {
             status: Mutex::new(status),
-            messages: AtomicUsize::new(0),
-            requests: AtomicUsize::new(0),
+            pending_messages: AtomicUsize::new(0),
+            pending_requests: AtomicUsize::new(0),
         }
     }
 
@@ -186,12 +186,12 @@
         D::File: Send,
     {
         let fresh = NodeId(rand::rng().random());
-        let (storage, memory) = Storage::open_sized(disk, fresh, settings.segment_bytes)?;
+        let (storage, saved) = Storage::open_sized(disk, fresh, settings.segment_bytes)?;
         let (events, inbox) = mpsc::channel();
         let (writes, queue) = mpsc::channel();
         let id = storage.node();
-        let core = Core::new(id, settings, memory, machine, transport, writes);
-        let (core, shared) = core.begin()?;
+        let core = Core::new(id, settings, saved, machine, transport, writes);
+        let (core, shared) = core.restore_machine()?;
         let results = events.clone();
         let disk = spawn("log-disk", move || run_disk(storage, &queue, &results))?;
         let core = spawn("log-core", move || core.run(&inbox))?;
@@ -205,8 +205,10 @@
 
     /// Accepts a message from another replica.
     pub fn deliver(&self, message: Message) {
-        if self.shared.messages.fetch_add(1, Ordering::Relaxed) >= self.settings.inbox {
-            self.shared.messages.fetch_sub(1, Ordering::Relaxed);
+        if self.shared.pending_messages.fetch_add(1, Ordering::Relaxed)
+            >= self.settings.pending_messages
+        {
+            self.shared.pending_messages.fetch_sub(1, Ordering::Relaxed);
             return;
         }
         let _ = self.events.send(Event::Message(message));
@@ -223,7 +225,7 @@
         deadline: Instant,
     ) -> Result<Applied<M::Outcome>, ProposeError> {
         let command = command.into();
-        self.ask(deadline, |reply| Wanted::Propose { command, reply })
+        self.ask(deadline, |reply| Operation::Propose { command, reply })
     }
 
     /// Waits until every command accepted before the call is applied on this replica, and returns
@@ -234,7 +236,7 @@
     /// [`ProposeError::Unknown`] if the leadership was not confirmed in time. A read changes
     /// nothing in either case.
     pub fn read_barrier(&self, deadline: Instant) -> Result<u64, ProposeError> {
-        self.ask(deadline, |reply| Wanted::Read { reply })
+        self.ask(deadline, |reply| Operation::Read { reply })
     }
 
     /// Adds a member that copies the log without counting towards a majority.
@@ -259,10 +261,10 @@
                     ChangeError::Behind { .. }
                 )))
             );
-            if !behind || Instant::now() + POLL >= deadline {
+            if !behind || Instant::now() + POLL_INTERVAL >= deadline {
                 return result;
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -287,7 +289,7 @@
     /// # Errors
     /// Returns the errors of [`Replica::propose`].
     pub fn change(&self, change: Change, deadline: Instant) -> Result<u64, ProposeError> {
-        self.ask(deadline, |reply| Wanted::Change { change, reply })
+        self.ask(deadline, |reply| Operation::Change { change, reply })
     }
 
     /// Starts a transfer of the leadership to `to`, or to the voter with the longest log.
@@ -300,7 +302,7 @@
         to: Option<NodeId>,
         deadline: Instant,
     ) -> Result<(), ProposeError> {
-        self.ask(deadline, |reply| Wanted::Transfer { to, reply })
+        self.ask(deadline, |reply| Operation::Transfer { to, reply })
     }
 
     /// Creates a group with this replica as its only voter at first. The group takes commands once
@@ -316,7 +318,7 @@
         state: Option<Bytes>,
         deadline: Instant,
     ) -> Result<(), ProposeError> {
-        self.ask(deadline, |reply| Wanted::Create {
+        self.ask(deadline, |reply| Operation::Create {
             member,
             wanted,
             state,
@@ -329,7 +331,7 @@
     /// # Errors
     /// Returns [`ProposeError`] if the replica has stopped or the deadline passed.
     pub fn backup(&self, deadline: Instant) -> Result<Bytes, ProposeError> {
-        self.ask(deadline, |reply| Wanted::Backup { reply })
+        self.ask(deadline, |reply| Operation::Backup { reply })
     }
 
     /// Returns the current status of the replica.
@@ -343,7 +345,7 @@
         let until = Instant::now() + patience;
         if self.leads() && self.transfer_leader(None, until).is_ok() {
             while self.leads() && Instant::now() < until {
-                thread::sleep(POLL);
+                thread::sleep(POLL_INTERVAL);
             }
         }
         self.halt();
@@ -369,17 +371,19 @@
     fn ask<T>(
         &self,
         deadline: Instant,
-        wanted: impl FnOnce(waiters::Reply<T>) -> Wanted<M::Outcome>,
+        operation: impl FnOnce(waiters::Reply<T>) -> Operation<M::Outcome>,
     ) -> Result<T, ProposeError> {
-        if self.shared.requests.fetch_add(1, Ordering::Relaxed) >= self.settings.requests {
-            self.shared.requests.fetch_sub(1, Ordering::Relaxed);
+        if self.shared.pending_requests.fetch_add(1, Ordering::Relaxed)
+            >= self.settings.pending_requests
+        {
+            self.shared.pending_requests.fetch_sub(1, Ordering::Relaxed);
             return Err(Refusal::Busy.into());
         }
         let claim = Claim::default();
         let (reply, answer) = mpsc::sync_channel(1);
         let request = Request {
             claim: claim.clone(),
-            wanted: wanted(reply),
+            operation: operation(reply),
         };
         if self.events.send(Event::Request(request)).is_err() {
             return Err(Refusal::Stopped.into());
@@ -389,8 +393,12 @@
             Ok(result) => result,
             // The request has not been handled, and taking the claim ensures that it never will be.
             Err(_) if claim.take() => Err(Refusal::Busy.into()),
-            Err(mpsc::RecvTimeoutError::Timeout) => Err(ProposeError::Unknown(Doubt::Timeout)),
-            Err(mpsc::RecvTimeoutError::Disconnected) => Err(ProposeError::Unknown(Doubt::Stopped)),
+            Err(mpsc::RecvTimeoutError::Timeout) => {
+                Err(ProposeError::Unknown(UnknownReason::Timeout))
+            }
+            Err(mpsc::RecvTimeoutError::Disconnected) => {
+                Err(ProposeError::Unknown(UnknownReason::Stopped))
+            }
         }
     }
 }
@@ -414,7 +422,7 @@
 }
 
 /// The interval at which a stopping leader checks for its successor and a promotion is retried.
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<JoinHandle<()>, StartError> {
     let builder = thread::Builder::new().name(name.into());
--- a/crates/filbertstack-log/src/replica/waiters.rs
+++ b/crates/filbertstack-log/src/replica/waiters.rs
@@ -15,8 +15,8 @@
 use crate::membership::Member;
 use crate::node::Ticket;
 use crate::replica::Applied;
-use crate::replica::Doubt;
 use crate::replica::ProposeError;
+use crate::replica::UnknownReason;
 
 /// The channel on which a caller receives its answer.
 pub(super) type Reply<T> = SyncSender<Result<T, ProposeError>>;
@@ -36,11 +36,11 @@
 /// A request of a caller.
 pub(super) struct Request<T> {
     pub(super) claim: Claim,
-    pub(super) wanted: Wanted<T>,
+    pub(super) operation: Operation<T>,
 }
 
 /// The operation that a caller requests.
-pub(super) enum Wanted<T> {
+pub(super) enum Operation<T> {
     Propose {
         command: Bytes,
         reply: Reply<Applied<T>>,
@@ -88,7 +88,7 @@
 /// Holds all waiting callers.
 pub(super) struct Waiters<T> {
     next: u64,
-    asked: HashMap<Ticket, Waiter<T>>,
+    registered: HashMap<Ticket, Waiter<T>>,
     appended: BTreeMap<u64, (u64, Waiter<T>)>,
     reads: BTreeMap<(u64, Ticket), Reply<u64>>,
     creating: Vec<Reply<()>>,
@@ -98,7 +98,7 @@
     fn default() -> Self {
         Self {
             next: 0,
-            asked: HashMap::new(),
+            registered: HashMap::new(),
             appended: BTreeMap::new(),
             reads: BTreeMap::new(),
             creating: Vec::new(),
@@ -107,39 +107,39 @@
 }
 
 impl<T> Waiters<T> {
-    pub(super) fn ask(&mut self, waiter: Waiter<T>) -> Ticket {
+    pub(super) fn register(&mut self, waiter: Waiter<T>) -> Ticket {
         self.next += 1;
         let ticket = Ticket(self.next);
-        self.asked.insert(ticket, waiter);
+        self.registered.insert(ticket, waiter);
         ticket
     }
 
     pub(super) fn refuse(&mut self, ticket: Ticket, error: ProposeError) {
-        if let Some(waiter) = self.asked.remove(&ticket) {
+        if let Some(waiter) = self.registered.remove(&ticket) {
             waiter.fail(error);
         }
     }
 
     pub(super) fn appended(&mut self, ticket: Ticket, place: Position) {
-        if let Some(waiter) = self.asked.remove(&ticket) {
+        if let Some(waiter) = self.registered.remove(&ticket) {
             self.appended.insert(place.index, (place.term, waiter));
         }
     }
 
     pub(super) fn readable(&mut self, ticket: Ticket, index: u64) {
-        if let Some(Waiter::Index(reply)) = self.asked.remove(&ticket) {
+        if let Some(Waiter::Index(reply)) = self.registered.remove(&ticket) {
             self.reads.insert((index, ticket), reply);
         }
     }
 
     pub(super) fn done(&mut self, ticket: Ticket) {
-        if let Some(Waiter::Done(reply)) = self.asked.remove(&ticket) {
+        if let Some(Waiter::Done(reply)) = self.registered.remove(&ticket) {
             let _ = reply.try_send(Ok(()));
         }
     }
 
     pub(super) fn creating(&mut self, ticket: Ticket) {
-        if let Some(Waiter::Done(reply)) = self.asked.remove(&ticket) {
+        if let Some(Waiter::Done(reply)) = self.registered.remove(&ticket) {
             self.creating.push(reply);
         }
     }
@@ -165,7 +165,7 @@
             (Waiter::Index(reply), _) => {
                 let _ = reply.try_send(Ok(index));
             }
-            (waiter, _) => waiter.fail(ProposeError::Unknown(Doubt::LeaderLost)),
+            (waiter, _) => waiter.fail(ProposeError::Unknown(UnknownReason::LeaderLost)),
         }
     }
 
@@ -184,21 +184,21 @@
     /// leader may or may not commit them.
     pub(super) fn lost_leader(&mut self) {
         for (_, waiter) in std::mem::take(&mut self.appended).into_values() {
-            waiter.fail(ProposeError::Unknown(Doubt::LeaderLost));
+            waiter.fail(ProposeError::Unknown(UnknownReason::LeaderLost));
         }
     }
 
     pub(super) fn stopped(&mut self) {
-        let asked = std::mem::take(&mut self.asked).into_values();
+        let registered = std::mem::take(&mut self.registered).into_values();
         let appended = std::mem::take(&mut self.appended).into_values();
-        for waiter in asked.chain(appended.map(|(_, w)| w)) {
-            waiter.fail(ProposeError::Unknown(Doubt::Stopped));
+        for waiter in registered.chain(appended.map(|(_, w)| w)) {
+            waiter.fail(ProposeError::Unknown(UnknownReason::Stopped));
         }
         for reply in std::mem::take(&mut self.reads).into_values() {
-            let _ = reply.try_send(Err(ProposeError::Unknown(Doubt::Stopped)));
+            let _ = reply.try_send(Err(ProposeError::Unknown(UnknownReason::Stopped)));
         }
         for reply in self.creating.drain(..) {
-            let _ = reply.try_send(Err(ProposeError::Unknown(Doubt::Stopped)));
+            let _ = reply.try_send(Err(ProposeError::Unknown(UnknownReason::Stopped)));
         }
     }
 }
--- a/crates/filbertstack-log/src/storage/disk.rs
+++ b/crates/filbertstack-log/src/storage/disk.rs
@@ -90,7 +90,7 @@
 }
 
 /// The name of the file whose lock protects the folder.
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 
 impl Folder {
     /// Locks the folder and creates it if it does not exist.
@@ -111,7 +111,7 @@
             .write(true)
             .create(true)
             .truncate(false)
-            .open(path.join(LOCK))
+            .open(path.join(LOCK_FILE))
             .map_err(io)?;
         match lock.try_lock() {
             Ok(()) => Ok(Self { path, _lock: lock }),
@@ -134,7 +134,7 @@
         for item in fs::read_dir(&self.path)? {
             names.push(item?.file_name().to_string_lossy().into_owned());
         }
-        names.retain(|name| name != LOCK);
+        names.retain(|name| name != LOCK_FILE);
         names.sort();
         Ok(names)
     }
--- a/crates/filbertstack-log/src/storage/files.rs
+++ b/crates/filbertstack-log/src/storage/files.rs
@@ -44,7 +44,7 @@
     pub(super) hard: Option<HardState>,
     /// The position before the segment's first entry, unless that entry replaces earlier ones.
     #[prost(message, optional, tag = "5")]
-    pub(super) last: Option<Place>,
+    pub(super) last: Option<StoredPosition>,
 }
 
 /// Any later frame of a segment.
@@ -54,7 +54,7 @@
     pub(super) hard: Option<HardState>,
     /// The position after which the log restarts, if it does.
     #[prost(message, optional, tag = "2")]
-    pub(super) reset: Option<Place>,
+    pub(super) reset: Option<StoredPosition>,
     /// The entries to append; each replaces the log from its index on.
     #[prost(message, repeated, tag = "3")]
     pub(super) entries: Vec<Entry>,
@@ -66,14 +66,14 @@
 
 /// Stores a [`Position`] on disk.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub(super) struct Place {
+pub(super) struct StoredPosition {
     #[prost(uint64, tag = "1")]
     term: u64,
     #[prost(uint64, tag = "2")]
     index: u64,
 }
 
-impl From<Position> for Place {
+impl From<Position> for StoredPosition {
     fn from(at: Position) -> Self {
         Self {
             term: at.term,
@@ -82,8 +82,8 @@
     }
 }
 
-impl From<Place> for Position {
-    fn from(at: Place) -> Self {
+impl From<StoredPosition> for Position {
+    fn from(at: StoredPosition) -> Self {
         Self {
             term: at.term,
             index: at.index,
@@ -122,7 +122,7 @@
     format!("{SNAPSHOT}{index:020}")
 }
 
-pub(super) fn io(action: &'static str, name: &str, source: io::Error) -> StorageError {
+pub(super) fn io_error(action: &'static str, name: &str, source: io::Error) -> StorageError {
     StorageError::Io {
         action,
         file: name.to_owned(),
@@ -130,8 +130,8 @@
     }
 }
 
-pub(super) fn full(action: &'static str) -> StorageError {
-    io(action, "the data folder", io::ErrorKind::StorageFull.into())
+pub(super) fn full_error(action: &'static str) -> StorageError {
+    io_error(action, "the data folder", io::ErrorKind::StorageFull.into())
 }
 
 pub(super) fn damaged(name: &str, offset: usize, why: &'static str) -> StorageError {
@@ -154,7 +154,8 @@
 }
 
 fn names<D: Disk>(disk: &D) -> Result<Vec<String>, StorageError> {
-    disk.list().map_err(|e| io("list", "the data folder", e))
+    disk.list()
+        .map_err(|e| io_error("list", "the data folder", e))
 }
 
 /// Returns the numbers of the segments, in order.
@@ -183,21 +184,21 @@
     };
     write().map_err(|e| {
         let _ = disk.remove(&temporary);
-        io("write", name, e)
+        io_error("write", name, e)
     })
 }
 
 /// Removes temporary files that a crash left behind.
 pub(super) fn remove_temporary<D: Disk>(disk: &D) -> Result<(), StorageError> {
     for name in names(disk)?.iter().filter(|n| n.ends_with(TEMPORARY)) {
-        disk.remove(name).map_err(|e| io("remove", name, e))?;
+        disk.remove(name).map_err(|e| io_error("remove", name, e))?;
     }
     Ok(())
 }
 
 /// Returns the payload of a file that consists of one frame.
 fn read_single<D: Disk>(disk: &D, name: &str) -> Result<Bytes, StorageError> {
-    let bytes = Bytes::from(disk.read(name).map_err(|e| io("read", name, e))?);
+    let bytes = Bytes::from(disk.read(name).map_err(|e| io_error("read", name, e))?);
     let frames = frame::decode(&bytes);
     match (frames.payloads.as_slice(), frames.end) {
         // The payload is a slice of the bytes read, not a copy: a snapshot may be large.
@@ -211,7 +212,7 @@
 /// The first segment is written before the identity. An identity without a log therefore means that
 /// the log was lost. A log without an identity comes from an interrupted first start, if it holds
 /// no records yet.
-pub(super) fn identity<D: Disk>(disk: &D, fresh: NodeId) -> Result<NodeId, StorageError> {
+pub(super) fn load_identity<D: Disk>(disk: &D, fresh: NodeId) -> Result<NodeId, StorageError> {
     let names = names(disk)?;
     let numbers = segment_numbers(disk)?;
     if names.iter().any(|n| n == IDENTITY) {
@@ -226,25 +227,25 @@
         return Ok(NodeId(identity.node));
     }
     let held = names.iter().any(|n| n.starts_with(SNAPSHOT));
-    if held || numbers.iter().any(|n| *n != 1) || used(disk, &numbers)? {
+    if held || numbers.iter().any(|n| *n != 1) || has_records(disk, &numbers)? {
         let file = IDENTITY.to_owned();
         return Err(StorageError::Missing { file });
     }
-    begin(disk, fresh)?;
+    initialise(disk, fresh)?;
     Ok(fresh)
 }
 
 /// Returns whether the first segment holds more than its header.
-fn used<D: Disk>(disk: &D, numbers: &[u64]) -> Result<bool, StorageError> {
+fn has_records<D: Disk>(disk: &D, numbers: &[u64]) -> Result<bool, StorageError> {
     if numbers.is_empty() {
         return Ok(false);
     }
     let name = segment_name(1);
-    let bytes = disk.read(&name).map_err(|e| io("read", &name, e))?;
+    let bytes = disk.read(&name).map_err(|e| io_error("read", &name, e))?;
     Ok(frame::decode(&bytes).payloads.len() != 1)
 }
 
-fn begin<D: Disk>(disk: &D, fresh: NodeId) -> Result<(), StorageError> {
+fn initialise<D: Disk>(disk: &D, fresh: NodeId) -> Result<(), StorageError> {
     let none = HardState::default();
     let header = header(fresh, 1, none, Position::default());
     write_whole(disk, &segment_name(1), &frame::encode(0, &header))?;
@@ -268,14 +269,14 @@
 }
 
 /// Writes a snapshot, which is durable on return.
-pub(super) fn keep_snapshot<D: Disk>(disk: &D, snapshot: &Snapshot) -> Result<(), StorageError> {
+pub(super) fn write_snapshot<D: Disk>(disk: &D, snapshot: &Snapshot) -> Result<(), StorageError> {
     let bytes = frame::encode(snapshot.index, &snapshot.encode_to_vec());
     write_whole(disk, &snapshot_name(snapshot.index), &bytes)?;
     Ok(())
 }
 
 /// Removes all snapshots older than `kept`.
-pub(super) fn drop_snapshots<D: Disk>(disk: &D, kept: &str) {
+pub(super) fn remove_snapshots<D: Disk>(disk: &D, kept: &str) {
     let names = disk.list().unwrap_or_default();
     let old = names
         .iter()
--- a/crates/filbertstack-log/src/storage/mod.rs
+++ b/crates/filbertstack-log/src/storage/mod.rs
@@ -17,8 +17,8 @@
 use crate::message::Entry;
 use crate::message::HardState;
 use crate::message::Snapshot;
+use crate::node::DurableState;
 use crate::node::Input;
-use crate::node::Memory;
 use crate::node::Write;
 use crate::storage::disk::Disk;
 use crate::storage::disk::DiskFile;
@@ -40,13 +40,13 @@
     disk: D,
     node: NodeId,
     file: D::File,
-    size: u64,
-    frame: u64,
+    current_size: u64,
+    next_frame: u64,
     segments: Vec<Segment>,
     hard: HardState,
     last: Position,
-    snapshot: u64,
-    refused: u64,
+    snapshot_index: u64,
+    refused_epoch: u64,
     segment_bytes: u64,
 }
 
@@ -56,7 +56,7 @@
     /// # Errors
     /// Returns [`StorageError`] if the folder cannot be used; nothing but temporary files was then
     /// changed in it.
-    pub fn open(disk: D, fresh: NodeId) -> Result<(Self, Memory), StorageError> {
+    pub fn open(disk: D, fresh: NodeId) -> Result<(Self, DurableState), StorageError> {
         Self::open_sized(disk, fresh, SEGMENT_BYTES)
     }
 
@@ -68,26 +68,26 @@
         disk: D,
         fresh: NodeId,
         segment_bytes: u64,
-    ) -> Result<(Self, Memory), StorageError> {
+    ) -> Result<(Self, DurableState), StorageError> {
         files::remove_temporary(&disk)?;
-        let node = files::identity(&disk, fresh)?;
+        let node = files::load_identity(&disk, fresh)?;
         let snapshot = files::read_snapshot(&disk)?;
         let mut replay = Replay::read(&disk, node)?;
         let written = replay.last();
         let entries = replay.take_after(snapshot.as_ref())?;
-        let file = files::write_whole(&disk, &replay.newest(), &replay.tail)?;
+        let file = files::write_whole(&disk, &replay.newest_name(), &replay.tail)?;
         let covered = snapshot.as_ref().map(Snapshot::position);
         let mut storage = Self {
             disk,
             node,
             file,
-            size: replay.tail.len() as u64,
-            frame: replay.next_frame,
+            current_size: replay.tail.len() as u64,
+            next_frame: replay.next_frame,
             segments: replay.segments.clone(),
             hard: replay.hard,
             last: written,
-            snapshot: covered.map_or(0, |place| place.index),
-            refused: 0,
+            snapshot_index: covered.map_or(0, |place| place.index),
+            refused_epoch: 0,
             segment_bytes,
         };
         let last = entries.last().map(Entry::position).or(covered);
@@ -95,14 +95,14 @@
         // A snapshot of a leader was stored and the log was not reset before the crash: the log on
         // disk ends elsewhere.
         if written != storage.last && !storage.reset(storage.last)? {
-            return Err(files::full("reset the log in"));
+            return Err(files::full_error("reset the log in"));
         }
-        let memory = Memory {
+        let saved = DurableState {
             hard: storage.hard,
             snapshot,
             entries,
         };
-        Ok((storage, memory))
+        Ok((storage, saved))
     }
 
     /// Returns the identity of the replica.
@@ -120,15 +120,15 @@
         let mut results = Vec::new();
         let mut batch = Batch::default();
         for write in writes {
-            if write.epoch < self.refused {
+            if write.epoch < self.refused_epoch {
                 continue;
             }
             batch.add(&write);
             if let Some(snapshot) = &write.snapshot {
                 self.flush(&mut batch, &mut results)?;
-                if write.epoch >= self.refused {
-                    let kept = self.take_snapshot(snapshot, write.install)?;
-                    results.extend((!kept).then_some(Input::SnapshotLost { seq: write.seq }));
+                if write.epoch >= self.refused_epoch {
+                    let kept = self.store_snapshot(snapshot, write.install)?;
+                    results.extend((!kept).then_some(Input::SnapshotFailed { seq: write.seq }));
                     results.push(Input::Written { seq: write.seq });
                 }
             }
@@ -146,29 +146,29 @@
             return Ok(());
         }
         if self.append(&batch.record)? {
-            if !batch.snapshot {
+            if !batch.has_snapshot {
                 results.push(Input::Written { seq: last });
             }
         } else {
-            self.refused = batch.epoch + 1;
-            results.push(Input::Refused { seq: first });
+            self.refused_epoch = batch.epoch + 1;
+            results.push(Input::WriteRefused { seq: first });
         }
         Ok(())
     }
 
     /// Stores a snapshot; returns false if the disk is full.
-    fn take_snapshot(&mut self, snapshot: &Snapshot, install: bool) -> Result<bool, StorageError> {
-        match files::keep_snapshot(&self.disk, snapshot) {
+    fn store_snapshot(&mut self, snapshot: &Snapshot, install: bool) -> Result<bool, StorageError> {
+        match files::write_snapshot(&self.disk, snapshot) {
             Err(StorageError::Io { source, .. }) if is_full(&source) => return Ok(false),
             other => other?,
         }
-        self.snapshot = snapshot.index;
+        self.snapshot_index = snapshot.index;
         // Until this record is written the old log stays valid; after a crash in between, the next
         // start uses the snapshot.
         if install && !self.reset(snapshot.position())? {
             return Ok(false);
         }
-        self.drop_covered();
+        self.remove_covered();
         Ok(true)
     }
 
@@ -186,37 +186,37 @@
         if !self.append_frame(record)? {
             return Ok(false);
         }
-        self.frame += 1;
-        self.note(record);
-        if self.size >= self.segment_bytes {
+        self.next_frame += 1;
+        self.note_record(record);
+        if self.current_size >= self.segment_bytes {
             self.rotate()?;
         }
         Ok(true)
     }
 
     fn append_frame(&mut self, record: &Record) -> Result<bool, StorageError> {
-        let bytes = frame::encode(self.frame, &files::encode(record));
-        let name = segment_name(self.number());
+        let bytes = frame::encode(self.next_frame, &files::encode(record));
+        let name = segment_name(self.segment_number());
         if let Err(source) = self.file.append(&bytes) {
             if !is_full(&source) {
-                return Err(files::io("append to", &name, source));
+                return Err(files::io_error("append to", &name, source));
             }
             let cut = self
                 .file
-                .truncate(self.size)
+                .truncate(self.current_size)
                 .and_then(|()| self.file.sync());
-            cut.map_err(|e| files::io("cut", &name, e))?;
+            cut.map_err(|e| files::io_error("cut", &name, e))?;
             return Ok(false);
         }
         // After a failed sync the kernel may drop the unwritten pages and report the next sync as a
         // success. Only a restart determines what the disk holds.
         let synced = self.file.sync();
         synced.map_err(|source| StorageError::Sync { file: name, source })?;
-        self.size += bytes.len() as u64;
+        self.current_size += bytes.len() as u64;
         Ok(true)
     }
 
-    fn note(&mut self, record: &Record) {
+    fn note_record(&mut self, record: &Record) {
         self.hard = record.hard.unwrap_or(self.hard);
         if let Some(reset) = record.reset {
             self.last = reset.into();
@@ -234,9 +234,9 @@
     /// Starts the next segment. If the disk has no space for it, the current segment continues to
     /// grow.
     fn rotate(&mut self) -> Result<(), StorageError> {
-        let number = self.number() + 1;
+        let number = self.segment_number() + 1;
         let header = files::header(self.node, number, self.hard, self.last);
-        let bytes = frame::encode(self.frame, &header);
+        let bytes = frame::encode(self.next_frame, &header);
         let file = match files::write_whole(&self.disk, &segment_name(number), &bytes) {
             Err(StorageError::Io { source, .. }) if is_full(&source) => return Ok(()),
             other => other?,
@@ -251,28 +251,28 @@
         };
         self.append_frame(&close)?;
         self.file = file;
-        self.frame += 1;
-        self.size = bytes.len() as u64;
+        self.next_frame += 1;
+        self.current_size = bytes.len() as u64;
         let last = self.last.index;
         self.segments.push(Segment { number, last });
-        self.drop_covered();
+        self.remove_covered();
         Ok(())
     }
 
     /// Removes the segments and snapshots that the latest snapshot covers. A file that cannot be
     /// removed only takes space; the next call tries again.
-    fn drop_covered(&mut self) {
-        while self.segments.len() > 1 && self.segments[0].last <= self.snapshot {
+    fn remove_covered(&mut self) {
+        while self.segments.len() > 1 && self.segments[0].last <= self.snapshot_index {
             let name = segment_name(self.segments[0].number);
             if self.disk.remove(&name).is_err() {
                 return;
             }
             self.segments.remove(0);
         }
-        files::drop_snapshots(&self.disk, &snapshot_name(self.snapshot));
+        files::remove_snapshots(&self.disk, &snapshot_name(self.snapshot_index));
     }
 
-    fn number(&self) -> u64 {
+    fn segment_number(&self) -> u64 {
         self.segments.last().map_or(1, |s| s.number)
     }
 }
@@ -283,7 +283,7 @@
     record: Record,
     span: Option<(u64, u64)>,
     epoch: u64,
-    snapshot: bool,
+    has_snapshot: bool,
 }
 
 impl Batch {
@@ -291,7 +291,7 @@
         let first = self.span.map_or(write.seq, |(first, _)| first);
         self.span = Some((first, write.seq));
         self.epoch = write.epoch;
-        self.snapshot = write.snapshot.is_some();
+        self.has_snapshot = write.snapshot.is_some();
         if write.hard.is_some() {
             self.record.hard = write.hard;
         }
--- a/crates/filbertstack-log/src/storage/replay.rs
+++ b/crates/filbertstack-log/src/storage/replay.rs
@@ -42,7 +42,9 @@
                 return Err(StorageError::Missing { file });
             }
             let name = segment_name(*number);
-            let bytes = disk.read(&name).map_err(|e| files::io("read", &name, e))?;
+            let bytes = disk
+                .read(&name)
+                .map_err(|e| files::io_error("read", &name, e))?;
             replay.read_segment(&name, *number, node, bytes)?;
         }
         if replay.closed {
@@ -71,10 +73,10 @@
         if !self.segments.is_empty() && frames.first != self.next_frame {
             return Err(damaged(name, 0, "records before it are missing"));
         }
-        self.begin(name, number, node, head)?;
+        self.read_header(name, number, node, head)?;
         self.closed = false;
         for record in records {
-            self.take(name, record)?;
+            self.apply_record(name, record)?;
         }
         let counted = frames.payloads.len() - usize::from(self.closed);
         self.next_frame = frames.first + counted as u64;
@@ -84,7 +86,7 @@
         Ok(())
     }
 
-    fn begin(
+    fn read_header(
         &mut self,
         name: &str,
         number: u64,
@@ -107,7 +109,7 @@
         Ok(())
     }
 
-    fn take(&mut self, name: &str, payload: &[u8]) -> Result<(), StorageError> {
+    fn apply_record(&mut self, name: &str, payload: &[u8]) -> Result<(), StorageError> {
         let record = Record::decode(Bytes::copy_from_slice(payload));
         let record = record.map_err(|_| damaged(name, 0, "a record does not decode"))?;
         self.hard = record.hard.unwrap_or(self.hard);
@@ -117,12 +119,12 @@
             self.base = reset.into();
         }
         for entry in record.entries {
-            self.push(name, entry)?;
+            self.apply_entry(name, entry)?;
         }
         Ok(())
     }
 
-    fn push(&mut self, name: &str, entry: Entry) -> Result<(), StorageError> {
+    fn apply_entry(&mut self, name: &str, entry: Entry) -> Result<(), StorageError> {
         let last = self.last().index;
         if entry.index > last + 1 || entry.index == 0 {
             return Err(damaged(name, 0, "entries are missing"));
@@ -144,7 +146,7 @@
     }
 
     /// Returns the name of the newest segment, which receives new records.
-    pub(super) fn newest(&self) -> String {
+    pub(super) fn newest_name(&self) -> String {
         segment_name(self.segments.last().map_or(1, |s| s.number))
     }
 
--- a/crates/filbertstack-log/tests/log/broken.rs
+++ b/crates/filbertstack-log/tests/log/broken.rs
@@ -175,7 +175,7 @@
 /// A new leader serves a read before it knows how far its predecessor had committed.
 #[test]
 fn a_read_before_the_term_is_opened_is_noticed() {
-    finds(without(|s| s.opened_reads = false), stale);
+    finds(without(|s| s.read_after_noop = false), stale);
 }
 
 /// A leader stands still with answers to its heartbeats in its sockets, is replaced meanwhile,
@@ -251,7 +251,7 @@
             world.run(ms(100));
         }
     }
-    catches(scenario, 3, without(|s| s.sticky = false), stale);
+    catches(scenario, 3, without(|s| s.sticky_leader = false), stale);
 }
 
 /// A leader that bade a voter to campaign hears nothing of the new leader, and goes on serving
@@ -313,7 +313,12 @@
         world.run(ms(1_000));
     }
     let replaced = |v: &Violation| matches!(v, Violation::Diverged { .. } | Violation::Broken(_));
-    catches(scenario, 5, without(|s| s.own_term = false), replaced);
+    catches(
+        scenario,
+        5,
+        without(|s| s.commit_own_term = false),
+        replaced,
+    );
 }
 
 /// The term of a group whose follower was cut off for long and comes back.
--- a/crates/filbertstack-log/tests/log/formation.rs
+++ b/crates/filbertstack-log/tests/log/formation.rs
@@ -65,10 +65,10 @@
         name: name.into(),
         address: format!("{name}:1"),
     };
-    let mut now = Membership::first(member("a"), 3);
+    let mut now = Membership::initial(member("a"), 3);
     let mut changes = Vec::new();
     while let Some(change) = Formation::next(&now, &listed(), &heard) {
-        now = now.after(&change).unwrap();
+        now = now.with_change(&change).unwrap();
         changes.push(change);
     }
     let expected = [
@@ -112,7 +112,7 @@
     let member = group.slots[at].member();
     replica.create(member.clone(), 3, None, soon()).unwrap();
     let again = replica.create(member, 3, None, soon());
-    assert_eq!(again, Err(ProposeError::Refused(Refusal::Grouped)));
+    assert_eq!(again, Err(ProposeError::Refused(Refusal::AlreadyGrouped)));
     let put = Put {
         request: 1,
         key: 1,
--- a/crates/filbertstack-log/tests/log/node.rs
+++ b/crates/filbertstack-log/tests/log/node.rs
@@ -9,13 +9,13 @@
 use filbertstack_log::Body;
 use filbertstack_log::Change;
 use filbertstack_log::ChangeError;
+use filbertstack_log::DurableState;
 use filbertstack_log::Entry;
 use filbertstack_log::HardState;
 use filbertstack_log::Input;
 use filbertstack_log::Limits;
 use filbertstack_log::Member;
 use filbertstack_log::Membership;
-use filbertstack_log::Memory;
 use filbertstack_log::Message;
 use filbertstack_log::Node;
 use filbertstack_log::NodeConfig;
@@ -47,13 +47,13 @@
 }
 
 /// Node 2 of a group of 1, 2 and 3, in term 4.
-fn memory() -> Memory {
+fn memory() -> DurableState {
     let membership = Membership {
         voters: (1..=3).map(member).collect(),
         learners: Vec::new(),
         forming: 0,
     };
-    Memory {
+    DurableState {
         hard: HardState {
             term: 4,
             vote: 0,
@@ -79,7 +79,7 @@
             uncommitted_bytes: 10_000,
             command_bytes: 4_000,
             append_bytes: 100,
-            inflight: 3,
+            inflight_appends: 3,
             ..Limits::default()
         },
         safeguards: Safeguards::default(),
--- a/crates/filbertstack-log/tests/log/replica.rs
+++ b/crates/filbertstack-log/tests/log/replica.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use filbertstack_log::Doubt;
 use filbertstack_log::ProposeError;
 use filbertstack_log::Refusal;
 use filbertstack_log::RoleName;
+use filbertstack_log::UnknownReason;
 
 use crate::support::disk::Wrong;
 use crate::support::machine::POISON;
@@ -191,7 +191,7 @@
         value: 0,
     };
     let ended = replica.propose(put.encode(), soon());
-    assert!(ended.is_ok() || ended == Err(ProposeError::Unknown(Doubt::Stopped)));
+    assert!(ended.is_ok() || ended == Err(ProposeError::Unknown(UnknownReason::Stopped)));
     wait_for("stop", || replica.status().failed);
     assert!(replica.read_barrier(soon()).is_err());
     group.put(2);
@@ -215,7 +215,7 @@
         value: 1,
     };
     let ended = replica.propose(put.encode(), soon());
-    assert_eq!(ended, Err(ProposeError::Unknown(Doubt::Stopped)));
+    assert_eq!(ended, Err(ProposeError::Unknown(UnknownReason::Stopped)));
     let why = wait_for("stop", || replica.status().failed);
     assert!(why.contains("panicked"));
     assert_ne!(replica.status().node.role, RoleName::Leader);
--- a/crates/filbertstack-log/tests/log/storage.rs
+++ b/crates/filbertstack-log/tests/log/storage.rs
@@ -1,13 +1,13 @@
 //! The data folder: what a crash, damage, a full disk and a second process do.
 
 use bytes::Bytes;
+use filbertstack_log::DurableState;
 use filbertstack_log::Entry;
 use filbertstack_log::EntryKind;
 use filbertstack_log::HardState;
 use filbertstack_log::Input;
 use filbertstack_log::Member;
 use filbertstack_log::Membership;
-use filbertstack_log::Memory;
 use filbertstack_log::NodeId;
 use filbertstack_log::Snapshot;
 use filbertstack_log::Write;
@@ -57,13 +57,13 @@
     Snapshot {
         index,
         term,
-        membership: Membership::first(member, 1),
+        membership: Membership::initial(member, 1),
         cluster: 9,
         data: Bytes::from(vec![1; 3000]),
     }
 }
 
-fn open(disk: &MemoryDisk) -> Result<(Storage<MemoryDisk>, Memory), StorageError> {
+fn open(disk: &MemoryDisk) -> Result<(Storage<MemoryDisk>, DurableState), StorageError> {
     Storage::open_sized(disk.clone(), NODE, 600)
 }
 
@@ -286,7 +286,7 @@
         ..Wrong::default()
     });
     let refused = storage.write(vec![write(11, vec![entry(11, 1)])]).unwrap();
-    assert!(matches!(refused[..], [Input::Refused { seq: 11 }]));
+    assert!(matches!(refused[..], [Input::WriteRefused { seq: 11 }]));
     disk.set_wrong(Wrong::default());
     let queued = storage.write(vec![write(12, vec![entry(12, 1)])]).unwrap();
     assert!(queued.is_empty(), "it builds on what was refused");
@@ -342,7 +342,7 @@
     let dir = tempfile::tempdir().unwrap();
     let folder = Folder::lock(dir.path()).unwrap();
     let (mut storage, memory) = Storage::open_sized(folder, NODE, 300).unwrap();
-    assert_eq!(memory, Memory::default());
+    assert_eq!(memory, DurableState::default());
     for index in 1..=20 {
         let mut next = write(index, vec![entry(index, 1)]);
         next.snapshot = (index == 12).then(|| snapshot(10, 1));
--- a/crates/filbertstack-log/tests/log/support/events.rs
+++ b/crates/filbertstack-log/tests/log/support/events.rs
@@ -224,7 +224,7 @@
             .get(usize::from(pick) % members.len().max(1))
             .copied();
         let Some(node) = lost.or(other) else { return };
-        let Ok(after) = membership.after(&Change::Remove(node)) else {
+        let Ok(after) = membership.with_change(&Change::Remove(node)) else {
             return;
         };
         if self.alive(&after) >= after.quorum() && after.voters.len() > 1 {
--- a/crates/filbertstack-log/tests/log/support/world.rs
+++ b/crates/filbertstack-log/tests/log/support/world.rs
@@ -328,7 +328,7 @@
         for at in 0..self.slots.len() {
             if self.slots[at].frozen_until <= self.now {
                 if std::mem::take(&mut self.slots[at].suspended) && !self.variant.trusts_clock {
-                    self.input(at, Input::ClockDoubt);
+                    self.input(at, Input::ClockJump);
                 }
                 let mut waiting = std::mem::take(&mut self.slots[at].inbox);
                 if self.rng.random() {
@@ -367,7 +367,7 @@
         match running.storage.write(batch) {
             Ok(results) => {
                 for result in results {
-                    let refused = matches!(result, Input::Refused { .. });
+                    let refused = matches!(result, Input::WriteRefused { .. });
                     self.checker.seen.refusals += usize::from(refused);
                     self.input(at, result);
                 }
@@ -489,7 +489,7 @@
 fn small() -> Limits {
     Limits {
         append_bytes: 100,
-        inflight: 3,
+        inflight_appends: 3,
         piece_bytes: 64,
         kept_entries: 3,
         ..Limits::default()
