--- a/crates/filbertstack-entry/src/voter.rs
+++ b/crates/filbertstack-entry/src/voter.rs
@@ -302,7 +302,7 @@
 
     fn repair(&self, membership: &Membership) {
         let heard = self.hear();
-        let change = Formation::next(membership, &self.listed, &heard)
+        let change = Formation::next_change(membership, &self.listed, &heard)
             .or_else(|| replacement(membership, &self.listed, &heard));
         let Some(change) = change else {
             return;
--- a/crates/filbertstack-log/src/formation.rs
+++ b/crates/filbertstack-log/src/formation.rs
@@ -61,7 +61,7 @@
     ///
     /// The leader proposes it again until this function returns `None`. A promotion that is refused
     /// because the learner lags is proposed again later.
-    pub fn next(
+    pub fn next_change(
         membership: &Membership,
         listed: &[String],
         announcements: &[Announcement],
--- a/crates/filbertstack-log/tests/log/formation.rs
+++ b/crates/filbertstack-log/tests/log/formation.rs
@@ -67,7 +67,7 @@
     };
     let mut now = Membership::initial(member("a"), 3);
     let mut changes = Vec::new();
-    while let Some(change) = Formation::next(&now, &listed(), &heard) {
+    while let Some(change) = Formation::next_change(&now, &listed(), &heard) {
         now = now.with_change(&change).unwrap();
         changes.push(change);
     }
