--- a/crates/filbertstack-entry/src/machine.rs
+++ b/crates/filbertstack-entry/src/machine.rs
@@ -8,7 +8,7 @@
 use filbertstack_control::ControlState;
 use filbertstack_control::RestoreError;
 use filbertstack_control::outcome::Outcome;
-use filbertstack_log::Machine;
+use filbertstack_log::StateMachine;
 
 use crate::view::Reached;
 use crate::view::Views;
@@ -64,7 +64,7 @@
     }
 }
 
-impl Machine for ControlMachine {
+impl StateMachine for ControlMachine {
     type Outcome = Outcome;
     type RestoreError = RestoreError;
 
--- a/crates/filbertstack-gateway/src/control/machine.rs
+++ b/crates/filbertstack-gateway/src/control/machine.rs
@@ -5,7 +5,7 @@
 use filbertstack_control::document::Documents;
 use filbertstack_control::document::Effect;
 use filbertstack_control::document::ImageError;
-use filbertstack_log::Machine;
+use filbertstack_log::StateMachine;
 use tokio::sync::watch;
 
 /// Applies the log's commands and shows each new state to those who watch.
@@ -28,7 +28,7 @@
     }
 }
 
-impl Machine for DocumentMachine {
+impl StateMachine for DocumentMachine {
     type Outcome = Effect;
     type RestoreError = ImageError;
 
--- a/crates/filbertstack-log/benches/group/mod.rs
+++ b/crates/filbertstack-log/benches/group/mod.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use filbertstack_log::Machine;
 use filbertstack_log::Member;
 use filbertstack_log::Message;
 use filbertstack_log::NodeId;
 use filbertstack_log::Replica;
 use filbertstack_log::ReplicaSettings;
 use filbertstack_log::RoleName;
+use filbertstack_log::StateMachine;
 use filbertstack_log::Transport;
 use filbertstack_log::storage::disk::Folder;
 use tempfile::TempDir;
@@ -26,7 +26,7 @@
 #[derive(Default)]
 pub struct Count(u64);
 
-impl Machine for Count {
+impl StateMachine for Count {
     type Outcome = u64;
     type RestoreError = Infallible;
 
--- a/crates/filbertstack-log/src/lib.rs
+++ b/crates/filbertstack-log/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Node`] implements the protocol. It has no thread, clock, network or disk; its inputs are
 //! messages, the time, proposals and the results of writes. [`storage::Storage`] keeps the durable
 //! state in one data folder. [`Replica`] runs both with threads, applies committed commands to a
-//! [`Machine`] and sends messages through a [`Transport`].
+//! [`StateMachine`] and sends messages through a [`Transport`].
 
 mod config;
 mod entries;
@@ -24,7 +24,7 @@
 pub use ids::ClusterId;
 pub use ids::NodeId;
 pub use ids::Position;
-pub use machine::Machine;
+pub use machine::StateMachine;
 pub use membership::Change;
 pub use membership::ChangeError;
 pub use membership::MAX_VOTERS;
--- a/crates/filbertstack-log/src/machine.rs
+++ b/crates/filbertstack-log/src/machine.rs
@@ -3,7 +3,7 @@
 use std::error::Error;
 
 /// Applies commands deterministically: the same commands give the same state on every replica.
-pub trait Machine: Send + 'static {
+pub trait StateMachine: Send + 'static {
     /// The result of one command, returned to its proposer.
     type Outcome: Send + 'static;
     /// The error for a snapshot that cannot be restored.
--- a/crates/filbertstack-log/src/message.rs
+++ b/crates/filbertstack-log/src/message.rs
@@ -77,7 +77,7 @@
     /// The cluster that the snapshot belongs to.
     #[prost(fixed64, tag = "4")]
     pub cluster: u64,
-    /// The bytes that [`Machine::snapshot`](crate::Machine::snapshot) returned.
+    /// The bytes that [`StateMachine::snapshot`](crate::StateMachine::snapshot) returned.
     #[prost(bytes = "bytes", tag = "5")]
     pub data: Bytes,
 }
--- a/crates/filbertstack-log/src/replica/core.rs
+++ b/crates/filbertstack-log/src/replica/core.rs
@@ -15,7 +15,7 @@
 use crate::config::Safeguards;
 use crate::ids::ClusterId;
 use crate::ids::NodeId;
-use crate::machine::Machine;
+use crate::machine::StateMachine;
 use crate::membership::Member;
 use crate::membership::Membership;
 use crate::message::Entry;
@@ -72,7 +72,7 @@
 }
 
 /// Holds the protocol, the state machine and the waiting callers.
-pub(super) struct Core<M: Machine, T: Transport> {
+pub(super) struct Core<M: StateMachine, T: Transport> {
     node: Node,
     settings: ReplicaSettings,
     machine: M,
@@ -89,7 +89,7 @@
     was_leader: bool,
 }
 
-impl<M: Machine, T: Transport> Core<M, T> {
+impl<M: StateMachine, T: Transport> Core<M, T> {
     pub(super) fn new(
         id: NodeId,
         settings: ReplicaSettings,
--- a/crates/filbertstack-log/src/replica/mod.rs
+++ b/crates/filbertstack-log/src/replica/mod.rs
@@ -25,7 +25,7 @@
 use crate::config::Timing;
 use crate::ids::ClusterId;
 use crate::ids::NodeId;
-use crate::machine::Machine;
+use crate::machine::StateMachine;
 use crate::membership::Change;
 use crate::membership::ChangeError;
 use crate::membership::Member;
@@ -162,14 +162,14 @@
 }
 
 /// Runs one replica of a state machine. Dropping it stops it at once; see [`Replica::stop`].
-pub struct Replica<M: Machine> {
+pub struct Replica<M: StateMachine> {
     shared: Arc<Shared>,
     settings: ReplicaSettings,
     events: Sender<Event<M::Outcome>>,
     threads: Mutex<Vec<JoinHandle<()>>>,
 }
 
-impl<M: Machine> Replica<M> {
+impl<M: StateMachine> Replica<M> {
     /// Opens the disk and starts the threads. The state machine is first restored from the
     /// snapshot; later entries are applied once the group has a leader.
     ///
@@ -403,7 +403,7 @@
     }
 }
 
-impl<M: Machine> Drop for Replica<M> {
+impl<M: StateMachine> Drop for Replica<M> {
     fn drop(&mut self) {
         self.halt();
     }
--- a/crates/filbertstack-log/tests/log/support/events.rs
+++ b/crates/filbertstack-log/tests/log/support/events.rs
@@ -6,11 +6,11 @@
 use bytes::Bytes;
 use filbertstack_log::Change;
 use filbertstack_log::Input;
-use filbertstack_log::Machine as _;
 use filbertstack_log::Member;
 use filbertstack_log::Membership;
 use filbertstack_log::NodeId;
 use filbertstack_log::RoleName;
+use filbertstack_log::StateMachine as _;
 use filbertstack_log::Ticket;
 
 use crate::support::checker::Violation;
--- a/crates/filbertstack-log/tests/log/support/machine.rs
+++ b/crates/filbertstack-log/tests/log/support/machine.rs
@@ -5,7 +5,7 @@
 use std::sync::Mutex;
 
 use bytes::Bytes;
-use filbertstack_log::Machine;
+use filbertstack_log::StateMachine;
 
 /// Sets `key` to `value`; a request that was seen changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -68,7 +68,7 @@
     }
 }
 
-impl Machine for Map {
+impl StateMachine for Map {
     type Outcome = u64;
     type RestoreError = NotMap;
 
