--- a/crates/filbertstack-log/benches/commits.rs
+++ b/crates/filbertstack-log/benches/commits.rs
@@ -1,4 +1,4 @@
-//! The time of one commit, and of many at once, by group size, on a real file system.
+//! Measures the time of one commit, and of many at once, by group size, on a real file system.
 
 mod group;
 
@@ -10,9 +10,9 @@
 
 use crate::group::Group;
 
-/// Group sizes.
+/// The group sizes.
 const VOTERS: [usize; 3] = [1, 3, 5];
-/// Callers that propose at the same time.
+/// The numbers of callers that propose at the same time.
 const CALLERS: [usize; 3] = [1, 16, 64];
 
 fn commits(criterion: &mut Criterion) {
--- a/crates/filbertstack-log/benches/group/mod.rs
+++ b/crates/filbertstack-log/benches/group/mod.rs
@@ -1,4 +1,4 @@
-//! A group of replicas in one process, on real folders.
+//! A group of replicas in one process, on real data folders.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -19,10 +19,10 @@
 use filbertstack_log::storage::disk::Folder;
 use tempfile::TempDir;
 
-/// The length of a command, in bytes: about that of an idempotency claim.
+/// The size of a command, in bytes; about that of an idempotency claim.
 pub const COMMAND: usize = 200;
 
-/// Counts commands.
+/// A state machine that counts commands.
 #[derive(Default)]
 pub struct Count(u64);
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// Running replicas and their folders.
+/// Holds the running replicas and their folders.
 pub struct Group {
     network: Network,
     replicas: Vec<Arc<Replica<Count>>>,
@@ -70,7 +70,7 @@
 }
 
 impl Group {
-    /// A group of so many voters.
+    /// Creates a group of the given number of voters.
     pub fn form(voters: usize) -> Self {
         let network = Network::default();
         let folders: Vec<TempDir> = (0..voters).map(|_| tempfile::tempdir().unwrap()).collect();
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Has `callers` propose `rounds` commands each, one after the other, and returns how long
-    /// each took.
+    /// Proposes `rounds` commands one after the other from each of `callers` threads, and returns
+    /// the duration of each proposal.
     pub fn propose(&self, callers: usize, rounds: u64) -> Vec<Duration> {
         let call = || {
             let ask = |_| {
@@ -128,7 +128,8 @@
 
 impl Drop for Group {
     fn drop(&mut self) {
-        // The network holds the replicas, and each replica the network.
+        // The network and the replicas hold references to each other; clearing the network breaks
+        // the cycle.
         self.network.0.lock().unwrap().clear();
     }
 }
--- a/crates/filbertstack-log/benches/measure.rs
+++ b/crates/filbertstack-log/benches/measure.rs
@@ -1,4 +1,5 @@
-//! Prints the figures of the design note: commits, recovery, memory, bytes at rest.
+//! Prints measurements of the log: the disk, commits, processor use at rest, and recovery with its
+//! memory.
 
 mod group;
 
@@ -23,13 +24,13 @@
 use crate::group::COMMAND;
 use crate::group::Group;
 
-/// How long a group is watched at rest.
+/// The time for which a group is measured at rest.
 const REST: Duration = Duration::from_secs(10);
-/// The clock ticks in a second that the system counts processor time by.
+/// The number of clock ticks per second in which the system counts processor time.
 const TICKS: f64 = 100.0;
-/// Syncs of the measurement of the disk.
+/// The number of syncs in the measurement of the disk.
 const SYNCS: u32 = 500;
-/// Proposals of one measurement of commits.
+/// The number of proposals in one measurement of commits.
 const PROPOSALS: u64 = 2_000;
 
 fn main() {
@@ -39,7 +40,7 @@
     recovery();
 }
 
-/// What the processor does for a group at rest, in one process with all its replicas.
+/// Measures the processor use of a group at rest, with all replicas in one process.
 fn rest() {
     println!("\n| voters | share of a core at rest, each |");
     println!("|---|---|");
@@ -54,7 +55,7 @@
     }
 }
 
-/// The processor time that this process has used, in seconds.
+/// Returns the processor time that this process has used, in seconds.
 fn processor() -> f64 {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or_default();
@@ -62,7 +63,7 @@
     ticks.filter_map(|t| t.parse::<f64>().ok()).sum::<f64>() / TICKS
 }
 
-/// The time of the disk alone, without which the others tell little.
+/// Measures the disk alone, as a reference for the other measurements.
 fn disk() {
     use filbertstack_log::storage::disk::Disk as _;
     use filbertstack_log::storage::disk::DiskFile as _;
@@ -103,7 +104,7 @@
     }
 }
 
-/// Opens folders with more and more log and state, and tells time and memory.
+/// Opens folders with growing logs and states, and prints the time and the memory used.
 fn recovery() {
     println!("\n| log entries | state bytes | opened in | memory grew by |");
     println!("|---|---|---|---|");
@@ -183,7 +184,7 @@
     }
 }
 
-/// The resident memory of this process, in bytes.
+/// Returns the resident memory of this process, in bytes.
 fn resident() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS:"));
--- a/crates/filbertstack-log/src/replica/error.rs
+++ b/crates/filbertstack-log/src/replica/error.rs
@@ -45,7 +45,7 @@
     #[error(transparent)]
     Storage(#[from] StorageError),
     /// The state machine cannot restore the snapshot.
-    #[error("the machine does not read its snapshot ({why}); run the version that wrote it")]
+    #[error("the state machine cannot restore its snapshot ({why}); run the version that wrote it")]
     Restore {
         /// The error of the state machine.
         why: String,
--- a/crates/filbertstack-log/tests/log/broken.rs
+++ b/crates/filbertstack-log/tests/log/broken.rs
@@ -1,8 +1,8 @@
-//! The checker notices a replica that lacks a protection.
+//! Tests that the checker detects a replica without one of its safeguards.
 //!
-//! Each test switches one protection off, searches or plays a scenario until the oracle finds the
-//! violation that the protection prevents, and plays the same with the protection on. Without
-//! this, the search in `fuzz` could pass because it sees nothing.
+//! Each test switches one safeguard off and searches, or plays a scenario, until the checker
+//! reports the violation that the safeguard prevents. It then plays the scenario with the safeguard
+//! on. Without these tests, the search in `fuzz` could pass because the checker detects nothing.
 
 use std::time::Duration;
 
@@ -20,9 +20,9 @@
 use crate::support::world::Variant;
 use crate::support::world::World;
 
-/// How many scripts a search tries.
+/// The number of scripts that a search tries.
 const TRIES: usize = 1_000;
-/// How many seeds a scenario is played with.
+/// The number of seeds that a scenario is played with.
 const SEEDS: u64 = 40;
 
 fn without(switch: impl FnOnce(&mut Safeguards)) -> Variant {
@@ -31,7 +31,8 @@
     variant
 }
 
-/// The wanted violation that a search finds first; other violations end their script alone.
+/// Returns the first wanted violation that a search finds; any other violation only ends its
+/// script.
 fn search(variant: Variant, wanted: fn(&Violation) -> bool) -> Option<Violation> {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
@@ -74,8 +75,8 @@
     matches!(violation, Violation::StaleRead { .. })
 }
 
-/// A voter answers before term and vote are on disk, and dies: it comes back in an earlier term,
-/// in which it may vote again.
+/// A voter answers before its term and vote are on disk, and dies. It comes back in an earlier
+/// term, in which it may vote again.
 #[test]
 fn a_vote_that_is_not_durable_is_noticed() {
     let back = |v: &Violation| {
@@ -87,15 +88,15 @@
     finds(without(|s| s.durable_votes = false), back);
 }
 
-/// A follower acknowledges entries before they are on disk, and dies: what callers were told is
-/// committed is gone.
+/// A follower acknowledges entries before they are on disk, and dies. Entries that callers were
+/// told are committed are lost.
 #[test]
 fn an_entry_that_is_not_durable_is_noticed() {
     let lost = |v: &Violation| matches!(v, Violation::Diverged { .. } | Violation::Broken(_));
     finds(without(|s| s.durable_entries = false), lost);
 }
 
-/// The disk acknowledges a sync that it does not do.
+/// The disk reports a sync as done without doing it.
 #[test]
 fn a_disk_that_does_not_sync_is_noticed() {
     let lying = Variant {
@@ -111,7 +112,8 @@
     finds(lying, lost);
 }
 
-/// A voter whose disk was lost comes back under its old identity and votes from an empty memory.
+/// A voter whose disk was lost comes back under its old identity and votes without its earlier
+/// state.
 #[test]
 fn a_vote_from_an_empty_memory_is_noticed() {
     let mut forgetful = without(|s| s.members_vote = false);
@@ -125,17 +127,17 @@
     finds(forgetful, unsafe_vote);
 }
 
-/// A learner is made a voter before it holds everything: losing another voter right then would
-/// lose what was accepted.
+/// A learner becomes a voter before it holds every committed entry. If another voter is lost at
+/// that moment, accepted entries are lost.
 #[test]
 fn a_learner_that_counts_early_is_noticed() {
     let early = |v: &Violation| matches!(v, Violation::EarlyVoter { .. });
     finds(without(|s| s.caught_up = false), early);
 }
 
-/// A leader is cut off with a promotion that only the new voter got. Its successor removes it
-/// before an entry of its own term is committed. The two memberships differ by two members, and a
-/// majority of each shares nobody with one of the other: both commit.
+/// A leader is cut off with a promotion that only the new voter received. Its successor removes the
+/// old leader before an entry of its own term is committed. The two memberships differ by two
+/// members and have disjoint majorities, so both commit.
 #[test]
 fn two_changes_at_once_are_noticed() {
     fn scenario(world: &mut World) {
@@ -172,14 +174,14 @@
     catches(scenario, 4, without(|s| s.one_change = false), split);
 }
 
-/// A new leader serves a read before it knows how far its predecessor had committed.
+/// A new leader serves a read before it knows how far its predecessor committed.
 #[test]
 fn a_read_before_the_term_is_opened_is_noticed() {
     finds(without(|s| s.read_after_noop = false), stale);
 }
 
-/// A leader stands still with answers to its heartbeats in its sockets, is replaced meanwhile,
-/// and reads the answers when it wakes. They say nothing about now.
+/// A leader freezes with answers to its heartbeats in its sockets, is replaced meanwhile, and reads
+/// the answers when it wakes. They do not confirm that it still leads.
 #[test]
 fn a_lease_counted_from_receipt_is_noticed() {
     fn scenario(world: &mut World) {
@@ -203,8 +205,8 @@
     catches(scenario, 3, without(|s| s.lease_from_send = false), stale);
 }
 
-/// A leader's machine is suspended, and its clock with it: by that clock its lease still runs when
-/// it wakes, though it was replaced long ago.
+/// The instance of a leader is suspended, and its monotonic clock with it. By that clock the lease
+/// still runs when it wakes, although the leader was replaced long ago.
 #[test]
 fn a_clock_that_stood_still_is_noticed() {
     fn scenario(world: &mut World) {
@@ -228,8 +230,8 @@
     catches(scenario, 3, trusting, stale);
 }
 
-/// A follower that cannot hear the leader campaigns; another, which hears it, grants its vote
-/// while the leader still serves reads under the lease that this very voter confirmed.
+/// A follower that cannot hear the leader campaigns. Another follower, which hears the leader,
+/// votes for it while the leader still serves reads under the lease that this voter confirmed.
 #[test]
 fn a_vote_during_the_lease_is_noticed() {
     fn scenario(world: &mut World) {
@@ -254,7 +256,7 @@
     catches(scenario, 3, without(|s| s.sticky_leader = false), stale);
 }
 
-/// A leader that bade a voter to campaign hears nothing of the new leader, and goes on serving
+/// A leader that told a voter to campaign hears nothing of the new leader, and continues to serve
 /// reads under a lease that its voters no longer respect.
 #[test]
 fn a_lease_after_a_transfer_is_noticed() {
@@ -275,8 +277,8 @@
     catches(scenario, 3, without(|s| s.transfer_lease = false), stale);
 }
 
-/// An entry of an earlier term reaches a majority, is taken for committed, and is then replaced
-/// by the leader of a term between.
+/// An entry of an earlier term reaches a majority, is counted as committed, and is then replaced by
+/// the leader of a term in between.
 #[test]
 fn an_entry_of_an_earlier_term_committed_by_count_is_noticed() {
     fn scenario(world: &mut World) {
@@ -284,25 +286,25 @@
         let first = world.elect(&all);
         world.propose_at(first, None);
         world.run(ms(600));
-        // The entry reaches one other.
+        // The entry reaches one other replica.
         let rest: Vec<usize> = all.into_iter().filter(|at| *at != first).collect();
         world.cut(&[first], &rest[1..]);
         world.propose_at(first, None);
         world.run(ms(150));
         let contested = world.status(first).last;
         let pair = [first, rest[0]];
-        // The others elect a leader, whose own entry at that index reaches nobody.
+        // The others elect a leader whose own entry at that index reaches no other replica.
         world.isolate(first);
         world.isolate(rest[0]);
         let between = world.elect(&rest[1..]);
         world.isolate(between);
         world.run(ms(100));
-        // One of the pair leads again and spreads the entry.
+        // One of the pair leads again and replicates the entry.
         world.heal();
         world.isolate(between);
         let again = world.elect(&pair);
         world.run_until(100, |w| w.status(again).commit >= contested);
-        // It and its peer vanish; the leader between comes back.
+        // The pair is cut off, and the leader of the term in between comes back.
         world.isolate(pair[0]);
         world.isolate(pair[1]);
         let late: Vec<usize> = rest[1..].to_vec();
@@ -321,7 +323,7 @@
     );
 }
 
-/// The term of a group whose follower was cut off for long and comes back.
+/// Returns the term of a group before a follower was cut off for long and after it came back.
 fn term_after_return(variant: Variant) -> (u64, u64) {
     let mut world = World::new(1, 3, variant);
     let leader = world.elect(&[0, 1, 2]);
@@ -334,8 +336,8 @@
     (before, world.status(leader).term)
 }
 
-/// A follower that was cut off comes back with a term raised many times, and makes the leader of
-/// the others step down.
+/// A follower that was cut off comes back with a term that it raised many times, and makes the
+/// leader of the others step down.
 #[test]
 fn a_return_without_pre_vote_is_noticed() {
     let (before, after) = term_after_return(without(|s| s.pre_vote = false));
@@ -344,7 +346,7 @@
     assert_eq!(after, before);
 }
 
-/// Whether a leader that was cut off for long still believes to lead.
+/// Returns whether a leader that was cut off for long still considers itself the leader.
 fn leads_alone(variant: Variant) -> bool {
     let mut world = World::new(1, 3, variant);
     let old = world.elect(&[0, 1, 2]);
@@ -353,7 +355,7 @@
     world.leaders().contains(&old)
 }
 
-/// A leader in a silent partition goes on taking proposals that can never be committed.
+/// A leader cut off by a partition continues to accept proposals that can never be committed.
 #[test]
 fn a_leader_without_check_quorum_is_noticed() {
     assert!(leads_alone(without(|s| s.check_quorum = false)));
--- a/crates/filbertstack-log/tests/log/figures.rs
+++ b/crates/filbertstack-log/tests/log/figures.rs
@@ -1,4 +1,5 @@
-//! Figures in virtual time, the same on each run: traffic at rest and the time without a leader.
+//! Measurements in simulated time, the same on each run: traffic at rest and the time without a
+//! leader.
 
 use std::time::Duration;
 
@@ -7,18 +8,18 @@
 use crate::support::world::Variant;
 use crate::support::world::World;
 
-/// What a message costs on the link beside its own bytes: the frame's length, and the headers of
-/// the packet and of an acknowledgement of its own, which in fact often goes with the answer.
+/// The overhead of a message on the link, in bytes: the length of its frame, and the headers of its
+/// packet and of a separate acknowledgement, which is often combined with the answer in practice.
 const OVERHEAD: u64 = 4 + 52 + 52;
-/// What a node may spend on control, in bytes a second.
+/// The bandwidth that a node may spend on control, in bytes per second.
 const BOUND: u64 = 8_000;
-/// How long a group is watched at rest, in seconds.
+/// The time for which a group is measured at rest, in seconds.
 const WATCHED: u64 = 20;
 
-/// How often a burst comes, some heartbeats apart.
+/// The number of bursts; they are some heartbeats apart.
 const ROUNDS: u64 = 20;
 
-/// The leader carries the most. Its traffic at rest must leave room for the other work of control.
+/// The leader has the most traffic. At rest it must leave bandwidth for the other tasks of control.
 #[test]
 fn traffic_at_rest_stays_in_bounds() {
     let mut lines = Vec::new();
@@ -46,8 +47,8 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// What one commit costs in messages, bytes and syncs, alone and in a burst of proposals. A burst
-/// shares messages and syncs; without that, a burst would be paid for by its length.
+/// The cost of one commit in messages, bytes and syncs, alone and in a burst of proposals. A burst
+/// must share messages and syncs; otherwise its cost would grow with its length.
 #[test]
 fn a_burst_shares_messages_and_syncs() {
     let mut lines = Vec::new();
@@ -88,7 +89,8 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// The leader dies under a steady load. Counted is the time until the next request is accepted.
+/// The leader dies under a steady load. The test measures the time until the next request is
+/// accepted.
 #[test]
 fn a_dead_leader_is_replaced_within_three_seconds() {
     let mut spans: Vec<u64> = (0..200).map(time_without_leader).collect();
--- a/crates/filbertstack-log/tests/log/formation.rs
+++ b/crates/filbertstack-log/tests/log/formation.rs
@@ -1,4 +1,4 @@
-//! How a group comes to be, and that an empty folder never makes a second one.
+//! Tests of the formation of a group: an empty data folder never creates a second one.
 
 use filbertstack_log::Announcement;
 use filbertstack_log::Change;
@@ -29,7 +29,7 @@
     }
 }
 
-/// The first listed creates, once it has heard that none of the others has a group.
+/// The first listed replica creates the group once every other one has announced that it has none.
 #[test]
 fn the_first_listed_creates_once_all_are_heard() {
     let heard = [announced("b", None)];
@@ -41,8 +41,8 @@
     assert_eq!(Formation::decide("b", &listed(), &heard), Formation::Join);
 }
 
-/// The first listed lost its disk and starts with an empty folder. If it created a group again,
-/// there would be two, and what the first accepted would seem reverted.
+/// The first listed replica lost its disk and starts with an empty folder. If it created a group
+/// again, there would be two, and commands accepted by the old one would appear lost.
 #[test]
 fn a_first_replica_that_lost_its_disk_joins() {
     let heard = [announced("b", Some(9)), announced("c", None)];
@@ -81,8 +81,8 @@
     assert_eq!(now.forming, 0);
 }
 
-/// All disks are lost at once. A new group is created from a backup and holds what was in it; a
-/// backup that was cut short or changed is refused.
+/// All disks are lost at once. A new group is created from a backup and holds the state in it; a
+/// truncated or changed backup is refused.
 #[test]
 fn a_backup_makes_a_new_group() {
     let group = Group::form(1, quick());
@@ -102,8 +102,8 @@
     assert_eq!(fresh.slots[at].map.state(), group.slots[0].map.state());
 }
 
-/// A group that has not yet had all its first voters refuses commands: an accepted one would be
-/// on a single disk. It does not create itself a second time.
+/// A group that has not yet reached its first number of voters refuses commands: an accepted
+/// command would be on a single disk. The replica refuses to create a group a second time.
 #[test]
 fn a_forming_group_takes_no_command() {
     let mut group = Group::form(1, quick());
--- a/crates/filbertstack-log/tests/log/found.rs
+++ b/crates/filbertstack-log/tests/log/found.rs
@@ -1,16 +1,16 @@
-//! Scripts that the search once failed on, unchanged.
+//! Recorded scripts on which the random search found a fault.
 
 use crate::support::steps::Step;
 use crate::support::world::Variant;
 use crate::support::world::World;
 
-/// What happened in the script of the first test.
+/// The steps of the first test's script.
 const BLOCKED: &[Step] = include!("blocked.in");
 
-/// A leader dies for good and leaves its last entry on a learner alone, while a voter holds a
-/// promotion of that learner that was never committed. The voter needs the learner's vote and does
-/// not get it, nobody else can win: the group stood still with a majority alive (`NoProgress`)
-/// until learners were let campaign as the last resort.
+/// A leader dies for good and leaves its last entry on a learner alone, while a voter holds an
+/// uncommitted promotion of that learner. That voter needs the learner's vote and does not get it,
+/// and no other voter can win. Unless learners may campaign as the last resort, the group is
+/// unavailable although a majority is alive (`NoProgress`).
 #[test]
 fn a_learner_that_holds_most_does_not_block_the_voters() {
     let mut world = World::new(11_292_511_141_924_331_986, 2, Variant::default());
--- a/crates/filbertstack-log/tests/log/fuzz.rs
+++ b/crates/filbertstack-log/tests/log/fuzz.rs
@@ -1,4 +1,4 @@
-//! The search for faults: random steps against the oracle.
+//! The random search for faults: random steps, judged by the checker.
 
 use std::cell::Cell;
 
@@ -13,18 +13,19 @@
 use crate::support::world::Variant;
 use crate::support::world::World;
 
-/// Runs of 100 to 200 steps each in CI.
+/// The number of runs in CI, of 100 to 200 steps each.
 const CASES: u32 = 400;
 
 fn number(variable: &str) -> Option<u32> {
     std::env::var(variable).ok()?.parse().ok()
 }
 
-/// Callers propose, resend and read while processes die at any write, stand still, lose their
-/// disks and fill them up, links fail in one or both directions, and the membership changes.
-/// Nothing told to a caller may be lost, doubled or reverted, and no read may be stale.
+/// Callers propose, resend and read while processes die at any write or freeze, disks are lost or
+/// fill up, links fail in one or both directions, and the membership changes. No outcome returned
+/// to a caller may be lost, duplicated or reverted, and no read may be stale.
 ///
-/// `FILBERTSTACK_FUZZ_CASES` gives another number of runs, `FILBERTSTACK_FUZZ_SEED` another seed.
+/// The variable `FILBERTSTACK_FUZZ_CASES` sets another number of runs, `FILBERTSTACK_FUZZ_SEED`
+/// another seed.
 #[test]
 fn nothing_accepted_is_lost_whatever_happens() {
     let config = Config {
--- a/crates/filbertstack-log/tests/log/main.rs
+++ b/crates/filbertstack-log/tests/log/main.rs
@@ -1,4 +1,4 @@
-//! The suite of the replicated log: storage, protocol, replicas, and the search for faults.
+//! The tests of the replicated log: storage, protocol, replicas, and the random search for faults.
 
 mod broken;
 mod figures;
--- a/crates/filbertstack-log/tests/log/node.rs
+++ b/crates/filbertstack-log/tests/log/node.rs
@@ -1,4 +1,4 @@
-//! One node alone, by hand: promises to a leader, bounds, and messages that make no sense.
+//! Tests of a single node with handmade inputs: leases, bounds and invalid messages.
 
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Node 2 of a group of 1, 2 and 3, in term 4.
+/// Returns the durable state of node 2 in a group of nodes 1, 2 and 3, in term 4.
 fn memory() -> DurableState {
     let membership = Membership {
         voters: (1..=3).map(member).collect(),
@@ -119,7 +119,8 @@
     message(OTHER, term, Body::Vote(vote))
 }
 
-/// Takes an input, has the disk do its work, and returns all that was sent.
+/// Steps the node with an input, completes its writes, and returns the first output and all
+/// messages sent.
 fn turn(node: &mut Node, at: Duration, input: Input) -> (Output, Vec<Message>) {
     node.step(at, input);
     let first = node.output();
@@ -139,8 +140,9 @@
     sent.iter().any(granted)
 }
 
-/// A voter answers a heartbeat, and the leader serves reads under the lease that this gives it.
-/// Then the voter restarts and forgets that it did. It may grant no vote until the lease is over.
+/// A voter answers a heartbeat, and the leader serves reads under the lease that the answer
+/// confirms. The voter restarts and forgets the heartbeat. It must grant no vote until the lease is
+/// over.
 #[test]
 fn a_restart_breaks_no_promise() {
     let mut node = node();
@@ -152,8 +154,8 @@
     assert!(granted(&sent));
 }
 
-/// A voter that answered a heartbeat learns of a higher term by another way than a vote request.
-/// In that term, too, it may grant no vote until the lease that it confirmed is over.
+/// A voter that answered a heartbeat learns of a higher term through a message other than a vote
+/// request. In that term, too, it must grant no vote until the lease that it confirmed is over.
 #[test]
 fn a_raised_term_breaks_no_promise() {
     let mut node = node();
@@ -206,7 +208,7 @@
     assert_eq!(node.status().last, 1);
 }
 
-/// The node as leader of term 5, with its first entry committed.
+/// Returns the node as leader of term 5, with its first entry committed.
 fn leader() -> Node {
     let mut node = node();
     turn(&mut node, ms(3_000), Input::Tick);
@@ -244,8 +246,8 @@
     output.answers[0].result.clone()
 }
 
-/// Commands come faster than followers take them. Beyond a bound they are refused as not run, and
-/// no more messages are under way to a follower than the bound says.
+/// Commands arrive faster than followers acknowledge them. Beyond a bound they are refused as not
+/// run, and the number of messages in flight to a follower stays within its own bound.
 #[test]
 fn a_leader_under_overload_refuses() {
     let mut node = leader();
@@ -278,8 +280,9 @@
     assert!(propose(&mut node, 1_000).is_ok());
 }
 
-/// The leader's disk hangs: no write ends and none fails. Its heartbeats would keep the others from
-/// electing while its callers wait; it gives way, and does not campaign while the disk hangs.
+/// The leader's disk hangs: no write completes and none fails. Its heartbeats would keep the others
+/// from electing a leader while its callers wait. It must step down, and must not campaign while
+/// the disk hangs.
 #[test]
 fn a_leader_whose_disk_hangs_gives_way() {
     let mut node = leader();
@@ -303,7 +306,7 @@
     assert_eq!(node.status().role, RoleName::PreCandidate);
 }
 
-/// The other voter confirms every round until `at`.
+/// Returns an input in which the other voter confirms every round until `at`.
 fn heard(at: u64) -> Input {
     let reply = AppendReply {
         index: 2,
@@ -314,7 +317,7 @@
     message(OTHER, 5, Body::AppendReply(reply))
 }
 
-/// How many of the messages bring entries to node 1.
+/// Returns the number of messages that carry entries to node 1.
 fn with_entries(sent: &[Message]) -> usize {
     let full = |m: &&Message| match &m.body {
         Some(Body::Append(append)) => m.to == LEADER && !append.entries.is_empty(),
@@ -323,8 +326,8 @@
     sent.iter().filter(full).count()
 }
 
-/// Guards against a frozen follower whose link fills up with the same entries again and again: once
-/// awake it reads all of them before anything new.
+/// Guards against a frozen follower whose link fills with repeated copies of the same entries: once
+/// awake, it would read all of them before anything new.
 #[test]
 fn a_follower_that_answers_nothing_is_sent_nothing_twice() {
     let mut node = leader();
@@ -348,7 +351,7 @@
     assert!(with_entries(&sent) > 0, "it answers and is sent nothing");
 }
 
-/// A voter's instance gets another address; who counts stays the same.
+/// A voter's instance gets another address; the set of voters stays the same.
 #[test]
 fn a_member_may_move() {
     let mut node = leader();
@@ -362,8 +365,8 @@
     assert!(membership.voters.contains(&moved));
 }
 
-/// An operator would remove a voter although only one of the two left answers: the group could
-/// neither commit that nor anything after it.
+/// An operator removes a voter although only one of the two remaining voters answers. The group
+/// could commit neither this change nor anything after it.
 #[test]
 fn a_change_that_no_majority_could_commit_is_refused() {
     let mut node = leader();
--- a/crates/filbertstack-log/tests/log/replica.rs
+++ b/crates/filbertstack-log/tests/log/replica.rs
@@ -1,4 +1,4 @@
-//! Running replicas: threads, real time, a network in memory.
+//! Tests of running replicas with threads, real time and an in-memory network.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,9 +16,9 @@
 use crate::support::network::soon;
 use crate::support::network::wait_for;
 
-/// Every voter in turn is killed and started again during the proposals, then all at once. The
-/// proposer resends after each error under the same request id. What was accepted must be there
-/// once, on every replica, at the index that the proposer was told.
+/// Every voter in turn is killed and restarted during the proposals, then all voters at once. The
+/// proposer resends after each error under the same request id. Every accepted command must be
+/// applied exactly once on every replica, at the index returned to the proposer.
 #[test]
 fn accepted_commands_survive_kills_and_restarts() {
     let mut group = Group::form(3, quick());
@@ -44,8 +44,9 @@
     assert_eq!(state.done, told);
 }
 
-/// A leader that nobody hears goes on receiving proposals. Each must end with "unknown" when it
-/// steps down, then with a certain refusal; a proposal accepted by the others is never replaced.
+/// A leader that is cut off continues to receive proposals. Each must end as unknown when the
+/// leader steps down, later ones as certainly refused; a proposal accepted by the others is never
+/// replaced.
 #[test]
 fn an_isolated_leader_accepts_nothing() {
     let group = Group::form(3, quick());
@@ -75,8 +76,9 @@
     assert!(state.done.contains_key(&1) && state.done.contains_key(&3));
 }
 
-/// A planned stop of the leader passes the leadership on first. The others' election timeout is
-/// longer than the test waits, so that a proposal is accepted only if one was bidden to campaign.
+/// A leader that is stopped on purpose transfers its leadership first. The election timeout of the
+/// others is longer than the test waits, so a proposal is accepted only if one of them was told to
+/// campaign.
 #[test]
 fn a_planned_stop_passes_the_leadership_on() {
     let mut settings = quick();
@@ -96,8 +98,8 @@
     group.put(2);
 }
 
-/// Log compaction in a running group: the segments on disk stay bounded, and a replica that was
-/// down for longer than the log reaches back gets a snapshot.
+/// The log is compacted in a running group: the segments on disk stay bounded, and a replica that
+/// was down for longer than the log reaches back receives a snapshot.
 #[test]
 fn a_replica_far_behind_gets_a_snapshot() {
     let mut settings = quick();
@@ -123,8 +125,8 @@
 }
 
 /// A voter's disk is lost; it comes back empty, under a new identity, and joins as a learner. As
-/// soon as it counts, a second voter's disk is lost. Everything accepted is still there, and the
-/// second is replaced in the same way.
+/// soon as it is a voter, a second voter's disk is lost. Every accepted command must still be
+/// there, and the second voter is replaced in the same way.
 #[test]
 fn a_second_loss_right_after_a_repair_loses_nothing() {
     let mut group = Group::form(3, quick());
@@ -143,8 +145,8 @@
     assert!((1..=43).all(|request| state.done.contains_key(&request)));
 }
 
-/// The leader's disk fills up. Another leads and accepts; the full one refuses with its remedy,
-/// and follows again once there is space.
+/// The leader's disk fills up. Another replica becomes leader and accepts commands; the replica
+/// with the full disk refuses them with the remedy, and follows again once there is space.
 #[test]
 fn a_leader_with_a_full_disk_gives_way() {
     let group = Group::form(3, quick());
@@ -173,8 +175,8 @@
     assert!(!replica.status().node.full);
 }
 
-/// A sync fails at the leader: nobody knows what its disk holds. It stops and says why; a caller
-/// that waits is told that the outcome is unknown, and the others go on.
+/// A sync fails at the leader, so it is unknown what its disk holds. The leader stops and reports
+/// the reason; a waiting caller gets an unknown outcome, and the others continue.
 #[test]
 fn a_failed_sync_stops_only_that_replica() {
     let mut group = Group::form(3, quick());
@@ -202,8 +204,8 @@
     group.settled(3);
 }
 
-/// The machine panics at a command. The caller learns that the outcome is unknown, and the replica
-/// says that it has stopped; otherwise callers would go on being sent to a dead leader.
+/// The state machine panics at a command. The caller gets an unknown outcome, and the status
+/// reports that the replica has stopped; otherwise callers would still be sent to a dead leader.
 #[test]
 fn a_panic_of_the_machine_is_told() {
     let group = Group::form(1, quick());
@@ -221,8 +223,8 @@
     assert_ne!(replica.status().node.role, RoleName::Leader);
 }
 
-/// Reads at the leader see what was accepted before, with and without a lease; elsewhere they are
-/// refused with the leader's name.
+/// A read at the leader sees every command accepted before it, with and without a lease. Other
+/// replicas refuse reads and name the leader.
 #[test]
 fn a_read_sees_what_was_accepted() {
     let group = Group::form(3, quick());
--- a/crates/filbertstack-log/tests/log/storage.rs
+++ b/crates/filbertstack-log/tests/log/storage.rs
@@ -1,4 +1,4 @@
-//! The data folder: what a crash, damage, a full disk and a second process do.
+//! Tests of the data folder under crashes, damage, a full disk and a second process.
 
 use bytes::Bytes;
 use filbertstack_log::DurableState;
@@ -21,7 +21,7 @@
 use crate::support::disk::MemoryDisk;
 use crate::support::disk::Wrong;
 
-/// The header of a frame, in bytes.
+/// The size of a frame's header, in bytes.
 const HEADER: usize = 24;
 const NODE: NodeId = NodeId(7);
 
@@ -67,7 +67,7 @@
     Storage::open_sized(disk.clone(), NODE, 600)
 }
 
-/// A disk with ten entries, one sync each, in several segments.
+/// Returns a disk with ten entries, one sync each, in several segments.
 fn filled() -> MemoryDisk {
     let disk = MemoryDisk::default();
     let (mut storage, _) = open(&disk).unwrap();
@@ -88,7 +88,7 @@
     open(disk).expect_err("the start is refused").to_string()
 }
 
-/// Nothing went wrong: what was written is read back, and one sync serves many writes.
+/// Without any fault, written entries are read back, and one sync serves many writes.
 #[test]
 fn what_was_written_is_read_back() {
     let disk = filled();
@@ -101,13 +101,13 @@
     let before = disk.syncs();
     let many = (11..=40).map(|i| write(i, vec![entry(i, 1)])).collect();
     storage.write(many).unwrap();
-    // One for the frame, two for the change of segment.
+    // One sync is for the frame, two are for the new segment.
     assert!(disk.syncs() - before <= 3);
     assert_eq!(open(&disk).unwrap().1.entries.len(), 40);
 }
 
-/// The power fails in the middle of a write. The frame that was not synced is cut at every length;
-/// what was acknowledged before is there, and the log takes new entries in its place.
+/// The power fails in the middle of a write. The unsynced frame is truncated at every length; every
+/// acknowledged entry must be there, and the log must accept new entries in place of the torn one.
 #[test]
 fn a_torn_tail_is_cut() {
     let disk = filled();
@@ -126,8 +126,8 @@
     }
 }
 
-/// The process dies while it closes a segment whose successor is there already. The closing frame
-/// may be cut short; if a record before it were missing too, the start must be refused.
+/// The process dies while it closes a segment whose successor exists already. The closing frame may
+/// be truncated; if a record before it is missing too, the start must be refused.
 #[test]
 fn a_torn_closing_frame_is_no_damage() {
     let disk = filled();
@@ -145,7 +145,7 @@
     assert!(refusal(&disk).contains("records before it are missing"));
 }
 
-/// A sector of the frame that was being written never reached the disk and reads as zeros.
+/// A sector of the last frame never reached the disk and reads as zeros.
 #[test]
 fn a_blank_sector_at_the_end_is_cut() {
     let disk = filled();
@@ -163,8 +163,8 @@
     assert_eq!(open(&disk).unwrap().1.entries.len(), 10);
 }
 
-/// One bit flips on the disk, anywhere in what was acknowledged. Cutting there would take back
-/// what was promised; the start must be refused, with the file, the place and the remedy.
+/// One bit flips on the disk, anywhere in the acknowledged data. Truncating the log there would
+/// revert accepted entries; the start must be refused with the file, the offset and the remedy.
 #[test]
 fn a_flipped_bit_stops_the_start() {
     let disk = filled();
@@ -186,7 +186,8 @@
     insta::assert_snapshot!(refusal(&disk));
 }
 
-/// A file of the folder is gone: no part of the log may be silently left out.
+/// A file of the folder is missing. The start must be refused, so that no part of the log is
+/// silently left out.
 #[test]
 fn a_missing_file_stops_the_start() {
     let disk = filled();
@@ -200,7 +201,7 @@
     insta::assert_snapshot!(refusals.join("\n"));
 }
 
-/// The snapshot that the log begins after is lost, cut short or damaged.
+/// The snapshot that the log begins after is missing, truncated or damaged.
 #[test]
 fn a_missing_or_damaged_snapshot_stops_the_start() {
     let disk = filled();
@@ -225,8 +226,8 @@
     insta::assert_snapshot!(refusals.join("\n"));
 }
 
-/// The process dies at each operation of a snapshot and of the clean-up after it. Whatever stage
-/// was reached, everything acknowledged is there after the start.
+/// The process dies at each operation of storing a snapshot and removing old files. After any of
+/// them, the start must find every acknowledged entry.
 #[test]
 fn a_crash_at_any_operation_loses_nothing() {
     for operations in 0..40 {
@@ -250,7 +251,8 @@
     }
 }
 
-/// A snapshot of the leader replaces a log that ends before it; the crash comes between the two.
+/// A snapshot of the leader replaces a log that ends before it, and the process dies between
+/// storing the snapshot and resetting the log.
 #[test]
 fn a_crash_before_the_reset_leaves_a_usable_log() {
     for operations in 0..12 {
@@ -275,8 +277,8 @@
     }
 }
 
-/// The disk fills up in the middle of a write. The write and what was queued behind it are
-/// refused and leave no trace; with space again, the log goes on where it was.
+/// The disk fills up in the middle of a write. The write and those queued behind it are refused and
+/// leave no trace; once there is space, the log continues where it was.
 #[test]
 fn a_full_disk_refuses_and_leaves_no_trace() {
     let disk = filled();
@@ -298,8 +300,8 @@
     assert_eq!(memory.entries.len(), 11);
 }
 
-/// A sync fails. Another sync might succeed though the pages are gone: the storage gives up, and
-/// what was not synced before may not come back as if it had been acknowledged.
+/// A sync fails. Another sync might succeed although the data is lost, so the storage must stop.
+/// Data that was not synced must not come back as acknowledged.
 #[test]
 fn a_failed_sync_stops_the_replica() {
     let disk = filled();
@@ -312,7 +314,7 @@
         .write(vec![write(11, vec![entry(11, 1)])])
         .unwrap_err();
     insta::assert_snapshot!(error);
-    // The pages are still readable after the process restarts. They are synced before they count.
+    // The data is still readable after the process restarts. It is synced before it counts.
     disk.set_wrong(Wrong::default());
     let (_, memory) = open(&disk).unwrap();
     let held = memory.entries.len();
@@ -320,7 +322,7 @@
     assert_eq!(open(&disk).unwrap().1.entries.len(), held);
 }
 
-/// Two processes are given one folder. The second is refused until the first ends.
+/// Two processes use one folder. The second is refused until the first ends.
 #[test]
 fn a_folder_serves_one_process() {
     let dir = tempfile::tempdir().unwrap();
@@ -336,7 +338,7 @@
     Folder::lock(&path).unwrap();
 }
 
-/// The same on a real file system: written, closed, read back.
+/// On a real file system, the log is written, closed and read back.
 #[test]
 fn a_real_folder_keeps_the_log() {
     let dir = tempfile::tempdir().unwrap();
@@ -356,7 +358,7 @@
     assert_eq!(memory.entries.len(), 10);
 }
 
-/// A file of another replica's folder, as after a mistaken copy, is refused.
+/// A file from another replica's folder, as after a mistaken copy, is refused.
 #[test]
 fn a_foreign_file_stops_the_start() {
     let disk = filled();
--- a/crates/filbertstack-log/tests/log/support/checker.rs
+++ b/crates/filbertstack-log/tests/log/support/checker.rs
@@ -1,4 +1,5 @@
-//! The oracle: what was committed, who led, who voted, and what callers were told.
+//! The checker: it records commits, leaders, votes and the outcomes returned to callers, and
+//! reports violations.
 
 use std::collections::BTreeMap;
 use std::hash::DefaultHasher;
@@ -16,7 +17,7 @@
 use crate::support::machine::Put;
 use crate::support::machine::State;
 
-/// What must never happen.
+/// A violation of the guarantees of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// Two replicas led in one term.
@@ -25,25 +26,25 @@
     Diverged { index: u64 },
     /// Two replicas' states differ after the same index.
     StateDiffers { index: u64 },
-    /// A caller's request has another outcome than the one told.
+    /// A caller's request has another outcome than the one returned before.
     ToldOtherwise { request: u64 },
-    /// A read did not see what was told before it began.
+    /// A read did not see a command that was accepted before it began.
     StaleRead { seen: u64, floor: u64 },
     /// A replica voted for two candidates in one term.
     VotedTwice { term: u64 },
-    /// A replica came back with a lower term than it had told.
+    /// A replica came back with a lower term than it had sent.
     TermWentBack { told: u64, found: u64 },
-    /// A learner became a voter without everything committed.
+    /// A learner became a voter without every committed entry.
     EarlyVoter { held: u64, commit: u64 },
-    /// A replica found the protocol broken.
+    /// A replica detected a violation of the protocol.
     Broken(String),
     /// A replica's start was refused.
     StartRefused(String),
-    /// The group does not come back when all faults end.
+    /// The group does not recover when all faults end.
     NoProgress,
 }
 
-/// What is known of all replicas together.
+/// Records the observations of all replicas.
 #[derive(Debug, Default)]
 pub struct Checker {
     committed: Vec<Entry>,
@@ -59,14 +60,14 @@
     pub seen: Seen,
 }
 
-/// How often things happened, so that a search that never reaches them is noticed.
+/// Counts how often each kind of event happened, so that a search that never causes one is noticed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Seen {
     pub steps: usize,
     pub told: usize,
     pub reads: usize,
     pub terms: usize,
-    /// Snapshots that a leader sent and a follower took over.
+    /// Snapshots that a leader sent and a follower installed.
     pub installs: usize,
     /// Learners that became voters.
     pub promotions: usize,
@@ -89,7 +90,7 @@
     }
 }
 
-/// The index of the first entry: the snapshot with which a group is created stands before it.
+/// The index of the first entry: the snapshot that creates a group has the index before it.
 const FIRST: u64 = 2;
 
 pub fn digest(state: &State) -> u64 {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// What happened in a run of so many steps.
+    /// Returns the counts of a run of the given number of steps.
     pub fn seen(&self, steps: usize) -> Seen {
         Seen {
             steps,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// A replica applies an entry, which leads to `state`.
+    /// Records that a replica applied an entry and reached `state`.
     pub fn committed(&mut self, entry: &Entry, state: &State) {
         let index = entry.index;
         let at = usize::try_from(index - FIRST).unwrap();
@@ -157,7 +158,7 @@
         }
     }
 
-    /// A replica's state after `index`, as restored or at the end.
+    /// Checks a replica's state after `index`, as restored or at the end.
     pub fn state(&mut self, index: u64, state: &State) {
         let expected = match index.checked_sub(FIRST) {
             None => Some(digest(&State::default())),
@@ -168,7 +169,8 @@
         }
     }
 
-    /// A caller is told that its request was first applied at `outcome`, by an entry at `index`.
+    /// Records that a caller was told that its request was first applied at `outcome`, by an entry
+    /// at `index`.
     pub fn tell(&mut self, request: u64, outcome: u64, index: u64) {
         if *self.told.entry(request).or_insert(outcome) != outcome {
             self.found(Violation::ToldOtherwise { request });
@@ -176,12 +178,12 @@
         self.floor = self.floor.max(index);
     }
 
-    /// A read begins: it must see at least this.
+    /// Returns the index that a read which begins now must see.
     pub fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// A read that began at `floor` ends, having seen everything up to `seen`.
+    /// Checks a read that began at `floor` and saw everything up to `seen`.
     pub fn read(&mut self, floor: u64, seen: u64) {
         self.seen.reads += 1;
         if seen < floor {
@@ -219,7 +221,7 @@
         }
     }
 
-    /// Everything told to callers is in the state that all replicas hold at the end.
+    /// Checks that every outcome returned to a caller is in the final state of the replicas.
     pub fn check_told(&mut self) {
         let lost = self
             .told
--- a/crates/filbertstack-log/tests/log/support/disk.rs
+++ b/crates/filbertstack-log/tests/log/support/disk.rs
@@ -1,4 +1,5 @@
-//! A disk in memory that crashes, loses what was not synced, fills up and lies.
+//! An in-memory disk that can crash, lose unsynced data, fill up and report syncs that it did not
+//! do.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,7 +12,7 @@
 use rand::RngExt as _;
 use rand_chacha::ChaCha8Rng;
 
-/// What a disk writes whole or not at all, in bytes.
+/// The unit that a disk writes atomically, in bytes.
 const SECTOR: usize = 512;
 
 #[derive(Clone, Debug, Default)]
@@ -20,16 +21,16 @@
     synced: Vec<u8>,
 }
 
-/// What the disk does wrong.
+/// Selects the faults of the disk.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Wrong {
-    /// How many operations succeed before all fail, as in a crash of the process.
+    /// The number of operations that succeed before all fail, as in a crash of the process.
     pub crash_after: Option<u32>,
-    /// How many bytes may still be written.
+    /// The number of bytes that may still be written.
     pub space: Option<usize>,
     /// Syncs fail.
     pub sync_fails: bool,
-    /// Syncs of content succeed and do nothing.
+    /// Syncs of content succeed without doing anything.
     pub sync_lies: bool,
 }
 
@@ -42,7 +43,7 @@
     syncs: u64,
 }
 
-/// The disk; clones are the same disk.
+/// An in-memory disk; its clones share the same content.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk(Arc<Mutex<Inner>>);
 
@@ -70,7 +71,7 @@
         self.inner().syncs
     }
 
-    /// Loses what was not synced, but for a random beginning of it, in which whole sectors may be
+    /// Drops the unsynced data except for a prefix of random length, in which whole sectors may be
     /// missing.
     pub fn crash(&self, rng: &mut ChaCha8Rng) {
         let mut inner = self.inner();
@@ -97,7 +98,7 @@
         }
     }
 
-    /// All files, as a copy.
+    /// Returns a copy of all files.
     pub fn files(&self) -> BTreeMap<String, Vec<u8>> {
         let inner = self.inner();
         let read = |(n, at): (&String, &usize)| (n.clone(), inner.contents[*at].now.clone());
@@ -123,7 +124,7 @@
         inner.synced_names.remove(name);
     }
 
-    /// A new, empty disk in place of this one.
+    /// Replaces the disk by a new, empty one.
     pub fn replace(&self) {
         *self.inner() = Inner::default();
     }
@@ -198,7 +199,7 @@
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut inner = self.disk.inner();
         if inner.operate().is_err() {
-            // A crash in the middle of a write leaves a part of it.
+            // A crash in the middle of a write leaves part of the data.
             let part = &bytes[..bytes.len() / 2];
             inner.contents[self.at].now.extend_from_slice(part);
             return Err(io::Error::other("crashed"));
--- a/crates/filbertstack-log/tests/log/support/events.rs
+++ b/crates/filbertstack-log/tests/log/support/events.rs
@@ -1,4 +1,4 @@
-//! What happens in a world, and how it ends.
+//! The steps of a simulated run and its recovery at the end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,11 +21,11 @@
 use crate::support::world::Slot;
 use crate::support::world::World;
 
-/// For how long a group may take to come back once all faults have ended.
+/// The longest time in which a group must recover once all faults have ended.
 const RECOVERY: Duration = Duration::from_secs(60);
 
 impl World {
-    /// Runs the steps, then ends all faults and looks whether the group comes back.
+    /// Runs the steps, then ends all faults and checks that the group recovers.
     pub fn play(&mut self, steps: &[Step]) -> Result<(), Violation> {
         for step in steps {
             self.happen(*step);
@@ -90,7 +90,7 @@
         usize::from(pick) % self.slots.len()
     }
 
-    /// The replicas that believe to lead.
+    /// Returns the replicas that consider themselves the leader.
     pub fn leaders(&self) -> Vec<usize> {
         let leads = |slot: &Slot| {
             let running = slot.running.as_ref();
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Several callers propose at the same time.
+    /// Submits the proposals of several callers at the same time.
     pub fn propose_burst(&mut self, at: usize, count: u64) {
         for _ in 0..count {
             let (ticket, command) = self.command(at, None);
@@ -169,7 +169,8 @@
     }
 
     pub fn change_at(&mut self, at: usize, change: Change) {
-        // An operator whose change waits at a frozen leader could not know what is lost meanwhile.
+        // An operator whose change waits at a frozen leader could not know which disks are lost
+        // meanwhile.
         if self.slots[at].frozen_until > self.now {
             return;
         }
@@ -181,7 +182,7 @@
         self.input(at, Input::Change { ticket, change });
     }
 
-    /// Adds one of the replicas that the leader does not know.
+    /// Adds a replica that the leader does not know.
     fn add_stranger(&mut self, pick: u8) {
         let Some(at) = self.a_leader(pick) else {
             return;
@@ -211,8 +212,8 @@
         }
     }
 
-    /// Removes a member, but never so that the voters left cannot make a majority: no protocol
-    /// helps an operator who does that.
+    /// Removes a member, unless the remaining voters could not form a majority: no protocol can
+    /// protect against that change.
     fn remove(&mut self, pick: u8) {
         let Some(at) = self.a_leader(pick) else {
             return;
@@ -232,7 +233,7 @@
         }
     }
 
-    /// How many voters still have their memory.
+    /// Returns the number of voters that still have their durable state.
     fn alive(&self, membership: &Membership) -> usize {
         let voters = membership.voters.iter();
         voters.filter(|m| !self.lost.contains(&m.id())).count()
@@ -264,7 +265,7 @@
         slot.frozen_until = slot.frozen_until.max(until);
     }
 
-    /// Freezes a replica with its clock, as when a machine is suspended.
+    /// Freezes a replica together with its clock, as when an instance is suspended.
     pub fn suspend(&mut self, at: usize, ms: u16) {
         self.freeze(at, ms);
         let slot = &mut self.slots[at];
@@ -295,7 +296,7 @@
         }
     }
 
-    /// Loses a disk, if in no membership that may be in force a majority would be lost with it.
+    /// Loses a disk, unless a majority of a membership that may be in force would be lost with it.
     fn lose_disk(&mut self, at: usize) {
         let id = self.slots[at].id;
         self.lost.insert(id);
@@ -320,7 +321,7 @@
         self.start(at);
     }
 
-    /// Ends all faults; then a request must be accepted and all members agree.
+    /// Ends all faults, then checks that a request is accepted and that all members agree.
     fn recover(&mut self) {
         self.cut.clear();
         self.loss = 0;
--- a/crates/filbertstack-log/tests/log/support/machine.rs
+++ b/crates/filbertstack-log/tests/log/support/machine.rs
@@ -1,4 +1,4 @@
-//! A map of keys with idempotent requests.
+//! A state machine for tests: a map with idempotent requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use filbertstack_log::StateMachine;
 
-/// Sets `key` to `value`; a request that was seen changes nothing.
+/// Sets `key` to `value`; a repeated request changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Put {
     pub request: u64,
@@ -31,10 +31,10 @@
     }
 }
 
-/// The key at which the machine panics.
+/// The key at which the state machine panics.
 pub const POISON: u64 = u64::MAX;
 
-/// What the commands built.
+/// The state that the commands produce.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
     /// The index at which each request was first applied.
@@ -54,7 +54,7 @@
     }
 }
 
-/// The machine; its state may be read from outside.
+/// The state machine; a test can read its state from outside.
 #[derive(Clone, Debug, Default)]
 pub struct Map(pub Arc<Mutex<State>>);
 
--- a/crates/filbertstack-log/tests/log/support/mod.rs
+++ b/crates/filbertstack-log/tests/log/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes at the crate's interfaces: a machine, a disk, a network.
+//! Test doubles of the crate's interfaces: a state machine, a disk and a network.
 
 pub mod checker;
 pub mod disk;
--- a/crates/filbertstack-log/tests/log/support/network.rs
+++ b/crates/filbertstack-log/tests/log/support/network.rs
@@ -1,4 +1,4 @@
-//! A network of running replicas in one process.
+//! An in-memory network of running replicas in one process.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,12 +20,12 @@
 use crate::support::machine::Map;
 use crate::support::machine::Put;
 
-/// How long a test waits for what must come; far above what it takes.
+/// The longest time that a test waits for an event, far above the time that it takes.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
 type Running = BTreeMap<NodeId, Arc<Replica<Map>>>;
 
-/// Carries messages between the replicas that run and are not cut off.
+/// Carries messages between running replicas that are not cut off.
 #[derive(Clone, Default)]
 pub struct Network {
     running: Arc<Mutex<Running>>,
@@ -49,7 +49,7 @@
 }
 
 impl Network {
-    /// Loses all messages to and from the replica.
+    /// Drops all messages to and from the replica.
     pub fn cut(&self, node: NodeId) {
         self.cut.lock().unwrap().insert(node);
     }
@@ -59,7 +59,7 @@
     }
 }
 
-/// A slot for one replica: its disk, its machine, and itself while it runs.
+/// Holds one replica with its disk and state machine; the replica is set while it runs.
 pub struct Slot {
     pub name: String,
     pub disk: MemoryDisk,
@@ -88,7 +88,7 @@
     pub slots: Vec<Slot>,
 }
 
-/// Timings for tests: short, so that they end soon.
+/// Returns settings with short timings, so that tests end soon.
 pub fn quick() -> ReplicaSettings {
     ReplicaSettings {
         timing: Timing {
@@ -106,7 +106,7 @@
     Instant::now() + PATIENCE
 }
 
-/// Waits until `ready` gives something.
+/// Waits until `ready` returns a value.
 pub fn wait_for<T>(what: &str, mut ready: impl FnMut() -> Option<T>) -> T {
     let until = soon();
     while Instant::now() < until {
@@ -198,7 +198,7 @@
         self.on_leader(|leader| leader.promote(member.id(), soon()).ok());
     }
 
-    /// The slot of the replica that leads, once there is one.
+    /// Waits for a leader and returns its slot.
     pub fn leader(&self) -> usize {
         wait_for("leader", || {
             self.slots.iter().position(|slot| {
@@ -210,7 +210,7 @@
         })
     }
 
-    /// Asks whoever leads until it gives something.
+    /// Calls `ask` with the current leader until it returns a value.
     pub fn on_leader<T>(&self, mut ask: impl FnMut(&Replica<Map>) -> Option<T>) -> T {
         wait_for("answer of a leader", || {
             let leader = self.slots[self.leader()].replica.clone()?;
@@ -218,7 +218,7 @@
         })
     }
 
-    /// Proposes until it is accepted, resending after every error.
+    /// Proposes a command until it is accepted, resending it after every error.
     pub fn put(&self, request: u64) -> u64 {
         let put = Put {
             request,
@@ -229,7 +229,8 @@
             .outcome
     }
 
-    /// Waits until all running replicas hold the same state, and returns it.
+    /// Waits until all running replicas hold the same state with `requests` requests, and returns
+    /// it.
     pub fn settled(&self, requests: usize) -> crate::support::machine::State {
         wait_for("equal state", || {
             let running = self.slots.iter().filter(|s| s.replica.is_some());
--- a/crates/filbertstack-log/tests/log/support/running.rs
+++ b/crates/filbertstack-log/tests/log/support/running.rs
@@ -1,4 +1,4 @@
-//! One running replica of a world, and who waits for it.
+//! One running replica of a simulated group, and the callers that wait for it.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -32,10 +32,10 @@
     pub(super) led: bool,
 }
 
-/// What a ticket stands for.
+/// The request that a ticket identifies.
 pub(super) enum Asked {
     Put(u64),
-    /// With what the read must see.
+    /// A read, with the index that it must see.
     Read(u64),
     Promote(NodeId),
     Other,
--- a/crates/filbertstack-log/tests/log/support/steps.rs
+++ b/crates/filbertstack-log/tests/log/support/steps.rs
@@ -1,48 +1,48 @@
-//! What happens to a group in a search for faults.
+//! The steps of the random search for faults.
 
 use proptest::collection::vec;
 use proptest::prelude::Strategy;
 use proptest::prelude::any;
 use proptest::prop_oneof;
 
-/// One thing that happens. A `u8` picks among the replicas that it can happen to.
+/// One step of a run. A `u8` picks among the replicas that the step can affect.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     /// Time passes, in milliseconds.
     Run(u16),
-    /// A caller proposes to whoever believes to lead.
+    /// A caller proposes to a replica that considers itself the leader.
     Propose(u8),
     /// A caller sends an earlier request again.
     Resend(u8),
-    /// A caller reads at whoever believes to lead.
+    /// A caller reads from a replica that considers itself the leader.
     Read(u8),
     /// A replica's process dies.
     Kill(u8),
-    /// Whoever leads dies.
+    /// The leader's process dies.
     KillLeader,
     /// A replica's process dies at one of its next operations on the disk.
     CrashAt(u8, u8),
     /// A replica that is down starts.
     Start(u8),
-    /// A replica stands still, in milliseconds.
+    /// A replica freezes, for a time in milliseconds.
     Freeze(u8, u16),
-    /// A replica stands still with its clock, in milliseconds.
+    /// A replica freezes together with its clock, for a time in milliseconds.
     Suspend(u8, u16),
-    /// Whoever leads stands still, in milliseconds.
+    /// The leader freezes, for a time in milliseconds.
     FreezeLeader(u16),
-    /// Nothing reaches a replica or comes from it.
+    /// All messages to and from a replica are lost.
     Isolate(u8),
-    /// Nothing reaches whoever leads or comes from it.
+    /// All messages to and from the leader are lost.
     IsolateLeader,
-    /// Nothing that one replica sends reaches another.
+    /// All messages from one replica to another are lost.
     CutOneWay(u8, u8),
     /// All links work again.
     Heal,
-    /// So many of a hundred messages are lost, as many doubled.
+    /// The given percentage of messages is lost, and as many are duplicated.
     Lose(u8),
     /// A replica takes a snapshot.
     Snapshot(u8),
-    /// A replica's disk has only so many bytes left.
+    /// A replica's disk has only the given number of bytes left.
     Full(u8, u8),
     /// All disks have space again.
     Space,
@@ -56,7 +56,7 @@
     Promote(u8),
     /// The leader removes a member.
     Remove(u8),
-    /// The leader passes the leadership on.
+    /// The leader transfers the leadership.
     Transfer(u8),
 }
 
@@ -92,7 +92,7 @@
     ]
 }
 
-/// A seed for chance within the world, the number of first voters, and what happens to them.
+/// Generates a seed for the random choices of a run, the number of first voters, and the steps.
 pub fn script() -> impl Strategy<Value = (u64, usize, Vec<Step>)> {
     (any::<u64>(), 2_usize..=5, vec(step(), 100..200))
 }
--- a/crates/filbertstack-log/tests/log/support/world.rs
+++ b/crates/filbertstack-log/tests/log/support/world.rs
@@ -1,6 +1,6 @@
-//! A group of nodes with their real storage, on fake disks, links and clocks.
+//! A simulated group of nodes with their real storage, on fake disks, links and clocks.
 //!
-//! Everything that chance decides comes from one seed, so that a run is repeated exactly.
+//! All random choices come from one seed, so that a run can be repeated exactly.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -38,15 +38,16 @@
 use crate::support::running::Asked;
 use crate::support::running::Running;
 
-/// The grain of time.
+/// The step of simulated time.
 const SLICE: Duration = Duration::from_millis(10);
-/// The time in which the first voters' state becomes durable; no fault comes before.
+/// The time in which the state of the first voters becomes durable; no fault is injected before its
+/// end.
 const CREATION: Duration = Duration::from_millis(200);
 const CLUSTER: ClusterId = ClusterId(77);
-/// Replicas beside the first voters.
+/// The number of replicas besides the first voters.
 const SPARE: usize = 2;
 
-/// Which protections are off.
+/// Selects the protections that are off.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Variant {
     pub safeguards: Safeguards,
@@ -54,9 +55,9 @@
     pub keeps_identity: bool,
     /// A replica does not notice that its clock stood still.
     pub trusts_clock: bool,
-    /// Limits in place of those that a short run reaches.
+    /// Limits in place of the small ones that a short run reaches.
     pub limits: Option<Limits>,
-    /// Disks acknowledge a sync without doing it.
+    /// Disks report a sync as done without doing it.
     pub lying_disks: bool,
 }
 
@@ -66,21 +67,21 @@
     pub(super) rate: f64,
     pub(super) running: Option<Running>,
     pub(super) frozen_until: Duration,
-    /// Its clock stood still while it was frozen, and it has not noticed yet.
+    /// Its clock was paused while it was frozen, and it has not noticed yet.
     pub(super) suspended: bool,
     pub(super) inbox: Vec<Input>,
     pub(super) durable: u64,
     pub(super) membership: Arc<Membership>,
 }
 
-/// What a replica sent and was sent.
+/// Counts the traffic that a replica sent and received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     pub messages: u64,
     pub bytes: u64,
 }
 
-/// The world.
+/// Simulates a group with its disks, links and clocks.
 pub struct World {
     pub traffic: BTreeMap<NodeId, Traffic>,
     pub(super) variant: Variant,
@@ -95,14 +96,14 @@
     pub(super) next_ticket: u64,
     pub(super) next_request: u64,
     pub(super) lost: BTreeSet<NodeId>,
-    /// The membership committed last, and all that were appended anywhere since: an entry under
-    /// way may bring any of them into force.
+    /// The last committed membership, and all memberships appended on any replica since: an
+    /// uncommitted entry may bring any of them into force.
     pub(super) views: Vec<Arc<Membership>>,
     pub checker: Checker,
 }
 
 impl World {
-    /// A group of `voters`, and spare replicas without a group.
+    /// Creates a group of `voters` and spare replicas without a group.
     pub fn new(seed: u64, voters: usize, variant: Variant) -> Self {
         let mut world = Self {
             variant,
@@ -190,7 +191,7 @@
         let opened = Storage::open_sized(slot.disk.clone(), fresh, 700);
         let (storage, mut memory) = match opened {
             Ok(opened) => opened,
-            // The process dies again while it starts, or there is no space to start.
+            // The process dies again while it starts, or the disk has no space for the start.
             Err(StorageError::Io { .. } | StorageError::Sync { .. }) => {
                 slot.disk.crash(&mut self.rng);
                 return;
@@ -234,22 +235,22 @@
         self.settle(at);
     }
 
-    /// A replica as its group knows it.
+    /// Returns a replica as a member of its group.
     pub fn member(&self, at: usize) -> Member {
         self.slots[at].member()
     }
 
-    /// How many syncs a replica's disk did.
+    /// Returns the number of syncs that a replica's disk did.
     pub fn syncs(&self, at: usize) -> u64 {
         self.slots[at].disk.syncs()
     }
 
-    /// A replica as it is now.
+    /// Returns the status of a replica.
     pub fn status(&self, at: usize) -> NodeStatus {
         self.slots[at].running.as_ref().unwrap().node.status()
     }
 
-    /// Runs until `ready`, for at most `limit` slices.
+    /// Runs until `ready` returns true, for at most `limit` time steps.
     pub fn run_until(&mut self, limit: u32, ready: impl Fn(&Self) -> bool) -> bool {
         for _ in 0..limit {
             if ready(self) {
@@ -260,7 +261,7 @@
         false
     }
 
-    /// Runs until one of these leads.
+    /// Runs until one of the given replicas leads, and returns it.
     pub fn elect(&mut self, among: &[usize]) -> usize {
         let leads = |w: &Self| w.leaders().into_iter().find(|at| among.contains(at));
         assert!(
@@ -270,7 +271,7 @@
         leads(self).unwrap()
     }
 
-    /// Loses what any of `from` sends to any of `to`.
+    /// Drops every message from any of `from` to any of `to`.
     pub fn cut(&mut self, from: &[usize], to: &[usize]) {
         for from in from {
             for to in to.iter().filter(|to| *to != from) {
@@ -285,14 +286,15 @@
         self.cut.clear();
     }
 
-    /// Gives a replica an input at its own time. A frozen one takes it when it wakes.
+    /// Passes an input to a replica at its local time. A frozen replica handles it when it wakes.
     pub(super) fn input(&mut self, at: usize, input: Input) {
         if self.take(at, input) {
             self.settle(at);
         }
     }
 
-    /// Has a replica take an input before it does what that leads to; false if it waits.
+    /// Passes an input to a replica without performing the resulting actions; returns false if the
+    /// replica is down or frozen.
     pub(super) fn take(&mut self, at: usize, input: Input) -> bool {
         let now = self.now;
         let slot = &mut self.slots[at];
@@ -322,8 +324,8 @@
         }
     }
 
-    /// Delivers what is due. What came to a frozen replica waits, as in the buffers of its
-    /// sockets, and is read when it wakes in an order that nobody can tell.
+    /// Delivers the messages that are due. Messages to a frozen replica wait, as in the buffers of
+    /// its sockets, and it reads them in any order when it wakes.
     fn deliver(&mut self) {
         for at in 0..self.slots.len() {
             if self.slots[at].frozen_until <= self.now {
@@ -386,7 +388,7 @@
         }
     }
 
-    /// Does what the node wants done, as the replica's driver does.
+    /// Performs the actions that the node requests, as the replica's driver does.
     pub(super) fn settle(&mut self, at: usize) {
         let durable = self.slots.iter().map(|s| (s.id, s.durable)).collect();
         let slot = &mut self.slots[at];
@@ -485,7 +487,7 @@
     }
 }
 
-/// Limits that are reached in a short run.
+/// Returns limits that a short run reaches.
 fn small() -> Limits {
     Limits {
         append_bytes: 100,
