--- a/crates/filbertstack-log/benches/group/mod.rs
+++ b/crates/filbertstack-log/benches/group/mod.rs
@@ -20,7 +20,7 @@
 use tempfile::TempDir;
 
 /// The size of a command, in bytes; about that of an idempotency claim.
-pub const COMMAND: usize = 200;
+pub const COMMAND_BYTES: usize = 200;
 
 /// A state machine that counts commands.
 #[derive(Default)]
@@ -65,7 +65,7 @@
     _folders: Vec<TempDir>,
 }
 
-fn soon() -> Instant {
+fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(30)
 }
 
@@ -87,14 +87,14 @@
         let members: Vec<Member> = replicas.iter().map(|r| member(r)).collect();
         let wanted = u32::try_from(voters).unwrap();
         replicas[0]
-            .create(members[0].clone(), wanted, None, soon())
+            .create(members[0].clone(), wanted, None, deadline())
             .unwrap();
         while replicas[0].status().node.role != RoleName::Leader {
             thread::sleep(Duration::from_millis(5));
         }
         for member in &members[1..] {
-            while replicas[0].add_learner(member.clone(), soon()).is_err() {}
-            while replicas[0].promote(member.id(), soon()).is_err() {
+            while replicas[0].add_learner(member.clone(), deadline()).is_err() {}
+            while replicas[0].promote(member.id(), deadline()).is_err() {
                 thread::sleep(Duration::from_millis(5));
             }
         }
@@ -111,7 +111,9 @@
         let call = || {
             let ask = |_| {
                 let start = Instant::now();
-                self.replicas[0].propose(vec![7; COMMAND], soon()).unwrap();
+                self.replicas[0]
+                    .propose(vec![7; COMMAND_BYTES], deadline())
+                    .unwrap();
                 start.elapsed()
             };
             (0..rounds).map(ask).collect::<Vec<Duration>>()
--- a/crates/filbertstack-log/benches/measure.rs
+++ b/crates/filbertstack-log/benches/measure.rs
@@ -21,13 +21,13 @@
 use filbertstack_log::storage::Storage;
 use filbertstack_log::storage::disk::Folder;
 
-use crate::group::COMMAND;
+use crate::group::COMMAND_BYTES;
 use crate::group::Group;
 
 /// The time for which a group is measured at rest.
 const REST: Duration = Duration::from_secs(10);
 /// The number of clock ticks per second in which the system counts processor time.
-const TICKS: f64 = 100.0;
+const TICKS_PER_S: f64 = 100.0;
 /// The number of syncs in the measurement of the disk.
 const SYNCS: u32 = 500;
 /// The number of proposals in one measurement of commits.
@@ -46,9 +46,9 @@
     println!("|---|---|");
     for voters in [3, 5] {
         let group = Group::form(voters);
-        let before = processor();
+        let before = processor_time();
         std::thread::sleep(REST);
-        let used = processor() - before;
+        let used = processor_time() - before;
         let each = used / REST.as_secs_f64() / f64::from(u32::try_from(voters).unwrap());
         println!("| {voters} | {:.2} % |", each * 100.0);
         drop(group);
@@ -56,11 +56,11 @@
 }
 
 /// Returns the processor time that this process has used, in seconds.
-fn processor() -> f64 {
+fn processor_time() -> f64 {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or_default();
     let ticks = after_name.split_whitespace().skip(11).take(2);
-    ticks.filter_map(|t| t.parse::<f64>().ok()).sum::<f64>() / TICKS
+    ticks.filter_map(|t| t.parse::<f64>().ok()).sum::<f64>() / TICKS_PER_S
 }
 
 /// Measures the disk alone, as a reference for the other measurements.
@@ -72,7 +72,7 @@
     let mut file = folder.create("probe").unwrap();
     let start = Instant::now();
     for _ in 0..SYNCS {
-        file.append(&[7; COMMAND]).unwrap();
+        file.append(&[7; COMMAND_BYTES]).unwrap();
         file.sync().unwrap();
     }
     println!("one append and sync: {:.2?}\n", start.elapsed() / SYNCS);
@@ -85,11 +85,11 @@
         let group = Group::form(voters);
         for callers in [1, 16, 64, 256] {
             let rounds = PROPOSALS / callers as u64;
-            let before = processor();
+            let before = processor_time();
             let start = Instant::now();
             let mut spans = group.propose(callers, rounds);
             let whole = start.elapsed().as_secs_f64();
-            let used = processor() - before;
+            let used = processor_time() - before;
             let counted = f64::from(u32::try_from(spans.len() * voters).unwrap());
             let each = Duration::from_secs_f64(used / counted);
             spans.sort_unstable();
@@ -120,13 +120,13 @@
     for (entries, state) in sizes {
         let dir = tempfile::tempdir().unwrap();
         fill(dir.path(), entries, state);
-        let before = resident();
+        let before = resident_memory();
         let start = Instant::now();
         let folder = Folder::lock(dir.path()).unwrap();
-        let (storage, memory) = Storage::open(folder, NodeId(1)).unwrap();
-        let node = Node::new(config(), memory, Duration::ZERO);
+        let (storage, saved) = Storage::open(folder, NodeId(1)).unwrap();
+        let node = Node::new(config(), saved, Duration::ZERO);
         let opened = start.elapsed();
-        let grown = resident().saturating_sub(before) >> 10;
+        let grown = resident_memory().saturating_sub(before) >> 10;
         println!("| {entries} | {state} | {opened:.2?} | {grown} KiB |");
         kept.push((storage, node));
     }
@@ -180,12 +180,12 @@
         index,
         term: 1,
         kind: EntryKind::Command.into(),
-        data: Bytes::from(vec![7; COMMAND]),
+        data: Bytes::from(vec![7; COMMAND_BYTES]),
     }
 }
 
 /// Returns the resident memory of this process, in bytes.
-fn resident() -> u64 {
+fn resident_memory() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS:"));
     let kilobytes = line.and_then(|l| l.split_whitespace().nth(1));
--- a/crates/filbertstack-log/tests/log/broken.rs
+++ b/crates/filbertstack-log/tests/log/broken.rs
@@ -43,7 +43,7 @@
     })
 }
 
-fn finds(variant: Variant, wanted: fn(&Violation) -> bool) {
+fn assert_found(variant: Variant, wanted: fn(&Violation) -> bool) {
     assert_ne!(search(variant, wanted), None, "the broken replica passed");
 }
 
@@ -56,7 +56,7 @@
     })
 }
 
-fn catches(
+fn assert_detected(
     scenario: fn(&mut World),
     voters: usize,
     broken: Variant,
@@ -71,75 +71,76 @@
     Duration::from_millis(count)
 }
 
-fn stale(violation: &Violation) -> bool {
+fn stale_read(violation: &Violation) -> bool {
     matches!(violation, Violation::StaleRead { .. })
 }
 
 /// A voter answers before its term and vote are on disk, and dies. It comes back in an earlier
 /// term, in which it may vote again.
 #[test]
-fn a_vote_that_is_not_durable_is_noticed() {
+fn a_vote_that_is_not_durable_is_detected() {
     let back = |v: &Violation| {
         matches!(
             v,
-            Violation::VotedTwice { .. } | Violation::TermWentBack { .. }
+            Violation::VotedTwice { .. } | Violation::TermDecreased { .. }
         )
     };
-    finds(without(|s| s.durable_votes = false), back);
+    assert_found(without(|s| s.durable_votes = false), back);
 }
 
 /// A follower acknowledges entries before they are on disk, and dies. Entries that callers were
 /// told are committed are lost.
 #[test]
-fn an_entry_that_is_not_durable_is_noticed() {
-    let lost = |v: &Violation| matches!(v, Violation::Diverged { .. } | Violation::Broken(_));
-    finds(without(|s| s.durable_entries = false), lost);
+fn an_entry_that_is_not_durable_is_detected() {
+    let lost =
+        |v: &Violation| matches!(v, Violation::Diverged { .. } | Violation::ProtocolBroken(_));
+    assert_found(without(|s| s.durable_entries = false), lost);
 }
 
 /// The disk reports a sync as done without doing it.
 #[test]
-fn a_disk_that_does_not_sync_is_noticed() {
-    let lying = Variant {
+fn a_disk_that_does_not_sync_is_detected() {
+    let unsynced = Variant {
         lying_disks: true,
         ..Variant::default()
     };
     let lost = |v: &Violation| {
         matches!(
             v,
-            Violation::TermWentBack { .. } | Violation::VotedTwice { .. }
+            Violation::TermDecreased { .. } | Violation::VotedTwice { .. }
         )
     };
-    finds(lying, lost);
+    assert_found(unsynced, lost);
 }
 
 /// A voter whose disk was lost comes back under its old identity and votes without its earlier
 /// state.
 #[test]
-fn a_vote_from_an_empty_memory_is_noticed() {
-    let mut forgetful = without(|s| s.members_vote = false);
-    forgetful.keeps_identity = true;
+fn a_vote_without_saved_state_is_detected() {
+    let mut broken = without(|s| s.members_vote = false);
+    broken.keeps_identity = true;
     let unsafe_vote = |v: &Violation| {
         matches!(
             v,
             Violation::VotedTwice { .. } | Violation::TwoLeaders { .. }
         )
     };
-    finds(forgetful, unsafe_vote);
+    assert_found(broken, unsafe_vote);
 }
 
 /// A learner becomes a voter before it holds every committed entry. If another voter is lost at
 /// that moment, accepted entries are lost.
 #[test]
-fn a_learner_that_counts_early_is_noticed() {
+fn an_early_promotion_is_detected() {
     let early = |v: &Violation| matches!(v, Violation::EarlyVoter { .. });
-    finds(without(|s| s.caught_up = false), early);
+    assert_found(without(|s| s.caught_up = false), early);
 }
 
 /// A leader is cut off with a promotion that only the new voter received. Its successor removes the
 /// old leader before an entry of its own term is committed. The two memberships differ by two
 /// members and have disjoint majorities, so both commit.
 #[test]
-fn two_changes_at_once_are_noticed() {
+fn two_changes_at_once_are_detected() {
     fn scenario(world: &mut World) {
         const SPARE: usize = 4;
         let old = world.elect(&[0, 1, 2, 3]);
@@ -168,22 +169,24 @@
     let split = |v: &Violation| {
         matches!(
             v,
-            Violation::Diverged { .. } | Violation::Broken(_) | Violation::TwoLeaders { .. }
+            Violation::Diverged { .. }
+                | Violation::ProtocolBroken(_)
+                | Violation::TwoLeaders { .. }
         )
     };
-    catches(scenario, 4, without(|s| s.one_change = false), split);
+    assert_detected(scenario, 4, without(|s| s.one_change = false), split);
 }
 
 /// A new leader serves a read before it knows how far its predecessor committed.
 #[test]
-fn a_read_before_the_term_is_opened_is_noticed() {
-    finds(without(|s| s.read_after_noop = false), stale);
+fn a_read_before_the_noop_is_detected() {
+    assert_found(without(|s| s.read_after_noop = false), stale_read);
 }
 
 /// A leader freezes with answers to its heartbeats in its sockets, is replaced meanwhile, and reads
 /// the answers when it wakes. They do not confirm that it still leads.
 #[test]
-fn a_lease_counted_from_receipt_is_noticed() {
+fn a_lease_counted_from_receipt_is_detected() {
     fn scenario(world: &mut World) {
         let old = world.elect(&[0, 1, 2]);
         world.propose_at(old, None);
@@ -202,13 +205,18 @@
         world.read_at(old);
         world.run(ms(6_000));
     }
-    catches(scenario, 3, without(|s| s.lease_from_send = false), stale);
+    assert_detected(
+        scenario,
+        3,
+        without(|s| s.lease_from_send = false),
+        stale_read,
+    );
 }
 
 /// The instance of a leader is suspended, and its monotonic clock with it. By that clock the lease
 /// still runs when it wakes, although the leader was replaced long ago.
 #[test]
-fn a_clock_that_stood_still_is_noticed() {
+fn a_paused_clock_is_detected() {
     fn scenario(world: &mut World) {
         let old = world.elect(&[0, 1, 2]);
         world.propose_at(old, None);
@@ -227,13 +235,13 @@
         trusts_clock: true,
         ..Variant::default()
     };
-    catches(scenario, 3, trusting, stale);
+    assert_detected(scenario, 3, trusting, stale_read);
 }
 
 /// A follower that cannot hear the leader campaigns. Another follower, which hears the leader,
 /// votes for it while the leader still serves reads under the lease that this voter confirmed.
 #[test]
-fn a_vote_during_the_lease_is_noticed() {
+fn a_vote_during_the_lease_is_detected() {
     fn scenario(world: &mut World) {
         let old = world.elect(&[0, 1, 2]);
         world.propose_at(old, None);
@@ -253,13 +261,18 @@
             world.run(ms(100));
         }
     }
-    catches(scenario, 3, without(|s| s.sticky_leader = false), stale);
+    assert_detected(
+        scenario,
+        3,
+        without(|s| s.sticky_leader = false),
+        stale_read,
+    );
 }
 
 /// A leader that told a voter to campaign hears nothing of the new leader, and continues to serve
 /// reads under a lease that its voters no longer respect.
 #[test]
-fn a_lease_after_a_transfer_is_noticed() {
+fn a_lease_after_a_transfer_is_detected() {
     fn scenario(world: &mut World) {
         let old = world.elect(&[0, 1, 2]);
         world.propose_at(old, None);
@@ -274,13 +287,18 @@
         world.read_at(old);
         world.run(ms(100));
     }
-    catches(scenario, 3, without(|s| s.transfer_lease = false), stale);
+    assert_detected(
+        scenario,
+        3,
+        without(|s| s.transfer_lease = false),
+        stale_read,
+    );
 }
 
 /// An entry of an earlier term reaches a majority, is counted as committed, and is then replaced by
 /// the leader of a term in between.
 #[test]
-fn an_entry_of_an_earlier_term_committed_by_count_is_noticed() {
+fn a_commit_of_an_earlier_term_by_count_is_detected() {
     fn scenario(world: &mut World) {
         let all = [0, 1, 2, 3, 4];
         let first = world.elect(&all);
@@ -314,8 +332,9 @@
         world.elect(&late);
         world.run(ms(1_000));
     }
-    let replaced = |v: &Violation| matches!(v, Violation::Diverged { .. } | Violation::Broken(_));
-    catches(
+    let replaced =
+        |v: &Violation| matches!(v, Violation::Diverged { .. } | Violation::ProtocolBroken(_));
+    assert_detected(
         scenario,
         5,
         without(|s| s.commit_own_term = false),
@@ -339,7 +358,7 @@
 /// A follower that was cut off comes back with a term that it raised many times, and makes the
 /// leader of the others step down.
 #[test]
-fn a_return_without_pre_vote_is_noticed() {
+fn a_return_without_pre_vote_is_detected() {
     let (before, after) = term_after_return(without(|s| s.pre_vote = false));
     assert!(after > before);
     let (before, after) = term_after_return(Variant::default());
@@ -347,7 +366,7 @@
 }
 
 /// Returns whether a leader that was cut off for long still considers itself the leader.
-fn leads_alone(variant: Variant) -> bool {
+fn leads_isolated(variant: Variant) -> bool {
     let mut world = World::new(1, 3, variant);
     let old = world.elect(&[0, 1, 2]);
     world.isolate(old);
@@ -357,7 +376,7 @@
 
 /// A leader cut off by a partition continues to accept proposals that can never be committed.
 #[test]
-fn a_leader_without_check_quorum_is_noticed() {
-    assert!(leads_alone(without(|s| s.check_quorum = false)));
-    assert!(!leads_alone(Variant::default()));
+fn a_leader_without_check_quorum_is_detected() {
+    assert!(leads_isolated(without(|s| s.check_quorum = false)));
+    assert!(!leads_isolated(Variant::default()));
 }
--- a/crates/filbertstack-log/tests/log/figures.rs
+++ b/crates/filbertstack-log/tests/log/figures.rs
@@ -10,14 +10,14 @@
 
 /// The overhead of a message on the link, in bytes: the length of its frame, and the headers of its
 /// packet and of a separate acknowledgement, which is often combined with the answer in practice.
-const OVERHEAD: u64 = 4 + 52 + 52;
+const OVERHEAD_BYTES: u64 = 4 + 52 + 52;
 /// The bandwidth that a node may spend on control, in bytes per second.
-const BOUND: u64 = 8_000;
+const MAX_BYTES_PER_S: u64 = 8_000;
 /// The time for which a group is measured at rest, in seconds.
-const WATCHED: u64 = 20;
+const MEASURED_S: u64 = 20;
 
 /// The number of bursts; they are some heartbeats apart.
-const ROUNDS: u64 = 20;
+const BURSTS: u64 = 20;
 
 /// The leader has the most traffic. At rest it must leave bandwidth for the other tasks of control.
 #[test]
@@ -29,7 +29,7 @@
         let leader = world.elect(&all);
         world.run(Duration::from_secs(2));
         world.traffic.clear();
-        world.run(Duration::from_secs(WATCHED));
+        world.run(Duration::from_secs(MEASURED_S));
         let most = world
             .traffic
             .values()
@@ -37,9 +37,9 @@
             .copied()
             .unwrap();
         assert_eq!(world.leaders(), [leader]);
-        let messages = most.messages / WATCHED;
-        let bytes = (most.bytes + most.messages * OVERHEAD) / WATCHED;
-        assert!(bytes <= BOUND, "{voters} voters: {bytes}");
+        let messages = most.messages / MEASURED_S;
+        let bytes = (most.bytes + most.messages * OVERHEAD_BYTES) / MEASURED_S;
+        assert!(bytes <= MAX_BYTES_PER_S, "{voters} voters: {bytes}");
         lines.push(format!(
             "{voters} voters: the leader {messages} messages/s, {bytes} bytes/s"
         ));
@@ -63,12 +63,12 @@
         world.run(Duration::from_secs(2));
         world.traffic.clear();
         let syncs = world.syncs(leader);
-        for _ in 0..ROUNDS {
+        for _ in 0..BURSTS {
             world.propose_burst(leader, burst);
             world.run(Duration::from_millis(300));
         }
-        let commits = ROUNDS * burst;
-        assert_eq!(world.checker.told() as u64, commits);
+        let commits = BURSTS * burst;
+        assert_eq!(world.checker.accepted() as u64, commits);
         let total = world
             .traffic
             .values()
@@ -111,11 +111,11 @@
     let old = world.elect(&[0, 1, 2]);
     world.propose_at(old, None);
     world.run(Duration::from_millis(500 + seed));
-    let told = world.checker.told();
+    let told = world.checker.accepted();
     world.kill(old);
     let others: Vec<usize> = (0..3).filter(|at| *at != old).collect();
     let mut slices = 0;
-    while world.checker.told() == told {
+    while world.checker.accepted() == told {
         if let Some(leader) = world.leaders().into_iter().find(|at| others.contains(at)) {
             world.propose_at(leader, None);
         }
--- a/crates/filbertstack-log/tests/log/formation.rs
+++ b/crates/filbertstack-log/tests/log/formation.rs
@@ -13,8 +13,8 @@
 
 use crate::support::machine::Put;
 use crate::support::network::Group;
-use crate::support::network::quick;
-use crate::support::network::soon;
+use crate::support::network::deadline;
+use crate::support::network::quick_settings;
 
 fn listed() -> Vec<String> {
     ["a", "b", "c"].map(String::from).to_vec()
@@ -65,10 +65,10 @@
         name: name.into(),
         address: format!("{name}:1"),
     };
-    let mut now = Membership::initial(member("a"), 3);
+    let mut membership = Membership::initial(member("a"), 3);
     let mut changes = Vec::new();
-    while let Some(change) = Formation::next_change(&now, &listed(), &heard) {
-        now = now.with_change(&change).unwrap();
+    while let Some(change) = Formation::next_change(&membership, &listed(), &heard) {
+        membership = membership.with_change(&change).unwrap();
         changes.push(change);
     }
     let expected = [
@@ -78,40 +78,40 @@
         Change::Promote(NodeId(98)),
     ];
     assert_eq!(changes, expected);
-    assert_eq!(now.forming, 0);
+    assert_eq!(membership.forming, 0);
 }
 
 /// All disks are lost at once. A new group is created from a backup and holds the state in it; a
 /// truncated or changed backup is refused.
 #[test]
-fn a_backup_makes_a_new_group() {
-    let group = Group::form(1, quick());
+fn a_new_group_starts_from_a_backup() {
+    let group = Group::form(1, quick_settings());
     group.put(5);
     let first = group.slots[0].replica.clone().unwrap();
-    let backup = first.backup(soon()).unwrap();
+    let backup = first.backup(deadline()).unwrap();
     let state = open_backup(&backup).unwrap();
     assert!(open_backup(&backup[..backup.len() - 1]).is_err());
     let mut changed = backup.to_vec();
     changed[30] ^= 1;
     assert!(open_backup(&changed).is_err());
-    let mut fresh = Group::form(1, quick());
+    let mut fresh = Group::form(1, quick_settings());
     let at = fresh.add_slot();
     let replica = fresh.slots[at].replica.clone().unwrap();
     let member = fresh.slots[at].member();
-    replica.create(member, 1, Some(state), soon()).unwrap();
+    replica.create(member, 1, Some(state), deadline()).unwrap();
     assert_eq!(fresh.slots[at].map.state(), group.slots[0].map.state());
 }
 
 /// A group that has not yet reached its first number of voters refuses commands: an accepted
 /// command would be on a single disk. The replica refuses to create a group a second time.
 #[test]
-fn a_forming_group_takes_no_command() {
-    let mut group = Group::form(1, quick());
+fn a_forming_group_refuses_commands() {
+    let mut group = Group::form(1, quick_settings());
     let at = group.add_slot();
     let replica = group.slots[at].replica.clone().unwrap();
     let member = group.slots[at].member();
-    replica.create(member.clone(), 3, None, soon()).unwrap();
-    let again = replica.create(member, 3, None, soon());
+    replica.create(member.clone(), 3, None, deadline()).unwrap();
+    let again = replica.create(member, 3, None, deadline());
     assert_eq!(again, Err(ProposeError::Refused(Refusal::AlreadyGrouped)));
     let put = Put {
         request: 1,
@@ -119,7 +119,7 @@
         value: 1,
     };
     let refused = crate::support::network::wait_for("refusal", || {
-        let error = replica.propose(put.encode(), soon()).unwrap_err();
+        let error = replica.propose(put.encode(), deadline()).unwrap_err();
         (error == ProposeError::Refused(Refusal::Forming)).then_some(error)
     });
     assert!(refused.is_certain());
--- a/crates/filbertstack-log/tests/log/found.rs
+++ b/crates/filbertstack-log/tests/log/found.rs
@@ -12,7 +12,7 @@
 /// and no other voter can win. Unless learners may campaign as the last resort, the group is
 /// unavailable although a majority is alive (`NoProgress`).
 #[test]
-fn a_learner_that_holds_most_does_not_block_the_voters() {
+fn a_learner_with_the_longest_log_does_not_block_the_voters() {
     let mut world = World::new(11_292_511_141_924_331_986, 2, Variant::default());
     assert_eq!(world.play(BLOCKED), Ok(()));
 }
--- a/crates/filbertstack-log/tests/log/node.rs
+++ b/crates/filbertstack-log/tests/log/node.rs
@@ -47,7 +47,7 @@
 }
 
 /// Returns the durable state of node 2 in a group of nodes 1, 2 and 3, in term 4.
-fn memory() -> DurableState {
+fn saved_state() -> DurableState {
     let membership = Membership {
         voters: (1..=3).map(member).collect(),
         learners: Vec::new(),
@@ -84,7 +84,7 @@
         },
         safeguards: Safeguards::default(),
     };
-    let mut node = Node::new(config, memory(), Duration::ZERO);
+    let mut node = Node::new(config, saved_state(), Duration::ZERO);
     node.output();
     node
 }
@@ -121,7 +121,7 @@
 
 /// Steps the node with an input, completes its writes, and returns the first output and all
 /// messages sent.
-fn turn(node: &mut Node, at: Duration, input: Input) -> (Output, Vec<Message>) {
+fn step_durably(node: &mut Node, at: Duration, input: Input) -> (Output, Vec<Message>) {
     node.step(at, input);
     let first = node.output();
     let mut sent = first.messages.clone();
@@ -135,7 +135,7 @@
     (first, sent)
 }
 
-fn granted(sent: &[Message]) -> bool {
+fn grants_vote(sent: &[Message]) -> bool {
     let granted = |m: &Message| matches!(&m.body, Some(Body::VoteReply(r)) if r.granted);
     sent.iter().any(granted)
 }
@@ -144,53 +144,53 @@
 /// confirms. The voter restarts and forgets the heartbeat. It must grant no vote until the lease is
 /// over.
 #[test]
-fn a_restart_breaks_no_promise() {
+fn a_restarted_voter_respects_the_lease() {
     let mut node = node();
-    let (_, sent) = turn(&mut node, ms(10), vote(5));
-    assert!(!granted(&sent));
-    let (_, sent) = turn(&mut node, ms(990), vote(5));
-    assert!(!granted(&sent));
-    let (_, sent) = turn(&mut node, ms(1_000), vote(5));
-    assert!(granted(&sent));
+    let (_, sent) = step_durably(&mut node, ms(10), vote(5));
+    assert!(!grants_vote(&sent));
+    let (_, sent) = step_durably(&mut node, ms(990), vote(5));
+    assert!(!grants_vote(&sent));
+    let (_, sent) = step_durably(&mut node, ms(1_000), vote(5));
+    assert!(grants_vote(&sent));
 }
 
 /// A voter that answered a heartbeat learns of a higher term through a message other than a vote
 /// request. In that term, too, it must grant no vote until the lease that it confirmed is over.
 #[test]
-fn a_raised_term_breaks_no_promise() {
+fn a_raised_term_respects_the_lease() {
     let mut node = node();
-    turn(&mut node, ms(2_000), heartbeat(4));
+    step_durably(&mut node, ms(2_000), heartbeat(4));
     let rejected = VoteReply {
         granted: false,
         pre: true,
     };
-    turn(
+    step_durably(
         &mut node,
         ms(2_010),
         message(OTHER, 6, Body::VoteReply(rejected)),
     );
     assert_eq!(node.status().term, 6);
-    let (_, sent) = turn(&mut node, ms(2_020), vote(6));
-    assert!(!granted(&sent));
-    let (_, sent) = turn(&mut node, ms(3_000), vote(6));
-    assert!(granted(&sent));
+    let (_, sent) = step_durably(&mut node, ms(2_020), vote(6));
+    assert!(!grants_vote(&sent));
+    let (_, sent) = step_durably(&mut node, ms(3_000), vote(6));
+    assert!(grants_vote(&sent));
 }
 
 /// Messages of another cluster, for another replica, or with a gap change nothing.
 #[test]
-fn strange_messages_are_dropped() {
+fn invalid_messages_are_dropped() {
     let mut node = node();
     let Input::Message(sound) = heartbeat(9) else {
         return;
     };
     let mut foreign = sound.clone();
     foreign.cluster = 6;
-    let mut astray = sound.clone();
-    astray.to = 8;
+    let mut misaddressed = sound.clone();
+    misaddressed.to = 8;
     let mut echo = sound.clone();
     echo.from = 2;
-    for strange in [foreign, astray, echo] {
-        let (_, sent) = turn(&mut node, ms(10), Input::Message(strange));
+    for invalid in [foreign, misaddressed, echo] {
+        let (_, sent) = step_durably(&mut node, ms(10), Input::Message(invalid));
         assert!(sent.is_empty());
         assert_eq!(node.status().term, 4);
     }
@@ -204,32 +204,32 @@
         }],
         ..Append::default()
     };
-    turn(&mut node, ms(10), message(LEADER, 4, Body::Append(gap)));
+    step_durably(&mut node, ms(10), message(LEADER, 4, Body::Append(gap)));
     assert_eq!(node.status().last, 1);
 }
 
 /// Returns the node as leader of term 5, with its first entry committed.
 fn leader() -> Node {
     let mut node = node();
-    turn(&mut node, ms(3_000), Input::Tick);
+    step_durably(&mut node, ms(3_000), Input::Tick);
     let reply = |pre| VoteReply { granted: true, pre };
-    turn(
+    step_durably(
         &mut node,
         ms(3_010),
         message(OTHER, 5, Body::VoteReply(reply(true))),
     );
-    turn(
+    step_durably(
         &mut node,
         ms(3_020),
         message(OTHER, 5, Body::VoteReply(reply(false))),
     );
     assert_eq!(node.status().role, RoleName::Leader);
-    turn(&mut node, ms(3_030), accept(2));
+    step_durably(&mut node, ms(3_030), acknowledge(2));
     assert_eq!(node.status().commit, 2);
     node
 }
 
-fn accept(index: u64) -> Input {
+fn acknowledge(index: u64) -> Input {
     let reply = AppendReply {
         index,
         prev_index: 1,
@@ -242,7 +242,7 @@
 fn propose(node: &mut Node, length: usize) -> Result<Accepted, Refusal> {
     let command = Bytes::from(vec![0; length]);
     let ticket = Ticket(1);
-    let (output, _) = turn(node, ms(3_040), Input::Propose { ticket, command });
+    let (output, _) = step_durably(node, ms(3_040), Input::Propose { ticket, command });
     output.answers[0].result.clone()
 }
 
@@ -276,7 +276,7 @@
         .count();
     assert!(under_way <= 3);
     let last = node.status().last;
-    turn(&mut node, ms(3_060), accept(last));
+    step_durably(&mut node, ms(3_060), acknowledge(last));
     assert!(propose(&mut node, 1_000).is_ok());
 }
 
@@ -284,7 +284,7 @@
 /// from electing a leader while its callers wait. It must step down, and must not campaign while
 /// the disk hangs.
 #[test]
-fn a_leader_whose_disk_hangs_gives_way() {
+fn a_leader_with_a_hung_disk_steps_down() {
     let mut node = leader();
     let ticket = Ticket(1);
     let command = Bytes::from_static(&[0; 8]);
@@ -294,7 +294,7 @@
     while node.status().role == RoleName::Leader {
         at += 100;
         assert!(at < 6_000, "it still leads");
-        node.step(ms(at), heard(at));
+        node.step(ms(at), confirm_rounds(at));
         node.step(ms(at), Input::Tick);
         node.output();
     }
@@ -307,7 +307,7 @@
 }
 
 /// Returns an input in which the other voter confirms every round until `at`.
-fn heard(at: u64) -> Input {
+fn confirm_rounds(at: u64) -> Input {
     let reply = AppendReply {
         index: 2,
         prev_index: 1,
@@ -318,7 +318,7 @@
 }
 
 /// Returns the number of messages that carry entries to node 1.
-fn with_entries(sent: &[Message]) -> usize {
+fn count_appends(sent: &[Message]) -> usize {
     let full = |m: &&Message| match &m.body {
         Some(Body::Append(append)) => m.to == LEADER && !append.entries.is_empty(),
         _ => false,
@@ -329,17 +329,17 @@
 /// Guards against a frozen follower whose link fills with repeated copies of the same entries: once
 /// awake, it would read all of them before anything new.
 #[test]
-fn a_follower_that_answers_nothing_is_sent_nothing_twice() {
+fn a_silent_follower_gets_no_resends() {
     let mut node = leader();
     for _ in 0..3 {
         propose(&mut node, 1_000).expect("there is room");
     }
     let mut sent = Vec::new();
     for at in (3_050..11_000).step_by(50) {
-        sent.extend(turn(&mut node, ms(at), heard(at)).1);
-        sent.extend(turn(&mut node, ms(at), Input::Tick).1);
+        sent.extend(step_durably(&mut node, ms(at), confirm_rounds(at)).1);
+        sent.extend(step_durably(&mut node, ms(at), Input::Tick).1);
     }
-    assert_eq!(with_entries(&sent), 0, "the first message waits there");
+    assert_eq!(count_appends(&sent), 0, "the first message waits there");
     let awake = AppendReply {
         index: 1,
         prev_index: 1,
@@ -347,19 +347,19 @@
         reject: false,
     };
     let awake = message(LEADER, 5, Body::AppendReply(awake));
-    let (_, sent) = turn(&mut node, ms(11_000), awake);
-    assert!(with_entries(&sent) > 0, "it answers and is sent nothing");
+    let (_, sent) = step_durably(&mut node, ms(11_000), awake);
+    assert!(count_appends(&sent) > 0, "it answers and is sent nothing");
 }
 
 /// A voter's instance gets another address; the set of voters stays the same.
 #[test]
-fn a_member_may_move() {
+fn a_member_changes_its_address() {
     let mut node = leader();
     let mut moved = member(OTHER);
     moved.address = "entry-30:1".into();
     let ticket = Ticket(9);
     let change = Change::Move(moved.clone());
-    turn(&mut node, ms(3_050), Input::Change { ticket, change });
+    step_durably(&mut node, ms(3_050), Input::Change { ticket, change });
     let membership = node.membership();
     assert_eq!(membership.voters.len(), 3);
     assert!(membership.voters.contains(&moved));
@@ -372,7 +372,7 @@
     let mut node = leader();
     let ticket = Ticket(9);
     let change = Change::Remove(NodeId(OTHER));
-    let (output, _) = turn(&mut node, ms(3_050), Input::Change { ticket, change });
+    let (output, _) = step_durably(&mut node, ms(3_050), Input::Change { ticket, change });
     let expected = ChangeError::NoQuorum {
         answer: 1,
         voters: 2,
--- a/crates/filbertstack-log/tests/log/replica.rs
+++ b/crates/filbertstack-log/tests/log/replica.rs
@@ -8,12 +8,12 @@
 use filbertstack_log::RoleName;
 use filbertstack_log::UnknownReason;
 
-use crate::support::disk::Wrong;
-use crate::support::machine::POISON;
+use crate::support::disk::DiskFaults;
+use crate::support::machine::PANIC_KEY;
 use crate::support::machine::Put;
 use crate::support::network::Group;
-use crate::support::network::quick;
-use crate::support::network::soon;
+use crate::support::network::deadline;
+use crate::support::network::quick_settings;
 use crate::support::network::wait_for;
 
 /// Every voter in turn is killed and restarted during the proposals, then all voters at once. The
@@ -21,16 +21,16 @@
 /// applied exactly once on every replica, at the index returned to the proposer.
 #[test]
 fn accepted_commands_survive_kills_and_restarts() {
-    let mut group = Group::form(3, quick());
-    let mut told = BTreeMap::new();
+    let mut group = Group::form(3, quick_settings());
+    let mut outcomes = BTreeMap::new();
     for request in 1..=60 {
         if request % 10 == 0 {
             let at = usize::try_from(request / 10).unwrap() % 3;
             group.kill(at);
-            told.insert(request, group.put(request));
+            outcomes.insert(request, group.put(request));
             group.start(at);
         } else {
-            told.insert(request, group.put(request));
+            outcomes.insert(request, group.put(request));
         }
     }
     for at in 0..3 {
@@ -39,9 +39,9 @@
     for at in 0..3 {
         group.start(at);
     }
-    told.insert(61, group.put(61));
-    let state = group.settled(61);
-    assert_eq!(state.done, told);
+    outcomes.insert(61, group.put(61));
+    let state = group.wait_equal(61);
+    assert_eq!(state.done, outcomes);
 }
 
 /// A leader that is cut off continues to receive proposals. Each must end as unknown when the
@@ -49,7 +49,7 @@
 /// replaced.
 #[test]
 fn an_isolated_leader_accepts_nothing() {
-    let group = Group::form(3, quick());
+    let group = Group::form(3, quick_settings());
     group.put(1);
     let old = group.leader();
     let replica = group.slots[old].replica.clone().unwrap();
@@ -61,18 +61,18 @@
             value: 9,
         }
         .encode(),
-        soon(),
+        deadline(),
     );
     assert!(!lost.unwrap_err().is_certain());
-    let refused = replica.propose(bytes::Bytes::from_static(&[0; 24]), soon());
+    let refused = replica.propose(bytes::Bytes::from_static(&[0; 24]), deadline());
     assert!(matches!(
         refused,
         Err(ProposeError::Refused(Refusal::NotLeader { .. }))
     ));
-    assert!(replica.read_barrier(soon()).is_err());
+    assert!(replica.read_barrier(deadline()).is_err());
     group.put(3);
     group.network.heal();
-    let state = group.settled(2);
+    let state = group.wait_equal(2);
     assert!(state.done.contains_key(&1) && state.done.contains_key(&3));
 }
 
@@ -80,11 +80,11 @@
 /// others is longer than the test waits, so a proposal is accepted only if one of them was told to
 /// campaign.
 #[test]
-fn a_planned_stop_passes_the_leadership_on() {
-    let mut settings = quick();
+fn a_planned_stop_transfers_the_leadership() {
+    let mut settings = quick_settings();
     settings.timing.election_min = Duration::from_secs(30);
     settings.timing.election_max = Duration::from_secs(60);
-    let mut group = Group::form(1, quick());
+    let mut group = Group::form(1, quick_settings());
     group.settings = settings;
     let second = group.add_slot();
     group.join(second);
@@ -102,7 +102,7 @@
 /// was down for longer than the log reaches back receives a snapshot.
 #[test]
 fn a_replica_far_behind_gets_a_snapshot() {
-    let mut settings = quick();
+    let mut settings = quick_settings();
     settings.snapshot_bytes = 4 << 10;
     settings.segment_bytes = 2 << 10;
     settings.limits.kept_entries = 8;
@@ -116,7 +116,7 @@
     }
     group.start(behind);
     group.put(301);
-    let state = group.settled(301);
+    let state = group.wait_equal(301);
     assert_eq!(state.done.len(), 301);
     let replica = group.slots[behind].replica.clone().unwrap();
     assert!(replica.status().node.snapshot > 100);
@@ -129,7 +129,7 @@
 /// there, and the second voter is replaced in the same way.
 #[test]
 fn a_second_loss_right_after_a_repair_loses_nothing() {
-    let mut group = Group::form(3, quick());
+    let mut group = Group::form(3, quick_settings());
     for request in 1..=40 {
         group.put(request);
     }
@@ -141,21 +141,21 @@
         group.join(lost);
         group.put(request);
     }
-    let state = group.settled(43);
+    let state = group.wait_equal(43);
     assert!((1..=43).all(|request| state.done.contains_key(&request)));
 }
 
 /// The leader's disk fills up. Another replica becomes leader and accepts commands; the replica
 /// with the full disk refuses them with the remedy, and follows again once there is space.
 #[test]
-fn a_leader_with_a_full_disk_gives_way() {
-    let group = Group::form(3, quick());
+fn a_leader_with_a_full_disk_steps_down() {
+    let group = Group::form(3, quick_settings());
     group.put(1);
     let full = group.leader();
     let slot = &group.slots[full];
-    slot.disk.set_wrong(Wrong {
+    slot.disk.set_faults(DiskFaults {
         space: Some(10),
-        ..Wrong::default()
+        ..DiskFaults::default()
     });
     let replica = slot.replica.clone().unwrap();
     let put = Put {
@@ -163,15 +163,15 @@
         key: 0,
         value: 0,
     };
-    assert!(replica.propose(put.encode(), soon()).is_err());
-    let refused = replica.propose(put.encode(), soon()).unwrap_err();
+    assert!(replica.propose(put.encode(), deadline()).is_err());
+    let refused = replica.propose(put.encode(), deadline()).unwrap_err();
     assert_eq!(refused, ProposeError::Refused(Refusal::DiskFull));
     insta::assert_snapshot!(refused);
     group.put(2);
     assert!(replica.status().node.full);
-    slot.disk.set_wrong(Wrong::default());
+    slot.disk.set_faults(DiskFaults::default());
     group.put(3);
-    group.settled(3);
+    group.wait_equal(3);
     assert!(!replica.status().node.full);
 }
 
@@ -179,44 +179,44 @@
 /// the reason; a waiting caller gets an unknown outcome, and the others continue.
 #[test]
 fn a_failed_sync_stops_only_that_replica() {
-    let mut group = Group::form(3, quick());
+    let mut group = Group::form(3, quick_settings());
     group.put(1);
     let failed = group.leader();
     let replica = group.slots[failed].replica.clone().unwrap();
-    group.slots[failed].disk.set_wrong(Wrong {
+    group.slots[failed].disk.set_faults(DiskFaults {
         sync_fails: true,
-        ..Wrong::default()
+        ..DiskFaults::default()
     });
     let put = Put {
         request: 2,
         key: 0,
         value: 0,
     };
-    let ended = replica.propose(put.encode(), soon());
+    let ended = replica.propose(put.encode(), deadline());
     assert!(ended.is_ok() || ended == Err(ProposeError::Unknown(UnknownReason::Stopped)));
     wait_for("stop", || replica.status().failed);
-    assert!(replica.read_barrier(soon()).is_err());
+    assert!(replica.read_barrier(deadline()).is_err());
     group.put(2);
     group.kill(failed);
-    group.slots[failed].disk.set_wrong(Wrong::default());
+    group.slots[failed].disk.set_faults(DiskFaults::default());
     group.start(failed);
     group.put(3);
-    group.settled(3);
+    group.wait_equal(3);
 }
 
 /// The state machine panics at a command. The caller gets an unknown outcome, and the status
 /// reports that the replica has stopped; otherwise callers would still be sent to a dead leader.
 #[test]
-fn a_panic_of_the_machine_is_told() {
-    let group = Group::form(1, quick());
+fn a_state_machine_panic_is_reported() {
+    let group = Group::form(1, quick_settings());
     group.put(1);
     let replica = group.slots[0].replica.clone().unwrap();
     let put = Put {
         request: 2,
-        key: POISON,
+        key: PANIC_KEY,
         value: 1,
     };
-    let ended = replica.propose(put.encode(), soon());
+    let ended = replica.propose(put.encode(), deadline());
     assert_eq!(ended, Err(ProposeError::Unknown(UnknownReason::Stopped)));
     let why = wait_for("stop", || replica.status().failed);
     assert!(why.contains("panicked"));
@@ -227,16 +227,16 @@
 /// replicas refuse reads and name the leader.
 #[test]
 fn a_read_sees_what_was_accepted() {
-    let group = Group::form(3, quick());
+    let group = Group::form(3, quick_settings());
     for request in 1..=20 {
         group.put(request);
-        let seen = group.on_leader(|leader| leader.read_barrier(soon()).ok());
+        let seen = group.on_leader(|leader| leader.read_barrier(deadline()).ok());
         let leader = &group.slots[group.leader()];
         assert!(seen >= leader.map.state().done[&request]);
     }
     let leader = group.leader();
     let follower = &group.slots[(leader + 1) % 3];
-    let refused = follower.replica.as_ref().unwrap().read_barrier(soon());
+    let refused = follower.replica.as_ref().unwrap().read_barrier(deadline());
     let hint = Some(group.slots[leader].id());
     assert_eq!(refused, Err(Refusal::NotLeader { leader: hint }.into()));
 }
--- a/crates/filbertstack-log/tests/log/storage.rs
+++ b/crates/filbertstack-log/tests/log/storage.rs
@@ -18,11 +18,11 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
+use crate::support::disk::DiskFaults;
 use crate::support::disk::MemoryDisk;
-use crate::support::disk::Wrong;
 
 /// The size of a frame's header, in bytes.
-const HEADER: usize = 24;
+const HEADER_LEN: usize = 24;
 const NODE: NodeId = NodeId(7);
 
 fn entry(index: u64, term: u64) -> Entry {
@@ -68,7 +68,7 @@
 }
 
 /// Returns a disk with ten entries, one sync each, in several segments.
-fn filled() -> MemoryDisk {
+fn filled_disk() -> MemoryDisk {
     let disk = MemoryDisk::default();
     let (mut storage, _) = open(&disk).unwrap();
     for index in 1..=10 {
@@ -91,13 +91,13 @@
 /// Without any fault, written entries are read back, and one sync serves many writes.
 #[test]
 fn what_was_written_is_read_back() {
-    let disk = filled();
-    let (mut storage, memory) = open(&disk).unwrap();
+    let disk = filled_disk();
+    let (mut storage, saved) = open(&disk).unwrap();
     assert_eq!(
-        memory.entries,
+        saved.entries,
         (1..=10).map(|i| entry(i, 1)).collect::<Vec<_>>()
     );
-    assert_eq!(memory.hard.term, 1);
+    assert_eq!(saved.hard.term, 1);
     let before = disk.syncs();
     let many = (11..=40).map(|i| write(i, vec![entry(i, 1)])).collect();
     storage.write(many).unwrap();
@@ -109,8 +109,8 @@
 /// The power fails in the middle of a write. The unsynced frame is truncated at every length; every
 /// acknowledged entry must be there, and the log must accept new entries in place of the torn one.
 #[test]
-fn a_torn_tail_is_cut() {
-    let disk = filled();
+fn a_torn_tail_is_truncated() {
+    let disk = filled_disk();
     let name = newest(&disk, "wal-");
     let whole = disk.files()[&name].clone();
     let (mut storage, _) = open(&disk).unwrap();
@@ -119,8 +119,8 @@
     assert!(longer.len() > whole.len());
     for length in whole.len()..longer.len() {
         disk.put(&name, longer[..length].to_vec());
-        let (mut storage, memory) = open(&disk).unwrap();
-        assert_eq!(memory.entries.len(), 10, "cut at {length}");
+        let (mut storage, saved) = open(&disk).unwrap();
+        assert_eq!(saved.entries.len(), 10, "cut at {length}");
         storage.write(vec![write(11, vec![entry(11, 2)])]).unwrap();
         assert_eq!(open(&disk).unwrap().1.entries[10], entry(11, 2));
     }
@@ -130,12 +130,12 @@
 /// be truncated; if a record before it is missing too, the start must be refused.
 #[test]
 fn a_torn_closing_frame_is_no_damage() {
-    let disk = filled();
+    let disk = filled_disk();
     let name = "wal-0000000001";
     let whole = disk.files()[name].clone();
     let closing = {
         let frames = frame::decode(&whole);
-        frames.length - frames.payloads.last().unwrap().len() - HEADER
+        frames.length - frames.payloads.last().unwrap().len() - HEADER_LEN
     };
     for length in closing..whole.len() {
         disk.put(name, whole[..length].to_vec());
@@ -147,8 +147,8 @@
 
 /// A sector of the last frame never reached the disk and reads as zeros.
 #[test]
-fn a_blank_sector_at_the_end_is_cut() {
-    let disk = filled();
+fn a_blank_sector_at_the_end_is_truncated() {
+    let disk = filled_disk();
     let name = newest(&disk, "wal-");
     let whole = disk.files()[&name].len();
     let (mut storage, _) = Storage::open(disk.clone(), NODE).unwrap();
@@ -167,7 +167,7 @@
 /// revert accepted entries; the start must be refused with the file, the offset and the remedy.
 #[test]
 fn a_flipped_bit_stops_the_start() {
-    let disk = filled();
+    let disk = filled_disk();
     let files = disk.files();
     for (name, bytes) in files.iter().filter(|(n, _)| n.starts_with("wal-")) {
         for at in 0..bytes.len() {
@@ -190,7 +190,7 @@
 /// silently left out.
 #[test]
 fn a_missing_file_stops_the_start() {
-    let disk = filled();
+    let disk = filled_disk();
     let files = disk.files();
     let mut refusals = Vec::new();
     for name in ["wal-0000000001", "wal-0000000002", "identity"] {
@@ -204,13 +204,13 @@
 /// The snapshot that the log begins after is missing, truncated or damaged.
 #[test]
 fn a_missing_or_damaged_snapshot_stops_the_start() {
-    let disk = filled();
+    let disk = filled_disk();
     let (mut storage, _) = open(&disk).unwrap();
     let mut keep = write(11, vec![entry(11, 1)]);
     keep.snapshot = Some(snapshot(8, 1));
     storage.write(vec![keep]).unwrap();
-    let memory = open(&disk).unwrap().1;
-    assert_eq!(memory.entries.first(), Some(&entry(9, 1)));
+    let saved = open(&disk).unwrap().1;
+    assert_eq!(saved.entries.first(), Some(&entry(9, 1)));
     assert!(!disk.files().contains_key("wal-0000000001"));
     let name = newest(&disk, "snapshot-");
     let bytes = disk.files()[&name].clone();
@@ -231,11 +231,11 @@
 #[test]
 fn a_crash_at_any_operation_loses_nothing() {
     for operations in 0..40 {
-        let disk = filled();
+        let disk = filled_disk();
         let (mut storage, _) = open(&disk).unwrap();
-        disk.set_wrong(Wrong {
+        disk.set_faults(DiskFaults {
             crash_after: Some(operations),
-            ..Wrong::default()
+            ..DiskFaults::default()
         });
         let mut keep = write(11, vec![entry(11, 1)]);
         keep.snapshot = Some(snapshot(8, 1));
@@ -243,9 +243,9 @@
         let second = first && storage.write(vec![write(12, vec![entry(12, 1)])]).is_ok();
         drop(storage);
         disk.crash(&mut ChaCha8Rng::seed_from_u64(u64::from(operations)));
-        let (_, memory) = open(&disk).unwrap();
-        let base = memory.snapshot.map_or(0, |s| s.index);
-        let last = base + memory.entries.len() as u64;
+        let (_, saved) = open(&disk).unwrap();
+        let base = saved.snapshot.map_or(0, |s| s.index);
+        let last = base + saved.entries.len() as u64;
         let promised = 10 + u64::from(first) + u64::from(second);
         assert!(last >= promised, "{operations}: {last} of {promised}");
     }
@@ -256,24 +256,24 @@
 #[test]
 fn a_crash_before_the_reset_leaves_a_usable_log() {
     for operations in 0..12 {
-        let disk = filled();
+        let disk = filled_disk();
         let (mut storage, _) = open(&disk).unwrap();
-        disk.set_wrong(Wrong {
+        disk.set_faults(DiskFaults {
             crash_after: Some(operations),
-            ..Wrong::default()
+            ..DiskFaults::default()
         });
         let mut install = write(11, Vec::new());
         install.snapshot = Some(snapshot(50, 2));
         install.install = true;
         let done = storage.write(vec![install]).is_ok();
         disk.crash(&mut ChaCha8Rng::seed_from_u64(u64::from(operations)));
-        let (mut storage, memory) = open(&disk).unwrap();
-        let base = memory.snapshot.map_or(0, |s| s.index);
+        let (mut storage, saved) = open(&disk).unwrap();
+        let base = saved.snapshot.map_or(0, |s| s.index);
         assert!(base == 50 || !done);
-        let next = base + memory.entries.len() as u64 + 1;
+        let next = base + saved.entries.len() as u64 + 1;
         storage.write(vec![write(1, vec![entry(next, 2)])]).unwrap();
-        let (_, memory) = open(&disk).unwrap();
-        assert_eq!(memory.entries.last(), Some(&entry(next, 2)));
+        let (_, saved) = open(&disk).unwrap();
+        assert_eq!(saved.entries.last(), Some(&entry(next, 2)));
     }
 }
 
@@ -281,43 +281,43 @@
 /// leave no trace; once there is space, the log continues where it was.
 #[test]
 fn a_full_disk_refuses_and_leaves_no_trace() {
-    let disk = filled();
+    let disk = filled_disk();
     let (mut storage, _) = open(&disk).unwrap();
-    disk.set_wrong(Wrong {
+    disk.set_faults(DiskFaults {
         space: Some(30),
-        ..Wrong::default()
+        ..DiskFaults::default()
     });
     let refused = storage.write(vec![write(11, vec![entry(11, 1)])]).unwrap();
     assert!(matches!(refused[..], [Input::WriteRefused { seq: 11 }]));
-    disk.set_wrong(Wrong::default());
+    disk.set_faults(DiskFaults::default());
     let queued = storage.write(vec![write(12, vec![entry(12, 1)])]).unwrap();
     assert!(queued.is_empty(), "it builds on what was refused");
     let mut later = write(13, vec![entry(11, 3)]);
     later.epoch = 1;
     storage.write(vec![later]).unwrap();
-    let memory = open(&disk).unwrap().1;
-    assert_eq!(memory.entries.last(), Some(&entry(11, 3)));
-    assert_eq!(memory.entries.len(), 11);
+    let saved = open(&disk).unwrap().1;
+    assert_eq!(saved.entries.last(), Some(&entry(11, 3)));
+    assert_eq!(saved.entries.len(), 11);
 }
 
 /// A sync fails. Another sync might succeed although the data is lost, so the storage must stop.
 /// Data that was not synced must not come back as acknowledged.
 #[test]
 fn a_failed_sync_stops_the_replica() {
-    let disk = filled();
+    let disk = filled_disk();
     let (mut storage, _) = open(&disk).unwrap();
-    disk.set_wrong(Wrong {
+    disk.set_faults(DiskFaults {
         sync_fails: true,
-        ..Wrong::default()
+        ..DiskFaults::default()
     });
     let error = storage
         .write(vec![write(11, vec![entry(11, 1)])])
         .unwrap_err();
     insta::assert_snapshot!(error);
     // The data is still readable after the process restarts. It is synced before it counts.
-    disk.set_wrong(Wrong::default());
-    let (_, memory) = open(&disk).unwrap();
-    let held = memory.entries.len();
+    disk.set_faults(DiskFaults::default());
+    let (_, saved) = open(&disk).unwrap();
+    let held = saved.entries.len();
     disk.crash(&mut ChaCha8Rng::seed_from_u64(1));
     assert_eq!(open(&disk).unwrap().1.entries.len(), held);
 }
@@ -343,8 +343,8 @@
 fn a_real_folder_keeps_the_log() {
     let dir = tempfile::tempdir().unwrap();
     let folder = Folder::lock(dir.path()).unwrap();
-    let (mut storage, memory) = Storage::open_sized(folder, NODE, 300).unwrap();
-    assert_eq!(memory, DurableState::default());
+    let (mut storage, saved) = Storage::open_sized(folder, NODE, 300).unwrap();
+    assert_eq!(saved, DurableState::default());
     for index in 1..=20 {
         let mut next = write(index, vec![entry(index, 1)]);
         next.snapshot = (index == 12).then(|| snapshot(10, 1));
@@ -352,16 +352,16 @@
     }
     drop(storage);
     let folder = Folder::lock(dir.path()).unwrap();
-    let (storage, memory) = Storage::open(folder, NodeId(8)).unwrap();
+    let (storage, saved) = Storage::open(folder, NodeId(8)).unwrap();
     assert_eq!(storage.node(), NODE);
-    assert_eq!(memory.snapshot, Some(snapshot(10, 1)));
-    assert_eq!(memory.entries.len(), 10);
+    assert_eq!(saved.snapshot, Some(snapshot(10, 1)));
+    assert_eq!(saved.entries.len(), 10);
 }
 
 /// A file from another replica's folder, as after a mistaken copy, is refused.
 #[test]
 fn a_foreign_file_stops_the_start() {
-    let disk = filled();
+    let disk = filled_disk();
     let other = MemoryDisk::default();
     Storage::open(other.clone(), NodeId(8)).unwrap();
     disk.put("identity", other.files()["identity"].clone());
--- a/crates/filbertstack-log/tests/log/support/checker.rs
+++ b/crates/filbertstack-log/tests/log/support/checker.rs
@@ -27,17 +27,17 @@
     /// Two replicas' states differ after the same index.
     StateDiffers { index: u64 },
     /// A caller's request has another outcome than the one returned before.
-    ToldOtherwise { request: u64 },
+    OutcomeChanged { request: u64 },
     /// A read did not see a command that was accepted before it began.
     StaleRead { seen: u64, floor: u64 },
     /// A replica voted for two candidates in one term.
     VotedTwice { term: u64 },
     /// A replica came back with a lower term than it had sent.
-    TermWentBack { told: u64, found: u64 },
+    TermDecreased { told: u64, found: u64 },
     /// A learner became a voter without every committed entry.
     EarlyVoter { held: u64, commit: u64 },
     /// A replica detected a violation of the protocol.
-    Broken(String),
+    ProtocolBroken(String),
     /// A replica's start was refused.
     StartRefused(String),
     /// The group does not recover when all faults end.
@@ -53,7 +53,7 @@
     leaders: BTreeMap<u64, NodeId>,
     terms: BTreeMap<NodeId, u64>,
     votes: BTreeMap<(NodeId, u64), u64>,
-    told: BTreeMap<u64, u64>,
+    outcomes: BTreeMap<u64, u64>,
     floor: u64,
     pub membership: Membership,
     pub violation: Option<Violation>,
@@ -101,7 +101,7 @@
 }
 
 impl Checker {
-    pub fn found(&mut self, violation: Violation) {
+    pub fn report(&mut self, violation: Violation) {
         self.violation.get_or_insert(violation);
     }
 
@@ -109,13 +109,13 @@
         FIRST - 1 + self.committed.len() as u64
     }
 
-    pub fn told(&self) -> usize {
-        self.told.len()
+    pub fn accepted(&self) -> usize {
+        self.outcomes.len()
     }
 
-    pub fn led(&mut self, term: u64, node: NodeId) {
+    pub fn record_leader(&mut self, term: u64, node: NodeId) {
         if *self.leaders.entry(term).or_insert(node) != node {
-            self.found(Violation::TwoLeaders { term });
+            self.report(Violation::TwoLeaders { term });
         }
     }
 
@@ -123,24 +123,24 @@
     pub fn seen(&self, steps: usize) -> Seen {
         Seen {
             steps,
-            told: self.told.len(),
+            told: self.outcomes.len(),
             terms: self.leaders.len(),
             ..self.seen
         }
     }
 
     /// Records that a replica applied an entry and reached `state`.
-    pub fn committed(&mut self, entry: &Entry, state: &State) {
+    pub fn record_commit(&mut self, entry: &Entry, state: &State) {
         let index = entry.index;
         let at = usize::try_from(index - FIRST).unwrap();
         if at < self.committed.len() {
             if self.committed[at] != *entry {
-                self.found(Violation::Diverged { index });
+                self.report(Violation::Diverged { index });
             }
             return;
         }
         if at > self.committed.len() {
-            self.found(Violation::Diverged { index });
+            self.report(Violation::Diverged { index });
             return;
         }
         self.committed.push(entry.clone());
@@ -154,26 +154,26 @@
         }
         self.digests.push(digest(&self.state));
         if *state != self.state {
-            self.found(Violation::StateDiffers { index });
+            self.report(Violation::StateDiffers { index });
         }
     }
 
     /// Checks a replica's state after `index`, as restored or at the end.
-    pub fn state(&mut self, index: u64, state: &State) {
+    pub fn check_state(&mut self, index: u64, state: &State) {
         let expected = match index.checked_sub(FIRST) {
             None => Some(digest(&State::default())),
             Some(at) => self.digests.get(usize::try_from(at).unwrap()).copied(),
         };
         if expected != Some(digest(state)) {
-            self.found(Violation::StateDiffers { index });
+            self.report(Violation::StateDiffers { index });
         }
     }
 
     /// Records that a caller was told that its request was first applied at `outcome`, by an entry
     /// at `index`.
-    pub fn tell(&mut self, request: u64, outcome: u64, index: u64) {
-        if *self.told.entry(request).or_insert(outcome) != outcome {
-            self.found(Violation::ToldOtherwise { request });
+    pub fn record_outcome(&mut self, request: u64, outcome: u64, index: u64) {
+        if *self.outcomes.entry(request).or_insert(outcome) != outcome {
+            self.report(Violation::OutcomeChanged { request });
         }
         self.floor = self.floor.max(index);
     }
@@ -184,52 +184,52 @@
     }
 
     /// Checks a read that began at `floor` and saw everything up to `seen`.
-    pub fn read(&mut self, floor: u64, seen: u64) {
+    pub fn check_read(&mut self, floor: u64, seen: u64) {
         self.seen.reads += 1;
         if seen < floor {
-            self.found(Violation::StaleRead { seen, floor });
+            self.report(Violation::StaleRead { seen, floor });
         }
         self.floor = self.floor.max(seen);
     }
 
-    pub fn sent(&mut self, message: &Message) {
+    pub fn record_message(&mut self, message: &Message) {
         let from = message.sender();
         match &message.body {
             Some(Body::Vote(vote)) if vote.pre => return,
             Some(Body::VoteReply(reply)) if reply.pre => return,
             Some(Body::VoteReply(reply)) if reply.granted => {
-                self.voted(from, message.term, message.to);
+                self.record_vote(from, message.term, message.to);
             }
-            Some(Body::Vote(_)) => self.voted(from, message.term, message.from),
+            Some(Body::Vote(_)) => self.record_vote(from, message.term, message.from),
             _ => {}
         }
         let told = self.terms.entry(from).or_default();
         *told = message.term.max(*told);
     }
 
-    fn voted(&mut self, voter: NodeId, term: u64, candidate: u64) {
+    fn record_vote(&mut self, voter: NodeId, term: u64, candidate: u64) {
         let first = self.votes.entry((voter, term)).or_insert(candidate);
         if *first != candidate {
-            self.found(Violation::VotedTwice { term });
+            self.report(Violation::VotedTwice { term });
         }
     }
 
-    pub fn restarted(&mut self, node: NodeId, found: u64) {
+    pub fn check_restart(&mut self, node: NodeId, found: u64) {
         let told = self.terms.get(&node).copied().unwrap_or(0);
         if found < told {
-            self.found(Violation::TermWentBack { told, found });
+            self.report(Violation::TermDecreased { told, found });
         }
     }
 
     /// Checks that every outcome returned to a caller is in the final state of the replicas.
-    pub fn check_told(&mut self) {
+    pub fn check_outcomes(&mut self) {
         let lost = self
-            .told
+            .outcomes
             .iter()
             .find(|(r, o)| self.state.done.get(r) != Some(o));
         if let Some((request, _)) = lost {
             let request = *request;
-            self.found(Violation::ToldOtherwise { request });
+            self.report(Violation::OutcomeChanged { request });
         }
     }
 }
--- a/crates/filbertstack-log/tests/log/support/disk.rs
+++ b/crates/filbertstack-log/tests/log/support/disk.rs
@@ -17,13 +17,13 @@
 
 #[derive(Clone, Debug, Default)]
 struct Content {
-    now: Vec<u8>,
+    written: Vec<u8>,
     synced: Vec<u8>,
 }
 
 /// Selects the faults of the disk.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Wrong {
+pub struct DiskFaults {
     /// The number of operations that succeed before all fail, as in a crash of the process.
     pub crash_after: Option<u32>,
     /// The number of bytes that may still be written.
@@ -39,7 +39,7 @@
     contents: Vec<Content>,
     names: BTreeMap<String, usize>,
     synced_names: BTreeMap<String, usize>,
-    wrong: Wrong,
+    faults: DiskFaults,
     syncs: u64,
 }
 
@@ -59,12 +59,12 @@
         self.0.lock().unwrap()
     }
 
-    pub fn set_wrong(&self, wrong: Wrong) {
-        self.inner().wrong = wrong;
+    pub fn set_faults(&self, faults: DiskFaults) {
+        self.inner().faults = faults;
     }
 
-    pub fn wrong(&self) -> Wrong {
-        self.inner().wrong
+    pub fn faults(&self) -> DiskFaults {
+        self.inner().faults
     }
 
     pub fn syncs(&self) -> u64 {
@@ -75,33 +75,33 @@
     /// missing.
     pub fn crash(&self, rng: &mut ChaCha8Rng) {
         let mut inner = self.inner();
-        inner.wrong = Wrong::default();
+        inner.faults = DiskFaults::default();
         inner.names = inner.synced_names.clone();
         for content in &mut inner.contents {
             let kept = content.synced.len();
-            let same = content.now.starts_with(&content.synced);
-            if !same || content.now.len() == kept {
-                content.now = content.synced.clone();
+            let same = content.written.starts_with(&content.synced);
+            if !same || content.written.len() == kept {
+                content.written = content.synced.clone();
                 continue;
             }
-            let length = rng.random_range(kept..=content.now.len());
-            content.now.truncate(length);
+            let length = rng.random_range(kept..=content.written.len());
+            content.written.truncate(length);
             let mut from = kept;
             while from < length {
                 let to = length.min((from / SECTOR + 1) * SECTOR);
                 if rng.random_bool(0.2) {
-                    content.now[from..to].fill(0);
+                    content.written[from..to].fill(0);
                 }
                 from = to;
             }
-            content.synced = content.now.clone();
+            content.synced = content.written.clone();
         }
     }
 
     /// Returns a copy of all files.
     pub fn files(&self) -> BTreeMap<String, Vec<u8>> {
         let inner = self.inner();
-        let read = |(n, at): (&String, &usize)| (n.clone(), inner.contents[*at].now.clone());
+        let read = |(n, at): (&String, &usize)| (n.clone(), inner.contents[*at].written.clone());
         inner.names.iter().map(read).collect()
     }
 
@@ -110,7 +110,7 @@
         let mut inner = self.inner();
         let at = inner.contents.len();
         inner.contents.push(Content {
-            now: bytes.clone(),
+            written: bytes.clone(),
             synced: bytes,
         });
         inner.names.insert(name.into(), at);
@@ -131,8 +131,8 @@
 }
 
 impl Inner {
-    fn operate(&mut self) -> io::Result<()> {
-        match &mut self.wrong.crash_after {
+    fn count_operation(&mut self) -> io::Result<()> {
+        match &mut self.faults.crash_after {
             Some(0) => Err(io::Error::other("crashed")),
             Some(left) => {
                 *left -= 1;
@@ -158,12 +158,12 @@
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         let inner = self.inner();
         let at = inner.find(name)?;
-        Ok(inner.contents[at].now.clone())
+        Ok(inner.contents[at].written.clone())
     }
 
     fn create(&self, name: &str) -> io::Result<MemoryFile> {
         let mut inner = self.inner();
-        inner.operate()?;
+        inner.count_operation()?;
         let at = inner.contents.len();
         inner.contents.push(Content::default());
         inner.names.insert(name.into(), at);
@@ -173,7 +173,7 @@
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut inner = self.inner();
-        inner.operate()?;
+        inner.count_operation()?;
         let at = inner.find(from)?;
         inner.names.remove(from);
         inner.names.insert(to.into(), at);
@@ -182,14 +182,14 @@
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut inner = self.inner();
-        inner.operate()?;
+        inner.count_operation()?;
         inner.names.remove(name);
         Ok(())
     }
 
     fn sync_names(&self) -> io::Result<()> {
         let mut inner = self.inner();
-        inner.operate()?;
+        inner.count_operation()?;
         inner.synced_names = inner.names.clone();
         Ok(())
     }
@@ -198,20 +198,20 @@
 impl DiskFile for MemoryFile {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut inner = self.disk.inner();
-        if inner.operate().is_err() {
+        if inner.count_operation().is_err() {
             // A crash in the middle of a write leaves part of the data.
             let part = &bytes[..bytes.len() / 2];
-            inner.contents[self.at].now.extend_from_slice(part);
+            inner.contents[self.at].written.extend_from_slice(part);
             return Err(io::Error::other("crashed"));
         }
         let fits = inner
-            .wrong
+            .faults
             .space
             .map_or(bytes.len(), |s| s.min(bytes.len()));
         inner.contents[self.at]
-            .now
+            .written
             .extend_from_slice(&bytes[..fits]);
-        if let Some(space) = &mut inner.wrong.space {
+        if let Some(space) = &mut inner.faults.space {
             *space -= fits;
         }
         if fits < bytes.len() {
@@ -222,23 +222,23 @@
 
     fn sync(&mut self) -> io::Result<()> {
         let mut inner = self.disk.inner();
-        inner.operate()?;
-        if inner.wrong.sync_fails {
+        inner.count_operation()?;
+        if inner.faults.sync_fails {
             return Err(io::Error::other("input/output error"));
         }
         inner.syncs += 1;
-        if !inner.wrong.sync_lies {
+        if !inner.faults.sync_lies {
             let content = &mut inner.contents[self.at];
-            content.synced = content.now.clone();
+            content.synced = content.written.clone();
         }
         Ok(())
     }
 
     fn truncate(&mut self, length: u64) -> io::Result<()> {
         let mut inner = self.disk.inner();
-        inner.operate()?;
+        inner.count_operation()?;
         let length = usize::try_from(length).unwrap();
-        inner.contents[self.at].now.truncate(length);
+        inner.contents[self.at].written.truncate(length);
         Ok(())
     }
 }
--- a/crates/filbertstack-log/tests/log/support/events.rs
+++ b/crates/filbertstack-log/tests/log/support/events.rs
@@ -14,9 +14,9 @@
 use filbertstack_log::Ticket;
 
 use crate::support::checker::Violation;
-use crate::support::disk::Wrong;
+use crate::support::disk::DiskFaults;
 use crate::support::machine::Put;
-use crate::support::running::Asked;
+use crate::support::running::Request;
 use crate::support::steps::Step;
 use crate::support::world::Slot;
 use crate::support::world::World;
@@ -28,7 +28,7 @@
     /// Runs the steps, then ends all faults and checks that the group recovers.
     pub fn play(&mut self, steps: &[Step]) -> Result<(), Violation> {
         for step in steps {
-            self.happen(*step);
+            self.apply_step(*step);
             if let Some(violation) = &self.checker.violation {
                 return Err(violation.clone());
             }
@@ -37,7 +37,7 @@
         self.checker.violation.clone().map_or(Ok(()), Err)
     }
 
-    pub fn happen(&mut self, step: Step) {
+    pub fn apply_step(&mut self, step: Step) {
         match step {
             Step::Run(ms) => self.run(Duration::from_millis(u64::from(ms))),
             Step::Propose(pick) => (0..=pick % 4).for_each(|_| self.propose(pick, None)),
@@ -46,37 +46,40 @@
                 self.propose(pick, earlier.filter(|r| *r > 0));
             }
             Step::Read(pick) => self.read(pick),
-            Step::Kill(pick) => self.kill(self.any(pick)),
+            Step::Kill(pick) => self.kill(self.pick_slot(pick)),
             Step::KillLeader => self.leaders().into_iter().for_each(|at| self.kill(at)),
             Step::CrashAt(pick, operations) => {
-                self.wrong(self.any(pick), |w| {
+                self.set_fault(self.pick_slot(pick), |w| {
                     w.crash_after = Some(operations.into());
                 });
             }
             Step::Start(pick) => self.start_any(pick),
-            Step::Freeze(pick, ms) => self.freeze(self.any(pick), ms),
-            Step::Suspend(pick, ms) => self.suspend(self.any(pick), ms),
+            Step::Freeze(pick, ms) => self.freeze(self.pick_slot(pick), ms),
+            Step::Suspend(pick, ms) => self.suspend(self.pick_slot(pick), ms),
             Step::FreezeLeader(ms) => {
                 self.leaders()
                     .into_iter()
                     .for_each(|at| self.freeze(at, ms));
             }
-            Step::Isolate(pick) => self.isolate(self.any(pick)),
+            Step::Isolate(pick) => self.isolate(self.pick_slot(pick)),
             Step::IsolateLeader => self.leaders().into_iter().for_each(|at| self.isolate(at)),
             Step::CutOneWay(from, to) => {
-                let pair = (self.slots[self.any(from)].id, self.slots[self.any(to)].id);
-                self.cut.insert(pair);
+                let pair = (
+                    self.slots[self.pick_slot(from)].id,
+                    self.slots[self.pick_slot(to)].id,
+                );
+                self.cut_links.insert(pair);
             }
             Step::Heal => self.heal(),
-            Step::Lose(percent) => self.loss = percent,
-            Step::Snapshot(pick) => self.snapshot(self.any(pick)),
+            Step::Lose(percent) => self.loss_percent = percent,
+            Step::Snapshot(pick) => self.snapshot(self.pick_slot(pick)),
             Step::Full(pick, bytes) => {
-                self.wrong(self.any(pick), |w| w.space = Some(usize::from(bytes)));
+                self.set_fault(self.pick_slot(pick), |w| w.space = Some(usize::from(bytes)));
             }
-            Step::Space => self.give_space(),
-            Step::LoseDisk(pick) => self.lose_disk(self.any(pick)),
+            Step::Space => self.free_space(),
+            Step::LoseDisk(pick) => self.lose_disk(self.pick_slot(pick)),
             Step::Learner(pick) => {
-                let member = self.slots[self.any(pick)].member();
+                let member = self.slots[self.pick_slot(pick)].member();
                 self.change(pick, Change::AddLearner(member));
             }
             Step::Stranger(pick) => self.add_stranger(pick),
@@ -86,7 +89,7 @@
         }
     }
 
-    fn any(&self, pick: u8) -> usize {
+    fn pick_slot(&self, pick: u8) -> usize {
         usize::from(pick) % self.slots.len()
     }
 
@@ -101,14 +104,14 @@
             .collect()
     }
 
-    fn a_leader(&self, pick: u8) -> Option<usize> {
+    fn pick_leader(&self, pick: u8) -> Option<usize> {
         let leaders = self.leaders();
         leaders
             .get(usize::from(pick) % leaders.len().max(1))
             .copied()
     }
 
-    pub(super) fn ticket(&mut self, at: usize, asked: Asked) -> Ticket {
+    pub(super) fn ticket(&mut self, at: usize, asked: Request) -> Ticket {
         self.next_ticket += 1;
         let ticket = Ticket(self.next_ticket);
         if let Some(running) = &mut self.slots[at].running {
@@ -118,7 +121,7 @@
     }
 
     fn propose(&mut self, pick: u8, earlier: Option<u64>) {
-        if let Some(at) = self.a_leader(pick) {
+        if let Some(at) = self.pick_leader(pick) {
             self.propose_at(at, earlier);
         }
     }
@@ -129,7 +132,7 @@
             let (ticket, command) = self.command(at, None);
             self.take(at, Input::Propose { ticket, command });
         }
-        self.settle(at);
+        self.perform_output(at);
     }
 
     pub fn propose_at(&mut self, at: usize, earlier: Option<u64>) {
@@ -147,23 +150,23 @@
             key: request % 5,
             value: request,
         };
-        let ticket = self.ticket(at, Asked::Put(request));
+        let ticket = self.ticket(at, Request::Put(request));
         (ticket, put.encode())
     }
 
     fn read(&mut self, pick: u8) {
-        if let Some(at) = self.a_leader(pick) {
+        if let Some(at) = self.pick_leader(pick) {
             self.read_at(at);
         }
     }
 
     pub fn read_at(&mut self, at: usize) {
-        let ticket = self.ticket(at, Asked::Read(self.checker.floor()));
+        let ticket = self.ticket(at, Request::Read(self.checker.floor()));
         self.input(at, Input::Read { ticket });
     }
 
     fn change(&mut self, pick: u8, change: Change) {
-        if let Some(at) = self.a_leader(pick) {
+        if let Some(at) = self.pick_leader(pick) {
             self.change_at(at, change);
         }
     }
@@ -175,8 +178,8 @@
             return;
         }
         let asked = match &change {
-            Change::Promote(node) => Asked::Promote(*node),
-            _ => Asked::Other,
+            Change::Promote(node) => Request::Promote(*node),
+            _ => Request::Other,
         };
         let ticket = self.ticket(at, asked);
         self.input(at, Input::Change { ticket, change });
@@ -184,7 +187,7 @@
 
     /// Adds a replica that the leader does not know.
     fn add_stranger(&mut self, pick: u8) {
-        let Some(at) = self.a_leader(pick) else {
+        let Some(at) = self.pick_leader(pick) else {
             return;
         };
         let known = Arc::clone(&self.slots[at].membership);
@@ -201,11 +204,13 @@
     }
 
     fn promote(&mut self, pick: u8) {
-        let Some(at) = self.a_leader(pick) else {
+        let Some(at) = self.pick_leader(pick) else {
             return;
         };
         let learners = self.slots[at].membership.learners.clone();
-        let known = learners.iter().filter(|m| !self.lost.contains(&m.id()));
+        let known = learners
+            .iter()
+            .filter(|m| !self.lost_disks.contains(&m.id()));
         let known: Vec<NodeId> = known.map(Member::id).collect();
         if let Some(node) = known.get(usize::from(pick) % known.len().max(1)) {
             self.change(pick, Change::Promote(*node));
@@ -215,12 +220,15 @@
     /// Removes a member, unless the remaining voters could not form a majority: no protocol can
     /// protect against that change.
     fn remove(&mut self, pick: u8) {
-        let Some(at) = self.a_leader(pick) else {
+        let Some(at) = self.pick_leader(pick) else {
             return;
         };
         let membership = self.slots[at].membership.clone();
         let members: Vec<NodeId> = membership.members().map(Member::id).collect();
-        let lost = members.iter().find(|id| self.lost.contains(id)).copied();
+        let lost = members
+            .iter()
+            .find(|id| self.lost_disks.contains(id))
+            .copied();
         let other = members
             .get(usize::from(pick) % members.len().max(1))
             .copied();
@@ -228,25 +236,27 @@
         let Ok(after) = membership.with_change(&Change::Remove(node)) else {
             return;
         };
-        if self.alive(&after) >= after.quorum() && after.voters.len() > 1 {
+        if self.count_alive(&after) >= after.quorum() && after.voters.len() > 1 {
             self.change(pick, Change::Remove(node));
         }
     }
 
     /// Returns the number of voters that still have their durable state.
-    fn alive(&self, membership: &Membership) -> usize {
+    fn count_alive(&self, membership: &Membership) -> usize {
         let voters = membership.voters.iter();
-        voters.filter(|m| !self.lost.contains(&m.id())).count()
+        voters
+            .filter(|m| !self.lost_disks.contains(&m.id()))
+            .count()
     }
 
     fn transfer(&mut self, pick: u8) {
-        if let Some(at) = self.a_leader(pick) {
+        if let Some(at) = self.pick_leader(pick) {
             self.transfer_at(at);
         }
     }
 
     pub fn transfer_at(&mut self, at: usize) {
-        let ticket = self.ticket(at, Asked::Other);
+        let ticket = self.ticket(at, Request::Other);
         self.input(at, Input::Transfer { ticket, to: None });
     }
 
@@ -271,43 +281,43 @@
         let slot = &mut self.slots[at];
         slot.suspended = true;
         if let Some(running) = &mut slot.running {
-            running.boot += Duration::from_millis(u64::from(ms));
+            running.started_at += Duration::from_millis(u64::from(ms));
         }
     }
 
     pub fn isolate(&mut self, at: usize) {
         let own = self.slots[at].id;
         for other in self.slots.iter().map(|s| s.id) {
-            self.cut.insert((own, other));
-            self.cut.insert((other, own));
+            self.cut_links.insert((own, other));
+            self.cut_links.insert((other, own));
         }
     }
 
-    pub(super) fn wrong(&mut self, at: usize, set: impl FnOnce(&mut Wrong)) {
+    pub(super) fn set_fault(&mut self, at: usize, set: impl FnOnce(&mut DiskFaults)) {
         let disk = &self.slots[at].disk;
-        let mut wrong = disk.wrong();
-        set(&mut wrong);
-        disk.set_wrong(wrong);
+        let mut faults = disk.faults();
+        set(&mut faults);
+        disk.set_faults(faults);
     }
 
-    fn give_space(&mut self) {
+    fn free_space(&mut self) {
         for at in 0..self.slots.len() {
-            self.wrong(at, |w| w.space = None);
+            self.set_fault(at, |w| w.space = None);
         }
     }
 
     /// Loses a disk, unless a majority of a membership that may be in force would be lost with it.
     fn lose_disk(&mut self, at: usize) {
         let id = self.slots[at].id;
-        self.lost.insert(id);
-        let enough = |m: &Arc<Membership>| m.voters.is_empty() || self.alive(m) >= m.quorum();
-        let sure = self.views.iter().all(enough);
+        self.lost_disks.insert(id);
+        let enough = |m: &Arc<Membership>| m.voters.is_empty() || self.count_alive(m) >= m.quorum();
+        let sure = self.memberships.iter().all(enough);
         if !sure && !self.variant.keeps_identity {
-            self.lost.remove(&id);
+            self.lost_disks.remove(&id);
             return;
         }
         if self.variant.keeps_identity {
-            self.lost.remove(&id);
+            self.lost_disks.remove(&id);
         }
         self.checker.seen.disks += 1;
         self.slots[at].running = None;
@@ -323,16 +333,16 @@
 
     /// Ends all faults, then checks that a request is accepted and that all members agree.
     fn recover(&mut self) {
-        self.cut.clear();
-        self.loss = 0;
-        self.give_space();
+        self.cut_links.clear();
+        self.loss_percent = 0;
+        self.free_space();
         for at in 0..self.slots.len() {
-            self.wrong(at, |w| w.crash_after = None);
+            self.set_fault(at, |w| w.crash_after = None);
             self.start(at);
             self.slots[at].frozen_until = self.now;
         }
         let until = self.now + RECOVERY;
-        let told = self.checker.told();
+        let told = self.checker.accepted();
         let mut asked = 0;
         while self.now < until && self.checker.violation.is_none() {
             if asked % 20 == 0 {
@@ -340,15 +350,15 @@
             }
             asked += 1;
             self.run(Duration::from_millis(100));
-            if self.checker.told() > told && self.agreed() {
-                self.checker.check_told();
+            if self.checker.accepted() > told && self.states_agree() {
+                self.checker.check_outcomes();
                 return;
             }
         }
-        self.checker.found(Violation::NoProgress);
+        self.checker.report(Violation::NoProgress);
     }
 
-    fn agreed(&mut self) -> bool {
+    fn states_agree(&mut self) -> bool {
         let last = self.checker.last();
         let membership = self.checker.membership.clone();
         let mut states = Vec::new();
@@ -362,7 +372,7 @@
             states.push(running.map.state());
         }
         for state in states {
-            self.checker.state(last, &state);
+            self.checker.check_state(last, &state);
         }
         true
     }
--- a/crates/filbertstack-log/tests/log/support/machine.rs
+++ b/crates/filbertstack-log/tests/log/support/machine.rs
@@ -32,7 +32,7 @@
 }
 
 /// The key at which the state machine panics.
-pub const POISON: u64 = u64::MAX;
+pub const PANIC_KEY: u64 = u64::MAX;
 
 /// The state that the commands produce.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -75,7 +75,7 @@
     fn apply(&mut self, index: u64, command: &[u8]) -> u64 {
         assert_ne!(
             Put::decode(command).key,
-            POISON,
+            PANIC_KEY,
             "this machine fails at this command"
         );
         self.0.lock().unwrap().put(index, Put::decode(command))
--- a/crates/filbertstack-log/tests/log/support/network.rs
+++ b/crates/filbertstack-log/tests/log/support/network.rs
@@ -21,7 +21,7 @@
 use crate::support::machine::Put;
 
 /// The longest time that a test waits for an event, far above the time that it takes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 type Running = BTreeMap<NodeId, Arc<Replica<Map>>>;
 
@@ -89,7 +89,7 @@
 }
 
 /// Returns settings with short timings, so that tests end soon.
-pub fn quick() -> ReplicaSettings {
+pub fn quick_settings() -> ReplicaSettings {
     ReplicaSettings {
         timing: Timing {
             heartbeat: Duration::from_millis(20),
@@ -102,13 +102,13 @@
     }
 }
 
-pub fn soon() -> Instant {
-    Instant::now() + PATIENCE
+pub fn deadline() -> Instant {
+    Instant::now() + WAIT_LIMIT
 }
 
 /// Waits until `ready` returns a value.
 pub fn wait_for<T>(what: &str, mut ready: impl FnMut() -> Option<T>) -> T {
-    let until = soon();
+    let until = deadline();
     while Instant::now() < until {
         if let Some(found) = ready() {
             return found;
@@ -132,7 +132,7 @@
         let wanted = u32::try_from(size).unwrap();
         let first = group.slots[0].replica.clone().unwrap();
         let member = group.slots[0].member();
-        first.create(member, wanted, None, soon()).unwrap();
+        first.create(member, wanted, None, deadline()).unwrap();
         for at in 1..size {
             group.join(at);
         }
@@ -188,14 +188,14 @@
 
     /// Removes a member.
     pub fn remove(&self, node: NodeId) {
-        self.on_leader(|leader| leader.remove(node, soon()).ok());
+        self.on_leader(|leader| leader.remove(node, deadline()).ok());
     }
 
     /// Adds the replica of a slot as a learner and makes it a voter.
     pub fn join(&self, at: usize) {
         let member = self.slots[at].member();
-        self.on_leader(|leader| leader.add_learner(member.clone(), soon()).ok());
-        self.on_leader(|leader| leader.promote(member.id(), soon()).ok());
+        self.on_leader(|leader| leader.add_learner(member.clone(), deadline()).ok());
+        self.on_leader(|leader| leader.promote(member.id(), deadline()).ok());
     }
 
     /// Waits for a leader and returns its slot.
@@ -225,13 +225,13 @@
             key: request % 7,
             value: request,
         };
-        self.on_leader(|leader| leader.propose(put.encode(), soon()).ok())
+        self.on_leader(|leader| leader.propose(put.encode(), deadline()).ok())
             .outcome
     }
 
     /// Waits until all running replicas hold the same state with `requests` requests, and returns
     /// it.
-    pub fn settled(&self, requests: usize) -> crate::support::machine::State {
+    pub fn wait_equal(&self, requests: usize) -> crate::support::machine::State {
         wait_for("equal state", || {
             let running = self.slots.iter().filter(|s| s.replica.is_some());
             let states: Vec<_> = running.map(|s| s.map.state()).collect();
--- a/crates/filbertstack-log/tests/log/support/running.rs
+++ b/crates/filbertstack-log/tests/log/support/running.rs
@@ -23,17 +23,17 @@
     pub(super) storage: Storage<MemoryDisk>,
     pub(super) map: Map,
     pub(super) applied: u64,
-    pub(super) boot: Duration,
-    pub(super) queue: VecDeque<Write>,
-    pub(super) disk_until: Duration,
-    pub(super) tickets: BTreeMap<Ticket, Asked>,
+    pub(super) started_at: Duration,
+    pub(super) writes: VecDeque<Write>,
+    pub(super) disk_busy_until: Duration,
+    pub(super) tickets: BTreeMap<Ticket, Request>,
     pub(super) appended: BTreeMap<u64, (u64, u64)>,
     pub(super) reads: Vec<(u64, u64)>,
-    pub(super) led: bool,
+    pub(super) was_leader: bool,
 }
 
 /// The request that a ticket identifies.
-pub(super) enum Asked {
+pub(super) enum Request {
     Put(u64),
     /// A read, with the index that it must see.
     Read(u64),
@@ -50,18 +50,18 @@
     ) {
         let asked = self.tickets.remove(&answer.ticket);
         match (asked, answer.result) {
-            (Some(Asked::Put(request)), Ok(Accepted::Appended(place))) => {
+            (Some(Request::Put(request)), Ok(Accepted::Appended(place))) => {
                 self.appended.insert(place.index, (place.term, request));
             }
-            (Some(Asked::Read(floor)), Ok(Accepted::Readable(index))) => {
+            (Some(Request::Read(floor)), Ok(Accepted::Readable(index))) => {
                 self.reads.push((floor, index));
             }
-            (Some(Asked::Promote(node)), Ok(_)) => {
+            (Some(Request::Promote(node)), Ok(_)) => {
                 let commit = self.node.status().commit;
                 if let Some(held) = durable.get(&node).copied()
                     && held < commit
                 {
-                    checker.found(Violation::EarlyVoter { held, commit });
+                    checker.report(Violation::EarlyVoter { held, commit });
                 }
             }
             _ => {}
@@ -71,7 +71,7 @@
     pub(super) fn finish_reads(&mut self, checker: &mut Checker) {
         let applied = self.applied;
         for (floor, index) in self.reads.extract_if(.., |(_, index)| *index <= applied) {
-            checker.read(floor, index);
+            checker.check_read(floor, index);
         }
     }
 }
--- a/crates/filbertstack-log/tests/log/support/world.rs
+++ b/crates/filbertstack-log/tests/log/support/world.rs
@@ -35,17 +35,17 @@
 use crate::support::checker::Violation;
 use crate::support::disk::MemoryDisk;
 use crate::support::machine::Map;
-use crate::support::running::Asked;
+use crate::support::running::Request;
 use crate::support::running::Running;
 
 /// The step of simulated time.
-const SLICE: Duration = Duration::from_millis(10);
+const TIME_STEP: Duration = Duration::from_millis(10);
 /// The time in which the state of the first voters becomes durable; no fault is injected before its
 /// end.
 const CREATION: Duration = Duration::from_millis(200);
 const CLUSTER: ClusterId = ClusterId(77);
 /// The number of replicas besides the first voters.
-const SPARE: usize = 2;
+const SPARE_REPLICAS: usize = 2;
 
 /// Selects the protections that are off.
 #[derive(Clone, Copy, Debug, Default)]
@@ -64,7 +64,7 @@
 pub(super) struct Slot {
     pub(super) id: NodeId,
     pub(super) disk: MemoryDisk,
-    pub(super) rate: f64,
+    pub(super) clock_rate: f64,
     pub(super) running: Option<Running>,
     pub(super) frozen_until: Duration,
     /// Its clock was paused while it was frozen, and it has not noticed yet.
@@ -88,17 +88,17 @@
     pub(super) rng: ChaCha8Rng,
     pub(super) now: Duration,
     pub(super) slots: Vec<Slot>,
-    pub(super) wire: BTreeMap<(Duration, u64), Message>,
+    pub(super) in_flight: BTreeMap<(Duration, u64), Message>,
     pub(super) sent: u64,
-    pub(super) cut: BTreeSet<(NodeId, NodeId)>,
-    pub(super) loss: u8,
+    pub(super) cut_links: BTreeSet<(NodeId, NodeId)>,
+    pub(super) loss_percent: u8,
     pub(super) next_id: u64,
     pub(super) next_ticket: u64,
     pub(super) next_request: u64,
-    pub(super) lost: BTreeSet<NodeId>,
+    pub(super) lost_disks: BTreeSet<NodeId>,
     /// The last committed membership, and all memberships appended on any replica since: an
     /// uncommitted entry may bring any of them into force.
-    pub(super) views: Vec<Arc<Membership>>,
+    pub(super) memberships: Vec<Arc<Membership>>,
     pub checker: Checker,
 }
 
@@ -110,19 +110,19 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: Duration::ZERO,
             slots: Vec::new(),
-            wire: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
-            cut: BTreeSet::new(),
-            loss: 0,
+            cut_links: BTreeSet::new(),
+            loss_percent: 0,
             next_id: 100,
             next_ticket: 0,
             next_request: 0,
             traffic: BTreeMap::new(),
-            lost: BTreeSet::new(),
-            views: vec![Arc::default()],
+            lost_disks: BTreeSet::new(),
+            memberships: vec![Arc::default()],
             checker: Checker::default(),
         };
-        for _ in 0..voters + SPARE {
+        for _ in 0..voters + SPARE_REPLICAS {
             world.add_slot();
         }
         let first: Vec<Member> = world.slots[..voters].iter().map(Slot::member).collect();
@@ -133,7 +133,7 @@
         };
         world.checker.membership = membership.clone();
         for at in 0..voters {
-            let ticket = world.ticket(at, Asked::Other);
+            let ticket = world.ticket(at, Request::Other);
             let create = Input::Create {
                 ticket,
                 cluster: CLUSTER,
@@ -147,11 +147,11 @@
     }
 
     fn add_slot(&mut self) {
-        let rate = self.rng.random_range(0.92..1.08);
+        let clock_rate = self.rng.random_range(0.92..1.08);
         self.slots.push(Slot {
             id: NodeId(0),
             disk: MemoryDisk::default(),
-            rate,
+            clock_rate,
             running: None,
             frozen_until: Duration::ZERO,
             suspended: false,
@@ -198,12 +198,12 @@
             }
             Err(error) => {
                 self.checker
-                    .found(Violation::StartRefused(error.to_string()));
+                    .report(Violation::StartRefused(error.to_string()));
                 return;
             }
         };
         let lies = self.variant.lying_disks;
-        self.wrong(at, |w| w.sync_lies = lies);
+        self.set_fault(at, |w| w.sync_lies = lies);
         if again && self.variant.keeps_identity {
             memory.hard.cluster = CLUSTER.0;
         }
@@ -213,26 +213,26 @@
             id: slot.id,
             seed: self.rng.random(),
             timing: Timing::default(),
-            limits: self.variant.limits.unwrap_or_else(small),
+            limits: self.variant.limits.unwrap_or_else(small_limits),
             safeguards: self.variant.safeguards,
         };
         if !self.variant.keeps_identity {
-            self.checker.restarted(slot.id, memory.hard.term);
+            self.checker.check_restart(slot.id, memory.hard.term);
         }
         slot.running = Some(Running {
             node: Node::new(config, memory, Duration::ZERO),
             storage,
             map: Map::default(),
             applied: 0,
-            boot: self.now,
-            queue: VecDeque::new(),
-            disk_until: self.now,
+            started_at: self.now,
+            writes: VecDeque::new(),
+            disk_busy_until: self.now,
             tickets: BTreeMap::new(),
             appended: BTreeMap::new(),
             reads: Vec::new(),
-            led: false,
+            was_leader: false,
         });
-        self.settle(at);
+        self.perform_output(at);
     }
 
     /// Returns a replica as a member of its group.
@@ -256,7 +256,7 @@
             if ready(self) {
                 return true;
             }
-            self.run(SLICE);
+            self.run(TIME_STEP);
         }
         false
     }
@@ -276,20 +276,20 @@
         for from in from {
             for to in to.iter().filter(|to| *to != from) {
                 let pair = (self.slots[*from].id, self.slots[*to].id);
-                self.cut.insert(pair);
+                self.cut_links.insert(pair);
             }
         }
     }
 
     /// Restores all links.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.cut_links.clear();
     }
 
     /// Passes an input to a replica at its local time. A frozen replica handles it when it wakes.
     pub(super) fn input(&mut self, at: usize, input: Input) {
         if self.take(at, input) {
-            self.settle(at);
+            self.perform_output(at);
         }
     }
 
@@ -305,7 +305,9 @@
             slot.inbox.push(input);
             return false;
         }
-        let local = now.saturating_sub(running.boot).mul_f64(slot.rate);
+        let local = now
+            .saturating_sub(running.started_at)
+            .mul_f64(slot.clock_rate);
         running.node.step(local, input);
         true
     }
@@ -313,12 +315,12 @@
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until && self.checker.violation.is_none() {
-            self.now += SLICE;
+            self.now += TIME_STEP;
             self.deliver();
             for at in 0..self.slots.len() {
                 if self.slots[at].frozen_until <= self.now {
-                    self.turn_disk(at);
-                    self.turn_clock(at);
+                    self.run_disk(at);
+                    self.run_clock(at);
                 }
             }
         }
@@ -341,31 +343,31 @@
                 }
             }
         }
-        let later = self.wire.split_off(&(self.now, u64::MAX));
-        let due = std::mem::replace(&mut self.wire, later);
+        let later = self.in_flight.split_off(&(self.now, u64::MAX));
+        let due = std::mem::replace(&mut self.in_flight, later);
         for message in due.into_values() {
             let to = message.recipient();
             let known = self.slots.iter().position(|s| s.id == to);
             if let Some(at) = known
-                && !self.cut.contains(&(message.sender(), to))
+                && !self.cut_links.contains(&(message.sender(), to))
             {
                 self.input(at, Input::Message(message));
             }
         }
     }
 
-    fn turn_disk(&mut self, at: usize) {
+    fn run_disk(&mut self, at: usize) {
         let slow = Duration::from_millis(self.rng.random_range(0..40));
         let now = self.now;
         let Some(running) = &mut self.slots[at].running else {
             return;
         };
-        if running.queue.is_empty() || running.disk_until > now {
+        if running.writes.is_empty() || running.disk_busy_until > now {
             return;
         }
-        running.disk_until = now + slow;
-        let count = self.rng.random_range(1..=running.queue.len());
-        let batch = running.queue.drain(..count).collect();
+        running.disk_busy_until = now + slow;
+        let count = self.rng.random_range(1..=running.writes.len());
+        let batch = running.writes.drain(..count).collect();
         match running.storage.write(batch) {
             Ok(results) => {
                 for result in results {
@@ -378,18 +380,20 @@
         }
     }
 
-    fn turn_clock(&mut self, at: usize) {
+    fn run_clock(&mut self, at: usize) {
         let now = self.now;
         let slot = &self.slots[at];
         let Some(running) = &slot.running else { return };
-        let local = now.saturating_sub(running.boot).mul_f64(slot.rate);
+        let local = now
+            .saturating_sub(running.started_at)
+            .mul_f64(slot.clock_rate);
         if local >= running.node.wake_at() {
             self.input(at, Input::Tick);
         }
     }
 
     /// Performs the actions that the node requests, as the replica's driver does.
-    pub(super) fn settle(&mut self, at: usize) {
+    pub(super) fn perform_output(&mut self, at: usize) {
         let durable = self.slots.iter().map(|s| (s.id, s.durable)).collect();
         let slot = &mut self.slots[at];
         let Some(running) = &mut slot.running else {
@@ -397,9 +401,9 @@
         };
         let output = running.node.output();
         if let Some(text) = output.broken {
-            self.checker.found(Violation::Broken(text));
+            self.checker.report(Violation::ProtocolBroken(text));
         }
-        running.queue.extend(output.write);
+        running.writes.extend(output.write);
         for answer in output.answers {
             running.answer(answer, &mut self.checker, &durable);
         }
@@ -407,40 +411,41 @@
             running.map.restore(&snapshot.data).unwrap();
             self.checker.seen.installs += usize::from(running.applied > 0);
             running.applied = snapshot.index;
-            self.checker.state(snapshot.index, &running.map.state());
+            self.checker
+                .check_state(snapshot.index, &running.map.state());
         }
         for entry in output.committed {
             let outcome = (entry.kind() == EntryKind::Command)
                 .then(|| running.map.apply(entry.index, &entry.data));
             running.applied = entry.index;
-            self.checker.committed(&entry, &running.map.state());
+            self.checker.record_commit(&entry, &running.map.state());
             let waiter = running.appended.remove(&entry.index);
             if let (Some((term, request)), Some(outcome)) = (waiter, outcome)
                 && term == entry.term
             {
-                self.checker.tell(request, outcome, entry.index);
+                self.checker.record_outcome(request, outcome, entry.index);
             }
         }
         running.finish_reads(&mut self.checker);
         let status = running.node.status();
         let leads = status.role == RoleName::Leader;
         if leads {
-            self.checker.led(status.term, slot.id);
+            self.checker.record_leader(status.term, slot.id);
         }
-        if running.led && !leads {
+        if running.was_leader && !leads {
             running.appended.clear();
         }
-        running.led = leads;
+        running.was_leader = leads;
         slot.durable = status.durable;
         if slot.membership != status.membership {
             slot.membership = Arc::clone(&status.membership);
-            self.views.push(status.membership);
+            self.memberships.push(status.membership);
         }
         let committed = self.checker.membership.clone();
-        if *self.views[0] != committed {
-            self.views = vec![Arc::new(committed)];
+        if *self.memberships[0] != committed {
+            self.memberships = vec![Arc::new(committed)];
             let current = self.slots.iter().map(|s| Arc::clone(&s.membership));
-            self.views.extend(current);
+            self.memberships.extend(current);
         }
         for message in output.messages {
             self.send(&message);
@@ -448,13 +453,13 @@
     }
 
     fn send(&mut self, message: &Message) {
-        self.checker.sent(message);
+        self.checker.record_message(message);
         for end in [message.sender(), message.recipient()] {
             let traffic = self.traffic.entry(end).or_default();
             traffic.messages += 1;
             traffic.bytes += message.to_bytes().len() as u64;
         }
-        let lossy = u32::from(self.loss);
+        let lossy = u32::from(self.loss_percent);
         if self.rng.random_ratio(lossy, 100) {
             return;
         }
@@ -472,7 +477,7 @@
             let delay = Duration::from_millis(self.rng.random_range(0..slow));
             self.sent += 1;
             let at = (self.now + delay, self.sent);
-            self.wire.insert(at, message.clone());
+            self.in_flight.insert(at, message.clone());
         }
     }
 }
@@ -488,7 +493,7 @@
 }
 
 /// Returns limits that a short run reaches.
-fn small() -> Limits {
+fn small_limits() -> Limits {
     Limits {
         append_bytes: 100,
         inflight_appends: 3,
