--- a/crates/filbertstack-log/tests/log/main.rs
+++ b/crates/filbertstack-log/tests/log/main.rs
@@ -1,11 +1,11 @@
 //! The tests of the replicated log: storage, protocol, replicas, and the random search for faults.
 
-mod broken;
 mod figures;
 mod formation;
-mod found;
 mod fuzz;
 mod node;
+mod regressions;
 mod replica;
+mod safeguards;
 mod storage;
 mod support;
