--- a/crates/filbertstack-log/src/node/changes.rs
+++ b/crates/filbertstack-log/src/node/changes.rs
@@ -38,7 +38,7 @@
         }
         let next = self.membership().with_change(change)?;
         if self.config.safeguards.one_change {
-            self.check_order(leader.noop_index)?;
+            self.check_previous(leader.noop_index)?;
         }
         match change {
             Change::Promote(_) if !self.config.safeguards.caught_up => {}
@@ -65,9 +65,9 @@
     /// Refuses a change after which no majority answers: it could be neither committed nor undone,
     /// and the group would be unavailable for good.
     fn check_quorum(&self, leader: &Leader, next: &Membership) -> Result<(), ChangeError> {
-        let least = self.config.timing.election_min;
+        let timeout = self.config.timing.election_min;
         let answers = |node: NodeId| match leader.peers.get(&node) {
-            Some(peer) => self.now < peer.heard_at + least,
+            Some(peer) => self.now < peer.heard_at + timeout,
             None => node == self.config.id,
         };
         let answer = next.voters.iter().filter(|m| answers(m.id())).count();
@@ -84,7 +84,7 @@
     /// Two memberships in force at once share a majority only if they differ by one member and the
     /// earlier one is committed. A leader that has not committed in its own term may hold a change
     /// that the other replicas never received.
-    fn check_order(&self, noop_index: u64) -> Result<(), ChangeError> {
+    fn check_previous(&self, noop_index: u64) -> Result<(), ChangeError> {
         if self.commit < noop_index {
             return Err(ChangeError::NewLeader);
         }
--- a/crates/filbertstack-log/src/node/election.rs
+++ b/crates/filbertstack-log/src/node/election.rs
@@ -25,8 +25,9 @@
         if matches!(self.role, Role::Leader(_)) {
             return true;
         }
-        let least = self.config.timing.election_min;
-        self.leader_heard_at.is_some_and(|at| self.now < at + least)
+        let timeout = self.config.timing.election_min;
+        self.leader_heard_at
+            .is_some_and(|at| self.now < at + timeout)
     }
 
     /// Makes the node a follower in `term`, of `leader` if one is known.
@@ -69,8 +70,8 @@
     /// the voters, the learner replicates its entries to them and transfers the leadership.
     fn may_campaign(&self) -> bool {
         let membership = self.membership();
-        let patience = self.config.timing.election_max * LEARNER_TIMEOUTS;
-        let silent = self.now >= self.leader_heard_at.unwrap_or_default() + patience;
+        let timeout = self.config.timing.election_max * LEARNER_TIMEOUTS;
+        let silent = self.now >= self.leader_heard_at.unwrap_or_default() + timeout;
         membership.is_voter(self.config.id) || (silent && membership.is_learner(self.config.id))
     }
 
--- a/crates/filbertstack-log/src/node/follower.rs
+++ b/crates/filbertstack-log/src/node/follower.rs
@@ -14,7 +14,7 @@
     /// term.
     pub(super) fn hear_leader(&mut self, from: NodeId) -> bool {
         if matches!(self.role, Role::Leader(_)) {
-            self.output.broken = Some(format!("{from} leads term {} as well", self.hard.term));
+            self.output.violation = Some(format!("{from} leads term {} as well", self.hard.term));
             return false;
         }
         self.role = Role::Follower;
@@ -99,7 +99,7 @@
             if entry.index <= self.log.last().index {
                 if entry.index <= self.commit {
                     let text = format!("the leader replaces committed entry {}", entry.index);
-                    self.output.broken = Some(text);
+                    self.output.violation = Some(text);
                     return false;
                 }
                 self.truncate_log(entry.index);
--- a/crates/filbertstack-log/src/node/io.rs
+++ b/crates/filbertstack-log/src/node/io.rs
@@ -193,7 +193,7 @@
     /// The answers to requests.
     pub answers: Vec<Answer>,
     /// A violation of the protocol by another replica; the replica must stop.
-    pub broken: Option<String>,
+    pub violation: Option<String>,
 }
 
 /// The state that a replica reads back after a restart.
--- a/crates/filbertstack-log/src/node/leader.rs
+++ b/crates/filbertstack-log/src/node/leader.rs
@@ -206,12 +206,12 @@
         leader.open_rounds.push_back((leader.round, now));
         leader.heartbeat_at = now + heartbeat;
         let round = leader.round;
-        let followers: Vec<(NodeId, u64)> = leader
+        let match_indices: Vec<(NodeId, u64)> = leader
             .peers
             .iter()
             .map(|(id, p)| (*id, p.match_index))
             .collect();
-        for (id, match_index) in followers {
+        for (id, match_index) in match_indices {
             // The entry at the matching index may be compacted; the heartbeat then confirms the
             // leader only.
             let prev_index = if self.log.term(match_index).is_some() {
@@ -250,7 +250,7 @@
             }
             peer.waiting_since = now;
             match &mut peer.flow {
-                Flow::Snapshot(outgoing) => outgoing.resend(),
+                Flow::Snapshot(outgoing) => outgoing.send_again(),
                 Flow::Probe { sent } => *sent = false,
                 Flow::Pipeline { .. } => peer.probe(),
             }
@@ -363,21 +363,21 @@
         .unwrap_or(u32::MAX)
         .max(UNSPACED_FOLLOWERS);
     let wanted = timing.heartbeat.saturating_mul(followers) / UNSPACED_FOLLOWERS;
-    let most = (timing.election_min * 2 / 5).max(timing.heartbeat);
-    wanted.min(most)
+    let longest = (timing.election_min * 2 / 5).max(timing.heartbeat);
+    wanted.min(longest)
 }
 
 impl Peer {
     /// Returns whether one more message may be sent in this flow; if so, the message counts as
     /// sent.
-    fn may_send(&mut self, unsent: bool, most: usize, now: Duration) -> bool {
+    fn may_send(&mut self, unsent: bool, limit: usize, now: Duration) -> bool {
         match &mut self.flow {
             Flow::Probe { sent: false } => {
                 self.flow = Flow::Probe { sent: true };
                 self.waiting_since = now;
                 true
             }
-            Flow::Pipeline { inflight } if inflight.len() < most && unsent => {
+            Flow::Pipeline { inflight } if inflight.len() < limit && unsent => {
                 if inflight.is_empty() {
                     self.waiting_since = now;
                 }
--- a/crates/filbertstack-log/src/node/mod.rs
+++ b/crates/filbertstack-log/src/node/mod.rs
@@ -135,7 +135,7 @@
     /// Handles one input that arrives at `now`.
     pub fn step(&mut self, now: Duration, input: Input) {
         self.now = self.now.max(now);
-        if self.output.broken.is_some() {
+        if self.output.violation.is_some() {
             return;
         }
         match input {
--- a/crates/filbertstack-log/src/node/persist.rs
+++ b/crates/filbertstack-log/src/node/persist.rs
@@ -206,9 +206,9 @@
     /// Returns whether a write has been pending for so long that the disk counts as hung. A leader
     /// on such a disk could send heartbeats forever and never commit.
     pub(super) fn disk_hangs(&self) -> bool {
-        let most = self.config.timing.election_max;
+        let limit = self.config.timing.election_max;
         let oldest = self.disk.pending.front();
-        oldest.is_some_and(|p| self.now >= p.issued + most)
+        oldest.is_some_and(|p| self.now >= p.issued + limit)
     }
 
     /// Writes term and vote again to find out whether the disk still refuses writes.
--- a/crates/filbertstack-log/src/node/snapshots.rs
+++ b/crates/filbertstack-log/src/node/snapshots.rs
@@ -41,19 +41,19 @@
 
     /// Marks the last piece to be sent again, or the whole snapshot if the follower received all of
     /// it and did not confirm.
-    pub(super) fn resend(&mut self) {
+    pub(super) fn send_again(&mut self) {
         if self.offset >= self.bytes.len() {
             self.offset = 0;
         }
         self.sent = false;
     }
 
-    fn next_piece(&mut self, most: usize) -> Option<Piece> {
+    fn next_piece(&mut self, piece_bytes: usize) -> Option<Piece> {
         if self.sent || self.offset >= self.bytes.len() {
             return None;
         }
         self.sent = true;
-        let end = self.bytes.len().min(self.offset + most);
+        let end = self.bytes.len().min(self.offset + piece_bytes);
         Some(Piece {
             index: self.position.index,
             term: self.position.term,
@@ -274,7 +274,7 @@
 
     /// Sends the next piece; at most one piece is unanswered at any time.
     pub(super) fn send_piece(&mut self, id: NodeId) -> bool {
-        let most = self.config.limits.piece_bytes;
+        let piece_bytes = self.config.limits.piece_bytes;
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else {
             return false;
@@ -285,7 +285,7 @@
         let Flow::Snapshot(outgoing) = &mut peer.flow else {
             return false;
         };
-        if let Some(piece) = outgoing.next_piece(most) {
+        if let Some(piece) = outgoing.next_piece(piece_bytes) {
             peer.waiting_since = now;
             self.send(id, Durability::Nothing, Body::Piece(piece));
         }
--- a/crates/filbertstack-log/src/replica/core.rs
+++ b/crates/filbertstack-log/src/replica/core.rs
@@ -214,8 +214,8 @@
                 self.step(Input::Transfer { ticket, to });
             }
             Operation::Backup { reply } => {
-                let sealed = frame::encode(self.applied, &self.machine.snapshot());
-                let _ = reply.try_send(Ok(sealed.into()));
+                let framed = frame::encode(self.applied, &self.machine.snapshot());
+                let _ = reply.try_send(Ok(framed.into()));
             }
             Operation::Create {
                 member,
@@ -243,7 +243,7 @@
     /// Performs the actions that the node requests.
     fn advance(&mut self) -> Result<(), String> {
         let output = self.node.output();
-        if let Some(broken) = &output.broken {
+        if let Some(broken) = &output.violation {
             return Err(format!(
                 "{broken}; a voter's folder was restored or shared: see the log"
             ));
@@ -305,8 +305,8 @@
     /// written about twice.
     fn maybe_snapshot(&mut self) {
         let latest = self.node.status().snapshot.max(self.snapshot_tried);
-        let most = self.settings.snapshot_bytes.max(self.snapshot_size);
-        if self.applied <= latest || self.node.cost_after(latest) < most {
+        let threshold = self.settings.snapshot_bytes.max(self.snapshot_size);
+        if self.applied <= latest || self.node.cost_after(latest) < threshold {
             return;
         }
         let data = self.machine.snapshot();
--- a/crates/filbertstack-log/src/replica/mod.rs
+++ b/crates/filbertstack-log/src/replica/mod.rs
@@ -76,10 +76,10 @@
     pub snapshot_bytes: usize,
     /// The largest number of messages that wait to be handled; further messages are dropped, as if
     /// the network had lost them.
-    pub pending_messages: usize,
+    pub max_messages: usize,
     /// The largest number of requests that wait to be handled; further requests are refused as not
     /// run.
-    pub pending_requests: usize,
+    pub max_requests: usize,
     /// The size of a segment of the log on disk, in bytes.
     pub segment_bytes: u64,
 }
@@ -90,8 +90,8 @@
             timing: Timing::default(),
             limits: Limits::default(),
             snapshot_bytes: 4 << 20,
-            pending_messages: 4_096,
-            pending_requests: 10_000,
+            max_messages: 4_096,
+            max_requests: 10_000,
             segment_bytes: crate::storage::SEGMENT_BYTES,
         }
     }
@@ -206,7 +206,7 @@
     /// Accepts a message from another replica.
     pub fn deliver(&self, message: Message) {
         if self.shared.pending_messages.fetch_add(1, Ordering::Relaxed)
-            >= self.settings.pending_messages
+            >= self.settings.max_messages
         {
             self.shared.pending_messages.fetch_sub(1, Ordering::Relaxed);
             return;
@@ -374,7 +374,7 @@
         operation: impl FnOnce(waiters::Reply<T>) -> Operation<M::Outcome>,
     ) -> Result<T, ProposeError> {
         if self.shared.pending_requests.fetch_add(1, Ordering::Relaxed)
-            >= self.settings.pending_requests
+            >= self.settings.max_requests
         {
             self.shared.pending_requests.fetch_sub(1, Ordering::Relaxed);
             return Err(Refusal::Busy.into());
--- a/crates/filbertstack-log/src/storage/mod.rs
+++ b/crates/filbertstack-log/src/storage/mod.rs
@@ -225,9 +225,9 @@
             return;
         };
         self.last = entry.position();
-        let most = record.entries.iter().map(|e| e.index).max().unwrap_or(0);
+        let highest = record.entries.iter().map(|e| e.index).max().unwrap_or(0);
         if let Some(segment) = self.segments.last_mut() {
-            segment.last = segment.last.max(most);
+            segment.last = segment.last.max(highest);
         }
     }
 
--- a/crates/filbertstack-log/tests/log/safeguards.rs
+++ b/crates/filbertstack-log/tests/log/safeguards.rs
@@ -117,15 +117,15 @@
 /// state.
 #[test]
 fn a_vote_without_saved_state_is_detected() {
-    let mut broken = without(|s| s.members_vote = false);
-    broken.keeps_identity = true;
+    let mut stateless = without(|s| s.members_vote = false);
+    stateless.keeps_identity = true;
     let unsafe_vote = |v: &Violation| {
         matches!(
             v,
             Violation::VotedTwice { .. } | Violation::TwoLeaders { .. }
         )
     };
-    assert_found(broken, unsafe_vote);
+    assert_found(stateless, unsafe_vote);
 }
 
 /// A learner becomes a voter before it holds every committed entry. If another voter is lost at
--- a/crates/filbertstack-log/tests/log/support/machine.rs
+++ b/crates/filbertstack-log/tests/log/support/machine.rs
@@ -76,7 +76,7 @@
         assert_ne!(
             Put::decode(command).key,
             PANIC_KEY,
-            "this machine fails at this command"
+            "the state machine panics at this key"
         );
         self.0.lock().unwrap().put(index, Put::decode(command))
     }
--- a/crates/filbertstack-log/tests/log/support/world.rs
+++ b/crates/filbertstack-log/tests/log/support/world.rs
@@ -266,7 +266,7 @@
         let leads = |w: &Self| w.leaders().into_iter().find(|at| among.contains(at));
         assert!(
             self.run_until(2_000, |w| leads(w).is_some()),
-            "nobody leads"
+            "no replica leads"
         );
         leads(self).unwrap()
     }
@@ -400,7 +400,7 @@
             return;
         };
         let output = running.node.output();
-        if let Some(text) = output.broken {
+        if let Some(text) = output.violation {
             self.checker.report(Violation::ProtocolBroken(text));
         }
         running.writes.extend(output.write);
