--- a/crates/filbertstack-log/benches/measure.rs
+++ b/crates/filbertstack-log/benches/measure.rs
@@ -1,5 +1,5 @@
-//! Prints measurements of the log: the disk, commits, processor use at rest, and recovery with its
-//! memory.
+//! Prints the measurements in the design note: the disk, commits, processor use at rest, and
+//! recovery with its memory.
 
 mod group;
 
--- a/crates/filbertstack-log/src/config.rs
+++ b/crates/filbertstack-log/src/config.rs
@@ -25,7 +25,7 @@
 }
 
 /// Five heartbeats fit into one election timeout, so that one lost packet or one pause of the
-/// scheduler causes no election.
+/// scheduler causes no election; the design note lists the cost of heartbeats.
 pub const HEARTBEAT: Duration = Duration::from_millis(200);
 /// Exceeds the scheduling pauses of a small instance under load.
 pub const ELECTION_MIN: Duration = Duration::from_secs(1);
@@ -33,7 +33,7 @@
 pub const ELECTION_MAX: Duration = Duration::from_secs(2);
 /// Allows one clock to run a quarter faster than another, far more than real clocks drift.
 pub const LEASE: Duration = Duration::from_millis(800);
-/// Two heartbeats, so that one late answer causes no resend.
+/// Equals two heartbeats.
 pub const RESEND: Duration = Duration::from_millis(400);
 
 impl Default for Timing {
--- a/crates/filbertstack-log/src/node/io.rs
+++ b/crates/filbertstack-log/src/node/io.rs
@@ -127,7 +127,7 @@
     /// The group has not yet reached its first number of voters.
     #[error("the group is still forming; start the other voters that the settings list")]
     Forming,
-    /// Too many uncommitted entries or reads are waiting.
+    /// Too many uncommitted entries, reads or requests are waiting.
     #[error("too much waits to be committed; try again in a second")]
     Busy,
     /// The command is too long.
--- a/crates/filbertstack-log/src/replica/mod.rs
+++ b/crates/filbertstack-log/src/replica/mod.rs
@@ -421,7 +421,8 @@
     }
 }
 
-/// The interval at which a stopping leader checks for its successor and a promotion is retried.
+/// The interval at which a stopping leader checks whether it still leads, and at which a refused
+/// promotion is retried.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<JoinHandle<()>, StartError> {
--- a/crates/filbertstack-log/tests/log/support/world.rs
+++ b/crates/filbertstack-log/tests/log/support/world.rs
@@ -53,7 +53,7 @@
     pub safeguards: Safeguards,
     /// A replica whose disk was lost comes back under its old identity.
     pub keeps_identity: bool,
-    /// A replica does not notice that its clock stood still.
+    /// A replica does not notice that its clock was paused.
     pub trusts_clock: bool,
     /// Limits in place of the small ones that a short run reaches.
     pub limits: Option<Limits>,
