--- a/crates/filbertstack-log/src/membership.rs
+++ b/crates/filbertstack-log/src/membership.rs
@@ -106,14 +106,14 @@
 }
 
 impl Membership {
-    /// Returns the membership of a group of one voter that takes commands once it has had `wanted`
+    /// Returns the membership of a group of one voter that takes commands once it has had `voter_count`
     /// voters.
     #[must_use]
-    pub fn initial(voter: Member, wanted: u32) -> Self {
+    pub fn initial(voter: Member, voter_count: u32) -> Self {
         Self {
             voters: vec![voter],
             learners: Vec::new(),
-            forming: if wanted > 1 { wanted } else { 0 },
+            forming: if voter_count > 1 { voter_count } else { 0 },
         }
     }
 
--- a/crates/filbertstack-log/src/node/leader.rs
+++ b/crates/filbertstack-log/src/node/leader.rs
@@ -362,9 +362,9 @@
     let followers = u32::try_from(followers)
         .unwrap_or(u32::MAX)
         .max(UNSPACED_FOLLOWERS);
-    let wanted = timing.heartbeat.saturating_mul(followers) / UNSPACED_FOLLOWERS;
+    let scaled = timing.heartbeat.saturating_mul(followers) / UNSPACED_FOLLOWERS;
     let longest = (timing.election_min * 2 / 5).max(timing.heartbeat);
-    wanted.min(longest)
+    scaled.min(longest)
 }
 
 impl Peer {
--- a/crates/filbertstack-log/src/replica/core.rs
+++ b/crates/filbertstack-log/src/replica/core.rs
@@ -138,7 +138,7 @@
             failed: Some(PANICKED.to_owned()),
         };
         guard.failed = self.serve(inbox).err();
-        self.waiters.stopped();
+        self.waiters.fail_all();
     }
 
     fn serve(&mut self, inbox: &Receiver<Event<M::Outcome>>) -> Result<(), String> {
@@ -219,23 +219,29 @@
             }
             Operation::Create {
                 member,
-                wanted,
+                voter_count,
                 state,
                 reply,
             } => {
                 let ticket = self.waiters.register(Waiter::Done(reply));
-                self.create(ticket, member, wanted, state);
+                self.create(ticket, member, voter_count, state);
             }
         }
     }
 
-    fn create(&mut self, ticket: Ticket, mut member: Member, wanted: u32, state: Option<Bytes>) {
+    fn create(
+        &mut self,
+        ticket: Ticket,
+        mut member: Member,
+        voter_count: u32,
+        state: Option<Bytes>,
+    ) {
         member.node = self.node.id().0;
         let data = state.unwrap_or_else(|| self.machine.snapshot().into());
         self.step(Input::Create {
             ticket,
             cluster: ClusterId(rand::rng().random()),
-            membership: Membership::initial(member, wanted),
+            membership: Membership::initial(member, voter_count),
             data,
         });
     }
@@ -270,7 +276,7 @@
         for entry in output.committed {
             self.apply(&entry);
         }
-        self.waiters.reached(self.applied);
+        self.waiters.finish_reads(self.applied);
         Ok(())
     }
 
@@ -290,7 +296,7 @@
         restored.map_err(|e| e.to_string())?;
         self.applied = snapshot.index;
         self.snapshot_size = snapshot.data.len();
-        self.waiters.created();
+        self.waiters.finish_creation();
         Ok(())
     }
 
@@ -322,7 +328,7 @@
         let node = self.node.status();
         let leads = node.role == RoleName::Leader;
         if self.was_leader && !leads {
-            self.waiters.lost_leader();
+            self.waiters.fail_appended();
         }
         self.was_leader = leads;
         if self.configured != node.membership {
--- a/crates/filbertstack-log/src/replica/mod.rs
+++ b/crates/filbertstack-log/src/replica/mod.rs
@@ -306,7 +306,7 @@
     }
 
     /// Creates a group with this replica as its only voter at first. The group takes commands once
-    /// it has had `wanted` voters. The state machine starts from `state`, such as a backup, or from
+    /// it has had `voter_count` voters. The state machine starts from `state`, such as a backup, or from
     /// its present state.
     ///
     /// # Errors
@@ -314,13 +314,13 @@
     pub fn create(
         &self,
         member: Member,
-        wanted: u32,
+        voter_count: u32,
         state: Option<Bytes>,
         deadline: Instant,
     ) -> Result<(), ProposeError> {
         self.ask(deadline, |reply| Operation::Create {
             member,
-            wanted,
+            voter_count,
             state,
             reply,
         })
--- a/crates/filbertstack-log/src/replica/waiters.rs
+++ b/crates/filbertstack-log/src/replica/waiters.rs
@@ -61,7 +61,7 @@
     },
     Create {
         member: Member,
-        wanted: u32,
+        voter_count: u32,
         state: Option<Bytes>,
         reply: Reply<()>,
     },
@@ -144,7 +144,7 @@
         }
     }
 
-    pub(super) fn created(&mut self) {
+    pub(super) fn finish_creation(&mut self) {
         for reply in self.creating.drain(..) {
             let _ = reply.try_send(Ok(()));
         }
@@ -170,7 +170,7 @@
     }
 
     /// Answers the reads that waited for an index up to `index`.
-    pub(super) fn reached(&mut self, index: u64) {
+    pub(super) fn finish_reads(&mut self, index: u64) {
         while let Some(first) = self.reads.first_entry() {
             if first.key().0 > index {
                 return;
@@ -182,13 +182,13 @@
 
     /// Answers callers whose entries were appended: the replica lost the leadership, and another
     /// leader may or may not commit them.
-    pub(super) fn lost_leader(&mut self) {
+    pub(super) fn fail_appended(&mut self) {
         for (_, waiter) in std::mem::take(&mut self.appended).into_values() {
             waiter.fail(ProposeError::Unknown(UnknownReason::LeaderLost));
         }
     }
 
-    pub(super) fn stopped(&mut self) {
+    pub(super) fn fail_all(&mut self) {
         let registered = std::mem::take(&mut self.registered).into_values();
         let appended = std::mem::take(&mut self.appended).into_values();
         for waiter in registered.chain(appended.map(|(_, w)| w)) {
--- a/crates/filbertstack-log/tests/log/support/checker.rs
+++ b/crates/filbertstack-log/tests/log/support/checker.rs
@@ -33,7 +33,7 @@
     /// A replica voted for two candidates in one term.
     VotedTwice { term: u64 },
     /// A replica came back with a lower term than it had sent.
-    TermDecreased { told: u64, found: u64 },
+    TermDecreased { sent: u64, found: u64 },
     /// A learner became a voter without every committed entry.
     EarlyVoter { held: u64, commit: u64 },
     /// A replica detected a violation of the protocol.
@@ -203,8 +203,8 @@
             Some(Body::Vote(_)) => self.record_vote(from, message.term, message.from),
             _ => {}
         }
-        let told = self.terms.entry(from).or_default();
-        *told = message.term.max(*told);
+        let sent = self.terms.entry(from).or_default();
+        *sent = message.term.max(*sent);
     }
 
     fn record_vote(&mut self, voter: NodeId, term: u64, candidate: u64) {
@@ -215,9 +215,9 @@
     }
 
     pub fn check_restart(&mut self, node: NodeId, found: u64) {
-        let told = self.terms.get(&node).copied().unwrap_or(0);
-        if found < told {
-            self.report(Violation::TermDecreased { told, found });
+        let sent = self.terms.get(&node).copied().unwrap_or(0);
+        if found < sent {
+            self.report(Violation::TermDecreased { sent, found });
         }
     }
 
