--- a/crates/filbertstack-gateway/src/agent/mod.rs
+++ b/crates/filbertstack-gateway/src/agent/mod.rs
@@ -24,8 +24,8 @@
 
 use crate::agent::engine::Engine;
 use crate::agent::peers::PieceServer;
-use crate::agent::stage::Stage;
 use crate::agent::session::Progress;
+use crate::agent::stage::Stage;
 use crate::clock::Clock;
 use crate::control::follow;
 use crate::control::node::Node;
--- a/crates/filbertstack-gateway/src/agent/orders.rs
+++ b/crates/filbertstack-gateway/src/agent/orders.rs
@@ -13,10 +13,10 @@
 
 use crate::agent::Agent;
 use crate::agent::contents::is_mixed;
-use crate::agent::stage::PendingOrder;
 use crate::agent::session::Outcome;
-use crate::agent::session::Verified;
 use crate::agent::session::Progress;
+use crate::agent::session::Verified;
+use crate::agent::stage::PendingOrder;
 
 /// The engine is polled at this interval for whether it has begun an order, as often as for its reports.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/filbertstack-gateway/src/agent/peers.rs
+++ b/crates/filbertstack-gateway/src/agent/peers.rs
@@ -18,8 +18,8 @@
 use crate::link::messages::Question;
 use crate::link::messages::Reply;
 use crate::weights::from_wire;
-use crate::weights::missing_piece;
 use crate::weights::manifest_reply;
+use crate::weights::missing_piece;
 
 /// At most this many pieces are sent at once. Events of live streams then wait behind one piece only, 42 ms
 /// on the current links; callers count events that are 120 ms late.
--- a/crates/filbertstack-gateway/src/agent/predecessor.rs
+++ b/crates/filbertstack-gateway/src/agent/predecessor.rs
@@ -14,9 +14,9 @@
 use crate::agent::contents::Contents;
 use crate::agent::contents::ContentsError;
 use crate::agent::contents::latest_list;
-use crate::agent::stage::PendingOrder;
 use crate::agent::session::Progress;
 use crate::agent::session::Session;
+use crate::agent::stage::PendingOrder;
 use crate::weights;
 
 /// The staged pieces are compared again after this time while their version is unknown: reading all pieces
--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -24,12 +24,12 @@
 use tokio::time::timeout;
 
 use crate::agent::Agent;
-use crate::agent::session::ReadBack;
-use crate::agent::session::Verified;
-use crate::agent::session::Session;
-use crate::agent::predecessor::Predecessor;
 use crate::agent::gather::gather;
 use crate::agent::orders;
+use crate::agent::predecessor::Predecessor;
+use crate::agent::session::ReadBack;
+use crate::agent::session::Session;
+use crate::agent::session::Verified;
 use crate::weights;
 use crate::weights::is_at_entries;
 
--- a/crates/filbertstack-gateway/src/weights/cache.rs
+++ b/crates/filbertstack-gateway/src/weights/cache.rs
@@ -28,8 +28,8 @@
 use crate::link::messages::Reply;
 use crate::weights;
 use crate::weights::FIRST_VERSION;
-use crate::weights::piece_set::PieceSet;
 use crate::weights::LATEST_VERSIONS;
+use crate::weights::piece_set::PieceSet;
 
 /// A node that is fetching a piece lets other nodes wait for it for this long, before it replies that the
 /// piece is not there yet.
@@ -145,7 +145,12 @@
                     continue;
                 }
                 let ages = (self.age(older.weights()), self.age(newer.weights()));
-                match pieces::which_yields(ages.0, ages.1, older.has_share(), newer.is_progressing()) {
+                match pieces::which_yields(
+                    ages.0,
+                    ages.1,
+                    older.has_share(),
+                    newer.is_progressing(),
+                ) {
                     Yields::Older => paused[o] = true,
                     Yields::Newer => paused[n] = true,
                     Yields::None => {}
--- a/crates/filbertstack-gateway/src/weights/fetch/list.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch/list.rs
@@ -18,8 +18,8 @@
 use tokio::time::sleep;
 
 use super::Fetch;
-use super::RETRY_DELAY;
 use super::HAS_TIMEOUT;
+use super::RETRY_DELAY;
 use crate::client::call;
 use crate::link::LinkError;
 use crate::link::messages::Question;
--- a/crates/filbertstack-log/benches/group/mod.rs
+++ b/crates/filbertstack-log/benches/group/mod.rs
@@ -1,4 +1,4 @@
-//! A group of replicas in one process, on real folders.
+//! A group of replicas in one process, on real data folders.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -8,25 +8,25 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use filbertstack_log::Machine;
 use filbertstack_log::Member;
 use filbertstack_log::Message;
 use filbertstack_log::NodeId;
 use filbertstack_log::Replica;
 use filbertstack_log::ReplicaSettings;
 use filbertstack_log::RoleName;
+use filbertstack_log::StateMachine;
 use filbertstack_log::Transport;
 use filbertstack_log::storage::disk::Folder;
 use tempfile::TempDir;
 
-/// The length of a command, in bytes: about that of an idempotency claim.
-pub const COMMAND: usize = 200;
+/// The size of a command, in bytes; about that of an idempotency claim.
+pub const COMMAND_BYTES: usize = 200;
 
-/// Counts commands.
+/// A state machine that counts commands.
 #[derive(Default)]
 pub struct Count(u64);
 
-impl Machine for Count {
+impl StateMachine for Count {
     type Outcome = u64;
     type RestoreError = Infallible;
 
@@ -58,19 +58,19 @@
     }
 }
 
-/// Running replicas and their folders.
+/// Holds the running replicas and their folders.
 pub struct Group {
     network: Network,
     replicas: Vec<Arc<Replica<Count>>>,
     _folders: Vec<TempDir>,
 }
 
-fn soon() -> Instant {
+fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(30)
 }
 
 impl Group {
-    /// A group of so many voters.
+    /// Creates a group of the given number of voters.
     pub fn form(voters: usize) -> Self {
         let network = Network::default();
         let folders: Vec<TempDir> = (0..voters).map(|_| tempfile::tempdir().unwrap()).collect();
@@ -87,14 +87,14 @@
         let members: Vec<Member> = replicas.iter().map(|r| member(r)).collect();
         let wanted = u32::try_from(voters).unwrap();
         replicas[0]
-            .create(members[0].clone(), wanted, None, soon())
+            .create(members[0].clone(), wanted, None, deadline())
             .unwrap();
         while replicas[0].status().node.role != RoleName::Leader {
             thread::sleep(Duration::from_millis(5));
         }
         for member in &members[1..] {
-            while replicas[0].add_learner(member.clone(), soon()).is_err() {}
-            while replicas[0].promote(member.id(), soon()).is_err() {
+            while replicas[0].add_learner(member.clone(), deadline()).is_err() {}
+            while replicas[0].promote(member.id(), deadline()).is_err() {
                 thread::sleep(Duration::from_millis(5));
             }
         }
@@ -105,13 +105,15 @@
         }
     }
 
-    /// Has `callers` propose `rounds` commands each, one after the other, and returns how long
-    /// each took.
+    /// Proposes `rounds` commands one after the other from each of `callers` threads, and returns
+    /// the duration of each proposal.
     pub fn propose(&self, callers: usize, rounds: u64) -> Vec<Duration> {
         let call = || {
             let ask = |_| {
                 let start = Instant::now();
-                self.replicas[0].propose(vec![7; COMMAND], soon()).unwrap();
+                self.replicas[0]
+                    .propose(vec![7; COMMAND_BYTES], deadline())
+                    .unwrap();
                 start.elapsed()
             };
             (0..rounds).map(ask).collect::<Vec<Duration>>()
@@ -128,7 +130,8 @@
 
 impl Drop for Group {
     fn drop(&mut self) {
-        // The network holds the replicas, and each replica the network.
+        // The network and the replicas hold references to each other; clearing the network breaks
+        // the cycle.
         self.network.0.lock().unwrap().clear();
     }
 }
--- a/crates/filbertstack-log/src/lib.rs
+++ b/crates/filbertstack-log/src/lib.rs
@@ -1,9 +1,9 @@
 //! The replicated log: a pure consensus state machine and its durable storage.
 //!
-//! [`Node`] is the protocol: it has no thread, clock, network or disk, and is given messages, the
-//! time, proposals and the results of writes. [`storage::Storage`] keeps what it must remember
-//! in one data folder. [`Replica`] runs both with threads, applies what is committed to a
-//! [`Machine`] and sends through a [`Transport`].
+//! [`Node`] implements the protocol. It has no thread, clock, network or disk; its inputs are
+//! messages, the time, proposals and the results of writes. [`storage::Storage`] keeps the durable
+//! state in one data folder. [`Replica`] runs both with threads, applies committed commands to a
+//! [`StateMachine`] and sends messages through a [`Transport`].
 
 mod config;
 mod entries;
@@ -24,7 +24,7 @@
 pub use ids::ClusterId;
 pub use ids::NodeId;
 pub use ids::Position;
-pub use machine::Machine;
+pub use machine::StateMachine;
 pub use membership::Change;
 pub use membership::ChangeError;
 pub use membership::MAX_VOTERS;
@@ -46,8 +46,8 @@
 pub use message::VoteReply;
 pub use node::Accepted;
 pub use node::Answer;
+pub use node::DurableState;
 pub use node::Input;
-pub use node::Memory;
 pub use node::Node;
 pub use node::NodeConfig;
 pub use node::NodeStatus;
@@ -57,11 +57,11 @@
 pub use node::Ticket;
 pub use node::Write;
 pub use replica::Applied;
-pub use replica::Doubt;
 pub use replica::ProposeError;
 pub use replica::Replica;
 pub use replica::ReplicaSettings;
 pub use replica::ReplicaStatus;
 pub use replica::StartError;
 pub use replica::Transport;
+pub use replica::UnknownReason;
 pub use replica::open_backup;
--- a/crates/filbertstack-log/src/node/follower.rs
+++ b/crates/filbertstack-log/src/node/follower.rs
@@ -1,4 +1,4 @@
-//! How a follower takes the leader's entries.
+//! Replication on a follower.
 
 use crate::ids::NodeId;
 use crate::message::Append;
@@ -7,18 +7,19 @@
 use crate::message::Entry;
 use crate::node::Node;
 use crate::node::Role;
-use crate::node::persist::Gate;
+use crate::node::persist::Durability;
 
 impl Node {
-    /// Notes that the leader of this term was heard; false if the node itself leads it.
+    /// Records that the leader of this term was heard; returns false if the node itself leads the
+    /// term.
     pub(super) fn hear_leader(&mut self, from: NodeId) -> bool {
         if matches!(self.role, Role::Leader(_)) {
-            self.output.broken = Some(format!("{from} leads term {} as well", self.hard.term));
+            self.output.violation = Some(format!("{from} leads term {} as well", self.hard.term));
             return false;
         }
         self.role = Role::Follower;
         self.leader = Some(from);
-        self.heard = Some(self.now);
+        self.leader_heard_at = Some(self.now);
         self.reset_election();
         true
     }
@@ -34,16 +35,16 @@
         }
         let verified = append.prev_index + append.entries.len() as u64;
         let heartbeat = append.entries.is_empty();
-        if !self.take_entries(append.entries) {
+        if !self.merge_entries(append.entries) {
             return;
         }
         self.commit = self.commit.max(append.commit.min(verified));
-        // An answer to a heartbeat tells only of what is durable already: it need not wait for a
-        // slow disk, which would cost the leader its lease.
-        let (index, gate) = if heartbeat {
-            (verified.min(self.durable), Gate::Hard)
+        // An answer to a heartbeat covers only entries that are durable already. It does not wait
+        // for a slow disk, which would cost the leader its lease.
+        let (index, requires) = if heartbeat {
+            (verified.min(self.durable), Durability::HardState)
         } else {
-            (verified, Gate::Entries)
+            (verified, Durability::Everything)
         };
         let reply = AppendReply {
             reject: false,
@@ -51,10 +52,11 @@
             prev_index: append.prev_index,
             round: append.round,
         };
-        self.send(from, gate, Body::AppendReply(reply));
+        self.send(from, requires, Body::AppendReply(reply));
     }
 
-    /// What lies at or below the base is committed, hence equal to the leader's.
+    /// Drops the entries at or below the base of the log: they are committed and therefore equal to
+    /// the leader's.
     fn skip_compacted(&self, append: &mut Append) {
         let base = self.log.base();
         if append.prev_index >= base.index {
@@ -85,11 +87,11 @@
             prev_index: append.prev_index,
             round: append.round,
         };
-        self.send(from, Gate::Hard, Body::AppendReply(reply));
+        self.send(from, Durability::HardState, Body::AppendReply(reply));
     }
 
-    /// Appends what is new; false if that would drop a committed entry.
-    fn take_entries(&mut self, entries: Vec<Entry>) -> bool {
+    /// Appends the entries that are new; returns false if that would replace a committed entry.
+    fn merge_entries(&mut self, entries: Vec<Entry>) -> bool {
         for entry in entries {
             if self.log.holds(entry.position()) {
                 continue;
@@ -97,10 +99,10 @@
             if entry.index <= self.log.last().index {
                 if entry.index <= self.commit {
                     let text = format!("the leader replaces committed entry {}", entry.index);
-                    self.output.broken = Some(text);
+                    self.output.violation = Some(text);
                     return false;
                 }
-                self.drop_from(entry.index);
+                self.truncate_log(entry.index);
             }
             self.push_entry(entry);
         }
@@ -108,7 +110,8 @@
     }
 }
 
-/// Whether the entries follow one another, so that a malformed message leaves no gap.
+/// Returns whether the indices of the entries are consecutive, so that a malformed message leaves
+/// no gap.
 fn contiguous(append: &Append) -> bool {
     let places = append.prev_index + 1..;
     append.entries.iter().zip(places).all(|(e, i)| e.index == i)
--- a/crates/filbertstack-log/src/node/mod.rs
+++ b/crates/filbertstack-log/src/node/mod.rs
@@ -1,8 +1,8 @@
 //! The consensus protocol as a pure state machine.
 //!
-//! A [`Node`] is given [`Input`]s with the time at which each arrives, and [`Node::output`] then
-//! tells what to write, send, apply and answer. It never waits: a write's result comes back as an
-//! input, and messages that depend on a write are held until then.
+//! A [`Node`] handles [`Input`]s, each with the time of its arrival, and [`Node::output`] returns
+//! what to write, send, apply and answer. The node never blocks: the result of a write arrives as
+//! an input, and messages that depend on a write are held back until then.
 
 mod changes;
 mod election;
@@ -32,8 +32,8 @@
 use crate::message::Snapshot;
 pub use crate::node::io::Accepted;
 pub use crate::node::io::Answer;
+pub use crate::node::io::DurableState;
 pub use crate::node::io::Input;
-pub use crate::node::io::Memory;
 pub use crate::node::io::NodeConfig;
 pub use crate::node::io::NodeStatus;
 pub use crate::node::io::Output;
@@ -42,8 +42,8 @@
 pub use crate::node::io::Ticket;
 pub use crate::node::io::Write;
 use crate::node::leader::Leader;
-use crate::node::persist::Gate;
-use crate::node::persist::Work;
+use crate::node::persist::Durability;
+use crate::node::persist::WriteQueue;
 use crate::node::snapshots::Incoming;
 
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     Leader(Box<Leader>),
 }
 
-/// One replica's protocol state.
+/// Holds the protocol state of one replica.
 #[derive(Debug)]
 pub struct Node {
     config: NodeConfig,
@@ -63,45 +63,45 @@
     hard: HardState,
     role: Role,
     leader: Option<NodeId>,
-    heard: Option<Duration>,
-    elect_at: Duration,
+    leader_heard_at: Option<Duration>,
+    election_at: Duration,
     log: Entries,
     commit: u64,
-    handed: u64,
+    delivered: u64,
     durable: u64,
-    /// Memberships by the index of their entry, the first being the one at the log's base.
-    members: Vec<(u64, Arc<Membership>)>,
+    /// The memberships with the index of their entry; the first is the one at the base of the log.
+    memberships: Vec<(u64, Arc<Membership>)>,
     snapshot: Option<Snapshot>,
     incoming: Option<Incoming>,
     installing: bool,
-    disk: Work,
+    disk: WriteQueue,
     output: Output,
 }
 
 impl Node {
-    /// Starts a node from what it remembers. Its time starts at `now`.
-    pub fn new(config: NodeConfig, memory: Memory, now: Duration) -> Self {
-        let mut hard = memory.hard;
-        let base = memory.snapshot.as_ref().map(Snapshot::position);
+    /// Creates a node from its durable state. Its clock starts at `now`.
+    pub fn new(config: NodeConfig, saved: DurableState, now: Duration) -> Self {
+        let mut hard = saved.hard;
+        let base = saved.snapshot.as_ref().map(Snapshot::position);
         let base = base.unwrap_or_default();
-        let mut members = Vec::new();
-        if let Some(snapshot) = &memory.snapshot {
+        let mut memberships = Vec::new();
+        if let Some(snapshot) = &saved.snapshot {
             hard.cluster = snapshot.cluster;
             hard.term = hard.term.max(snapshot.term);
-            members.push((snapshot.index, Arc::new(snapshot.membership.clone())));
+            memberships.push((snapshot.index, Arc::new(snapshot.membership.clone())));
         }
-        // A replica that holds nothing of its group has promised it nothing, and may join any.
-        let empty = memory.snapshot.is_none() && memory.entries.is_empty();
+        // A replica without any entry or snapshot has acknowledged nothing and may join any group.
+        let empty = saved.snapshot.is_none() && saved.entries.is_empty();
         if empty && config.safeguards.members_vote {
             hard.cluster = 0;
         }
-        for entry in &memory.entries {
-            members.extend(entry.membership().map(|m| (entry.index, Arc::new(m))));
+        for entry in &saved.entries {
+            memberships.extend(entry.membership().map(|m| (entry.index, Arc::new(m))));
         }
-        let log = Entries::new(base, memory.entries);
+        let log = Entries::new(base, saved.entries);
         let last = log.last().index;
         let output = Output {
-            restore: memory.snapshot.clone(),
+            restore: saved.snapshot.clone(),
             ..Output::default()
         };
         let mut node = Self {
@@ -111,36 +111,37 @@
             hard,
             role: Role::Follower,
             leader: None,
-            // What was promised to a leader is forgotten in a restart: a voter that answered a
+            // A restart loses the time at which the leader was last heard. A voter that answered a
             // heartbeat, restarted and voted at once would let a second leader commit while the
-            // first still serves reads under its lease. So a start counts as hearing a leader.
-            heard: config.safeguards.sticky.then_some(now),
-            elect_at: now,
+            // first still serves reads under its lease. A start therefore counts as hearing a
+            // leader.
+            leader_heard_at: config.safeguards.sticky_leader.then_some(now),
+            election_at: now,
             log,
             commit: base.index,
-            handed: base.index,
+            delivered: base.index,
             durable: last,
-            members,
-            snapshot: memory.snapshot,
+            memberships,
+            snapshot: saved.snapshot,
             incoming: None,
             installing: false,
-            disk: Work::after(last),
+            disk: WriteQueue::after(last),
             output,
         };
         node.reset_election();
         node
     }
 
-    /// Takes one input that arrives at `now`.
+    /// Handles one input that arrives at `now`.
     pub fn step(&mut self, now: Duration, input: Input) {
         self.now = self.now.max(now);
-        if self.output.broken.is_some() {
+        if self.output.violation.is_some() {
             return;
         }
         match input {
             Input::Written { seq } => self.on_written(seq),
-            Input::Refused { seq } => self.on_refused(seq),
-            Input::SnapshotLost { seq } => self.on_snapshot_lost(seq),
+            Input::WriteRefused { seq } => self.on_write_refused(seq),
+            Input::SnapshotFailed { seq } => self.on_snapshot_failed(seq),
             Input::Tick => self.on_tick(),
             Input::Message(message) => self.on_message(message),
             Input::Propose { ticket, command } => self.on_propose(ticket, command),
@@ -148,7 +149,7 @@
             Input::Change { ticket, change } => self.on_change(ticket, &change),
             Input::Transfer { ticket, to } => self.on_transfer(ticket, to),
             Input::Snapshot { index, data } => self.on_snapshot(index, data),
-            Input::ClockDoubt => self.on_clock_doubt(),
+            Input::ClockJump => self.on_clock_jump(),
             Input::Create {
                 ticket,
                 cluster,
@@ -158,53 +159,53 @@
         }
     }
 
-    /// Takes what the inputs since the last call led to.
+    /// Returns the actions that follow from the inputs since the last call.
     pub fn output(&mut self) -> Output {
         self.replicate();
         self.issue_write();
         self.release_messages();
-        self.hand_committed();
+        self.deliver_committed();
         std::mem::take(&mut self.output)
     }
 
-    /// When the node next has something to do unless an input comes before.
+    /// Returns the time at which the node needs a tick if no input arrives before.
     pub fn wake_at(&self) -> Duration {
         if let Some(until) = self.disk.full_until {
             return until;
         }
         match &self.role {
             Role::Leader(leader) => leader.heartbeat_at,
-            _ => self.elect_at,
+            _ => self.election_at,
         }
     }
 
-    /// The node's identity.
+    /// Returns the identity of the node.
     pub fn id(&self) -> NodeId {
         self.config.id
     }
 
-    /// The cluster that the node belongs to, 0 if none.
+    /// Returns the cluster that the node belongs to, 0 if none.
     pub fn cluster(&self) -> u64 {
         self.hard.cluster
     }
 
-    /// The latest membership appended; empty before the node belongs to a group.
+    /// Returns the latest membership appended; it is empty before the node belongs to a group.
     pub fn membership(&self) -> Arc<Membership> {
-        let latest = self.members.last();
+        let latest = self.memberships.last();
         latest.map(|(_, m)| Arc::clone(m)).unwrap_or_default()
     }
 
-    /// The entry at `index`, if it is in memory.
+    /// Returns the entry at `index` if it is in memory.
     pub fn entry(&self, index: u64) -> Option<&Entry> {
         self.log.get(index)
     }
 
-    /// The cost in memory of the entries after `index`, in bytes.
+    /// Returns the memory used by the entries after `index`, in bytes.
     pub fn cost_after(&self, index: u64) -> usize {
         self.log.cost_after(index)
     }
 
-    /// The node as others may see it.
+    /// Returns a summary of the node's state.
     pub fn status(&self) -> NodeStatus {
         let role = match &self.role {
             Role::Follower => RoleName::Follower,
@@ -220,7 +221,7 @@
             durable: self.durable,
             commit: self.commit,
             snapshot: self.snapshot.as_ref().map_or(0, |s| s.index),
-            membership_index: self.members.last().map_or(0, |(index, _)| *index),
+            membership_index: self.memberships.last().map_or(0, |(index, _)| *index),
             membership: self.membership(),
             lease: self.lease_until(),
             full: self.disk.full_until.is_some(),
@@ -229,21 +230,21 @@
 
     fn on_tick(&mut self) {
         if self.disk.full_until.is_some_and(|until| self.now >= until) {
-            self.try_disk();
+            self.retry_disk();
         }
         if self.disk.full_until.is_some() {
             return;
         }
         if matches!(self.role, Role::Leader(_)) {
-            self.lead_on();
-        } else if self.now >= self.elect_at {
+            self.tick_leader();
+        } else if self.now >= self.election_at {
             self.start_election();
         }
     }
 
     fn on_message(&mut self, message: Message) {
-        let strange = message.to != self.config.id.0 || message.from == self.config.id.0;
-        if strange || self.disk.full_until.is_some() || !self.same_cluster(&message) {
+        let misaddressed = message.to != self.config.id.0 || message.from == self.config.id.0;
+        if misaddressed || self.disk.full_until.is_some() || !self.accept_cluster(&message) {
             return;
         }
         let from = message.sender();
@@ -252,7 +253,7 @@
             return;
         }
         if message.term < self.hard.term {
-            self.answer_stale(from, &body);
+            self.reply_stale(from, &body);
             return;
         }
         match body {
@@ -266,33 +267,35 @@
         }
     }
 
-    /// Whether the message is of the node's cluster. A node without one takes its leader's.
-    fn same_cluster(&mut self, message: &Message) -> bool {
-        let leads = matches!(message.body, Some(Body::Append(_) | Body::Piece(_)));
-        if self.hard.cluster == 0 && leads {
+    /// Returns whether the message belongs to the node's cluster. A node without a cluster joins
+    /// its leader's.
+    fn accept_cluster(&mut self, message: &Message) -> bool {
+        let from_leader = matches!(message.body, Some(Body::Append(_) | Body::Piece(_)));
+        if self.hard.cluster == 0 && from_leader {
             self.hard.cluster = message.cluster;
             self.disk.hard_dirty = true;
         }
         message.cluster != 0 && message.cluster == self.hard.cluster
     }
 
-    /// Takes over a higher term where the message calls for it; false if it is to be dropped.
+    /// Adopts a higher term if the message calls for it; returns false if the message is to be
+    /// dropped.
     fn raise_term(&mut self, from: NodeId, term: u64, body: &Body) -> bool {
         match body {
             Body::Vote(vote) if vote.pre => {}
             Body::VoteReply(reply) if reply.pre && reply.granted => {}
             Body::Vote(vote) if !vote.transfer && self.heard_leader() => return false,
-            Body::Append(_) | Body::Piece(_) => self.follow(term, Some(from)),
-            _ => self.follow(term, None),
+            Body::Append(_) | Body::Piece(_) => self.become_follower(term, Some(from)),
+            _ => self.become_follower(term, None),
         }
         true
     }
 
-    fn send(&mut self, to: NodeId, gate: Gate, body: Body) {
-        self.send_at(to, gate, self.hard.term, body);
+    fn send(&mut self, to: NodeId, requires: Durability, body: Body) {
+        self.send_at(to, requires, self.hard.term, body);
     }
 
-    fn send_at(&mut self, to: NodeId, gate: Gate, term: u64, body: Body) {
+    fn send_at(&mut self, to: NodeId, requires: Durability, term: u64, body: Body) {
         let message = Message {
             cluster: self.hard.cluster,
             from: self.config.id.0,
@@ -300,7 +303,7 @@
             term,
             body: Some(body),
         };
-        self.disk.outbox.push((gate, message));
+        self.disk.outbox.push((requires, message));
     }
 
     fn answer(&mut self, ticket: Ticket, result: Result<Accepted, Refusal>) {
@@ -318,11 +321,11 @@
         let spread = timing.election_max.saturating_sub(timing.election_min);
         let extra = self.rng.random_range(0..=spread.as_micros().max(1));
         let extra = Duration::from_micros(u64::try_from(extra).unwrap_or(u64::MAX));
-        self.elect_at = self.now + timing.election_min + extra;
+        self.election_at = self.now + timing.election_min + extra;
     }
 
     fn is_voter(&self) -> bool {
-        let latest = self.members.last();
+        let latest = self.memberships.last();
         latest.is_some_and(|(_, m)| m.is_voter(self.config.id))
     }
 }
--- a/crates/filbertstack-log/src/node/persist.rs
+++ b/crates/filbertstack-log/src/node/persist.rs
@@ -1,4 +1,4 @@
-//! What is written, and which messages wait for it.
+//! Durable writes and the messages that wait for them.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,20 +16,20 @@
 use crate::node::Role;
 use crate::node::Write;
 
-/// What a message waits for.
+/// The durable state that a message waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Gate {
-    /// Nothing: it tells of nothing that could be forgotten.
-    Open,
-    /// That term and vote are durable.
-    Hard,
-    /// That everything so far is durable.
-    Entries,
+pub(super) enum Durability {
+    /// Nothing: the message reveals no state that a crash could lose.
+    Nothing,
+    /// Term and vote.
+    HardState,
+    /// Everything issued so far.
+    Everything,
 }
 
-/// A write under way.
+/// A write that has been issued and has no result yet.
 #[derive(Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingWrite {
     pub(super) seq: u64,
     pub(super) issued: Duration,
     pub(super) last: Option<Position>,
@@ -37,30 +37,30 @@
     pub(super) install: bool,
 }
 
-/// What the disk has still to do, and what waits for it.
+/// The unwritten state, the pending writes and the messages that wait for them.
 #[derive(Debug, Default)]
-pub(super) struct Work {
-    pub(super) pending: VecDeque<Pending>,
-    /// Messages by the write that they wait for.
-    pub(super) held: VecDeque<(u64, Message)>,
-    /// Messages since the last output.
-    pub(super) outbox: Vec<(Gate, Message)>,
-    /// The first index that no write holds.
+pub(super) struct WriteQueue {
+    pub(super) pending: VecDeque<PendingWrite>,
+    /// Messages with the number of the write that they wait for.
+    pub(super) waiting: VecDeque<(u64, Message)>,
+    /// Messages created since the last output.
+    pub(super) outbox: Vec<(Durability, Message)>,
+    /// The first index that no write contains.
     pub(super) unsaved: u64,
     pub(super) hard_dirty: bool,
     /// A snapshot to write, and whether it comes from the leader.
     pub(super) snapshot_dirty: Option<(Snapshot, bool)>,
-    /// The last write that holds term and vote.
+    /// The number of the last write that contains term and vote.
     pub(super) hard_seq: u64,
     pub(super) issued: u64,
     pub(super) written: u64,
     pub(super) epoch: u64,
-    /// The disk refuses writes; when it is tried again.
+    /// The time of the next write attempt while the disk is full.
     pub(super) full_until: Option<Duration>,
 }
 
-impl Work {
-    /// Nothing to do: the log up to `last` was read from the disk.
+impl WriteQueue {
+    /// Returns an empty queue for a log that was read from the disk up to `last`.
     pub(super) fn after(last: u64) -> Self {
         Self {
             unsaved: last + 1,
@@ -88,7 +88,7 @@
         }
         let (snapshot, install) = snapshot.map_or((None, false), |(s, i)| (Some(s), i));
         self.disk.unsaved = self.log.last().index + 1;
-        self.disk.pending.push_back(Pending {
+        self.disk.pending.push_back(PendingWrite {
             seq,
             issued: self.now,
             last: entries.last().map(Entry::position),
@@ -118,14 +118,14 @@
             return;
         }
         let guards = self.config.safeguards;
-        for (gate, message) in std::mem::take(&mut self.disk.outbox) {
-            let after = match gate {
-                Gate::Hard if guards.durable_votes => self.disk.hard_seq,
-                Gate::Entries if guards.durable_entries => self.disk.issued,
+        for (requires, message) in std::mem::take(&mut self.disk.outbox) {
+            let after = match requires {
+                Durability::HardState if guards.durable_votes => self.disk.hard_seq,
+                Durability::Everything if guards.durable_entries => self.disk.issued,
                 _ => 0,
             };
             if after > self.disk.written {
-                self.disk.held.push_back((after, message));
+                self.disk.waiting.push_back((after, message));
             } else {
                 self.output.messages.push(message);
             }
@@ -136,35 +136,35 @@
         self.disk.written = self.disk.written.max(seq);
         while self.disk.pending.front().is_some_and(|p| p.seq <= seq) {
             if let Some(done) = self.disk.pending.pop_front() {
-                self.settle(done);
+                self.complete_write(done);
             }
         }
-        self.release_held(seq);
+        self.release_waiting(seq);
         if self.disk.full_until.is_some()
             && self.disk.written >= self.disk.hard_seq
             && !self.disk.hard_dirty
         {
             self.disk.full_until = None;
-            self.heard = Some(self.now);
+            self.leader_heard_at = Some(self.now);
             self.reset_election();
         }
         self.count_own_vote();
         self.count_own_entries();
     }
 
-    /// Releases what waited, in the order in which it was said.
-    fn release_held(&mut self, seq: u64) {
-        for (after, message) in std::mem::take(&mut self.disk.held) {
+    /// Releases the messages that waited for this write, in the order in which they were created.
+    fn release_waiting(&mut self, seq: u64) {
+        for (after, message) in std::mem::take(&mut self.disk.waiting) {
             if after <= seq {
                 self.output.messages.push(message);
             } else {
-                self.disk.held.push_back((after, message));
+                self.disk.waiting.push_back((after, message));
             }
         }
     }
 
-    fn settle(&mut self, done: Pending) {
-        // An entry that was replaced since it was written is no longer the log's.
+    fn complete_write(&mut self, done: PendingWrite) {
+        // An entry that was replaced after this write was issued no longer belongs to the log.
         if let Some(last) = done.last
             && self.log.holds(last)
         {
@@ -174,44 +174,45 @@
             return;
         };
         if done.install {
-            self.installed(snapshot);
+            self.snapshot_installed(snapshot);
         } else {
-            self.kept(snapshot);
+            self.snapshot_stored(snapshot);
         }
     }
 
-    /// The disk is full: nothing since the refused write is remembered, so none of it may be
-    /// relied on. Until a write succeeds the replica is silent, as if it were down: it neither
-    /// votes, acknowledges nor leads, and refuses proposals as not run.
-    pub(super) fn on_refused(&mut self, seq: u64) {
+    /// Drops everything since the refused write: none of it is durable, so nothing may rely on it.
+    ///
+    /// Until a write succeeds the replica is silent, as if it were down: it neither votes,
+    /// acknowledges nor leads, and refuses proposals as not run.
+    pub(super) fn on_write_refused(&mut self, seq: u64) {
         if !self.disk.pending.iter().any(|p| p.seq == seq) {
             return;
         }
         self.disk.epoch += 1;
         self.disk.pending.clear();
-        self.disk.held.clear();
+        self.disk.waiting.clear();
         self.disk.outbox.clear();
         self.disk.snapshot_dirty = None;
         self.installing = false;
         self.incoming = None;
-        self.drop_from(self.durable + 1);
+        self.truncate_log(self.durable + 1);
         self.commit = self.commit.min(self.log.last().index);
-        self.follow(self.hard.term, None);
+        self.become_follower(self.hard.term, None);
         self.disk.hard_dirty = false;
         self.disk.hard_seq = u64::MAX;
         self.disk.full_until = Some(self.now + self.config.timing.resend);
     }
 
-    /// Whether a write has been under way for so long that the disk is taken to hang. A leader on
-    /// such a disk could send heartbeats for ever and never tell a caller that it committed.
+    /// Returns whether a write has been pending for so long that the disk counts as hung. A leader
+    /// on such a disk could send heartbeats forever and never commit.
     pub(super) fn disk_hangs(&self) -> bool {
-        let most = self.config.timing.election_max;
+        let limit = self.config.timing.election_max;
         let oldest = self.disk.pending.front();
-        oldest.is_some_and(|p| self.now >= p.issued + most)
+        oldest.is_some_and(|p| self.now >= p.issued + limit)
     }
 
-    /// Tries whether the disk takes term and vote again.
-    pub(super) fn try_disk(&mut self) {
+    /// Writes term and vote again to find out whether the disk still refuses writes.
+    pub(super) fn retry_disk(&mut self) {
         self.disk.full_until = Some(self.now + self.config.timing.resend);
         if self.disk.pending.is_empty() {
             self.disk.hard_dirty = true;
@@ -219,15 +220,16 @@
     }
 
     /// Drops the log from `index` on.
-    pub(super) fn drop_from(&mut self, index: u64) {
+    pub(super) fn truncate_log(&mut self, index: u64) {
         self.log.truncate(index);
         self.disk.unsaved = self.disk.unsaved.min(index);
         self.durable = self.durable.min(index.saturating_sub(1));
         let base = self.log.base().index;
-        self.members.retain(|(at, _)| *at < index || *at <= base);
+        self.memberships
+            .retain(|(at, _)| *at < index || *at <= base);
     }
 
-    /// Appends an entry of the own term; its place is returned.
+    /// Appends an entry of the node's own term and returns its position.
     pub(super) fn append_own(&mut self, kind: EntryKind, data: Bytes) -> Position {
         let entry = Entry {
             index: self.log.last().index + 1,
@@ -242,23 +244,23 @@
 
     pub(super) fn push_entry(&mut self, entry: Entry) {
         let membership = entry.membership();
-        self.members
+        self.memberships
             .extend(membership.map(|m| (entry.index, Arc::new(m))));
         self.log.push(entry);
     }
 
-    /// Hands over what is committed and durable here.
-    pub(super) fn hand_committed(&mut self) {
+    /// Outputs the entries that are committed and durable on this replica.
+    pub(super) fn deliver_committed(&mut self) {
         if self.installing {
             return;
         }
         let until = self.commit.min(self.durable);
-        while self.handed < until {
-            let Some(entry) = self.log.get(self.handed + 1) else {
+        while self.delivered < until {
+            let Some(entry) = self.log.get(self.delivered + 1) else {
                 break;
             };
             self.output.committed.push(entry.clone());
-            self.handed += 1;
+            self.delivered += 1;
         }
     }
 
--- a/crates/filbertstack-log/src/node/reads.rs
+++ b/crates/filbertstack-log/src/node/reads.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads: under the leader's lease, else by a heartbeat round.
+//! Linearizable reads, served under the leader's lease or after a heartbeat round.
 
 use std::time::Duration;
 
@@ -35,22 +35,24 @@
         let Role::Leader(leader) = &self.role else {
             return Some(self.not_leader());
         };
-        (leader.reads.len() >= self.config.limits.reads).then_some(Refusal::Busy)
+        (leader.reads.len() >= self.config.limits.pending_reads).then_some(Refusal::Busy)
     }
 
-    /// What a read must see. A new leader does not know how far its predecessor committed before
-    /// its own first entry is committed; a read served earlier could miss an accepted change.
+    /// Returns the index that must be applied before a read is served.
+    ///
+    /// Before its own first entry is committed, a new leader does not know how far its predecessor
+    /// committed. A read served earlier could miss an accepted change.
     fn read_index(&self) -> u64 {
         match &self.role {
-            Role::Leader(leader) if self.config.safeguards.opened_reads => {
-                self.commit.max(leader.opened)
+            Role::Leader(leader) if self.config.safeguards.read_after_noop => {
+                self.commit.max(leader.noop_index)
             }
             _ => self.commit,
         }
     }
 
-    /// A round that began before the read came proves nothing about it: the read waits for the
-    /// next one, which is begun at once unless another read has begun it.
+    /// Queues a read for the next heartbeat round and starts that round unless another read has
+    /// started it. A round that began before the read arrived proves nothing about the read.
     fn queue_read(&mut self, ticket: Ticket, index: u64) {
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Counts which rounds a majority has confirmed, and what follows from it.
+    /// Determines which rounds a majority has confirmed, then renews the lease and releases reads.
     pub(super) fn confirm_rounds(&mut self) {
         let own = self.config.id;
         let membership = self.membership();
@@ -76,25 +78,29 @@
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let seen = |id: NodeId| match leader.peers.get(&id) {
-            Some(peer) => peer.round,
+        let confirmed = |id: NodeId| match leader.peers.get(&id) {
+            Some(peer) => peer.confirmed_round,
             None if id == own => leader.round,
             None => 0,
         };
-        let reached = membership.reached(seen).unwrap_or(0);
-        let mut news = false;
-        while leader.rounds.front().is_some_and(|(r, _)| *r <= reached) {
-            // What a majority promised counts from when they were asked. Counted from when their
-            // answers came, a leader frozen between the two would serve reads after it was
+        let reached = membership.quorum_value(confirmed).unwrap_or(0);
+        let mut advanced = false;
+        while leader
+            .open_rounds
+            .front()
+            .is_some_and(|(r, _)| *r <= reached)
+        {
+            // The promise of a majority starts when its members were asked. If it counted from the
+            // arrival of their answers, a leader frozen in between would serve reads after it was
             // replaced.
-            let (round, begun) = leader.rounds.pop_front().unwrap_or_default();
-            leader.confirmed = if from_send { begun } else { now };
-            if round > leader.doubtful {
-                leader.lease_from = Some(leader.confirmed);
+            let (round, begun) = leader.open_rounds.pop_front().unwrap_or_default();
+            leader.confirmed_at = if from_send { begun } else { now };
+            if round > leader.doubtful_round {
+                leader.lease_start = Some(leader.confirmed_at);
             }
-            news = true;
+            advanced = true;
         }
-        if news {
+        if advanced {
             self.release_reads(reached);
         }
     }
@@ -115,7 +121,7 @@
         }
     }
 
-    pub(super) fn abandon_reads(&mut self) {
+    pub(super) fn fail_reads(&mut self) {
         let refusal = Refusal::NotLeader { leader: None };
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -126,7 +132,7 @@
         }
     }
 
-    /// Until when reads are served without asking.
+    /// Returns the end of the lease, until which reads are served without a heartbeat round.
     pub(super) fn lease_until(&self) -> Option<Duration> {
         let Role::Leader(leader) = &self.role else {
             return None;
@@ -134,17 +140,18 @@
         if leader.lease_void {
             return None;
         }
-        if self.alone() {
+        if self.sole_voter() {
             return Some(self.now + self.config.timing.lease);
         }
-        leader.lease_from.map(|at| at + self.config.timing.lease)
+        leader.lease_start.map(|at| at + self.config.timing.lease)
     }
 
-    /// The lease is measured by a clock that may have stood still: only a new round renews it.
-    pub(super) fn on_clock_doubt(&mut self) {
+    /// Ends the lease because the clock that measures it may have been paused; only a new round
+    /// renews it.
+    pub(super) fn on_clock_jump(&mut self) {
         if let Role::Leader(leader) = &mut self.role {
-            leader.lease_from = None;
-            leader.doubtful = leader.round;
+            leader.lease_start = None;
+            leader.doubtful_round = leader.round;
         }
     }
 }
--- a/crates/filbertstack-log/src/node/snapshots.rs
+++ b/crates/filbertstack-log/src/node/snapshots.rs
@@ -1,4 +1,5 @@
-//! Snapshots: kept here, sent to followers far behind, and taken from a leader.
+//! Snapshots: stored on this replica, sent to followers that lag far behind, and received from a
+//! leader.
 
 use std::sync::Arc;
 
@@ -21,12 +22,12 @@
 use crate::node::Role;
 use crate::node::Ticket;
 use crate::node::leader::Flow;
-use crate::node::persist::Gate;
+use crate::node::persist::Durability;
 
-/// A snapshot on its way to a follower, one piece at a time.
+/// A snapshot that is being sent to a follower, one piece at a time.
 #[derive(Debug)]
 pub(super) struct Outgoing {
-    place: Position,
+    position: Position,
     bytes: Bytes,
     crc: u32,
     offset: usize,
@@ -35,26 +36,27 @@
 
 impl Outgoing {
     pub(super) fn index(&self) -> u64 {
-        self.place.index
+        self.position.index
     }
 
-    /// Sends the last piece again, or all if the follower had the whole and did not say more.
-    pub(super) fn again(&mut self) {
+    /// Marks the last piece to be sent again, or the whole snapshot if the follower received all of
+    /// it and did not confirm.
+    pub(super) fn send_again(&mut self) {
         if self.offset >= self.bytes.len() {
             self.offset = 0;
         }
         self.sent = false;
     }
 
-    fn piece(&mut self, most: usize) -> Option<Piece> {
+    fn next_piece(&mut self, piece_bytes: usize) -> Option<Piece> {
         if self.sent || self.offset >= self.bytes.len() {
             return None;
         }
         self.sent = true;
-        let end = self.bytes.len().min(self.offset + most);
+        let end = self.bytes.len().min(self.offset + piece_bytes);
         Some(Piece {
-            index: self.place.index,
-            term: self.place.term,
+            index: self.position.index,
+            term: self.position.term,
             total: self.bytes.len() as u64,
             crc: self.crc,
             offset: self.offset as u64,
@@ -63,31 +65,31 @@
     }
 }
 
-/// A snapshot that comes in piece by piece.
+/// A snapshot that is being received piece by piece.
 #[derive(Debug)]
 pub(super) struct Incoming {
-    place: Position,
+    position: Position,
     total: u64,
     crc: u32,
     bytes: Vec<u8>,
 }
 
 impl Incoming {
-    fn of(piece: &Piece) -> Self {
+    fn new(piece: &Piece) -> Self {
         Self {
-            place: place_of(piece),
+            position: piece_position(piece),
             total: piece.total,
             crc: piece.crc,
             bytes: Vec::new(),
         }
     }
 
-    fn same(&self, piece: &Piece) -> bool {
-        let whole = (self.place, self.total, self.crc);
-        whole == (place_of(piece), piece.total, piece.crc)
+    fn matches(&self, piece: &Piece) -> bool {
+        let whole = (self.position, self.total, self.crc);
+        whole == (piece_position(piece), piece.total, piece.crc)
     }
 
-    fn take(&mut self, piece: &Piece) {
+    fn append(&mut self, piece: &Piece) {
         let held = self.bytes.len() as u64;
         let fits = held + piece.data.len() as u64 <= self.total;
         if piece.offset == held && fits {
@@ -95,7 +97,7 @@
         }
     }
 
-    fn whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.bytes.len() as u64 == self.total
     }
 
@@ -104,11 +106,11 @@
             return None;
         }
         let snapshot = Snapshot::decode(Bytes::from(self.bytes)).ok()?;
-        (snapshot.position() == self.place).then_some(snapshot)
+        (snapshot.position() == self.position).then_some(snapshot)
     }
 }
 
-fn place_of(piece: &Piece) -> Position {
+fn piece_position(piece: &Piece) -> Position {
     Position {
         term: piece.term,
         index: piece.index,
@@ -116,7 +118,7 @@
 }
 
 impl Node {
-    /// Keeps the machine's state after `index`.
+    /// Stores the state of the state machine after `index` as a snapshot.
     pub(super) fn on_snapshot(&mut self, index: u64, data: Bytes) {
         let latest = self.snapshot.as_ref().map_or(0, |s| s.index);
         let busy =
@@ -124,10 +126,10 @@
         let Some(term) = self.log.term(index) else {
             return;
         };
-        if busy || index <= latest || index > self.handed {
+        if busy || index <= latest || index > self.delivered {
             return;
         }
-        let members = self.members.iter().rev().find(|(at, _)| *at <= index);
+        let members = self.memberships.iter().rev().find(|(at, _)| *at <= index);
         let snapshot = Snapshot {
             index,
             term,
@@ -140,7 +142,7 @@
         self.disk.snapshot_dirty = Some((snapshot, false));
     }
 
-    /// Creates a group: its first entry is a snapshot, as if a leader of term 1 had sent it.
+    /// Creates a group. Its first entry is a snapshot, as if a leader of term 1 had sent it.
     pub(super) fn on_create(
         &mut self,
         ticket: Ticket,
@@ -148,9 +150,9 @@
         membership: Membership,
         data: Bytes,
     ) {
-        let fresh = self.members.is_empty() && self.hard.cluster == 0 && !self.installing;
+        let fresh = self.memberships.is_empty() && self.hard.cluster == 0 && !self.installing;
         if !fresh || self.disk.full_until.is_some() {
-            self.answer(ticket, Err(Refusal::Grouped));
+            self.answer(ticket, Err(Refusal::AlreadyGrouped));
             return;
         }
         self.hard.cluster = cluster.0;
@@ -168,25 +170,26 @@
         self.answer(ticket, Ok(Accepted::Creating));
     }
 
-    /// A snapshot of the own machine is durable: what it covers may go.
-    pub(super) fn kept(&mut self, snapshot: Snapshot) {
+    /// Handles a durable snapshot of this replica's state machine: drops the entries that it
+    /// covers.
+    pub(super) fn snapshot_stored(&mut self, snapshot: Snapshot) {
         let keep = self.config.limits.kept_entries;
         self.log.compact(snapshot.index.saturating_sub(keep));
         let base = self.log.base().index;
-        while self.members.get(1).is_some_and(|(at, _)| *at <= base) {
-            self.members.remove(0);
+        while self.memberships.get(1).is_some_and(|(at, _)| *at <= base) {
+            self.memberships.remove(0);
         }
         self.snapshot = Some(snapshot);
     }
 
-    /// A snapshot of the leader is durable: it replaces log and machine.
-    pub(super) fn installed(&mut self, snapshot: Snapshot) {
+    /// Handles a durable snapshot from the leader: it replaces the log and the state.
+    pub(super) fn snapshot_installed(&mut self, snapshot: Snapshot) {
         let index = snapshot.index;
         self.installing = false;
         self.log = Entries::new(snapshot.position(), Vec::new());
-        self.members = vec![(index, Arc::new(snapshot.membership.clone()))];
+        self.memberships = vec![(index, Arc::new(snapshot.membership.clone()))];
         self.commit = index;
-        self.handed = index;
+        self.delivered = index;
         self.durable = index;
         self.disk.unsaved = index + 1;
         self.snapshot = Some(snapshot.clone());
@@ -196,7 +199,7 @@
         }
     }
 
-    pub(super) fn on_snapshot_lost(&mut self, seq: u64) {
+    pub(super) fn on_snapshot_failed(&mut self, seq: u64) {
         let lost = self.disk.pending.iter_mut().find(|p| p.seq == seq);
         if let Some(lost) = lost
             && lost.snapshot.take().is_some()
@@ -210,7 +213,7 @@
         if !self.hear_leader(from) || self.installing {
             return;
         }
-        if self.log.holds(place_of(piece)) {
+        if self.log.holds(piece_position(piece)) {
             self.commit = self.commit.max(piece.index);
         }
         if piece.index <= self.commit {
@@ -222,16 +225,16 @@
             return;
         }
         let mut incoming = match self.incoming.take() {
-            Some(incoming) if incoming.same(piece) => incoming,
-            _ => Incoming::of(piece),
+            Some(incoming) if incoming.matches(piece) => incoming,
+            _ => Incoming::new(piece),
         };
-        incoming.take(piece);
+        incoming.append(piece);
         let reply = PieceReply {
             index: piece.index,
             offset: incoming.bytes.len() as u64,
         };
-        self.send(from, Gate::Hard, Body::PieceReply(reply));
-        if !incoming.whole() {
+        self.send(from, Durability::HardState, Body::PieceReply(reply));
+        if !incoming.is_complete() {
             self.incoming = Some(incoming);
         } else if let Some(snapshot) = incoming.decode() {
             self.installing = true;
@@ -246,7 +249,7 @@
             prev_index: 0,
             round: 0,
         };
-        self.send(leader, Gate::Hard, Body::AppendReply(reply));
+        self.send(leader, Durability::HardState, Body::AppendReply(reply));
     }
 
     pub(super) fn begin_snapshot(&mut self, id: NodeId) -> bool {
@@ -255,7 +258,7 @@
         };
         let bytes = Bytes::from(snapshot.encode_to_vec());
         let outgoing = Outgoing {
-            place: snapshot.position(),
+            position: snapshot.position(),
             crc: crc32fast::hash(&bytes),
             bytes,
             offset: 0,
@@ -266,12 +269,12 @@
         {
             peer.flow = Flow::Snapshot(outgoing);
         }
-        self.feed_snapshot(id)
+        self.send_piece(id)
     }
 
-    /// Sends the next piece; never more than one is under way.
-    pub(super) fn feed_snapshot(&mut self, id: NodeId) -> bool {
-        let most = self.config.limits.piece_bytes;
+    /// Sends the next piece; at most one piece is unanswered at any time.
+    pub(super) fn send_piece(&mut self, id: NodeId) -> bool {
+        let piece_bytes = self.config.limits.piece_bytes;
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else {
             return false;
@@ -282,9 +285,9 @@
         let Flow::Snapshot(outgoing) = &mut peer.flow else {
             return false;
         };
-        if let Some(piece) = outgoing.piece(most) {
-            peer.touched = now;
-            self.send(id, Gate::Open, Body::Piece(piece));
+        if let Some(piece) = outgoing.next_piece(piece_bytes) {
+            peer.waiting_since = now;
+            self.send(id, Durability::Nothing, Body::Piece(piece));
         }
         false
     }
@@ -301,7 +304,7 @@
             let offset = usize::try_from(reply.offset).unwrap_or(0);
             outgoing.offset = offset.min(outgoing.bytes.len());
             outgoing.sent = false;
-            peer.touched = now;
+            peer.waiting_since = now;
         }
     }
 }
--- a/crates/filbertstack-log/src/replica/core.rs
+++ b/crates/filbertstack-log/src/replica/core.rs
@@ -1,4 +1,4 @@
-//! The thread that runs the protocol and the machine.
+//! The thread that runs the protocol and the state machine.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,7 +15,7 @@
 use crate::config::Safeguards;
 use crate::ids::ClusterId;
 use crate::ids::NodeId;
-use crate::machine::Machine;
+use crate::machine::StateMachine;
 use crate::membership::Member;
 use crate::membership::Membership;
 use crate::message::Entry;
@@ -23,8 +23,8 @@
 use crate::message::Snapshot;
 use crate::node::Accepted;
 use crate::node::Answer;
+use crate::node::DurableState;
 use crate::node::Input;
-use crate::node::Memory;
 use crate::node::Node;
 use crate::node::NodeConfig;
 use crate::node::Output;
@@ -36,31 +36,33 @@
 use crate::replica::Shared;
 use crate::replica::StartError;
 use crate::replica::Transport;
+use crate::replica::waiters::Operation;
 use crate::replica::waiters::Request;
 use crate::replica::waiters::Waiter;
 use crate::replica::waiters::Waiters;
-use crate::replica::waiters::Wanted;
 use crate::storage::frame;
 
-/// The most events that are taken before their results are sent and written: enough to share one
-/// sync among many, few enough that a heartbeat is never late for it.
-const BATCH: usize = 1_024;
+/// The largest number of events handled before their results are sent and written: enough to share
+/// one sync among many, few enough that no heartbeat is late.
+const EVENT_BATCH: usize = 1_024;
 
-/// How far the system's clock may run ahead of the monotonic one between two looks. Beyond it the
-/// monotonic clock is taken to have stood still, as it does while a machine is suspended.
-const CLOCK_LEAP: Duration = Duration::from_millis(100);
+/// The largest difference by which the system clock may advance more than the monotonic clock
+/// between two comparisons. Beyond it the monotonic clock counts as paused, as it is while an
+/// instance is suspended.
+const CLOCK_JUMP: Duration = Duration::from_millis(100);
 
-/// What is told when the machine panics. The next start applies the same command again.
+/// The failure reported when the state machine panics. The next start applies the same command
+/// again.
 const PANICKED: &str = "the machine panicked at a command; run a version that applies it";
 
-/// Tells at the end of the thread, however it comes about, that the replica leads no longer. If a
-/// panic of the machine left the status as it was, callers would go on being sent here.
-struct Ending {
+/// Marks the replica as stopped when the thread ends for any reason. If a panic of the state
+/// machine left the status unchanged, callers would still be sent to this replica.
+struct StopGuard {
     shared: Arc<Shared>,
     failed: Option<String>,
 }
 
-impl Drop for Ending {
+impl Drop for StopGuard {
     fn drop(&mut self) {
         let mut status = self.shared.status();
         status.failed = self.failed.take();
@@ -69,8 +71,8 @@
     }
 }
 
-/// The protocol, its machine, and who waits.
-pub(super) struct Core<M: Machine, T: Transport> {
+/// Holds the protocol, the state machine and the waiting callers.
+pub(super) struct Core<M: StateMachine, T: Transport> {
     node: Node,
     settings: ReplicaSettings,
     machine: M,
@@ -79,19 +81,19 @@
     waiters: Waiters<M::Outcome>,
     shared: Arc<Shared>,
     start: Instant,
-    looked: (Instant, SystemTime),
+    clock_sample: (Instant, SystemTime),
     applied: u64,
     snapshot_tried: u64,
     snapshot_size: usize,
-    told: Arc<Membership>,
-    led: bool,
+    configured: Arc<Membership>,
+    was_leader: bool,
 }
 
-impl<M: Machine, T: Transport> Core<M, T> {
+impl<M: StateMachine, T: Transport> Core<M, T> {
     pub(super) fn new(
         id: NodeId,
         settings: ReplicaSettings,
-        memory: Memory,
+        saved: DurableState,
         machine: M,
         transport: T,
         writes: Sender<Write>,
@@ -103,7 +105,7 @@
             limits: settings.limits,
             safeguards: Safeguards::default(),
         };
-        let node = Node::new(config, memory, Duration::ZERO);
+        let node = Node::new(config, saved, Duration::ZERO);
         let shared = Arc::new(Shared::new(&node));
         Self {
             node,
@@ -114,29 +116,29 @@
             waiters: Waiters::default(),
             shared,
             start: Instant::now(),
-            looked: (Instant::now(), SystemTime::now()),
+            clock_sample: (Instant::now(), SystemTime::now()),
             applied: 0,
             snapshot_tried: 0,
             snapshot_size: 0,
-            told: Arc::default(),
-            led: false,
+            configured: Arc::default(),
+            was_leader: false,
         }
     }
 
-    /// Gives the machine its state back.
-    pub(super) fn begin(mut self) -> Result<(Self, Arc<Shared>), StartError> {
-        self.settle().map_err(|why| StartError::Restore { why })?;
+    /// Restores the state machine from the snapshot.
+    pub(super) fn restore_machine(mut self) -> Result<(Self, Arc<Shared>), StartError> {
+        self.advance().map_err(|why| StartError::Restore { why })?;
         let shared = Arc::clone(&self.shared);
         Ok((self, shared))
     }
 
     pub(super) fn run(mut self, inbox: &Receiver<Event<M::Outcome>>) {
-        let mut ending = Ending {
+        let mut guard = StopGuard {
             shared: Arc::clone(&self.shared),
             failed: Some(PANICKED.to_owned()),
         };
-        ending.failed = self.serve(inbox).err();
-        self.waiters.stopped();
+        guard.failed = self.serve(inbox).err();
+        self.waiters.fail_all();
     }
 
     fn serve(&mut self, inbox: &Receiver<Event<M::Outcome>>) -> Result<(), String> {
@@ -147,24 +149,24 @@
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             };
-            self.watch_clock();
-            for event in first.into_iter().chain(inbox.try_iter().take(BATCH)) {
-                if !self.take(event)? {
+            self.check_clock();
+            for event in first.into_iter().chain(inbox.try_iter().take(EVENT_BATCH)) {
+                if !self.handle(event)? {
                     return Ok(());
                 }
             }
             self.step(Input::Tick);
-            self.settle()?;
+            self.advance()?;
         }
     }
 
-    fn watch_clock(&mut self) {
-        let (instant, wall) = self.looked;
-        self.looked = (Instant::now(), SystemTime::now());
-        let steady = self.looked.0.duration_since(instant);
-        let passed = self.looked.1.duration_since(wall).unwrap_or_default();
-        if passed > steady + CLOCK_LEAP {
-            self.step(Input::ClockDoubt);
+    fn check_clock(&mut self) {
+        let (instant, wall) = self.clock_sample;
+        self.clock_sample = (Instant::now(), SystemTime::now());
+        let steady = self.clock_sample.0.duration_since(instant);
+        let passed = self.clock_sample.1.duration_since(wall).unwrap_or_default();
+        if passed > steady + CLOCK_JUMP {
+            self.step(Input::ClockJump);
         }
     }
 
@@ -172,15 +174,15 @@
         self.node.step(self.start.elapsed(), input);
     }
 
-    /// Takes one event; false if the replica is to stop.
-    fn take(&mut self, event: Event<M::Outcome>) -> Result<bool, String> {
+    /// Handles one event; returns false if the replica is to stop.
+    fn handle(&mut self, event: Event<M::Outcome>) -> Result<bool, String> {
         match event {
             Event::Message(message) => {
-                self.shared.messages.fetch_sub(1, Ordering::Relaxed);
+                self.shared.pending_messages.fetch_sub(1, Ordering::Relaxed);
                 self.step(Input::Message(message));
             }
             Event::Request(request) => {
-                self.shared.requests.fetch_sub(1, Ordering::Relaxed);
+                self.shared.pending_requests.fetch_sub(1, Ordering::Relaxed);
                 self.request(request);
             }
             Event::Disk(results) => results.into_iter().for_each(|r| self.step(r)),
@@ -194,60 +196,66 @@
         if !request.claim.take() {
             return;
         }
-        match request.wanted {
-            Wanted::Propose { command, reply } => {
-                let ticket = self.waiters.ask(Waiter::Command(reply));
+        match request.operation {
+            Operation::Propose { command, reply } => {
+                let ticket = self.waiters.register(Waiter::Command(reply));
                 self.step(Input::Propose { ticket, command });
             }
-            Wanted::Read { reply } => {
-                let ticket = self.waiters.ask(Waiter::Index(reply));
+            Operation::Read { reply } => {
+                let ticket = self.waiters.register(Waiter::Index(reply));
                 self.step(Input::Read { ticket });
             }
-            Wanted::Change { change, reply } => {
-                let ticket = self.waiters.ask(Waiter::Index(reply));
+            Operation::Change { change, reply } => {
+                let ticket = self.waiters.register(Waiter::Index(reply));
                 self.step(Input::Change { ticket, change });
             }
-            Wanted::Transfer { to, reply } => {
-                let ticket = self.waiters.ask(Waiter::Done(reply));
+            Operation::Transfer { to, reply } => {
+                let ticket = self.waiters.register(Waiter::Done(reply));
                 self.step(Input::Transfer { ticket, to });
             }
-            Wanted::Backup { reply } => {
-                let sealed = frame::encode(self.applied, &self.machine.snapshot());
-                let _ = reply.try_send(Ok(sealed.into()));
+            Operation::Backup { reply } => {
+                let framed = frame::encode(self.applied, &self.machine.snapshot());
+                let _ = reply.try_send(Ok(framed.into()));
             }
-            Wanted::Create {
+            Operation::Create {
                 member,
-                wanted,
+                voter_count,
                 state,
                 reply,
             } => {
-                let ticket = self.waiters.ask(Waiter::Done(reply));
-                self.create(ticket, member, wanted, state);
+                let ticket = self.waiters.register(Waiter::Done(reply));
+                self.create(ticket, member, voter_count, state);
             }
         }
     }
 
-    fn create(&mut self, ticket: Ticket, mut member: Member, wanted: u32, state: Option<Bytes>) {
+    fn create(
+        &mut self,
+        ticket: Ticket,
+        mut member: Member,
+        voter_count: u32,
+        state: Option<Bytes>,
+    ) {
         member.node = self.node.id().0;
         let data = state.unwrap_or_else(|| self.machine.snapshot().into());
         self.step(Input::Create {
             ticket,
             cluster: ClusterId(rand::rng().random()),
-            membership: Membership::first(member, wanted),
+            membership: Membership::initial(member, voter_count),
             data,
         });
     }
 
-    /// Does what the node wants done.
-    fn settle(&mut self) -> Result<(), String> {
+    /// Performs the actions that the node requests.
+    fn advance(&mut self) -> Result<(), String> {
         let output = self.node.output();
-        if let Some(broken) = &output.broken {
+        if let Some(broken) = &output.violation {
             return Err(format!(
                 "{broken}; a voter's folder was restored or shared: see the log"
             ));
         }
         self.perform(output)?;
-        self.consider_snapshot();
+        self.maybe_snapshot();
         self.publish();
         Ok(())
     }
@@ -268,7 +276,7 @@
         for entry in output.committed {
             self.apply(&entry);
         }
-        self.waiters.reached(self.applied);
+        self.waiters.finish_reads(self.applied);
         Ok(())
     }
 
@@ -288,7 +296,7 @@
         restored.map_err(|e| e.to_string())?;
         self.applied = snapshot.index;
         self.snapshot_size = snapshot.data.len();
-        self.waiters.created();
+        self.waiters.finish_creation();
         Ok(())
     }
 
@@ -299,11 +307,12 @@
         self.waiters.applied(entry.position(), outcome);
     }
 
-    /// Takes a snapshot once the log costs more than it: each byte is so written about twice.
-    fn consider_snapshot(&mut self) {
+    /// Takes a snapshot once the log since the last one is larger than it, so that each byte is
+    /// written about twice.
+    fn maybe_snapshot(&mut self) {
         let latest = self.node.status().snapshot.max(self.snapshot_tried);
-        let most = self.settings.snapshot_bytes.max(self.snapshot_size);
-        if self.applied <= latest || self.node.cost_after(latest) < most {
+        let threshold = self.settings.snapshot_bytes.max(self.snapshot_size);
+        if self.applied <= latest || self.node.cost_after(latest) < threshold {
             return;
         }
         let data = self.machine.snapshot();
@@ -318,13 +327,13 @@
     fn publish(&mut self) {
         let node = self.node.status();
         let leads = node.role == RoleName::Leader;
-        if self.led && !leads {
-            self.waiters.lost_leader();
+        if self.was_leader && !leads {
+            self.waiters.fail_appended();
         }
-        self.led = leads;
-        if self.told != node.membership {
-            self.told = Arc::clone(&node.membership);
-            self.transport.configure(&self.told);
+        self.was_leader = leads;
+        if self.configured != node.membership {
+            self.configured = Arc::clone(&node.membership);
+            self.transport.configure(&self.configured);
         }
         let lease = node.lease.map(|until| self.start + until);
         let mut status = self.shared.status();
--- a/crates/filbertstack-log/src/replica/waiters.rs
+++ b/crates/filbertstack-log/src/replica/waiters.rs
@@ -1,4 +1,4 @@
-//! Who waits for what.
+//! The callers that wait for the results of their requests.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -15,32 +15,32 @@
 use crate::membership::Member;
 use crate::node::Ticket;
 use crate::replica::Applied;
-use crate::replica::Doubt;
 use crate::replica::ProposeError;
+use crate::replica::UnknownReason;
 
-/// Where an answer goes.
+/// The channel on which a caller receives its answer.
 pub(super) type Reply<T> = SyncSender<Result<T, ProposeError>>;
 
-/// Decides between a caller that gives up and the thread that takes its request up, so that a
-/// request given up on before that is certain not to run.
+/// Settles the race between a caller that gives up and the thread that handles its request. A
+/// request given up before it is handled is certain not to run.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Claim(Arc<AtomicBool>);
 
 impl Claim {
-    /// True for the first of both.
+    /// Takes the claim; returns true for the first of the two.
     pub(super) fn take(&self) -> bool {
         !self.0.swap(true, Ordering::AcqRel)
     }
 }
 
-/// A caller's request.
+/// A request of a caller.
 pub(super) struct Request<T> {
     pub(super) claim: Claim,
-    pub(super) wanted: Wanted<T>,
+    pub(super) operation: Operation<T>,
 }
 
-/// What a caller wants.
-pub(super) enum Wanted<T> {
+/// The operation that a caller requests.
+pub(super) enum Operation<T> {
     Propose {
         command: Bytes,
         reply: Reply<Applied<T>>,
@@ -61,13 +61,13 @@
     },
     Create {
         member: Member,
-        wanted: u32,
+        voter_count: u32,
         state: Option<Bytes>,
         reply: Reply<()>,
     },
 }
 
-/// A caller that waits.
+/// A waiting caller.
 pub(super) enum Waiter<T> {
     Command(Reply<Applied<T>>),
     Index(Reply<u64>),
@@ -76,7 +76,7 @@
 
 impl<T> Waiter<T> {
     pub(super) fn fail(self, error: ProposeError) {
-        // A caller that went away needs no answer.
+        // The caller may have left; it then needs no answer.
         let _ = match self {
             Self::Command(reply) => reply.try_send(Err(error)).is_ok(),
             Self::Index(reply) => reply.try_send(Err(error)).is_ok(),
@@ -85,10 +85,10 @@
     }
 }
 
-/// All who wait.
+/// Holds all waiting callers.
 pub(super) struct Waiters<T> {
     next: u64,
-    asked: HashMap<Ticket, Waiter<T>>,
+    registered: HashMap<Ticket, Waiter<T>>,
     appended: BTreeMap<u64, (u64, Waiter<T>)>,
     reads: BTreeMap<(u64, Ticket), Reply<u64>>,
     creating: Vec<Reply<()>>,
@@ -98,7 +98,7 @@
     fn default() -> Self {
         Self {
             next: 0,
-            asked: HashMap::new(),
+            registered: HashMap::new(),
             appended: BTreeMap::new(),
             reads: BTreeMap::new(),
             creating: Vec::new(),
@@ -107,50 +107,51 @@
 }
 
 impl<T> Waiters<T> {
-    pub(super) fn ask(&mut self, waiter: Waiter<T>) -> Ticket {
+    pub(super) fn register(&mut self, waiter: Waiter<T>) -> Ticket {
         self.next += 1;
         let ticket = Ticket(self.next);
-        self.asked.insert(ticket, waiter);
+        self.registered.insert(ticket, waiter);
         ticket
     }
 
     pub(super) fn refuse(&mut self, ticket: Ticket, error: ProposeError) {
-        if let Some(waiter) = self.asked.remove(&ticket) {
+        if let Some(waiter) = self.registered.remove(&ticket) {
             waiter.fail(error);
         }
     }
 
     pub(super) fn appended(&mut self, ticket: Ticket, place: Position) {
-        if let Some(waiter) = self.asked.remove(&ticket) {
+        if let Some(waiter) = self.registered.remove(&ticket) {
             self.appended.insert(place.index, (place.term, waiter));
         }
     }
 
     pub(super) fn readable(&mut self, ticket: Ticket, index: u64) {
-        if let Some(Waiter::Index(reply)) = self.asked.remove(&ticket) {
+        if let Some(Waiter::Index(reply)) = self.registered.remove(&ticket) {
             self.reads.insert((index, ticket), reply);
         }
     }
 
     pub(super) fn done(&mut self, ticket: Ticket) {
-        if let Some(Waiter::Done(reply)) = self.asked.remove(&ticket) {
+        if let Some(Waiter::Done(reply)) = self.registered.remove(&ticket) {
             let _ = reply.try_send(Ok(()));
         }
     }
 
     pub(super) fn creating(&mut self, ticket: Ticket) {
-        if let Some(Waiter::Done(reply)) = self.asked.remove(&ticket) {
+        if let Some(Waiter::Done(reply)) = self.registered.remove(&ticket) {
             self.creating.push(reply);
         }
     }
 
-    pub(super) fn created(&mut self) {
+    pub(super) fn finish_creation(&mut self) {
         for reply in self.creating.drain(..) {
             let _ = reply.try_send(Ok(()));
         }
     }
 
-    /// The entry at `place` is applied, with this outcome if it is a command.
+    /// Answers the caller whose entry was appended at `place`, once an entry is applied there;
+    /// `outcome` is set if that entry is a command.
     pub(super) fn applied(&mut self, place: Position, outcome: Option<T>) {
         let Some((term, waiter)) = self.appended.remove(&place.index) else {
             return;
@@ -164,12 +165,12 @@
             (Waiter::Index(reply), _) => {
                 let _ = reply.try_send(Ok(index));
             }
-            (waiter, _) => waiter.fail(ProposeError::Unknown(Doubt::LeaderLost)),
+            (waiter, _) => waiter.fail(ProposeError::Unknown(UnknownReason::LeaderLost)),
         }
     }
 
-    /// Everything up to `index` is applied.
-    pub(super) fn reached(&mut self, index: u64) {
+    /// Answers the reads that waited for an index up to `index`.
+    pub(super) fn finish_reads(&mut self, index: u64) {
         while let Some(first) = self.reads.first_entry() {
             if first.key().0 > index {
                 return;
@@ -179,24 +180,25 @@
         }
     }
 
-    /// The replica leads no longer: what was appended may or may not be committed by another.
-    pub(super) fn lost_leader(&mut self) {
+    /// Answers callers whose entries were appended: the replica lost the leadership, and another
+    /// leader may or may not commit them.
+    pub(super) fn fail_appended(&mut self) {
         for (_, waiter) in std::mem::take(&mut self.appended).into_values() {
-            waiter.fail(ProposeError::Unknown(Doubt::LeaderLost));
+            waiter.fail(ProposeError::Unknown(UnknownReason::LeaderLost));
         }
     }
 
-    pub(super) fn stopped(&mut self) {
-        let asked = std::mem::take(&mut self.asked).into_values();
+    pub(super) fn fail_all(&mut self) {
+        let registered = std::mem::take(&mut self.registered).into_values();
         let appended = std::mem::take(&mut self.appended).into_values();
-        for waiter in asked.chain(appended.map(|(_, w)| w)) {
-            waiter.fail(ProposeError::Unknown(Doubt::Stopped));
+        for waiter in registered.chain(appended.map(|(_, w)| w)) {
+            waiter.fail(ProposeError::Unknown(UnknownReason::Stopped));
         }
         for reply in std::mem::take(&mut self.reads).into_values() {
-            let _ = reply.try_send(Err(ProposeError::Unknown(Doubt::Stopped)));
+            let _ = reply.try_send(Err(ProposeError::Unknown(UnknownReason::Stopped)));
         }
         for reply in self.creating.drain(..) {
-            let _ = reply.try_send(Err(ProposeError::Unknown(Doubt::Stopped)));
+            let _ = reply.try_send(Err(ProposeError::Unknown(UnknownReason::Stopped)));
         }
     }
 }
--- a/crates/filbertstack-log/src/storage/mod.rs
+++ b/crates/filbertstack-log/src/storage/mod.rs
@@ -1,10 +1,10 @@
-//! What a replica must remember, in one data folder.
+//! The durable state of a replica, in one data folder.
 //!
-//! The write-ahead log is a row of segments `wal-NNNNNNNNNN`, each a row of [frames](frame) with
-//! one sync a frame; `snapshot-NNNN...` holds the latest snapshot; `identity` the replica's
-//! [`NodeId`](crate::NodeId). Nothing is acknowledged before it is synced. On opening, the last
-//! segment is written anew and synced: after a sync that failed, the pages read back may be the
-//! kernel's and not the disk's.
+//! The write-ahead log consists of segments `wal-NNNNNNNNNN`, each a sequence of [frames](frame)
+//! with one sync per frame. `snapshot-NNNN...` holds the latest snapshot, and `identity` the
+//! replica's [`NodeId`](crate::NodeId). Nothing is acknowledged before it is synced. Opening the
+//! folder rewrites and syncs the last segment: after a failed sync, the data read back may come
+//! from the kernel's page cache and not from the disk.
 
 pub mod disk;
 mod error;
@@ -17,8 +17,8 @@
 use crate::message::Entry;
 use crate::message::HardState;
 use crate::message::Snapshot;
+use crate::node::DurableState;
 use crate::node::Input;
-use crate::node::Memory;
 use crate::node::Write;
 use crate::storage::disk::Disk;
 use crate::storage::disk::DiskFile;
@@ -30,104 +30,105 @@
 use crate::storage::files::snapshot_name;
 use crate::storage::replay::Replay;
 
-/// The size beyond which a segment is closed, in bytes. A start writes one segment anew, and
-/// space is given back by whole segments: this bounds both to some 100 ms of a small disk.
+/// The size beyond which a segment is closed, in bytes. A start rewrites one segment, and disk
+/// space is freed by whole segments: this size bounds both to about 100 ms on a small disk.
 pub const SEGMENT_BYTES: u64 = 4 << 20;
 
-/// The durable state of one replica.
+/// Manages the durable state of one replica.
 #[derive(Debug)]
 pub struct Storage<D: Disk> {
     disk: D,
     node: NodeId,
     file: D::File,
-    size: u64,
-    frame: u64,
+    current_size: u64,
+    next_frame: u64,
     segments: Vec<Segment>,
     hard: HardState,
     last: Position,
-    snapshot: u64,
-    refused: u64,
+    snapshot_index: u64,
+    refused_epoch: u64,
     segment_bytes: u64,
 }
 
 impl<D: Disk> Storage<D> {
-    /// Opens the folder and returns what it remembers. An empty folder takes the identity `fresh`.
+    /// Opens the folder and returns its durable state. An empty folder gets the identity `fresh`.
     ///
     /// # Errors
-    /// [`StorageError`] if the folder cannot be used; nothing in it was changed then, but for
-    /// temporary files.
-    pub fn open(disk: D, fresh: NodeId) -> Result<(Self, Memory), StorageError> {
+    /// Returns [`StorageError`] if the folder cannot be used; nothing but temporary files was then
+    /// changed in it.
+    pub fn open(disk: D, fresh: NodeId) -> Result<(Self, DurableState), StorageError> {
         Self::open_sized(disk, fresh, SEGMENT_BYTES)
     }
 
-    /// As [`Storage::open`], with another size of segments.
+    /// Opens the folder as [`Storage::open`] does, with another segment size.
     ///
     /// # Errors
-    /// As [`Storage::open`].
+    /// Returns the errors of [`Storage::open`].
     pub fn open_sized(
         disk: D,
         fresh: NodeId,
         segment_bytes: u64,
-    ) -> Result<(Self, Memory), StorageError> {
+    ) -> Result<(Self, DurableState), StorageError> {
         files::remove_temporary(&disk)?;
-        let node = files::identity(&disk, fresh)?;
+        let node = files::load_identity(&disk, fresh)?;
         let snapshot = files::read_snapshot(&disk)?;
         let mut replay = Replay::read(&disk, node)?;
         let written = replay.last();
         let entries = replay.take_after(snapshot.as_ref())?;
-        let file = files::write_whole(&disk, &replay.newest(), &replay.tail)?;
+        let file = files::write_whole(&disk, &replay.newest_name(), &replay.tail)?;
         let covered = snapshot.as_ref().map(Snapshot::position);
         let mut storage = Self {
             disk,
             node,
             file,
-            size: replay.tail.len() as u64,
-            frame: replay.next_frame,
+            current_size: replay.tail.len() as u64,
+            next_frame: replay.next_frame,
             segments: replay.segments.clone(),
             hard: replay.hard,
             last: written,
-            snapshot: covered.map_or(0, |place| place.index),
-            refused: 0,
+            snapshot_index: covered.map_or(0, |place| place.index),
+            refused_epoch: 0,
             segment_bytes,
         };
         let last = entries.last().map(Entry::position).or(covered);
         storage.last = last.unwrap_or_default();
-        // The log ends elsewhere on disk: a snapshot of a leader came in and the log was not reset.
+        // A snapshot of a leader was stored and the log was not reset before the crash: the log on
+        // disk ends elsewhere.
         if written != storage.last && !storage.reset(storage.last)? {
-            return Err(files::full("reset the log in"));
+            return Err(files::full_error("reset the log in"));
         }
-        let memory = Memory {
+        let saved = DurableState {
             hard: storage.hard,
             snapshot,
             entries,
         };
-        Ok((storage, memory))
+        Ok((storage, saved))
     }
 
-    /// The replica's identity.
+    /// Returns the identity of the replica.
     pub fn node(&self) -> NodeId {
         self.node
     }
 
-    /// Makes the writes durable, as many as possible with one sync, and returns what became of
-    /// them, for the node.
+    /// Makes the writes durable, as many as possible with one sync, and returns their results as
+    /// inputs for the node.
     ///
     /// # Errors
-    /// [`StorageError`] if it is not known what is durable now: the replica must stop. What is on
-    /// the disk is found out when it is opened again.
+    /// Returns [`StorageError`] if it is unknown what is durable: the replica must stop. Opening
+    /// the folder again determines what the disk holds.
     pub fn write(&mut self, writes: Vec<Write>) -> Result<Vec<Input>, StorageError> {
         let mut results = Vec::new();
         let mut batch = Batch::default();
         for write in writes {
-            if write.epoch < self.refused {
+            if write.epoch < self.refused_epoch {
                 continue;
             }
             batch.add(&write);
             if let Some(snapshot) = &write.snapshot {
                 self.flush(&mut batch, &mut results)?;
-                if write.epoch >= self.refused {
-                    let kept = self.take_snapshot(snapshot, write.install)?;
-                    results.extend((!kept).then_some(Input::SnapshotLost { seq: write.seq }));
+                if write.epoch >= self.refused_epoch {
+                    let kept = self.store_snapshot(snapshot, write.install)?;
+                    results.extend((!kept).then_some(Input::SnapshotFailed { seq: write.seq }));
                     results.push(Input::Written { seq: write.seq });
                 }
             }
@@ -145,32 +146,33 @@
             return Ok(());
         }
         if self.append(&batch.record)? {
-            if !batch.snapshot {
+            if !batch.has_snapshot {
                 results.push(Input::Written { seq: last });
             }
         } else {
-            self.refused = batch.epoch + 1;
-            results.push(Input::Refused { seq: first });
+            self.refused_epoch = batch.epoch + 1;
+            results.push(Input::WriteRefused { seq: first });
         }
         Ok(())
     }
 
-    /// Keeps a snapshot; false if the disk has no space for it.
-    fn take_snapshot(&mut self, snapshot: &Snapshot, install: bool) -> Result<bool, StorageError> {
-        match files::keep_snapshot(&self.disk, snapshot) {
+    /// Stores a snapshot; returns false if the disk is full.
+    fn store_snapshot(&mut self, snapshot: &Snapshot, install: bool) -> Result<bool, StorageError> {
+        match files::write_snapshot(&self.disk, snapshot) {
             Err(StorageError::Io { source, .. }) if is_full(&source) => return Ok(false),
             other => other?,
         }
-        self.snapshot = snapshot.index;
-        // Without this record the snapshot counts on the next start, and until then the log.
+        self.snapshot_index = snapshot.index;
+        // Until this record is written the old log stays valid; after a crash in between, the next
+        // start uses the snapshot.
         if install && !self.reset(snapshot.position())? {
             return Ok(false);
         }
-        self.drop_covered();
+        self.remove_covered();
         Ok(true)
     }
 
-    /// Starts the log anew after `place`; false if the disk has no space.
+    /// Restarts the log after `place`; returns false if the disk is full.
     fn reset(&mut self, place: Position) -> Result<bool, StorageError> {
         self.append(&Record {
             reset: Some(place.into()),
@@ -178,42 +180,43 @@
         })
     }
 
-    /// Appends one record, durably; false if the disk has no space, and then no trace is left.
+    /// Appends one record and syncs it; returns false if the disk is full, and the record then
+    /// leaves no trace.
     fn append(&mut self, record: &Record) -> Result<bool, StorageError> {
         if !self.append_frame(record)? {
             return Ok(false);
         }
-        self.frame += 1;
-        self.note(record);
-        if self.size >= self.segment_bytes {
+        self.next_frame += 1;
+        self.note_record(record);
+        if self.current_size >= self.segment_bytes {
             self.rotate()?;
         }
         Ok(true)
     }
 
     fn append_frame(&mut self, record: &Record) -> Result<bool, StorageError> {
-        let bytes = frame::encode(self.frame, &files::encode(record));
-        let name = segment_name(self.number());
+        let bytes = frame::encode(self.next_frame, &files::encode(record));
+        let name = segment_name(self.segment_number());
         if let Err(source) = self.file.append(&bytes) {
             if !is_full(&source) {
-                return Err(files::io("append to", &name, source));
+                return Err(files::io_error("append to", &name, source));
             }
             let cut = self
                 .file
-                .truncate(self.size)
+                .truncate(self.current_size)
                 .and_then(|()| self.file.sync());
-            cut.map_err(|e| files::io("cut", &name, e))?;
+            cut.map_err(|e| files::io_error("cut", &name, e))?;
             return Ok(false);
         }
-        // After a failed sync the kernel may drop the pages and call the next one a success. Only
-        // the start after a stop finds out what is on the disk.
+        // After a failed sync the kernel may drop the unwritten pages and report the next sync as a
+        // success. Only a restart determines what the disk holds.
         let synced = self.file.sync();
         synced.map_err(|source| StorageError::Sync { file: name, source })?;
-        self.size += bytes.len() as u64;
+        self.current_size += bytes.len() as u64;
         Ok(true)
     }
 
-    fn note(&mut self, record: &Record) {
+    fn note_record(&mut self, record: &Record) {
         self.hard = record.hard.unwrap_or(self.hard);
         if let Some(reset) = record.reset {
             self.last = reset.into();
@@ -222,63 +225,65 @@
             return;
         };
         self.last = entry.position();
-        let most = record.entries.iter().map(|e| e.index).max().unwrap_or(0);
+        let highest = record.entries.iter().map(|e| e.index).max().unwrap_or(0);
         if let Some(segment) = self.segments.last_mut() {
-            segment.last = segment.last.max(most);
+            segment.last = segment.last.max(highest);
         }
     }
 
-    /// Begins the next segment. If there is no space for it, the present one grows on.
+    /// Starts the next segment. If the disk has no space for it, the current segment continues to
+    /// grow.
     fn rotate(&mut self) -> Result<(), StorageError> {
-        let number = self.number() + 1;
+        let number = self.segment_number() + 1;
         let header = files::header(self.node, number, self.hard, self.last);
-        let bytes = frame::encode(self.frame, &header);
+        let bytes = frame::encode(self.next_frame, &header);
         let file = match files::write_whole(&self.disk, &segment_name(number), &bytes) {
             Err(StorageError::Io { source, .. }) if is_full(&source) => return Ok(()),
             other => other?,
         };
-        // Without a mark that another segment follows, a lost newest one would go unnoticed, and
-        // with it what was accepted last. Written after the next segment, it never claims one that
-        // a crash prevented. Without space for it only that notice is lost.
+        // Without a mark that another segment follows, the loss of the newest segment, and with it
+        // of the last accepted entries, would go unnoticed. The mark is written after the next
+        // segment exists, so it never announces a segment that a crash prevented. If the disk has
+        // no space for the mark, only this detection is lost.
         let close = Record {
             closed: true,
             ..Record::default()
         };
         self.append_frame(&close)?;
         self.file = file;
-        self.frame += 1;
-        self.size = bytes.len() as u64;
+        self.next_frame += 1;
+        self.current_size = bytes.len() as u64;
         let last = self.last.index;
         self.segments.push(Segment { number, last });
-        self.drop_covered();
+        self.remove_covered();
         Ok(())
     }
 
-    /// Gives back the space of segments and snapshots that the latest snapshot replaces. A file
-    /// that cannot be removed only takes space; the next call tries it again.
-    fn drop_covered(&mut self) {
-        while self.segments.len() > 1 && self.segments[0].last <= self.snapshot {
+    /// Removes the segments and snapshots that the latest snapshot covers. A file that cannot be
+    /// removed only takes space; the next call tries again.
+    fn remove_covered(&mut self) {
+        while self.segments.len() > 1 && self.segments[0].last <= self.snapshot_index {
             let name = segment_name(self.segments[0].number);
             if self.disk.remove(&name).is_err() {
                 return;
             }
             self.segments.remove(0);
         }
-        files::drop_snapshots(&self.disk, &snapshot_name(self.snapshot));
+        files::remove_snapshots(&self.disk, &snapshot_name(self.snapshot_index));
     }
 
-    fn number(&self) -> u64 {
+    fn segment_number(&self) -> u64 {
         self.segments.last().map_or(1, |s| s.number)
     }
 }
 
-/// Writes that share one sync.
+/// Collects the writes that share one sync.
 #[derive(Debug, Default)]
 struct Batch {
     record: Record,
     span: Option<(u64, u64)>,
     epoch: u64,
-    snapshot: bool,
+    has_snapshot: bool,
 }
 
 impl Batch {
@@ -286,7 +291,7 @@
         let first = self.span.map_or(write.seq, |(first, _)| first);
         self.span = Some((first, write.seq));
         self.epoch = write.epoch;
-        self.snapshot = write.snapshot.is_some();
+        self.has_snapshot = write.snapshot.is_some();
         if write.hard.is_some() {
             self.record.hard = write.hard;
         }
--- a/crates/filbertstack-log/src/storage/replay.rs
+++ b/crates/filbertstack-log/src/storage/replay.rs
@@ -1,4 +1,4 @@
-//! Reading the log back.
+//! Reading the log back at the start.
 
 use bytes::Bytes;
 use prost::Message as _;
@@ -19,14 +19,14 @@
 use crate::storage::frame;
 use crate::storage::frame::End;
 
-/// What the segments hold.
+/// Holds the state read from the segments.
 #[derive(Debug, Default)]
 pub(super) struct Replay {
     pub(super) hard: HardState,
     base: Position,
     entries: Vec<Entry>,
     pub(super) segments: Vec<Segment>,
-    /// The whole frames of the last segment.
+    /// The complete frames of the last segment.
     pub(super) tail: Vec<u8>,
     pub(super) next_frame: u64,
     closed: bool,
@@ -42,7 +42,9 @@
                 return Err(StorageError::Missing { file });
             }
             let name = segment_name(*number);
-            let bytes = disk.read(&name).map_err(|e| files::io("read", &name, e))?;
+            let bytes = disk
+                .read(&name)
+                .map_err(|e| files::io_error("read", &name, e))?;
             replay.read_segment(&name, *number, node, bytes)?;
         }
         if replay.closed {
@@ -60,8 +62,8 @@
         mut bytes: Vec<u8>,
     ) -> Result<(), StorageError> {
         let frames = frame::decode(&bytes);
-        // A crash cuts off the newest segment, or the closing frame of the one before. If more is
-        // missing there, the numbers of the frames show it.
+        // A crash truncates the newest segment, or the closing frame of the segment before it. If
+        // more is missing there, the frame numbers reveal it.
         if let End::Damaged(why) = frames.end {
             return Err(damaged(name, frames.length, why));
         }
@@ -71,10 +73,10 @@
         if !self.segments.is_empty() && frames.first != self.next_frame {
             return Err(damaged(name, 0, "records before it are missing"));
         }
-        self.begin(name, number, node, head)?;
+        self.read_header(name, number, node, head)?;
         self.closed = false;
         for record in records {
-            self.take(name, record)?;
+            self.apply_record(name, record)?;
         }
         let counted = frames.payloads.len() - usize::from(self.closed);
         self.next_frame = frames.first + counted as u64;
@@ -84,7 +86,7 @@
         Ok(())
     }
 
-    fn begin(
+    fn read_header(
         &mut self,
         name: &str,
         number: u64,
@@ -107,7 +109,7 @@
         Ok(())
     }
 
-    fn take(&mut self, name: &str, payload: &[u8]) -> Result<(), StorageError> {
+    fn apply_record(&mut self, name: &str, payload: &[u8]) -> Result<(), StorageError> {
         let record = Record::decode(Bytes::copy_from_slice(payload));
         let record = record.map_err(|_| damaged(name, 0, "a record does not decode"))?;
         self.hard = record.hard.unwrap_or(self.hard);
@@ -117,18 +119,18 @@
             self.base = reset.into();
         }
         for entry in record.entries {
-            self.push(name, entry)?;
+            self.apply_entry(name, entry)?;
         }
         Ok(())
     }
 
-    fn push(&mut self, name: &str, entry: Entry) -> Result<(), StorageError> {
+    fn apply_entry(&mut self, name: &str, entry: Entry) -> Result<(), StorageError> {
         let last = self.last().index;
         if entry.index > last + 1 || entry.index == 0 {
             return Err(damaged(name, 0, "entries are missing"));
         }
         if entry.index <= self.base.index {
-            // What lies below was in a segment that a snapshot covers.
+            // The entries below were in a segment that a snapshot covers.
             self.entries.clear();
             let index = entry.index.saturating_sub(1);
             self.base = Position { term: 0, index };
@@ -143,8 +145,8 @@
         Ok(())
     }
 
-    /// The name of the segment that is written to.
-    pub(super) fn newest(&self) -> String {
+    /// Returns the name of the newest segment, which receives new records.
+    pub(super) fn newest_name(&self) -> String {
         segment_name(self.segments.last().map_or(1, |s| s.number))
     }
 
@@ -152,10 +154,10 @@
         self.entries.last().map_or(self.base, Entry::position)
     }
 
-    /// Takes the entries that follow the snapshot.
+    /// Removes and returns the entries that follow the snapshot.
     ///
-    /// A log that does not hold the snapshot's last entry is older than the snapshot, or another
-    /// leader's: the crash came after the snapshot and before the log was reset.
+    /// A log without the snapshot's last entry is older than the snapshot or comes from another
+    /// leader: the crash happened after the snapshot was stored and before the log was reset.
     pub(super) fn take_after(
         &mut self,
         snapshot: Option<&Snapshot>,
--- a/crates/filbertstack-log/tests/log/figures.rs
+++ b/crates/filbertstack-log/tests/log/figures.rs
@@ -1,4 +1,5 @@
-//! Figures in virtual time, the same on each run: traffic at rest and the time without a leader.
+//! Measurements in simulated time, the same on each run: traffic at rest and the time without a
+//! leader.
 
 use std::time::Duration;
 
@@ -7,18 +8,18 @@
 use crate::support::world::Variant;
 use crate::support::world::World;
 
-/// What a message costs on the link beside its own bytes: the frame's length, and the headers of
-/// the packet and of an acknowledgement of its own, which in fact often goes with the answer.
-const OVERHEAD: u64 = 4 + 52 + 52;
-/// What a node may spend on control, in bytes a second.
-const BOUND: u64 = 8_000;
-/// How long a group is watched at rest, in seconds.
-const WATCHED: u64 = 20;
+/// The overhead of a message on the link, in bytes: the length of its frame, and the headers of its
+/// packet and of a separate acknowledgement, which is often combined with the answer in practice.
+const OVERHEAD_BYTES: u64 = 4 + 52 + 52;
+/// The bandwidth that a node may spend on control, in bytes per second.
+const MAX_BYTES_PER_S: u64 = 8_000;
+/// The time for which a group is measured at rest, in seconds.
+const MEASURED_S: u64 = 20;
 
-/// How often a burst comes, some heartbeats apart.
-const ROUNDS: u64 = 20;
+/// The number of bursts; they are some heartbeats apart.
+const BURSTS: u64 = 20;
 
-/// The leader carries the most. Its traffic at rest must leave room for the other work of control.
+/// The leader has the most traffic. At rest it must leave bandwidth for the other tasks of control.
 #[test]
 fn traffic_at_rest_stays_in_bounds() {
     let mut lines = Vec::new();
@@ -28,7 +29,7 @@
         let leader = world.elect(&all);
         world.run(Duration::from_secs(2));
         world.traffic.clear();
-        world.run(Duration::from_secs(WATCHED));
+        world.run(Duration::from_secs(MEASURED_S));
         let most = world
             .traffic
             .values()
@@ -36,9 +37,9 @@
             .copied()
             .unwrap();
         assert_eq!(world.leaders(), [leader]);
-        let messages = most.messages / WATCHED;
-        let bytes = (most.bytes + most.messages * OVERHEAD) / WATCHED;
-        assert!(bytes <= BOUND, "{voters} voters: {bytes}");
+        let messages = most.messages / MEASURED_S;
+        let bytes = (most.bytes + most.messages * OVERHEAD_BYTES) / MEASURED_S;
+        assert!(bytes <= MAX_BYTES_PER_S, "{voters} voters: {bytes}");
         lines.push(format!(
             "{voters} voters: the leader {messages} messages/s, {bytes} bytes/s"
         ));
@@ -46,8 +47,8 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// What one commit costs in messages, bytes and syncs, alone and in a burst of proposals. A burst
-/// shares messages and syncs; without that, a burst would be paid for by its length.
+/// The cost of one commit in messages, bytes and syncs, alone and in a burst of proposals. A burst
+/// must share messages and syncs; otherwise its cost would grow with its length.
 #[test]
 fn a_burst_shares_messages_and_syncs() {
     let mut lines = Vec::new();
@@ -62,12 +63,12 @@
         world.run(Duration::from_secs(2));
         world.traffic.clear();
         let syncs = world.syncs(leader);
-        for _ in 0..ROUNDS {
+        for _ in 0..BURSTS {
             world.propose_burst(leader, burst);
             world.run(Duration::from_millis(300));
         }
-        let commits = ROUNDS * burst;
-        assert_eq!(world.checker.told() as u64, commits);
+        let commits = BURSTS * burst;
+        assert_eq!(world.checker.accepted() as u64, commits);
         let total = world
             .traffic
             .values()
@@ -88,7 +89,8 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// The leader dies under a steady load. Counted is the time until the next request is accepted.
+/// The leader dies under a steady load. The test measures the time until the next request is
+/// accepted.
 #[test]
 fn a_dead_leader_is_replaced_within_three_seconds() {
     let mut spans: Vec<u64> = (0..200).map(time_without_leader).collect();
@@ -109,11 +111,11 @@
     let old = world.elect(&[0, 1, 2]);
     world.propose_at(old, None);
     world.run(Duration::from_millis(500 + seed));
-    let told = world.checker.told();
+    let told = world.checker.accepted();
     world.kill(old);
     let others: Vec<usize> = (0..3).filter(|at| *at != old).collect();
     let mut slices = 0;
-    while world.checker.told() == told {
+    while world.checker.accepted() == told {
         if let Some(leader) = world.leaders().into_iter().find(|at| others.contains(at)) {
             world.propose_at(leader, None);
         }
--- a/crates/filbertstack-log/tests/log/replica.rs
+++ b/crates/filbertstack-log/tests/log/replica.rs
@@ -1,36 +1,36 @@
-//! Running replicas: threads, real time, a network in memory.
+//! Tests of running replicas with threads, real time and an in-memory network.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use filbertstack_log::Doubt;
 use filbertstack_log::ProposeError;
 use filbertstack_log::Refusal;
 use filbertstack_log::RoleName;
+use filbertstack_log::UnknownReason;
 
-use crate::support::disk::Wrong;
-use crate::support::machine::POISON;
+use crate::support::disk::DiskFaults;
+use crate::support::machine::PANIC_KEY;
 use crate::support::machine::Put;
 use crate::support::network::Group;
-use crate::support::network::quick;
-use crate::support::network::soon;
+use crate::support::network::deadline;
+use crate::support::network::quick_settings;
 use crate::support::network::wait_for;
 
-/// Every voter in turn is killed and started again during the proposals, then all at once. The
-/// proposer resends after each error under the same request id. What was accepted must be there
-/// once, on every replica, at the index that the proposer was told.
+/// Every voter in turn is killed and restarted during the proposals, then all voters at once. The
+/// proposer resends after each error under the same request id. Every accepted command must be
+/// applied exactly once on every replica, at the index returned to the proposer.
 #[test]
 fn accepted_commands_survive_kills_and_restarts() {
-    let mut group = Group::form(3, quick());
-    let mut told = BTreeMap::new();
+    let mut group = Group::form(3, quick_settings());
+    let mut outcomes = BTreeMap::new();
     for request in 1..=60 {
         if request % 10 == 0 {
             let at = usize::try_from(request / 10).unwrap() % 3;
             group.kill(at);
-            told.insert(request, group.put(request));
+            outcomes.insert(request, group.put(request));
             group.start(at);
         } else {
-            told.insert(request, group.put(request));
+            outcomes.insert(request, group.put(request));
         }
     }
     for at in 0..3 {
@@ -39,16 +39,17 @@
     for at in 0..3 {
         group.start(at);
     }
-    told.insert(61, group.put(61));
-    let state = group.settled(61);
-    assert_eq!(state.done, told);
+    outcomes.insert(61, group.put(61));
+    let state = group.wait_equal(61);
+    assert_eq!(state.done, outcomes);
 }
 
-/// A leader that nobody hears goes on receiving proposals. Each must end with "unknown" when it
-/// steps down, then with a certain refusal; a proposal accepted by the others is never replaced.
+/// A leader that is cut off continues to receive proposals. Each must end as unknown when the
+/// leader steps down, later ones as certainly refused; a proposal accepted by the others is never
+/// replaced.
 #[test]
 fn an_isolated_leader_accepts_nothing() {
-    let group = Group::form(3, quick());
+    let group = Group::form(3, quick_settings());
     group.put(1);
     let old = group.leader();
     let replica = group.slots[old].replica.clone().unwrap();
@@ -60,29 +61,30 @@
             value: 9,
         }
         .encode(),
-        soon(),
+        deadline(),
     );
     assert!(!lost.unwrap_err().is_certain());
-    let refused = replica.propose(bytes::Bytes::from_static(&[0; 24]), soon());
+    let refused = replica.propose(bytes::Bytes::from_static(&[0; 24]), deadline());
     assert!(matches!(
         refused,
         Err(ProposeError::Refused(Refusal::NotLeader { .. }))
     ));
-    assert!(replica.read_barrier(soon()).is_err());
+    assert!(replica.read_barrier(deadline()).is_err());
     group.put(3);
     group.network.heal();
-    let state = group.settled(2);
+    let state = group.wait_equal(2);
     assert!(state.done.contains_key(&1) && state.done.contains_key(&3));
 }
 
-/// A planned stop of the leader passes the leadership on first. The others' election timeout is
-/// longer than the test waits, so that a proposal is accepted only if one was bidden to campaign.
+/// A leader that is stopped on purpose transfers its leadership first. The election timeout of the
+/// others is longer than the test waits, so a proposal is accepted only if one of them was told to
+/// campaign.
 #[test]
-fn a_planned_stop_passes_the_leadership_on() {
-    let mut settings = quick();
+fn a_planned_stop_transfers_the_leadership() {
+    let mut settings = quick_settings();
     settings.timing.election_min = Duration::from_secs(30);
     settings.timing.election_max = Duration::from_secs(60);
-    let mut group = Group::form(1, quick());
+    let mut group = Group::form(1, quick_settings());
     group.settings = settings;
     let second = group.add_slot();
     group.join(second);
@@ -96,11 +98,11 @@
     group.put(2);
 }
 
-/// Log compaction in a running group: the segments on disk stay bounded, and a replica that was
-/// down for longer than the log reaches back gets a snapshot.
+/// The log is compacted in a running group: the segments on disk stay bounded, and a replica that
+/// was down for longer than the log reaches back receives a snapshot.
 #[test]
 fn a_replica_far_behind_gets_a_snapshot() {
-    let mut settings = quick();
+    let mut settings = quick_settings();
     settings.snapshot_bytes = 4 << 10;
     settings.segment_bytes = 2 << 10;
     settings.limits.kept_entries = 8;
@@ -114,7 +116,7 @@
     }
     group.start(behind);
     group.put(301);
-    let state = group.settled(301);
+    let state = group.wait_equal(301);
     assert_eq!(state.done.len(), 301);
     let replica = group.slots[behind].replica.clone().unwrap();
     assert!(replica.status().node.snapshot > 100);
@@ -123,11 +125,11 @@
 }
 
 /// A voter's disk is lost; it comes back empty, under a new identity, and joins as a learner. As
-/// soon as it counts, a second voter's disk is lost. Everything accepted is still there, and the
-/// second is replaced in the same way.
+/// soon as it is a voter, a second voter's disk is lost. Every accepted command must still be
+/// there, and the second voter is replaced in the same way.
 #[test]
 fn a_second_loss_right_after_a_repair_loses_nothing() {
-    let mut group = Group::form(3, quick());
+    let mut group = Group::form(3, quick_settings());
     for request in 1..=40 {
         group.put(request);
     }
@@ -139,21 +141,21 @@
         group.join(lost);
         group.put(request);
     }
-    let state = group.settled(43);
+    let state = group.wait_equal(43);
     assert!((1..=43).all(|request| state.done.contains_key(&request)));
 }
 
-/// The leader's disk fills up. Another leads and accepts; the full one refuses with its remedy,
-/// and follows again once there is space.
+/// The leader's disk fills up. Another replica becomes leader and accepts commands; the replica
+/// with the full disk refuses them with the remedy, and follows again once there is space.
 #[test]
-fn a_leader_with_a_full_disk_gives_way() {
-    let group = Group::form(3, quick());
+fn a_leader_with_a_full_disk_steps_down() {
+    let group = Group::form(3, quick_settings());
     group.put(1);
     let full = group.leader();
     let slot = &group.slots[full];
-    slot.disk.set_wrong(Wrong {
+    slot.disk.set_faults(DiskFaults {
         space: Some(10),
-        ..Wrong::default()
+        ..DiskFaults::default()
     });
     let replica = slot.replica.clone().unwrap();
     let put = Put {
@@ -161,80 +163,80 @@
         key: 0,
         value: 0,
     };
-    assert!(replica.propose(put.encode(), soon()).is_err());
-    let refused = replica.propose(put.encode(), soon()).unwrap_err();
+    assert!(replica.propose(put.encode(), deadline()).is_err());
+    let refused = replica.propose(put.encode(), deadline()).unwrap_err();
     assert_eq!(refused, ProposeError::Refused(Refusal::DiskFull));
     insta::assert_snapshot!(refused);
     group.put(2);
     assert!(replica.status().node.full);
-    slot.disk.set_wrong(Wrong::default());
+    slot.disk.set_faults(DiskFaults::default());
     group.put(3);
-    group.settled(3);
+    group.wait_equal(3);
     assert!(!replica.status().node.full);
 }
 
-/// A sync fails at the leader: nobody knows what its disk holds. It stops and says why; a caller
-/// that waits is told that the outcome is unknown, and the others go on.
+/// A sync fails at the leader, so it is unknown what its disk holds. The leader stops and reports
+/// the reason; a waiting caller gets an unknown outcome, and the others continue.
 #[test]
 fn a_failed_sync_stops_only_that_replica() {
-    let mut group = Group::form(3, quick());
+    let mut group = Group::form(3, quick_settings());
     group.put(1);
     let failed = group.leader();
     let replica = group.slots[failed].replica.clone().unwrap();
-    group.slots[failed].disk.set_wrong(Wrong {
+    group.slots[failed].disk.set_faults(DiskFaults {
         sync_fails: true,
-        ..Wrong::default()
+        ..DiskFaults::default()
     });
     let put = Put {
         request: 2,
         key: 0,
         value: 0,
     };
-    let ended = replica.propose(put.encode(), soon());
-    assert!(ended.is_ok() || ended == Err(ProposeError::Unknown(Doubt::Stopped)));
+    let ended = replica.propose(put.encode(), deadline());
+    assert!(ended.is_ok() || ended == Err(ProposeError::Unknown(UnknownReason::Stopped)));
     wait_for("stop", || replica.status().failed);
-    assert!(replica.read_barrier(soon()).is_err());
+    assert!(replica.read_barrier(deadline()).is_err());
     group.put(2);
     group.kill(failed);
-    group.slots[failed].disk.set_wrong(Wrong::default());
+    group.slots[failed].disk.set_faults(DiskFaults::default());
     group.start(failed);
     group.put(3);
-    group.settled(3);
+    group.wait_equal(3);
 }
 
-/// The machine panics at a command. The caller learns that the outcome is unknown, and the replica
-/// says that it has stopped; otherwise callers would go on being sent to a dead leader.
+/// The state machine panics at a command. The caller gets an unknown outcome, and the status
+/// reports that the replica has stopped; otherwise callers would still be sent to a dead leader.
 #[test]
-fn a_panic_of_the_machine_is_told() {
-    let group = Group::form(1, quick());
+fn a_state_machine_panic_is_reported() {
+    let group = Group::form(1, quick_settings());
     group.put(1);
     let replica = group.slots[0].replica.clone().unwrap();
     let put = Put {
         request: 2,
-        key: POISON,
+        key: PANIC_KEY,
         value: 1,
     };
-    let ended = replica.propose(put.encode(), soon());
-    assert_eq!(ended, Err(ProposeError::Unknown(Doubt::Stopped)));
+    let ended = replica.propose(put.encode(), deadline());
+    assert_eq!(ended, Err(ProposeError::Unknown(UnknownReason::Stopped)));
     let why = wait_for("stop", || replica.status().failed);
     assert!(why.contains("panicked"));
     assert_ne!(replica.status().node.role, RoleName::Leader);
 }
 
-/// Reads at the leader see what was accepted before, with and without a lease; elsewhere they are
-/// refused with the leader's name.
+/// A read at the leader sees every command accepted before it, with and without a lease. Other
+/// replicas refuse reads and name the leader.
 #[test]
 fn a_read_sees_what_was_accepted() {
-    let group = Group::form(3, quick());
+    let group = Group::form(3, quick_settings());
     for request in 1..=20 {
         group.put(request);
-        let seen = group.on_leader(|leader| leader.read_barrier(soon()).ok());
+        let seen = group.on_leader(|leader| leader.read_barrier(deadline()).ok());
         let leader = &group.slots[group.leader()];
         assert!(seen >= leader.map.state().done[&request]);
     }
     let leader = group.leader();
     let follower = &group.slots[(leader + 1) % 3];
-    let refused = follower.replica.as_ref().unwrap().read_barrier(soon());
+    let refused = follower.replica.as_ref().unwrap().read_barrier(deadline());
     let hint = Some(group.slots[leader].id());
     assert_eq!(refused, Err(Refusal::NotLeader { leader: hint }.into()));
 }
--- a/crates/filbertstack-log/tests/log/support/world.rs
+++ b/crates/filbertstack-log/tests/log/support/world.rs
@@ -1,6 +1,6 @@
-//! A group of nodes with their real storage, on fake disks, links and clocks.
+//! A simulated group of nodes with their real storage, on fake disks, links and clocks.
 //!
-//! Everything that chance decides comes from one seed, so that a run is repeated exactly.
+//! All random choices come from one seed, so that a run can be repeated exactly.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,7 +13,6 @@
 use filbertstack_log::EntryKind;
 use filbertstack_log::Input;
 use filbertstack_log::Limits;
-use filbertstack_log::Machine as _;
 use filbertstack_log::Member;
 use filbertstack_log::Membership;
 use filbertstack_log::Message;
@@ -23,6 +22,7 @@
 use filbertstack_log::NodeStatus;
 use filbertstack_log::RoleName;
 use filbertstack_log::Safeguards;
+use filbertstack_log::StateMachine as _;
 use filbertstack_log::Timing;
 use filbertstack_log::storage::Storage;
 use filbertstack_log::storage::StorageError;
@@ -35,93 +35,94 @@
 use crate::support::checker::Violation;
 use crate::support::disk::MemoryDisk;
 use crate::support::machine::Map;
-use crate::support::running::Asked;
+use crate::support::running::Request;
 use crate::support::running::Running;
 
-/// The grain of time.
-const SLICE: Duration = Duration::from_millis(10);
-/// The time in which the first voters' state becomes durable; no fault comes before.
+/// The step of simulated time.
+const TIME_STEP: Duration = Duration::from_millis(10);
+/// The time in which the state of the first voters becomes durable; no fault is injected before its
+/// end.
 const CREATION: Duration = Duration::from_millis(200);
 const CLUSTER: ClusterId = ClusterId(77);
-/// Replicas beside the first voters.
-const SPARE: usize = 2;
+/// The number of replicas besides the first voters.
+const SPARE_REPLICAS: usize = 2;
 
-/// Which protections are off.
+/// Selects the protections that are off.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Variant {
     pub safeguards: Safeguards,
     /// A replica whose disk was lost comes back under its old identity.
     pub keeps_identity: bool,
-    /// A replica does not notice that its clock stood still.
+    /// A replica does not notice that its clock was paused.
     pub trusts_clock: bool,
-    /// Limits in place of those that a short run reaches.
+    /// Limits in place of the small ones that a short run reaches.
     pub limits: Option<Limits>,
-    /// Disks acknowledge a sync without doing it.
+    /// Disks report a sync as done without doing it.
     pub lying_disks: bool,
 }
 
 pub(super) struct Slot {
     pub(super) id: NodeId,
     pub(super) disk: MemoryDisk,
-    pub(super) rate: f64,
+    pub(super) clock_rate: f64,
     pub(super) running: Option<Running>,
     pub(super) frozen_until: Duration,
-    /// Its clock stood still while it was frozen, and it has not noticed yet.
+    /// Its clock was paused while it was frozen, and it has not noticed yet.
     pub(super) suspended: bool,
     pub(super) inbox: Vec<Input>,
     pub(super) durable: u64,
     pub(super) membership: Arc<Membership>,
 }
 
-/// What a replica sent and was sent.
+/// Counts the traffic that a replica sent and received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     pub messages: u64,
     pub bytes: u64,
 }
 
-/// The world.
+/// Simulates a group with its disks, links and clocks.
 pub struct World {
     pub traffic: BTreeMap<NodeId, Traffic>,
     pub(super) variant: Variant,
     pub(super) rng: ChaCha8Rng,
     pub(super) now: Duration,
     pub(super) slots: Vec<Slot>,
-    pub(super) wire: BTreeMap<(Duration, u64), Message>,
+    pub(super) in_flight: BTreeMap<(Duration, u64), Message>,
     pub(super) sent: u64,
-    pub(super) cut: BTreeSet<(NodeId, NodeId)>,
-    pub(super) loss: u8,
+    pub(super) cut_links: BTreeSet<(NodeId, NodeId)>,
+    pub(super) loss_percent: u8,
     pub(super) next_id: u64,
     pub(super) next_ticket: u64,
     pub(super) next_request: u64,
-    pub(super) lost: BTreeSet<NodeId>,
-    /// The membership committed last, and all that were appended anywhere since: an entry under
-    /// way may bring any of them into force.
-    pub(super) views: Vec<Arc<Membership>>,
+    pub(super) lost_disks: BTreeSet<NodeId>,
+    /// The last committed membership, and all memberships appended on any replica since: an
+    /// uncommitted entry may bring any of them into force.
+    pub(super) memberships: Vec<Arc<Membership>>,
     pub checker: Checker,
 }
 
 impl World {
-    /// A group of `voters`, and spare replicas without a group.
+    /// Creates a group of `voters` and spare replicas without a group.
     pub fn new(seed: u64, voters: usize, variant: Variant) -> Self {
         let mut world = Self {
             variant,
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: Duration::ZERO,
             slots: Vec::new(),
-            wire: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
-            cut: BTreeSet::new(),
-            loss: 0,
+            cut_links: BTreeSet::new(),
+            loss_percent: 0,
             next_id: 100,
             next_ticket: 0,
             next_request: 0,
             traffic: BTreeMap::new(),
-            lost: BTreeSet::new(),
-            views: vec![Arc::default()],
+            lost_disks: BTreeSet::new(),
+            memberships: vec![Arc::default()],
             checker: Checker::default(),
         };
-        for _ in 0..voters + SPARE {
+        for _ in 0..voters + SPARE_REPLICAS {
             world.add_slot();
         }
         let first: Vec<Member> = world.slots[..voters].iter().map(Slot::member).collect();
@@ -132,7 +133,7 @@
         };
         world.checker.membership = membership.clone();
         for at in 0..voters {
-            let ticket = world.ticket(at, Asked::Other);
+            let ticket = world.ticket(at, Request::Other);
             let create = Input::Create {
                 ticket,
                 cluster: CLUSTER,
@@ -146,11 +147,11 @@
     }
 
     fn add_slot(&mut self) {
-        let rate = self.rng.random_range(0.92..1.08);
+        let clock_rate = self.rng.random_range(0.92..1.08);
         self.slots.push(Slot {
             id: NodeId(0),
             disk: MemoryDisk::default(),
-            rate,
+            clock_rate,
             running: None,
             frozen_until: Duration::ZERO,
             suspended: false,
@@ -190,19 +191,19 @@
         let opened = Storage::open_sized(slot.disk.clone(), fresh, 700);
         let (storage, mut memory) = match opened {
             Ok(opened) => opened,
-            // The process dies again while it starts, or there is no space to start.
+            // The process dies again while it starts, or the disk has no space for the start.
             Err(StorageError::Io { .. } | StorageError::Sync { .. }) => {
                 slot.disk.crash(&mut self.rng);
                 return;
             }
             Err(error) => {
                 self.checker
-                    .found(Violation::StartRefused(error.to_string()));
+                    .report(Violation::StartRefused(error.to_string()));
                 return;
             }
         };
         let lies = self.variant.lying_disks;
-        self.wrong(at, |w| w.sync_lies = lies);
+        self.set_fault(at, |w| w.sync_lies = lies);
         if again && self.variant.keeps_identity {
             memory.hard.cluster = CLUSTER.0;
         }
@@ -212,87 +213,88 @@
             id: slot.id,
             seed: self.rng.random(),
             timing: Timing::default(),
-            limits: self.variant.limits.unwrap_or_else(small),
+            limits: self.variant.limits.unwrap_or_else(small_limits),
             safeguards: self.variant.safeguards,
         };
         if !self.variant.keeps_identity {
-            self.checker.restarted(slot.id, memory.hard.term);
+            self.checker.check_restart(slot.id, memory.hard.term);
         }
         slot.running = Some(Running {
             node: Node::new(config, memory, Duration::ZERO),
             storage,
             map: Map::default(),
             applied: 0,
-            boot: self.now,
-            queue: VecDeque::new(),
-            disk_until: self.now,
+            started_at: self.now,
+            writes: VecDeque::new(),
+            disk_busy_until: self.now,
             tickets: BTreeMap::new(),
             appended: BTreeMap::new(),
             reads: Vec::new(),
-            led: false,
+            was_leader: false,
         });
-        self.settle(at);
+        self.perform_output(at);
     }
 
-    /// A replica as its group knows it.
+    /// Returns a replica as a member of its group.
     pub fn member(&self, at: usize) -> Member {
         self.slots[at].member()
     }
 
-    /// How many syncs a replica's disk did.
+    /// Returns the number of syncs that a replica's disk did.
     pub fn syncs(&self, at: usize) -> u64 {
         self.slots[at].disk.syncs()
     }
 
-    /// A replica as it is now.
+    /// Returns the status of a replica.
     pub fn status(&self, at: usize) -> NodeStatus {
         self.slots[at].running.as_ref().unwrap().node.status()
     }
 
-    /// Runs until `ready`, for at most `limit` slices.
+    /// Runs until `ready` returns true, for at most `limit` time steps.
     pub fn run_until(&mut self, limit: u32, ready: impl Fn(&Self) -> bool) -> bool {
         for _ in 0..limit {
             if ready(self) {
                 return true;
             }
-            self.run(SLICE);
+            self.run(TIME_STEP);
         }
         false
     }
 
-    /// Runs until one of these leads.
+    /// Runs until one of the given replicas leads, and returns it.
     pub fn elect(&mut self, among: &[usize]) -> usize {
         let leads = |w: &Self| w.leaders().into_iter().find(|at| among.contains(at));
         assert!(
             self.run_until(2_000, |w| leads(w).is_some()),
-            "nobody leads"
+            "no replica leads"
         );
         leads(self).unwrap()
     }
 
-    /// Loses what any of `from` sends to any of `to`.
+    /// Drops every message from any of `from` to any of `to`.
     pub fn cut(&mut self, from: &[usize], to: &[usize]) {
         for from in from {
             for to in to.iter().filter(|to| *to != from) {
                 let pair = (self.slots[*from].id, self.slots[*to].id);
-                self.cut.insert(pair);
+                self.cut_links.insert(pair);
             }
         }
     }
 
     /// Restores all links.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.cut_links.clear();
     }
 
-    /// Gives a replica an input at its own time. A frozen one takes it when it wakes.
+    /// Passes an input to a replica at its local time. A frozen replica handles it when it wakes.
     pub(super) fn input(&mut self, at: usize, input: Input) {
         if self.take(at, input) {
-            self.settle(at);
+            self.perform_output(at);
         }
     }
 
-    /// Has a replica take an input before it does what that leads to; false if it waits.
+    /// Passes an input to a replica without performing the resulting actions; returns false if the
+    /// replica is down or frozen.
     pub(super) fn take(&mut self, at: usize, input: Input) -> bool {
         let now = self.now;
         let slot = &mut self.slots[at];
@@ -303,7 +305,9 @@
             slot.inbox.push(input);
             return false;
         }
-        let local = now.saturating_sub(running.boot).mul_f64(slot.rate);
+        let local = now
+            .saturating_sub(running.started_at)
+            .mul_f64(slot.clock_rate);
         running.node.step(local, input);
         true
     }
@@ -311,24 +315,24 @@
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until && self.checker.violation.is_none() {
-            self.now += SLICE;
+            self.now += TIME_STEP;
             self.deliver();
             for at in 0..self.slots.len() {
                 if self.slots[at].frozen_until <= self.now {
-                    self.turn_disk(at);
-                    self.turn_clock(at);
+                    self.run_disk(at);
+                    self.run_clock(at);
                 }
             }
         }
     }
 
-    /// Delivers what is due. What came to a frozen replica waits, as in the buffers of its
-    /// sockets, and is read when it wakes in an order that nobody can tell.
+    /// Delivers the messages that are due. Messages to a frozen replica wait, as in the buffers of
+    /// its sockets, and it reads them in any order when it wakes.
     fn deliver(&mut self) {
         for at in 0..self.slots.len() {
             if self.slots[at].frozen_until <= self.now {
                 if std::mem::take(&mut self.slots[at].suspended) && !self.variant.trusts_clock {
-                    self.input(at, Input::ClockDoubt);
+                    self.input(at, Input::ClockJump);
                 }
                 let mut waiting = std::mem::take(&mut self.slots[at].inbox);
                 if self.rng.random() {
@@ -339,35 +343,35 @@
                 }
             }
         }
-        let later = self.wire.split_off(&(self.now, u64::MAX));
-        let due = std::mem::replace(&mut self.wire, later);
+        let later = self.in_flight.split_off(&(self.now, u64::MAX));
+        let due = std::mem::replace(&mut self.in_flight, later);
         for message in due.into_values() {
             let to = message.recipient();
             let known = self.slots.iter().position(|s| s.id == to);
             if let Some(at) = known
-                && !self.cut.contains(&(message.sender(), to))
+                && !self.cut_links.contains(&(message.sender(), to))
             {
                 self.input(at, Input::Message(message));
             }
         }
     }
 
-    fn turn_disk(&mut self, at: usize) {
+    fn run_disk(&mut self, at: usize) {
         let slow = Duration::from_millis(self.rng.random_range(0..40));
         let now = self.now;
         let Some(running) = &mut self.slots[at].running else {
             return;
         };
-        if running.queue.is_empty() || running.disk_until > now {
+        if running.writes.is_empty() || running.disk_busy_until > now {
             return;
         }
-        running.disk_until = now + slow;
-        let count = self.rng.random_range(1..=running.queue.len());
-        let batch = running.queue.drain(..count).collect();
+        running.disk_busy_until = now + slow;
+        let count = self.rng.random_range(1..=running.writes.len());
+        let batch = running.writes.drain(..count).collect();
         match running.storage.write(batch) {
             Ok(results) => {
                 for result in results {
-                    let refused = matches!(result, Input::Refused { .. });
+                    let refused = matches!(result, Input::WriteRefused { .. });
                     self.checker.seen.refusals += usize::from(refused);
                     self.input(at, result);
                 }
@@ -376,28 +380,30 @@
         }
     }
 
-    fn turn_clock(&mut self, at: usize) {
+    fn run_clock(&mut self, at: usize) {
         let now = self.now;
         let slot = &self.slots[at];
         let Some(running) = &slot.running else { return };
-        let local = now.saturating_sub(running.boot).mul_f64(slot.rate);
+        let local = now
+            .saturating_sub(running.started_at)
+            .mul_f64(slot.clock_rate);
         if local >= running.node.wake_at() {
             self.input(at, Input::Tick);
         }
     }
 
-    /// Does what the node wants done, as the replica's driver does.
-    pub(super) fn settle(&mut self, at: usize) {
+    /// Performs the actions that the node requests, as the replica's driver does.
+    pub(super) fn perform_output(&mut self, at: usize) {
         let durable = self.slots.iter().map(|s| (s.id, s.durable)).collect();
         let slot = &mut self.slots[at];
         let Some(running) = &mut slot.running else {
             return;
         };
         let output = running.node.output();
-        if let Some(text) = output.broken {
-            self.checker.found(Violation::Broken(text));
+        if let Some(text) = output.violation {
+            self.checker.report(Violation::ProtocolBroken(text));
         }
-        running.queue.extend(output.write);
+        running.writes.extend(output.write);
         for answer in output.answers {
             running.answer(answer, &mut self.checker, &durable);
         }
@@ -405,40 +411,41 @@
             running.map.restore(&snapshot.data).unwrap();
             self.checker.seen.installs += usize::from(running.applied > 0);
             running.applied = snapshot.index;
-            self.checker.state(snapshot.index, &running.map.state());
+            self.checker
+                .check_state(snapshot.index, &running.map.state());
         }
         for entry in output.committed {
             let outcome = (entry.kind() == EntryKind::Command)
                 .then(|| running.map.apply(entry.index, &entry.data));
             running.applied = entry.index;
-            self.checker.committed(&entry, &running.map.state());
+            self.checker.record_commit(&entry, &running.map.state());
             let waiter = running.appended.remove(&entry.index);
             if let (Some((term, request)), Some(outcome)) = (waiter, outcome)
                 && term == entry.term
             {
-                self.checker.tell(request, outcome, entry.index);
+                self.checker.record_outcome(request, outcome, entry.index);
             }
         }
         running.finish_reads(&mut self.checker);
         let status = running.node.status();
         let leads = status.role == RoleName::Leader;
         if leads {
-            self.checker.led(status.term, slot.id);
+            self.checker.record_leader(status.term, slot.id);
         }
-        if running.led && !leads {
+        if running.was_leader && !leads {
             running.appended.clear();
         }
-        running.led = leads;
+        running.was_leader = leads;
         slot.durable = status.durable;
         if slot.membership != status.membership {
             slot.membership = Arc::clone(&status.membership);
-            self.views.push(status.membership);
+            self.memberships.push(status.membership);
         }
         let committed = self.checker.membership.clone();
-        if *self.views[0] != committed {
-            self.views = vec![Arc::new(committed)];
+        if *self.memberships[0] != committed {
+            self.memberships = vec![Arc::new(committed)];
             let current = self.slots.iter().map(|s| Arc::clone(&s.membership));
-            self.views.extend(current);
+            self.memberships.extend(current);
         }
         for message in output.messages {
             self.send(&message);
@@ -446,13 +453,13 @@
     }
 
     fn send(&mut self, message: &Message) {
-        self.checker.sent(message);
+        self.checker.record_message(message);
         for end in [message.sender(), message.recipient()] {
             let traffic = self.traffic.entry(end).or_default();
             traffic.messages += 1;
             traffic.bytes += message.to_bytes().len() as u64;
         }
-        let lossy = u32::from(self.loss);
+        let lossy = u32::from(self.loss_percent);
         if self.rng.random_ratio(lossy, 100) {
             return;
         }
@@ -470,7 +477,7 @@
             let delay = Duration::from_millis(self.rng.random_range(0..slow));
             self.sent += 1;
             let at = (self.now + delay, self.sent);
-            self.wire.insert(at, message.clone());
+            self.in_flight.insert(at, message.clone());
         }
     }
 }
@@ -485,11 +492,11 @@
     }
 }
 
-/// Limits that are reached in a short run.
-fn small() -> Limits {
+/// Returns limits that a short run reaches.
+fn small_limits() -> Limits {
     Limits {
         append_bytes: 100,
-        inflight: 3,
+        inflight_appends: 3,
         piece_bytes: 64,
         kept_entries: 3,
         ..Limits::default()
