--- a/crates/filbertstack-agent/src/announce.rs
+++ b/crates/filbertstack-agent/src/announce.rs
@@ -17,7 +17,7 @@
 use filbertstack_control::gate::Armed;
 use filbertstack_control::gate::Delivery;
 use filbertstack_control::gate::Heard;
-use filbertstack_control::gate::Newborn;
+use filbertstack_control::gate::UnarmedGate;
 use filbertstack_control::gate::VoterWord;
 use filbertstack_wire::Dialer;
 use filbertstack_wire::Role;
@@ -192,7 +192,7 @@
         if let Some(armed) = &*lock(&self.armed) {
             return Some(armed.clone());
         }
-        let mut newborn = Newborn::new(self.incarnation);
+        let mut newborn = UnarmedGate::new(self.incarnation);
         for addr in orders.voters.iter().filter_map(|addr| addr.parse().ok()) {
             let Some(word) = self.ask_voter(addr) else {
                 continue;
--- a/crates/filbertstack-control/src/gate.rs
+++ b/crates/filbertstack-control/src/gate.rs
@@ -5,7 +5,7 @@
 //!
 //! - *Orders.* A [`Delivery`] names the process it is for, the term of the leader that vouches
 //!   for it and the order's sequence. Neither term nor sequence ever goes back. An agent has no
-//!   disk: a [`Newborn`] gate takes no order until a majority of the voters has told it the
+//!   disk: a [`UnarmedGate`] gate takes no order until a majority of the voters has told it the
 //!   highest term they know. A leader needs a majority to be elected, so one of them knows of
 //!   every leader that an earlier process of this agent may have obeyed.
 //! - *Requests.* A request names the version it was routed for and passes only while exactly that
@@ -44,7 +44,7 @@
 
 /// A gate that knows no term yet: its agent has just started.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Newborn {
+pub struct UnarmedGate {
     incarnation: u64,
     words: BTreeMap<InstanceName, VoterWord>,
 }
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Heard {
     /// More voters must be asked.
-    Waiting(Newborn),
+    Waiting(UnarmedGate),
     /// A majority has spoken.
     Armed(Armed),
 }
@@ -104,7 +104,7 @@
     },
 }
 
-impl Newborn {
+impl UnarmedGate {
     /// The gate of the agent process `incarnation`.
     pub fn new(incarnation: u64) -> Self {
         Self {
