--- a/crates/filbertstack-agent/src/announce.rs
+++ b/crates/filbertstack-agent/src/announce.rs
@@ -14,7 +14,7 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-use filbertstack_control::gate::Armed;
+use filbertstack_control::gate::ArmedGate;
 use filbertstack_control::gate::Delivery;
 use filbertstack_control::gate::Heard;
 use filbertstack_control::gate::UnarmedGate;
@@ -72,7 +72,7 @@
     /// The orders last heard from each entry.
     pub heard: Mutex<HashMap<SocketAddr, Orders>>,
     /// The gate of orders, once a majority of the voters has told its term.
-    pub armed: Mutex<Option<Armed>>,
+    pub armed: Mutex<Option<ArmedGate>>,
 }
 
 /// A number that grows with each start of a process on one instance.
@@ -188,7 +188,7 @@
     }
 
     /// The gate of orders, armed by a majority of the voters if it is not yet.
-    fn armed(&self, orders: &Orders) -> Option<Armed> {
+    fn armed(&self, orders: &Orders) -> Option<ArmedGate> {
         if let Some(armed) = &*lock(&self.armed) {
             return Some(armed.clone());
         }
--- a/crates/filbertstack-control/src/gate.rs
+++ b/crates/filbertstack-control/src/gate.rs
@@ -51,7 +51,7 @@
 
 /// A gate that knows the term.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Armed {
+pub struct ArmedGate {
     incarnation: u64,
     term: u64,
     sequence: u64,
@@ -63,7 +63,7 @@
     /// More voters must be asked.
     Waiting(UnarmedGate),
     /// A majority has spoken.
-    Armed(Armed),
+    Armed(ArmedGate),
 }
 
 /// What an order that may be acted on is.
@@ -120,7 +120,7 @@
             return Heard::Waiting(self);
         }
         let term = self.words.values().map(|word| word.term).max();
-        Heard::Armed(Armed {
+        Heard::Armed(ArmedGate {
             incarnation: self.incarnation,
             term: term.unwrap_or(0),
             sequence: 0,
@@ -139,7 +139,7 @@
     }
 }
 
-impl Armed {
+impl ArmedGate {
     /// The highest term known.
     pub fn term(&self) -> u64 {
         self.term
--- a/crates/filbertstack-control/tests/gate.rs
+++ b/crates/filbertstack-control/tests/gate.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use filbertstack_control::gate::Armed;
+use filbertstack_control::gate::ArmedGate;
 use filbertstack_control::gate::Delivery;
 use filbertstack_control::gate::Heard;
 use filbertstack_control::gate::NotRun;
@@ -23,7 +23,7 @@
     }
 }
 
-fn armed(heard: Heard) -> Armed {
+fn armed(heard: Heard) -> ArmedGate {
     match heard {
         Heard::Armed(armed) => armed,
         Heard::Waiting(_) => panic!("still waiting"),
