--- a/crates/filbertstack-agent/src/announce.rs
+++ b/crates/filbertstack-agent/src/announce.rs
@@ -15,8 +15,8 @@
 use std::time::UNIX_EPOCH;
 
 use filbertstack_control::gate::ArmedGate;
+use filbertstack_control::gate::Arming;
 use filbertstack_control::gate::Delivery;
-use filbertstack_control::gate::Heard;
 use filbertstack_control::gate::UnarmedGate;
 use filbertstack_control::gate::VoterWord;
 use filbertstack_wire::Dialer;
@@ -198,11 +198,11 @@
                 continue;
             };
             match newborn.hear(word) {
-                Heard::Armed(armed) => {
+                Arming::Armed(armed) => {
                     *lock(&self.armed) = Some(armed.clone());
                     return Some(armed);
                 }
-                Heard::Waiting(waiting) => newborn = waiting,
+                Arming::Waiting(waiting) => newborn = waiting,
             }
         }
         debug!("no majority of the voters has told its term yet");
--- a/crates/filbertstack-control/src/gate.rs
+++ b/crates/filbertstack-control/src/gate.rs
@@ -59,7 +59,7 @@
 
 /// A newborn gate after a voter's word.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Arming {
     /// More voters must be asked.
     Waiting(UnarmedGate),
     /// A majority has spoken.
@@ -114,13 +114,13 @@
     }
 
     /// Takes a voter's word in; a later word of the same voter replaces the earlier.
-    pub fn hear(mut self, word: VoterWord) -> Heard {
+    pub fn hear(mut self, word: VoterWord) -> Arming {
         self.words.insert(word.voter.clone(), word);
         if !self.has_majority() {
-            return Heard::Waiting(self);
+            return Arming::Waiting(self);
         }
         let term = self.words.values().map(|word| word.term).max();
-        Heard::Armed(ArmedGate {
+        Arming::Armed(ArmedGate {
             incarnation: self.incarnation,
             term: term.unwrap_or(0),
             sequence: 0,
--- a/crates/filbertstack-control/tests/gate.rs
+++ b/crates/filbertstack-control/tests/gate.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use filbertstack_control::gate::ArmedGate;
+use filbertstack_control::gate::Arming;
 use filbertstack_control::gate::Delivery;
-use filbertstack_control::gate::Heard;
 use filbertstack_control::gate::NotRun;
 use filbertstack_control::gate::Refusal;
 use filbertstack_control::gate::Taken;
@@ -23,17 +23,17 @@
     }
 }
 
-fn armed(heard: Heard) -> ArmedGate {
+fn armed(heard: Arming) -> ArmedGate {
     match heard {
-        Heard::Armed(armed) => armed,
-        Heard::Waiting(_) => panic!("still waiting"),
+        Arming::Armed(armed) => armed,
+        Arming::Waiting(_) => panic!("still waiting"),
     }
 }
 
-fn waiting(heard: Heard) -> UnarmedGate {
+fn waiting(heard: Arming) -> UnarmedGate {
     match heard {
-        Heard::Waiting(newborn) => newborn,
-        Heard::Armed(armed) => panic!("armed too early: {armed:?}"),
+        Arming::Waiting(newborn) => newborn,
+        Arming::Armed(armed) => panic!("armed too early: {armed:?}"),
     }
 }
 
