--- a/crates/filbertstack-agent/src/announce.rs
+++ b/crates/filbertstack-agent/src/announce.rs
@@ -18,7 +18,7 @@
 use filbertstack_control::gate::Arming;
 use filbertstack_control::gate::Delivery;
 use filbertstack_control::gate::UnarmedGate;
-use filbertstack_control::gate::VoterWord;
+use filbertstack_control::gate::VoterReport;
 use filbertstack_wire::Dialer;
 use filbertstack_wire::Role;
 use filbertstack_wire::messages::Announce;
@@ -209,7 +209,7 @@
         None
     }
 
-    fn ask_voter(&self, addr: SocketAddr) -> Option<VoterWord> {
+    fn ask_voter(&self, addr: SocketAddr) -> Option<VoterReport> {
         let told = self
             .dialer
             .ask(addr, Role::Agent, Ask::Term(Empty {}), TIMEOUT);
@@ -217,7 +217,7 @@
             return None;
         };
         let voters = report.voters.iter().map(|name| name.parse());
-        Some(VoterWord {
+        Some(VoterReport {
             voter: report.voter.parse().ok()?,
             term: report.term,
             config: report.config,
--- a/crates/filbertstack-control/src/gate.rs
+++ b/crates/filbertstack-control/src/gate.rs
@@ -20,7 +20,7 @@
 
 /// What one voter tells a newborn gate.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct VoterWord {
+pub struct VoterReport {
     /// The voter.
     pub voter: InstanceName,
     /// The highest term that it has on disk.
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnarmedGate {
     incarnation: u64,
-    words: BTreeMap<InstanceName, VoterWord>,
+    words: BTreeMap<InstanceName, VoterReport>,
 }
 
 /// A gate that knows the term.
@@ -114,7 +114,7 @@
     }
 
     /// Takes a voter's word in; a later word of the same voter replaces the earlier.
-    pub fn hear(mut self, word: VoterWord) -> Arming {
+    pub fn hear(mut self, word: VoterReport) -> Arming {
         self.words.insert(word.voter.clone(), word);
         if !self.has_majority() {
             return Arming::Waiting(self);
--- a/crates/filbertstack-control/tests/gate.rs
+++ b/crates/filbertstack-control/tests/gate.rs
@@ -10,12 +10,12 @@
 use filbertstack_control::gate::Taken;
 use filbertstack_control::gate::UnarmedGate;
 use filbertstack_control::gate::Versions;
-use filbertstack_control::gate::VoterWord;
+use filbertstack_control::gate::VoterReport;
 use filbertstack_core::Digest;
 
-fn word(voter: &str, term: u64, config: u64, voters: &[&str]) -> VoterWord {
+fn word(voter: &str, term: u64, config: u64, voters: &[&str]) -> VoterReport {
     let name = |text: &&str| text.parse().expect("a name");
-    VoterWord {
+    VoterReport {
         voter: name(&voter),
         term,
         config,
