--- a/crates/filbertstack-agent/src/announce.rs
+++ b/crates/filbertstack-agent/src/announce.rs
@@ -220,7 +220,7 @@
         Some(VoterReport {
             voter: report.voter.parse().ok()?,
             term: report.term,
-            config: report.config,
+            config_index: report.config,
             voters: voters.collect::<Result<_, _>>().ok()?,
         })
     }
--- a/crates/filbertstack-control/src/gate.rs
+++ b/crates/filbertstack-control/src/gate.rs
@@ -26,7 +26,7 @@
     /// The highest term that it has on disk.
     pub term: u64,
     /// The log index of the latest set of voters that it knows.
-    pub config: u64,
+    pub config_index: u64,
     /// That set.
     pub voters: BTreeSet<InstanceName>,
 }
@@ -130,7 +130,7 @@
     /// Whether a majority of the latest set of voters that anybody named has spoken. Voters that
     /// were replaced may not know it; the one that does names the set that counts.
     fn has_majority(&self) -> bool {
-        let latest = self.words.values().max_by_key(|word| word.config);
+        let latest = self.words.values().max_by_key(|word| word.config_index);
         latest.is_some_and(|latest| {
             let voters = latest.voters.iter();
             let spoken = voters.filter(|voter| self.words.contains_key(*voter));
--- a/crates/filbertstack-control/tests/gate.rs
+++ b/crates/filbertstack-control/tests/gate.rs
@@ -18,7 +18,7 @@
     VoterReport {
         voter: name(&voter),
         term,
-        config,
+        config_index: config,
         voters: voters.iter().map(name).collect::<BTreeSet<_>>(),
     }
 }
