--- a/crates/filbertstack-agent/src/announce.rs
+++ b/crates/filbertstack-agent/src/announce.rs
@@ -197,7 +197,7 @@
             let Some(word) = self.ask_voter(addr) else {
                 continue;
             };
-            match newborn.hear(word) {
+            match newborn.add_report(word) {
                 Arming::Armed(armed) => {
                     *lock(&self.armed) = Some(armed.clone());
                     return Some(armed);
--- a/crates/filbertstack-control/src/gate.rs
+++ b/crates/filbertstack-control/src/gate.rs
@@ -114,7 +114,7 @@
     }
 
     /// Takes a voter's word in; a later word of the same voter replaces the earlier.
-    pub fn hear(mut self, word: VoterReport) -> Arming {
+    pub fn add_report(mut self, word: VoterReport) -> Arming {
         self.words.insert(word.voter.clone(), word);
         if !self.has_majority() {
             return Arming::Waiting(self);
--- a/crates/filbertstack-control/tests/gate.rs
+++ b/crates/filbertstack-control/tests/gate.rs
@@ -54,13 +54,13 @@
 fn restarted_agent_refuses_the_leader_that_slept() {
     let newborn = UnarmedGate::new(2);
     // The old leader is a voter too and believes in its own term.
-    let newborn = waiting(newborn.hear(word("a", 4, 1, &ABC)));
-    let mut gate = armed(newborn.hear(word("b", 5, 1, &ABC)));
+    let newborn = waiting(newborn.add_report(word("a", 4, 1, &ABC)));
+    let mut gate = armed(newborn.add_report(word("b", 5, 1, &ABC)));
     let stale = gate.take(&order(2, 4, 10));
     assert_eq!(stale, Err(Refusal::OldTerm { given: 4, seen: 5 }));
     assert_eq!(gate.take(&order(2, 5, 11)), Ok(Taken::New));
     // Broken on purpose: a gate that believes the first voter takes the old order.
-    let mut early = armed(UnarmedGate::new(2).hear(word("a", 4, 1, &["a"])));
+    let mut early = armed(UnarmedGate::new(2).add_report(word("a", 4, 1, &["a"])));
     assert_eq!(early.take(&order(2, 4, 10)), Ok(Taken::New));
 }
 
@@ -68,25 +68,25 @@
 /// would make a majority of it; the one that knows the new set decides.
 #[test]
 fn replaced_voters_are_no_majority() {
-    let newborn = waiting(UnarmedGate::new(1).hear(word("a", 3, 1, &ABC)));
-    let newborn = waiting(newborn.hear(word("c", 7, 9, &["c", "d", "e"])));
-    let gate = armed(newborn.hear(word("d", 8, 9, &["c", "d", "e"])));
+    let newborn = waiting(UnarmedGate::new(1).add_report(word("a", 3, 1, &ABC)));
+    let newborn = waiting(newborn.add_report(word("c", 7, 9, &["c", "d", "e"])));
+    let gate = armed(newborn.add_report(word("d", 8, 9, &["c", "d", "e"])));
     assert_eq!(gate.term(), 8);
 }
 
 /// One voter answers twice: that is still one voter.
 #[test]
 fn one_voter_twice_is_no_majority() {
-    let newborn = waiting(UnarmedGate::new(1).hear(word("a", 3, 1, &ABC)));
-    waiting(newborn.hear(word("a", 3, 1, &ABC)));
+    let newborn = waiting(UnarmedGate::new(1).add_report(word("a", 3, 1, &ABC)));
+    waiting(newborn.add_report(word("a", 3, 1, &ABC)));
 }
 
 /// The network holds an order back until the agent has restarted. It is of the present term, and
 /// would be the first to arrive; but it names the process before.
 #[test]
 fn delayed_order_for_the_process_before_is_refused() {
-    let newborn = waiting(UnarmedGate::new(3).hear(word("a", 5, 1, &ABC)));
-    let mut gate = armed(newborn.hear(word("b", 5, 1, &ABC)));
+    let newborn = waiting(UnarmedGate::new(3).add_report(word("a", 5, 1, &ABC)));
+    let mut gate = armed(newborn.add_report(word("b", 5, 1, &ABC)));
     let delayed = gate.take(&order(2, 5, 10));
     assert_eq!(delayed, Err(Refusal::OtherProcess { given: 2, own: 3 }));
     assert_eq!(gate.sequence(), 0);
@@ -95,8 +95,8 @@
 /// Orders arrive twice and crossed; the latest stands, also under a new leader who sends it again.
 #[test]
 fn crossed_orders_never_go_back() {
-    let newborn = waiting(UnarmedGate::new(1).hear(word("a", 5, 1, &ABC)));
-    let mut gate = armed(newborn.hear(word("b", 5, 1, &ABC)));
+    let newborn = waiting(UnarmedGate::new(1).add_report(word("a", 5, 1, &ABC)));
+    let mut gate = armed(newborn.add_report(word("b", 5, 1, &ABC)));
     assert_eq!(gate.take(&order(1, 5, 12)), Ok(Taken::New));
     assert_eq!(
         gate.take(&order(1, 5, 11)),
