--- a/crates/filbertstack-agent/src/announce.rs
+++ b/crates/filbertstack-agent/src/announce.rs
@@ -176,7 +176,7 @@
             term: orders.term.max(fence.term),
             sequence: fence.sequence,
         };
-        match armed.take(&delivery) {
+        match armed.accept(&delivery) {
             Ok(_) => {
                 *accepted = Some(fence);
                 self.term.fetch_max(armed.term(), Ordering::Relaxed);
--- a/crates/filbertstack-control/src/gate.rs
+++ b/crates/filbertstack-control/src/gate.rs
@@ -159,7 +159,7 @@
     ///
     /// # Errors
     /// [`Refusal`]; the gate is as before, and the target does as it was last ordered.
-    pub fn take(&mut self, delivery: &Delivery) -> Result<Taken, Refusal> {
+    pub fn accept(&mut self, delivery: &Delivery) -> Result<Taken, Refusal> {
         // A network may hold a message back for longer than a restart takes: without this, an old
         // order of the present term, sent to the process before, would be the first to arrive.
         if delivery.incarnation != self.incarnation {
--- a/crates/filbertstack-control/tests/gate.rs
+++ b/crates/filbertstack-control/tests/gate.rs
@@ -56,12 +56,12 @@
     // The old leader is a voter too and believes in its own term.
     let newborn = waiting(newborn.add_report(word("a", 4, 1, &ABC)));
     let mut gate = armed(newborn.add_report(word("b", 5, 1, &ABC)));
-    let stale = gate.take(&order(2, 4, 10));
+    let stale = gate.accept(&order(2, 4, 10));
     assert_eq!(stale, Err(Refusal::OldTerm { given: 4, seen: 5 }));
-    assert_eq!(gate.take(&order(2, 5, 11)), Ok(Taken::New));
+    assert_eq!(gate.accept(&order(2, 5, 11)), Ok(Taken::New));
     // Broken on purpose: a gate that believes the first voter takes the old order.
     let mut early = armed(UnarmedGate::new(2).add_report(word("a", 4, 1, &["a"])));
-    assert_eq!(early.take(&order(2, 4, 10)), Ok(Taken::New));
+    assert_eq!(early.accept(&order(2, 4, 10)), Ok(Taken::New));
 }
 
 /// Two voters were replaced while they were cut off. They still hold the old set for true and
@@ -87,7 +87,7 @@
 fn delayed_order_for_the_process_before_is_refused() {
     let newborn = waiting(UnarmedGate::new(3).add_report(word("a", 5, 1, &ABC)));
     let mut gate = armed(newborn.add_report(word("b", 5, 1, &ABC)));
-    let delayed = gate.take(&order(2, 5, 10));
+    let delayed = gate.accept(&order(2, 5, 10));
     assert_eq!(delayed, Err(Refusal::OtherProcess { given: 2, own: 3 }));
     assert_eq!(gate.sequence(), 0);
 }
@@ -97,18 +97,18 @@
 fn crossed_orders_never_go_back() {
     let newborn = waiting(UnarmedGate::new(1).add_report(word("a", 5, 1, &ABC)));
     let mut gate = armed(newborn.add_report(word("b", 5, 1, &ABC)));
-    assert_eq!(gate.take(&order(1, 5, 12)), Ok(Taken::New));
+    assert_eq!(gate.accept(&order(1, 5, 12)), Ok(Taken::New));
     assert_eq!(
-        gate.take(&order(1, 5, 11)),
+        gate.accept(&order(1, 5, 11)),
         Err(Refusal::OldOrder {
             given: 11,
             seen: 12
         })
     );
-    assert_eq!(gate.take(&order(1, 6, 12)), Ok(Taken::Repeated));
-    assert!(gate.take(&order(1, 5, 13)).is_err());
+    assert_eq!(gate.accept(&order(1, 6, 12)), Ok(Taken::Repeated));
+    assert!(gate.accept(&order(1, 5, 13)).is_err());
     gate.hear_term(9);
-    assert!(gate.take(&order(1, 8, 13)).is_err());
+    assert!(gate.accept(&order(1, 8, 13)).is_err());
 }
 
 /// A request passes only while exactly its version serves; a draining version ends what it has.
