--- a/crates/filbertstack-control/src/lease.rs
+++ b/crates/filbertstack-control/src/lease.rs
@@ -36,7 +36,7 @@
 
 /// What a follower sends to keep its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct Renewal {
     /// When it was sent, by the follower's clock; the grant brings it back.
     pub sent: Millis,
     /// The revision that the follower itself acts on.
@@ -155,7 +155,7 @@
     pub fn grant(
         &mut self,
         from: &InstanceName,
-        ask: Ask,
+        ask: Renewal,
         revision: u64,
         own: Millis,
         now: Millis,
@@ -184,7 +184,7 @@
 
     /// Notes what a follower has confirmed. What it confirms never goes back: asks may overtake
     /// each other on their way.
-    fn confirm(&mut self, from: &InstanceName, ask: Ask) {
+    fn confirm(&mut self, from: &InstanceName, ask: Renewal) {
         if let Some(follower) = self.followers.get_mut(from) {
             follower.lowest = follower.lowest.max(ask.lowest.min(ask.revision));
         }
@@ -200,13 +200,13 @@
     }
 
     /// What this granter, which acts on `revision` itself, asks its own granter.
-    pub fn ask(&mut self, revision: u64, now: Millis) -> Ask {
+    pub fn ask(&mut self, revision: u64, now: Millis) -> Renewal {
         let lowest = match self.lowest(now) {
             _ if now < self.unknown => 0,
             Some(lowest) => lowest.min(revision),
             None => revision,
         };
-        Ask {
+        Renewal {
             sent: now,
             revision,
             lowest,
--- a/crates/filbertstack-control/tests/lease.rs
+++ b/crates/filbertstack-control/tests/lease.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use filbertstack_control::lease::Ask;
 use filbertstack_control::lease::Force;
 use filbertstack_control::lease::Grant;
 use filbertstack_control::lease::Granter;
 use filbertstack_control::lease::Holder;
 use filbertstack_control::lease::LENGTH;
 use filbertstack_control::lease::RENEW;
+use filbertstack_control::lease::Renewal;
 use filbertstack_core::Millis;
 use filbertstack_core::names::InstanceName;
 use proptest::prelude::Rng;
@@ -193,7 +193,7 @@
         if self.flaw == Flaw::GrantsBehind {
             revision = voter.revision;
         }
-        let ask = Ask {
+        let ask = Renewal {
             sent: local,
             revision,
             lowest: revision,
--- a/crates/filbertstack-entry/src/lease.rs
+++ b/crates/filbertstack-entry/src/lease.rs
@@ -16,12 +16,12 @@
 use std::time::Instant;
 
 use filbertstack_control::lease;
-use filbertstack_control::lease::Ask as LeaseAsk;
 use filbertstack_control::lease::Expired;
 use filbertstack_control::lease::Force;
 use filbertstack_control::lease::Grant;
 use filbertstack_control::lease::Granter;
 use filbertstack_control::lease::Holder;
+use filbertstack_control::lease::Renewal as LeaseAsk;
 use filbertstack_core::Millis;
 use filbertstack_core::names::InstanceName;
 use filbertstack_wire::messages::Payload;
