--- a/crates/filbertstack-control/src/lease.rs
+++ b/crates/filbertstack-control/src/lease.rs
@@ -200,7 +200,7 @@
     }
 
     /// What this granter, which acts on `revision` itself, asks its own granter.
-    pub fn ask(&mut self, revision: u64, now: Millis) -> Renewal {
+    pub fn renewal(&mut self, revision: u64, now: Millis) -> Renewal {
         let lowest = match self.lowest(now) {
             _ if now < self.unknown => 0,
             Some(lowest) => lowest.min(revision),
--- a/crates/filbertstack-control/tests/lease.rs
+++ b/crates/filbertstack-control/tests/lease.rs
@@ -168,7 +168,7 @@
         let local = self.nodes[n].clock(self.at);
         let (grant, revision) = if n < VOTERS {
             let node = &mut self.nodes[n];
-            let ask = node.granter.ask(node.revision, local);
+            let ask = node.granter.renewal(node.revision, local);
             let own = Millis(self.at) + LENGTH;
             let now = Millis(self.at);
             let grant = self.leader.grant(&node.name, ask, self.revision, own, now);
--- a/crates/filbertstack-entry/src/lease.rs
+++ b/crates/filbertstack-entry/src/lease.rs
@@ -172,7 +172,7 @@
         while state.accepted.len() > REMEMBERED {
             state.accepted.pop_first();
         }
-        state.granter.ask(revision, now)
+        state.granter.renewal(revision, now)
     }
 
     /// Asks the granter; false if nothing was granted.
