--- a/crates/filbertstack-control/src/lease.rs
+++ b/crates/filbertstack-control/src/lease.rs
@@ -125,7 +125,7 @@
 
 /// How far a revision has come.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Force {
+pub enum RevisionState {
     /// Every follower acts on it or on a later one, or has no lease.
     InForce,
     /// Some may still act on an older one, at the latest until the given moment.
@@ -217,7 +217,7 @@
     ///
     /// Time alone is enough in the end: a voter that has not got the revision has had no grant
     /// since then, so its lease and those below it run out within [`LENGTH`].
-    pub fn in_force(&self, revision: u64, accepted: Millis, now: Millis) -> Force {
+    pub fn in_force(&self, revision: u64, accepted: Millis, now: Millis) -> RevisionState {
         let behind = self.followers.iter();
         let behind: Vec<_> = behind
             .filter(|(_, follower)| follower.until > now && follower.lowest < revision)
@@ -226,10 +226,10 @@
         let latest = accepted + stretched(LENGTH);
         let until = last.unwrap_or_default().min(latest).max(self.unknown);
         if until <= now {
-            return Force::InForce;
+            return RevisionState::InForce;
         }
         let laggards = behind.into_iter().take(LAGGARDS);
-        Force::Waiting {
+        RevisionState::Waiting {
             until,
             laggards: laggards.map(|(name, _)| name.clone()).collect(),
         }
--- a/crates/filbertstack-control/tests/lease.rs
+++ b/crates/filbertstack-control/tests/lease.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use filbertstack_control::lease::Force;
 use filbertstack_control::lease::Grant;
 use filbertstack_control::lease::Granter;
 use filbertstack_control::lease::Holder;
 use filbertstack_control::lease::LENGTH;
 use filbertstack_control::lease::RENEW;
 use filbertstack_control::lease::Renewal;
+use filbertstack_control::lease::RevisionState;
 use filbertstack_core::Millis;
 use filbertstack_core::names::InstanceName;
 use proptest::prelude::Rng;
@@ -233,7 +233,7 @@
         let force = self
             .leader
             .in_force(self.revision, self.accepted, Millis(self.at));
-        if force == Force::InForce && self.promised < self.revision {
+        if force == RevisionState::InForce && self.promised < self.revision {
             self.promised = self.revision;
             let span = Millis(self.at).since(self.accepted).0;
             *self.spans.entry(span / 1000).or_default() += 1;
--- a/crates/filbertstack-entry/src/lease.rs
+++ b/crates/filbertstack-entry/src/lease.rs
@@ -17,11 +17,11 @@
 
 use filbertstack_control::lease;
 use filbertstack_control::lease::Expired;
-use filbertstack_control::lease::Force;
 use filbertstack_control::lease::Grant;
 use filbertstack_control::lease::Granter;
 use filbertstack_control::lease::Holder;
 use filbertstack_control::lease::Renewal as LeaseAsk;
+use filbertstack_control::lease::RevisionState;
 use filbertstack_core::Millis;
 use filbertstack_core::names::InstanceName;
 use filbertstack_wire::messages::Payload;
@@ -255,11 +255,11 @@
             });
         };
         Ok(match state.granter.in_force(revision, *accepted, now) {
-            Force::InForce => InForce {
+            RevisionState::InForce => InForce {
                 everywhere: true,
                 waiting: Vec::new(),
             },
-            Force::Waiting { laggards, .. } => {
+            RevisionState::Waiting { laggards, .. } => {
                 let waiting = laggards.iter().map(ToString::to_string).collect();
                 InForce {
                     everywhere: false,
