--- a/crates/filbertstack-control/src/lease.rs
+++ b/crates/filbertstack-control/src/lease.rs
@@ -26,7 +26,7 @@
 pub const LENGTH: Millis = Millis::secs(10);
 
 /// How often a follower asks anew: two asks may be lost before a lease runs out.
-pub const RENEW: Millis = Millis::secs(3);
+pub const RENEW_INTERVAL: Millis = Millis::secs(3);
 
 /// Clocks run at rates that differ by less than one part in a hundred.
 pub const DRIFT_PART: u64 = 100;
@@ -105,7 +105,9 @@
         if self.until.is_some_and(|until| now < until) {
             return Ok(());
         }
-        Err(Expired { retry: RENEW })
+        Err(Expired {
+            retry: RENEW_INTERVAL,
+        })
     }
 }
 
--- a/crates/filbertstack-control/tests/lease.rs
+++ b/crates/filbertstack-control/tests/lease.rs
@@ -6,7 +6,7 @@
 use filbertstack_control::lease::Granter;
 use filbertstack_control::lease::Holder;
 use filbertstack_control::lease::LENGTH;
-use filbertstack_control::lease::RENEW;
+use filbertstack_control::lease::RENEW_INTERVAL;
 use filbertstack_control::lease::Renewal;
 use filbertstack_control::lease::RevisionState;
 use filbertstack_core::Millis;
@@ -155,7 +155,7 @@
 
     fn ask(&mut self) {
         for n in 0..self.nodes.len() {
-            let due = self.at >= self.nodes[n].asked + RENEW.0;
+            let due = self.at >= self.nodes[n].asked + RENEW_INTERVAL.0;
             if due && !self.nodes[n].cut {
                 self.nodes[n].asked = self.at;
                 self.ask_one(n);
--- a/crates/filbertstack-entry/src/lease.rs
+++ b/crates/filbertstack-entry/src/lease.rs
@@ -139,7 +139,7 @@
             } else if told != Some(news) || ask.sent >= due {
                 let granted = self.ask(ask);
                 told = granted.then_some(news);
-                due = ask.sent + lease::RENEW;
+                due = ask.sent + lease::RENEW_INTERVAL;
             }
         }
     }
