--- a/crates/filbertstack-control/src/lease.rs
+++ b/crates/filbertstack-control/src/lease.rs
@@ -87,7 +87,7 @@
 impl Holder {
     /// Takes a grant in. The lease counts from when the ask was sent, before the granter looked
     /// at its clock: so it ends here before it ends there.
-    pub fn take(&mut self, grant: Grant) {
+    pub fn accept(&mut self, grant: Grant) {
         let until = grant.sent + grant.span;
         self.until = self.until.max(Some(until));
     }
--- a/crates/filbertstack-control/tests/lease.rs
+++ b/crates/filbertstack-control/tests/lease.rs
@@ -224,7 +224,7 @@
                 if self.flaw == Flaw::CountedFromArrival {
                     grant.sent = local;
                 }
-                node.holder.take(grant);
+                node.holder.accept(grant);
             }
         }
     }
@@ -298,7 +298,7 @@
 fn entry_without_a_lease_refuses_with_a_time() {
     let mut holder = Holder::default();
     assert!(holder.check(Millis::ZERO).is_err());
-    holder.take(Grant {
+    holder.accept(Grant {
         sent: Millis::secs(5),
         revision: 1,
         span: LENGTH,
--- a/crates/filbertstack-entry/src/lease.rs
+++ b/crates/filbertstack-entry/src/lease.rs
@@ -135,7 +135,7 @@
                     revision: ask.revision,
                     span: LEADER_SPAN,
                 };
-                self.lock().holder.take(grant);
+                self.lock().holder.accept(grant);
             } else if told != Some(news) || ask.sent >= due {
                 let granted = self.ask(ask);
                 told = granted.then_some(news);
@@ -200,7 +200,7 @@
             return false;
         }
         let (sent, span) = (Millis(reply.sent), Millis(reply.span));
-        self.lock().holder.take(Grant {
+        self.lock().holder.accept(Grant {
             sent,
             revision: reply.revision,
             span,
