--- a/crates/filbertstack-control/src/view.rs
+++ b/crates/filbertstack-control/src/view.rs
@@ -159,7 +159,7 @@
     ///
     /// # Errors
     /// [`DeltaError`] says whom to ask for what instead.
-    pub fn take(&mut self, delta: &Delta) -> Result<bool, DeltaError> {
+    pub fn apply(&mut self, delta: &Delta) -> Result<bool, DeltaError> {
         if delta.term < self.term || delta.to < self.revision {
             return Err(DeltaError::Behind {
                 term: delta.term,
--- a/crates/filbertstack-control/tests/declare.rs
+++ b/crates/filbertstack-control/tests/declare.rs
@@ -188,19 +188,19 @@
     removal.removals = vec![Object::new(Kind::Rule, "drafting")];
     declare(&mut state, removal);
     assert_eq!(
-        follower.take(&state.delta(2)),
+        follower.apply(&state.delta(2)),
         Err(DeltaError::Gap { from: 2, have: 0 })
     );
-    assert_eq!(follower.take(&state.delta(0)), Ok(true));
+    assert_eq!(follower.apply(&state.delta(0)), Ok(true));
     assert_eq!(
-        follower.take(&old),
+        follower.apply(&old),
         Err(DeltaError::Behind { term: 0, to: 1 })
     );
     assert_eq!(follower.declared(), state.declared().current());
     declare(&mut state, apply("d", None, &whole(1, 1)));
     let delta = state.delta(follower.revision());
     assert_eq!(delta.written.len(), 2, "the pool did not change");
-    assert_eq!(follower.take(&delta), Ok(true));
+    assert_eq!(follower.apply(&delta), Ok(true));
     assert_eq!(follower.declared(), state.declared().current());
 }
 
--- a/crates/filbertstack-control/tests/fuzz/world.rs
+++ b/crates/filbertstack-control/tests/fuzz/world.rs
@@ -554,7 +554,7 @@
         if self.flaw == Flaw::ShortDelta {
             delta.written.truncate(1);
         }
-        follower.take(&delta).map_err(|e| e.to_string())?;
+        follower.apply(&delta).map_err(|e| e.to_string())?;
         if follower.declared() != self.state.declared().current() {
             return Err("a follower differs".into());
         }
--- a/crates/filbertstack-entry/src/view.rs
+++ b/crates/filbertstack-entry/src/view.rs
@@ -109,7 +109,7 @@
     /// # Errors
     /// [`DeltaError`] if it is behind or starts too late.
     pub fn take(&mut self, update: Update) -> Result<(), DeltaError> {
-        self.follower.take(&update.delta)?;
+        self.follower.apply(&update.delta)?;
         for order in update.orders {
             if let Ok(target) = order.target.parse() {
                 self.orders.insert(target, order);
