--- a/crates/filbertstack-control/src/document.rs
+++ b/crates/filbertstack-control/src/document.rs
@@ -20,7 +20,7 @@
 
 /// How many of the latest versions of a model's weights are remembered. Newer ones are named before
 /// older ones are in place, and an order of an older one may still be carried out.
-pub const VERSIONS: usize = 4;
+pub const KEPT_VERSIONS: usize = 4;
 
 /// A command of the machine.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Documents {
     document: Document,
-    /// By model, the latest [`VERSIONS`], in their order.
+    /// By model, the latest [`KEPT_VERSIONS`], in their order.
     weights: BTreeMap<String, Vec<u64>>,
     lists: Lists,
 }
@@ -172,7 +172,7 @@
             return Effect::Superseded;
         }
         versions.push(weights.version);
-        let oldest = versions.len().saturating_sub(VERSIONS);
+        let oldest = versions.len().saturating_sub(KEPT_VERSIONS);
         versions.drain(..oldest);
         Effect::InForce
     }
--- a/crates/filbertstack-gateway/src/control/declared.rs
+++ b/crates/filbertstack-gateway/src/control/declared.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use filbertstack_control::document::Document;
-use filbertstack_control::document::VERSIONS;
+use filbertstack_control::document::KEPT_VERSIONS;
 use filbertstack_core::Millis;
 use filbertstack_core::serving::Catalogue;
 use filbertstack_platform::catalogue;
@@ -225,7 +225,13 @@
         info!("weights named", kv: {
             model = named.model.clone(), version = version, age_ms = named.age_ms
         });
-        remember(versions, Named { version, at }, VERSIONS, now, self.rollout);
+        remember(
+            versions,
+            Named { version, at },
+            KEPT_VERSIONS,
+            now,
+            self.rollout,
+        );
         true
     }
 
