--- a/crates/filbertstack-control/src/document.rs
+++ b/crates/filbertstack-control/src/document.rs
@@ -103,7 +103,7 @@
 /// Bytes that are no snapshot of this machine.
 #[derive(Debug, Error)]
 #[error("the snapshot can't be read ({0}); run the version that wrote it")]
-pub struct ImageError(#[from] prost::DecodeError);
+pub struct SnapshotError(#[from] prost::DecodeError);
 
 impl Documents {
     /// The newest document; its version is 0 if there is none yet.
@@ -190,8 +190,8 @@
     /// Replaces the whole state by that of a snapshot.
     ///
     /// # Errors
-    /// [`ImageError`] if the bytes are none.
-    pub fn restore(&mut self, bytes: &[u8]) -> Result<(), ImageError> {
+    /// [`SnapshotError`] if the bytes are none.
+    pub fn restore(&mut self, bytes: &[u8]) -> Result<(), SnapshotError> {
         let image = Image::decode(bytes)?;
         self.document = image.document;
         self.weights.clear();
--- a/crates/filbertstack-gateway/src/control/machine.rs
+++ b/crates/filbertstack-gateway/src/control/machine.rs
@@ -4,7 +4,7 @@
 
 use filbertstack_control::document::Documents;
 use filbertstack_control::document::Effect;
-use filbertstack_control::document::ImageError;
+use filbertstack_control::document::SnapshotError;
 use filbertstack_log::Machine;
 use tokio::sync::watch;
 
@@ -30,7 +30,7 @@
 
 impl Machine for DocumentMachine {
     type Outcome = Effect;
-    type RestoreError = ImageError;
+    type RestoreError = SnapshotError;
 
     fn apply(&mut self, _index: u64, command: &[u8]) -> Effect {
         let effect = self.documents.apply(command);
@@ -44,7 +44,7 @@
         self.documents.snapshot()
     }
 
-    fn restore(&mut self, bytes: &[u8]) -> Result<(), ImageError> {
+    fn restore(&mut self, bytes: &[u8]) -> Result<(), SnapshotError> {
         self.documents.restore(bytes)?;
         self.show();
         Ok(())
