--- a/crates/filbertstack-control/src/gate.rs
+++ b/crates/filbertstack-control/src/gate.rs
@@ -1,15 +1,15 @@
-//! The agent's gate: the last place where a stale order or a misrouted request can be refused.
+//! The agent's gate is the last place where a stale order or a misrouted request can be refused.
 //!
-//! Some engines ignore fencing numbers and some targets check nobody, so what the gate lets
-//! through runs. Two rules are enough:
+//! Some engines ignore fencing numbers and some targets do not authenticate senders, so whatever the gate
+//! admits runs. Two rules are enough:
 //!
-//! - *Orders.* A [`Delivery`] names the process it is for, the term of the leader that vouches
-//!   for it and the order's sequence. Neither term nor sequence ever goes back. An agent has no
-//!   disk: a [`UnarmedGate`] gate takes no order until a majority of the voters has told it the
-//!   highest term they know. A leader needs a majority to be elected, so one of them knows of
-//!   every leader that an earlier process of this agent may have obeyed.
-//! - *Requests.* A request names the version it was routed for and passes only while exactly that
-//!   version is serving ([`Versions`]); anything else is refused and certainly did not run.
+//! - *Orders.* A [`Delivery`] names the agent process that it is for, the term of the leader that states
+//!   that the order is the latest, and the order's sequence. Neither term nor sequence ever decreases. An
+//!   agent has no disk, so an [`UnarmedGate`] accepts no order until a majority of the voters has reported
+//!   the highest term that they know. A leader needs a majority to be elected, so at least one of these
+//!   voters knows every leader that an earlier process of this agent may have obeyed.
+//! - *Requests.* A request names the version that it was routed for and is admitted only while exactly
+//!   that version is serving ([`Versions`]). Any other request is refused and certainly did not run.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,38 +18,38 @@
 use filbertstack_core::names::InstanceName;
 use thiserror::Error;
 
-/// What one voter tells a newborn gate.
+/// The report of one voter to a gate that is not armed yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterReport {
     /// The voter.
     pub voter: InstanceName,
-    /// The highest term that it has on disk.
+    /// The highest term that the voter has on disk.
     pub term: u64,
-    /// The log index of the latest set of voters that it knows.
+    /// The log index of the latest set of voters that the voter knows.
     pub config_index: u64,
-    /// That set.
+    /// The latest set of voters that the voter knows.
     pub voters: BTreeSet<InstanceName>,
 }
 
 /// An order on its way to a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delivery {
-    /// The agent process that it is for.
+    /// The agent process that the order is for.
     pub incarnation: u64,
-    /// The term of the leader that says this order is the latest. At least the order's own.
+    /// The term of the leader that states that this order is the latest; at least the order's own term.
     pub term: u64,
     /// The order's sequence.
     pub sequence: u64,
 }
 
-/// A gate that knows no term yet: its agent has just started.
+/// A gate whose agent has just started and which does not know the term yet. It accepts no orders.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnarmedGate {
     incarnation: u64,
-    words: BTreeMap<InstanceName, VoterReport>,
+    reports: BTreeMap<InstanceName, VoterReport>,
 }
 
-/// A gate that knows the term.
+/// A gate that knows the term and accepts orders.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ArmedGate {
     incarnation: u64,
@@ -57,69 +57,69 @@
     sequence: u64,
 }
 
-/// A newborn gate after a voter's word.
+/// The state of a gate after a voter's report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Arming {
-    /// More voters must be asked.
+    /// The gate needs reports of more voters.
     Waiting(UnarmedGate),
-    /// A majority has spoken.
+    /// A majority of the voters has reported.
     Armed(ArmedGate),
 }
 
-/// What an order that may be acted on is.
+/// Whether an accepted order is new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// A new order: act on it.
+pub enum OrderStatus {
+    /// The order is new, and the agent must act on it.
     New,
-    /// The order that stands already.
+    /// The order is the one accepted last.
     Repeated,
 }
 
 /// Why an order is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// It is for an earlier process of this agent.
+    /// The order is for another process of this agent.
     #[error("the order is for process {given}, this is {own}: ask the agent for its process first")]
     OtherProcess {
-        /// The process named.
+        /// The process that the order names.
         given: u64,
         /// This process.
         own: u64,
     },
-    /// Its leader's term is over.
+    /// The term of the order's leader is over.
     #[error("term {given} is over, term {seen} has begun: step down")]
     OldTerm {
-        /// The term named.
+        /// The term that the order names.
         given: u64,
-        /// The highest seen.
+        /// The highest term seen.
         seen: u64,
     },
-    /// A later order was taken.
+    /// A later order was accepted.
     #[error("order {given} is older than order {seen}: read the state and send the latest")]
     OldOrder {
-        /// The sequence named.
+        /// The sequence that the order names.
         given: u64,
-        /// The highest taken.
+        /// The highest sequence accepted.
         seen: u64,
     },
 }
 
 impl UnarmedGate {
-    /// The gate of the agent process `incarnation`.
+    /// Creates the gate of the agent process `incarnation`.
     pub fn new(incarnation: u64) -> Self {
         Self {
             incarnation,
-            words: BTreeMap::new(),
+            reports: BTreeMap::new(),
         }
     }
 
-    /// Takes a voter's word in; a later word of the same voter replaces the earlier.
-    pub fn add_report(mut self, word: VoterReport) -> Arming {
-        self.words.insert(word.voter.clone(), word);
+    /// Adds the report of a voter. A later report of the same voter replaces the earlier one.
+    pub fn add_report(mut self, report: VoterReport) -> Arming {
+        self.reports.insert(report.voter.clone(), report);
         if !self.has_majority() {
             return Arming::Waiting(self);
         }
-        let term = self.words.values().map(|word| word.term).max();
+        let term = self.reports.values().map(|report| report.term).max();
         Arming::Armed(ArmedGate {
             incarnation: self.incarnation,
             term: term.unwrap_or(0),
@@ -127,41 +127,45 @@
         })
     }
 
-    /// Whether a majority of the latest set of voters that anybody named has spoken. Voters that
-    /// were replaced may not know it; the one that does names the set that counts.
+    /// Returns whether a majority of the latest reported set of voters has reported. Voters that were
+    /// replaced may not know that set, so the report with the highest index decides which set counts.
     fn has_majority(&self) -> bool {
-        let latest = self.words.values().max_by_key(|word| word.config_index);
+        let latest = self
+            .reports
+            .values()
+            .max_by_key(|report| report.config_index);
         latest.is_some_and(|latest| {
             let voters = latest.voters.iter();
-            let spoken = voters.filter(|voter| self.words.contains_key(*voter));
-            spoken.count() > latest.voters.len() / 2
+            let reported = voters.filter(|voter| self.reports.contains_key(*voter));
+            reported.count() > latest.voters.len() / 2
         })
     }
 }
 
 impl ArmedGate {
-    /// The highest term known.
+    /// Returns the highest term known.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// The sequence of the order that stands, 0 before the first.
+    /// Returns the sequence of the order accepted last, or 0 before the first order.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Learns of a term by any way other than an order.
-    pub fn hear_term(&mut self, term: u64) {
+    /// Records a term that was learnt from anything but an order.
+    pub fn observe_term(&mut self, term: u64) {
         self.term = self.term.max(term);
     }
 
-    /// Decides whether an order may be acted on.
+    /// Accepts an order if the agent may act on it.
     ///
     /// # Errors
-    /// [`Refusal`]; the gate is as before, and the target does as it was last ordered.
-    pub fn accept(&mut self, delivery: &Delivery) -> Result<Taken, Refusal> {
-        // A network may hold a message back for longer than a restart takes: without this, an old
-        // order of the present term, sent to the process before, would be the first to arrive.
+    /// Returns a [`Refusal`] otherwise. The gate stays as it was, and the target keeps following its last
+    /// accepted order.
+    pub fn accept(&mut self, delivery: &Delivery) -> Result<OrderStatus, Refusal> {
+        // A network may delay a message for longer than a restart takes. Without this check, an old order
+        // of the present term that was sent to the previous process could be the first to arrive.
         if delivery.incarnation != self.incarnation {
             return Err(Refusal::OtherProcess {
                 given: delivery.incarnation,
@@ -184,14 +188,14 @@
         self.term = delivery.term;
         self.sequence = delivery.sequence;
         Ok(if repeated {
-            Taken::Repeated
+            OrderStatus::Repeated
         } else {
-            Taken::New
+            OrderStatus::New
         })
     }
 }
 
-/// How far a version has come on the target.
+/// The phase of a version on the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Loading,
@@ -199,22 +203,24 @@
     Draining,
 }
 
+/// A version on the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Version {
     phase: Phase,
+    /// The number of requests in progress.
     running: u32,
 }
 
-/// Why a request did not pass. It certainly did not run.
+/// Why a request was not admitted. The request certainly did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum NotRun {
     /// The target does not have the version.
     #[error("the target does not hold this version: route the request again")]
     Absent,
-    /// The target loads the version.
+    /// The target is still loading the version.
     #[error("the target still loads this version: route the request to another")]
     Loading,
-    /// The target gives the version up.
+    /// The target is draining the version.
     #[error("the target drains this version: route the request to another")]
     Draining,
 }
@@ -225,15 +231,15 @@
     versions: BTreeMap<Digest, Version>,
 }
 
-/// A request that passed; given back when it ends.
+/// A request that was admitted. The caller passes it to [`Versions::finish`] when the request ends.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a request that never ends keeps its version from being unloaded"]
-pub struct Passed {
+pub struct AdmittedRequest {
     version: Digest,
 }
 
 impl Versions {
-    /// The engine began to load `version`.
+    /// Records that the engine began to load `version`.
     pub fn load(&mut self, version: Digest) {
         self.versions.entry(version).or_insert(Version {
             phase: Phase::Loading,
@@ -241,7 +247,8 @@
         });
     }
 
-    /// The engine holds all of `version`, checked; false unless it was loading.
+    /// Records that the engine holds all of `version`, verified. Returns false if the version was not
+    /// loading.
     pub fn serve(&mut self, version: &Digest) -> bool {
         match self.versions.get_mut(version) {
             Some(held) if held.phase == Phase::Loading => {
@@ -252,43 +259,45 @@
         }
     }
 
-    /// No new request passes for `version`; false if it is not there.
+    /// Refuses new requests for `version` from now on. Returns false if the target does not have the
+    /// version.
     pub fn drain(&mut self, version: &Digest) -> bool {
         let held = self.versions.get_mut(version);
         held.map(|held| held.phase = Phase::Draining).is_some()
     }
 
-    /// Takes `version` away if it may be unloaded: drained, with nothing in progress.
+    /// Removes `version` if it may be unloaded: it is draining and no request is in progress. Returns
+    /// whether it was removed.
     pub fn unload(&mut self, version: &Digest) -> bool {
         let held = self.versions.get(version);
         let idle = held.is_some_and(|held| held.phase == Phase::Draining && held.running == 0);
         idle && self.versions.remove(version).is_some()
     }
 
-    /// Lets a request pass that was routed for `version`.
+    /// Admits a request that was routed for `version`.
     ///
     /// # Errors
-    /// [`NotRun`] says why it certainly did not run.
-    pub fn admit(&mut self, version: &Digest) -> Result<Passed, NotRun> {
+    /// Returns a [`NotRun`] that says why the request certainly did not run.
+    pub fn admit(&mut self, version: &Digest) -> Result<AdmittedRequest, NotRun> {
         let held = self.versions.get_mut(version).ok_or(NotRun::Absent)?;
         match held.phase {
             Phase::Loading => Err(NotRun::Loading),
             Phase::Draining => Err(NotRun::Draining),
             Phase::Serving => {
                 held.running += 1;
-                Ok(Passed { version: *version })
+                Ok(AdmittedRequest { version: *version })
             }
         }
     }
 
-    /// A request has ended.
-    pub fn finish(&mut self, passed: &Passed) {
-        if let Some(held) = self.versions.get_mut(&passed.version) {
+    /// Records that a request has ended.
+    pub fn finish(&mut self, admitted: &AdmittedRequest) {
+        if let Some(held) = self.versions.get_mut(&admitted.version) {
             held.running = held.running.saturating_sub(1);
         }
     }
 
-    /// The requests in progress on `version`.
+    /// Returns the number of requests in progress on `version`.
     pub fn running(&self, version: &Digest) -> u32 {
         self.versions.get(version).map_or(0, |held| held.running)
     }
--- a/crates/filbertstack-control/tests/gate.rs
+++ b/crates/filbertstack-control/tests/gate.rs
@@ -6,8 +6,8 @@
 use filbertstack_control::gate::Arming;
 use filbertstack_control::gate::Delivery;
 use filbertstack_control::gate::NotRun;
+use filbertstack_control::gate::OrderStatus;
 use filbertstack_control::gate::Refusal;
-use filbertstack_control::gate::Taken;
 use filbertstack_control::gate::UnarmedGate;
 use filbertstack_control::gate::Versions;
 use filbertstack_control::gate::VoterReport;
@@ -58,10 +58,10 @@
     let mut gate = armed(newborn.add_report(word("b", 5, 1, &ABC)));
     let stale = gate.accept(&order(2, 4, 10));
     assert_eq!(stale, Err(Refusal::OldTerm { given: 4, seen: 5 }));
-    assert_eq!(gate.accept(&order(2, 5, 11)), Ok(Taken::New));
+    assert_eq!(gate.accept(&order(2, 5, 11)), Ok(OrderStatus::New));
     // Broken on purpose: a gate that believes the first voter takes the old order.
     let mut early = armed(UnarmedGate::new(2).add_report(word("a", 4, 1, &["a"])));
-    assert_eq!(early.accept(&order(2, 4, 10)), Ok(Taken::New));
+    assert_eq!(early.accept(&order(2, 4, 10)), Ok(OrderStatus::New));
 }
 
 /// Two voters were replaced while they were cut off. They still hold the old set for true and
@@ -97,7 +97,7 @@
 fn crossed_orders_never_go_back() {
     let newborn = waiting(UnarmedGate::new(1).add_report(word("a", 5, 1, &ABC)));
     let mut gate = armed(newborn.add_report(word("b", 5, 1, &ABC)));
-    assert_eq!(gate.accept(&order(1, 5, 12)), Ok(Taken::New));
+    assert_eq!(gate.accept(&order(1, 5, 12)), Ok(OrderStatus::New));
     assert_eq!(
         gate.accept(&order(1, 5, 11)),
         Err(Refusal::OldOrder {
@@ -105,9 +105,9 @@
             seen: 12
         })
     );
-    assert_eq!(gate.accept(&order(1, 6, 12)), Ok(Taken::Repeated));
+    assert_eq!(gate.accept(&order(1, 6, 12)), Ok(OrderStatus::Repeated));
     assert!(gate.accept(&order(1, 5, 13)).is_err());
-    gate.hear_term(9);
+    gate.observe_term(9);
     assert!(gate.accept(&order(1, 8, 13)).is_err());
 }
 
