--- a/crates/filbertstack-control/src/lease.rs
+++ b/crates/filbertstack-control/src/lease.rs
@@ -1,19 +1,18 @@
-//! Config leases: when a change of declarations is in force everywhere.
+//! Configuration leases determine when a change of declarations is in force everywhere.
 //!
-//! The leader grants leases to the voters and these to the entries, so that nobody talks to
-//! everybody. A grant is given only to a follower that has confirmed the granter's own revision,
-//! and never beyond the granter's own lease. So from the moment the leader has a revision no lease
-//! is granted for an older one, and the leases granted before run out within [`LENGTH`]. A
-//! revision is in force when each follower has confirmed it or has no lease any more
-//! ([`Granter::in_force`]).
+//! The leader grants leases to the voters, and the voters grant leases to the entries, so that no node has
+//! to talk to all others. A granter gives a grant only to a follower that has confirmed the granter's own
+//! revision, and never beyond the granter's own lease. So once the leader has a revision, no lease is
+//! granted for an older one, and the leases granted before run out within [`LENGTH`]. A revision is in
+//! force when each follower has confirmed it or no longer has a lease ([`Granter::in_force`]).
 //!
-//! An entry without a lease refuses requests as "not run" with a time to come back. The other
-//! way, serving on what it last knew, would answer for an hour under rules that operators have
-//! replaced: a region's cut would turn "in force within seconds" into "in force some time". Agents
-//! need no lease: every request reaches them through an entry that has one.
+//! An entry without a lease refuses requests as "not run" and says when to retry. If it served with the
+//! declarations that it last knew instead, it could answer for an hour under rules that operators have
+//! replaced: while a region is cut off, a change would be in force at some unknown time instead of within
+//! seconds. Agents need no lease, because every request reaches them through an entry that has one.
 //!
-//! All times are of the caller's own monotonic clock. Nothing compares the clocks of two nodes but
-//! their rates, which may differ by one in [`DRIFT_PART`].
+//! All times are of the caller's own monotonic clock. The clocks of two nodes are never compared; only
+//! their rates matter, which may differ by one part in [`DRIFT_DIVISOR`].
 
 use std::collections::BTreeMap;
 
@@ -21,51 +20,52 @@
 use filbertstack_core::names::InstanceName;
 use thiserror::Error;
 
-/// How long a grant lasts. With the drift and the time to apply, a change is in force everywhere
-/// within 14 s although a region be cut off.
+/// How long a grant lasts at most. With the drift and the time to apply a change, a change is in force
+/// everywhere within 14 s even if a region is cut off.
 pub const LENGTH: Millis = Millis::secs(10);
 
-/// How often a follower asks anew: two asks may be lost before a lease runs out.
+/// How often a follower renews its lease. Two renewals may be lost before a lease runs out.
 pub const RENEW_INTERVAL: Millis = Millis::secs(3);
 
-/// Clocks run at rates that differ by less than one part in a hundred.
-pub const DRIFT_PART: u64 = 100;
+/// The divisor of the greatest drift: the rates of two clocks differ by less than one part in a hundred.
+pub const DRIFT_DIVISOR: u64 = 100;
 
-/// How many laggards a granter names.
-const LAGGARDS: usize = 8;
+/// The most laggards that a granter names.
+const MAX_LAGGARDS: usize = 8;
 
-/// What a follower sends to keep its lease.
+/// The message that a follower sends to keep its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Renewal {
-    /// When it was sent, by the follower's clock; the grant brings it back.
+    /// When the renewal was sent, by the follower's clock. The grant returns this time.
     pub sent: Millis,
     /// The revision that the follower itself acts on.
     pub revision: u64,
-    /// The lowest revision in force below the follower: its own if it grants nothing.
+    /// The lowest revision that the follower or one of its own followers acts on. It is the follower's own
+    /// revision if the follower grants no leases.
     pub lowest: u64,
 }
 
 /// A lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// When the ask was sent, by the follower's clock.
+    /// When the renewal was sent, by the follower's clock.
     pub sent: Millis,
-    /// The revision that it holds for, and any later one.
+    /// The revision that the lease is valid for, as it is for any later one.
     pub revision: u64,
-    /// How long from `sent` on.
+    /// How long the lease lasts from `sent` on.
     pub span: Millis,
 }
 
 /// Why no lease is granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum NoGrant {
+pub enum GrantError {
     /// The follower acts on an older revision.
     #[error("revision {current} stands: take the changes, then ask again")]
     Behind {
         /// The granter's revision.
         current: u64,
     },
-    /// The granter has no lease itself.
+    /// The granter has no lease of its own.
     #[error("this granter has no lease itself: ask another voter")]
     Expired,
 }
@@ -76,31 +76,31 @@
     until: Option<Millis>,
 }
 
-/// Without a lease nothing is served.
+/// The entry has no lease, so it serves nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("this entry is cut off from the control state: use another, or come back in {retry}")]
 pub struct Expired {
-    /// When it is worth coming back.
+    /// How long a caller should wait before it retries.
     pub retry: Millis,
 }
 
 impl Holder {
-    /// Takes a grant in. The lease counts from when the ask was sent, before the granter looked
-    /// at its clock: so it ends here before it ends there.
+    /// Accepts a grant. The lease counts from the time when the renewal was sent, which is before the
+    /// granter read its clock, so it ends at the follower before it ends at the granter.
     pub fn accept(&mut self, grant: Grant) {
         let until = grant.sent + grant.span;
         self.until = self.until.max(Some(until));
     }
 
-    /// Until when the lease lasts; `None` before the first.
+    /// Returns when the lease ends, or `None` before the first grant.
     pub fn until(&self) -> Option<Millis> {
         self.until
     }
 
-    /// Whether requests may be served.
+    /// Checks that requests may be served.
     ///
     /// # Errors
-    /// [`Expired`] with the time to tell callers.
+    /// Returns [`Expired`] with the time to wait that callers get.
     pub fn check(&self, now: Millis) -> Result<(), Expired> {
         if self.until.is_some_and(|until| now < until) {
             return Ok(());
@@ -111,88 +111,92 @@
     }
 }
 
+/// A follower as its granter knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Follower {
+    /// When its lease ends, by the granter's clock.
     until: Millis,
+    /// The lowest revision that it has confirmed.
     lowest: u64,
 }
 
-/// The granter's side: the leader towards the voters, a voter towards its entries.
+/// The granter's side of leases: the leader grants to the voters, and a voter to its entries.
 #[derive(Clone, Debug)]
 pub struct Granter {
     followers: BTreeMap<InstanceName, Follower>,
-    /// Until when grants may stand that this granter does not know of.
-    unknown: Millis,
+    /// Until when there may be leases that this granter does not know of.
+    unknown_until: Millis,
 }
 
-/// How far a revision has come.
+/// Whether a revision is in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RevisionState {
-    /// Every follower acts on it or on a later one, or has no lease.
+    /// Every follower acts on the revision or on a later one, or has no lease.
     InForce,
-    /// Some may still act on an older one, at the latest until the given moment.
+    /// Some followers may still act on an older revision.
     Waiting {
-        /// When the last of their leases runs out.
+        /// When the last of their leases ends at the latest.
         until: Millis,
-        /// Some of them.
+        /// Some of these followers.
         laggards: Vec<InstanceName>,
     },
 }
 
 impl Granter {
-    /// A granter that knows nothing of the grants of others before it. A leader starts one when
-    /// it is elected, a voter when it starts.
+    /// Creates a granter that does not know the grants of earlier granters. A leader creates one when it is
+    /// elected, a voter when it starts.
     pub fn new(now: Millis) -> Self {
         Self {
             followers: BTreeMap::new(),
-            unknown: now + stretched(LENGTH),
+            unknown_until: now + add_drift(LENGTH),
         }
     }
 
-    /// Grants a lease to `from`, if it acts on this granter's `revision`; `own` is until when
-    /// this granter's own lease lasts, the leader's by its quorum.
+    /// Grants a lease to `from` if it acts on this granter's `revision`. `own_until` is when this granter's
+    /// own lease ends; the leader's own lease comes from its quorum.
     ///
     /// # Errors
-    /// [`NoGrant`].
+    /// Returns a [`GrantError`] if the follower is behind or this granter has no lease itself.
     pub fn grant(
         &mut self,
         from: &InstanceName,
-        ask: Renewal,
+        renewal: Renewal,
         revision: u64,
-        own: Millis,
+        own_until: Millis,
         now: Millis,
-    ) -> Result<Grant, NoGrant> {
-        self.confirm(from, ask);
-        if ask.revision < revision {
-            return Err(NoGrant::Behind { current: revision });
+    ) -> Result<Grant, GrantError> {
+        self.confirm(from, renewal);
+        if renewal.revision < revision {
+            return Err(GrantError::Behind { current: revision });
         }
-        // The follower's clock may run slow: it gets less than what this side counts with.
-        let span = Millis(shortened(own.since(now)).0.min(LENGTH.0));
+        // The follower's clock may be slow, so the follower gets a shorter lease than this side counts.
+        let span = Millis(subtract_drift(own_until.since(now)).0.min(LENGTH.0));
         if span == Millis::ZERO {
-            return Err(NoGrant::Expired);
+            return Err(GrantError::Expired);
         }
-        let until = now + stretched(span);
+        let until = now + add_drift(span);
         let follower = self.followers.entry(from.clone()).or_insert(Follower {
             until,
-            lowest: ask.lowest.min(ask.revision),
+            lowest: renewal.lowest.min(renewal.revision),
         });
         follower.until = follower.until.max(until);
         Ok(Grant {
-            sent: ask.sent,
+            sent: renewal.sent,
             revision,
             span,
         })
     }
 
-    /// Notes what a follower has confirmed. What it confirms never goes back: asks may overtake
-    /// each other on their way.
-    fn confirm(&mut self, from: &InstanceName, ask: Renewal) {
+    /// Records the revision that a follower has confirmed. The recorded revision never decreases, because
+    /// renewals may arrive out of order.
+    fn confirm(&mut self, from: &InstanceName, renewal: Renewal) {
         if let Some(follower) = self.followers.get_mut(from) {
-            follower.lowest = follower.lowest.max(ask.lowest.min(ask.revision));
+            follower.lowest = follower.lowest.max(renewal.lowest.min(renewal.revision));
         }
     }
 
-    /// The lowest revision that a known follower with a lease may act on; `None` if none has one.
+    /// Returns the lowest revision that a known follower with a lease may act on, or `None` if no follower
+    /// has a lease.
     pub fn lowest(&mut self, now: Millis) -> Option<u64> {
         self.followers.retain(|_, follower| follower.until > now);
         self.followers
@@ -201,10 +205,10 @@
             .min()
     }
 
-    /// What this granter, which acts on `revision` itself, asks its own granter.
+    /// Returns the renewal that this granter, which itself acts on `revision`, sends to its own granter.
     pub fn renewal(&mut self, revision: u64, now: Millis) -> Renewal {
         let lowest = match self.lowest(now) {
-            _ if now < self.unknown => 0,
+            _ if now < self.unknown_until => 0,
             Some(lowest) => lowest.min(revision),
             None => revision,
         };
@@ -215,22 +219,26 @@
         }
     }
 
-    /// How far `revision` has come, asked of the leader, which has had it since `accepted`.
+    /// Returns whether `revision` is in force. Only the leader can tell, which has had the revision since
+    /// `accepted`.
     ///
-    /// Time alone is enough in the end: a voter that has not got the revision has had no grant
-    /// since then, so its lease and those below it run out within [`LENGTH`].
+    /// Even without confirmations, time is enough: a voter that does not have the revision has had no grant
+    /// since then, so its lease and the leases that it granted run out within [`LENGTH`].
     pub fn in_force(&self, revision: u64, accepted: Millis, now: Millis) -> RevisionState {
         let behind = self.followers.iter();
         let behind: Vec<_> = behind
             .filter(|(_, follower)| follower.until > now && follower.lowest < revision)
             .collect();
-        let last = behind.iter().map(|(_, follower)| follower.until).max();
-        let latest = accepted + stretched(LENGTH);
-        let until = last.unwrap_or_default().min(latest).max(self.unknown);
+        let last_expiry = behind.iter().map(|(_, follower)| follower.until).max();
+        let latest_expiry = accepted + add_drift(LENGTH);
+        let until = last_expiry
+            .unwrap_or_default()
+            .min(latest_expiry)
+            .max(self.unknown_until);
         if until <= now {
             return RevisionState::InForce;
         }
-        let laggards = behind.into_iter().take(LAGGARDS);
+        let laggards = behind.into_iter().take(MAX_LAGGARDS);
         RevisionState::Waiting {
             until,
             laggards: laggards.map(|(name, _)| name.clone()).collect(),
@@ -238,11 +246,12 @@
     }
 }
 
-/// The span as it may last by a clock that runs faster here than there.
-fn stretched(span: Millis) -> Millis {
-    Millis(span.0 + span.0.div_ceil(DRIFT_PART))
+/// Returns how long `span`, measured by another node's clock, may last by this node's clock.
+fn add_drift(span: Millis) -> Millis {
+    Millis(span.0 + span.0.div_ceil(DRIFT_DIVISOR))
 }
 
-fn shortened(span: Millis) -> Millis {
-    Millis(span.0 - span.0.div_ceil(DRIFT_PART).min(span.0))
+/// Returns the span that another node's clock may count while this node's clock counts `span`, at least.
+fn subtract_drift(span: Millis) -> Millis {
+    Millis(span.0 - span.0.div_ceil(DRIFT_DIVISOR).min(span.0))
 }
