--- a/crates/filbertstack-control/src/document.rs
+++ b/crates/filbertstack-control/src/document.rs
@@ -1,8 +1,9 @@
-//! The declared state where operators replace a whole document: the highest version is in force.
+//! This module holds the declared state for the mode in which operators replace the whole configuration as
+//! one document. The document with the highest version is in force.
 //!
-//! A deterministic machine behind the replicated log, beside the mode of single declarations in
-//! [`ControlState`](crate::ControlState). The document's bytes are kept as they came, so that a
-//! read gives back exactly what was sent under that version.
+//! [`Documents`] is a deterministic state machine behind the replicated log, like
+//! [`ControlState`](crate::ControlState) for the mode of single declarations. The bytes of the document are
+//! kept unchanged, so that a read returns exactly what was sent under that version.
 
 mod lists;
 mod packed;
@@ -18,8 +19,8 @@
 pub use self::packed::Packed;
 pub use self::packed::UnpackError;
 
-/// How many of the latest versions of a model's weights are remembered. Newer ones are named before
-/// older ones are in place, and an order of an older one may still be carried out.
+/// How many of the latest versions of a model's weights are remembered. Newer versions may be named before
+/// the targets have loaded older ones, and an order for an older version may still be carried out.
 pub const KEPT_VERSIONS: usize = 4;
 
 /// A command of the machine.
@@ -33,13 +34,13 @@
 /// What a command changes.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Oneof)]
 pub enum Kind {
-    /// A whole document as earlier releases proposed it; it may still be in a log.
+    /// A whole uncompressed document, as earlier releases proposed it. A log may still contain one.
     #[prost(message, tag = "1")]
     Document(Document),
     /// A version of a model's weights.
     #[prost(message, tag = "2")]
     Weights(Weights),
-    /// A whole document, checked by whoever proposes it.
+    /// A whole compressed document. The proposer has checked it.
     #[prost(message, tag = "3")]
     Packed(Packed),
     /// The list of a version's pieces. No engine is ordered to load a version before its list is kept.
@@ -50,7 +51,7 @@
 /// A whole configuration.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Document {
-    /// Its version; 0 is none yet.
+    /// The version, or 0 if there is no document yet.
     #[prost(uint64, tag = "1")]
     pub version: u64,
     /// The bytes as the operator sent them.
@@ -58,7 +59,7 @@
     pub body: Bytes,
 }
 
-/// A version of a model's weights that targets are to be brought to.
+/// A version of a model's weights that targets shall load.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Weights {
     /// The model.
@@ -69,14 +70,14 @@
     pub version: u64,
 }
 
-/// What a command led to.
+/// The effect of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It is in force now.
+    /// The change is in force now.
     InForce,
-    /// A version at least as high was there already, or the same list; nothing has changed.
+    /// The state already had a version at least as high, or the same list. Nothing changed.
     Superseded,
-    /// The command can't be read, by this version of the program at least.
+    /// This version of the program can't read the command.
     Unreadable,
 }
 
@@ -85,13 +86,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Documents {
     document: Document,
-    /// By model, the latest [`KEPT_VERSIONS`], in their order.
+    /// The latest [`KEPT_VERSIONS`] versions of each model, in ascending order.
     weights: BTreeMap<String, Vec<u64>>,
     lists: Lists,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct Image {
+struct DocumentsSnapshot {
     #[prost(message, required, tag = "1")]
     document: Document,
     #[prost(message, repeated, tag = "2")]
@@ -100,18 +101,18 @@
     lists: Vec<List>,
 }
 
-/// Bytes that are no snapshot of this machine.
+/// The bytes are not a snapshot of this state machine.
 #[derive(Debug, Error)]
 #[error("the snapshot can't be read ({0}); run the version that wrote it")]
 pub struct SnapshotError(#[from] prost::DecodeError);
 
 impl Documents {
-    /// The newest document; its version is 0 if there is none yet.
+    /// Returns the newest document. Its version is 0 if there is no document yet.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The latest versions of each model's weights, those of one model in their order.
+    /// Returns the latest versions of each model's weights, those of one model in ascending order.
     pub fn weights(&self) -> impl Iterator<Item = Weights> {
         self.weights.iter().flat_map(|(model, versions)| {
             versions.iter().map(|version| Weights {
@@ -121,7 +122,7 @@
         })
     }
 
-    /// The list of the pieces of the latest version that is kept, no later than `upto`.
+    /// Returns the list of pieces of the latest version with a kept list that is not later than `upto`.
     pub fn list(&self, upto: &Weights) -> Option<&List> {
         self.lists.latest(upto)
     }
@@ -130,15 +131,15 @@
     pub fn apply(&mut self, command: &[u8]) -> Effect {
         let change = Change::decode(command).ok().and_then(|c| c.kind);
         match change {
-            Some(Kind::Document(document)) => self.put(document),
-            Some(Kind::Weights(weights)) => self.name(weights),
-            Some(Kind::Packed(packed)) => self.put_packed(&packed),
-            Some(Kind::List(list)) => self.keep(list),
+            Some(Kind::Document(document)) => self.replace(document),
+            Some(Kind::Weights(weights)) => self.add_version(weights),
+            Some(Kind::Packed(packed)) => self.replace_packed(&packed),
+            Some(Kind::List(list)) => self.keep_list(list),
             None => Effect::Unreadable,
         }
     }
 
-    fn keep(&mut self, list: List) -> Effect {
+    fn keep_list(&mut self, list: List) -> Effect {
         if self.lists.keep(list) {
             Effect::InForce
         } else {
@@ -146,9 +147,9 @@
         }
     }
 
-    /// A version takes effect only if it is higher. Other content under the version held would
-    /// give two callers different routes for one number; a lower one would take back a change.
-    fn put(&mut self, document: Document) -> Effect {
+    /// Replaces the document if the version is higher. Other content under the present version would give
+    /// two callers different routes for the same version; a lower version would undo a change.
+    fn replace(&mut self, document: Document) -> Effect {
         if document.version <= self.document.version {
             return Effect::Superseded;
         }
@@ -156,49 +157,49 @@
         Effect::InForce
     }
 
-    fn put_packed(&mut self, packed: &Packed) -> Effect {
+    fn replace_packed(&mut self, packed: &Packed) -> Effect {
         if packed.version <= self.document.version {
             return Effect::Superseded;
         }
         packed
             .unpack()
-            .map_or(Effect::Unreadable, |document| self.put(document))
+            .map_or(Effect::Unreadable, |document| self.replace(document))
     }
 
-    fn name(&mut self, weights: Weights) -> Effect {
+    fn add_version(&mut self, weights: Weights) -> Effect {
         let versions = self.weights.entry(weights.model).or_default();
         let newest = versions.last().copied().unwrap_or(0);
         if weights.version <= newest {
             return Effect::Superseded;
         }
         versions.push(weights.version);
-        let oldest = versions.len().saturating_sub(KEPT_VERSIONS);
-        versions.drain(..oldest);
+        let excess = versions.len().saturating_sub(KEPT_VERSIONS);
+        versions.drain(..excess);
         Effect::InForce
     }
 
-    /// The whole state as bytes.
+    /// Returns the whole state as bytes.
     pub fn snapshot(&self) -> Vec<u8> {
-        let image = Image {
+        let snapshot = DocumentsSnapshot {
             document: self.document.clone(),
             weights: self.weights().collect(),
             lists: self.lists.iter().cloned().collect(),
         };
-        image.encode_to_vec()
+        snapshot.encode_to_vec()
     }
 
     /// Replaces the whole state by that of a snapshot.
     ///
     /// # Errors
-    /// [`SnapshotError`] if the bytes are none.
+    /// Returns a [`SnapshotError`] if the bytes are not a snapshot.
     pub fn restore(&mut self, bytes: &[u8]) -> Result<(), SnapshotError> {
-        let image = Image::decode(bytes)?;
-        self.document = image.document;
+        let snapshot = DocumentsSnapshot::decode(bytes)?;
+        self.document = snapshot.document;
         self.weights.clear();
-        for weights in image.weights {
-            self.name(weights);
+        for weights in snapshot.weights {
+            self.add_version(weights);
         }
-        self.lists = image.lists.into_iter().collect();
+        self.lists = snapshot.lists.into_iter().collect();
         Ok(())
     }
 }
--- a/crates/filbertstack-control/src/document/lists.rs
+++ b/crates/filbertstack-control/src/document/lists.rs
@@ -1,7 +1,7 @@
-//! The lists of the pieces of a model's versions.
+//! This module keeps the lists of pieces of the versions of each model.
 //!
-//! An origin keeps the lists of two versions, and what processes remember of others is gone when all of
-//! them start again. Only with its list does anybody recognize the version that lies at an engine.
+//! An origin keeps the lists of two versions only, and processes lose the lists that they remember when all
+//! of them restart. The version that an engine holds can only be recognized by its list of pieces.
 
 use std::collections::BTreeMap;
 
@@ -9,11 +9,11 @@
 
 use super::Weights;
 
-/// The most bytes of digests that are kept for a model: 16 versions of 128 pieces.
-const LONGEST: usize = 64 << 10;
+/// The most bytes of digests kept for a model, enough for 16 versions of 128 pieces.
+const MAX_DIGEST_BYTES: usize = 64 << 10;
 
-/// How many lists are kept whatever their length: those of the versions that an origin keeps.
-const LEAST: usize = 2;
+/// How many lists are kept whatever their length, as many as the versions whose lists an origin keeps.
+const MIN_LISTS: usize = 2;
 
 /// The pieces of one version.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
@@ -21,10 +21,10 @@
     /// The version.
     #[prost(message, required, tag = "1")]
     pub weights: Weights,
-    /// Bytes of a piece.
+    /// The size of a piece in bytes.
     #[prost(uint32, tag = "2")]
     pub bytes: u32,
-    /// The SHA-256 of each piece, 32 bytes each.
+    /// The SHA-256 digests of the pieces, 32 bytes each.
     #[prost(bytes = "bytes", tag = "3")]
     pub digests: Bytes,
 }
@@ -34,8 +34,8 @@
 pub struct Lists(BTreeMap<String, BTreeMap<u64, List>>);
 
 impl Lists {
-    /// Keeps a list in place of an earlier one of its version, which may have come spoilt. Tells whether
-    /// anything has changed.
+    /// Keeps a list and replaces an earlier list of the same version, which may have arrived corrupt.
+    /// Returns whether the list is new and kept.
     pub fn keep(&mut self, list: List) -> bool {
         let kept = self.0.entry(list.weights.model.clone()).or_default();
         let version = list.weights.version;
@@ -43,13 +43,13 @@
             return false;
         }
         kept.insert(version, list);
-        while kept.len() > LEAST && bytes(kept) > LONGEST {
+        while kept.len() > MIN_LISTS && digest_bytes(kept) > MAX_DIGEST_BYTES {
             kept.pop_first();
         }
         kept.contains_key(&version)
     }
 
-    /// The list of the latest version of `upto`'s model that is no later than `upto`.
+    /// Returns the list of the latest version of the model of `upto` that is not later than `upto`.
     pub fn latest(&self, upto: &Weights) -> Option<&List> {
         let kept = self.0.get(&upto.model)?;
         kept.range(..=upto.version)
@@ -57,13 +57,14 @@
             .map(|(_, list)| list)
     }
 
-    /// All lists, those of one model in the order of their versions.
+    /// Returns all lists, those of one model in ascending order of their versions.
     pub fn iter(&self) -> impl Iterator<Item = &List> {
         self.0.values().flat_map(BTreeMap::values)
     }
 }
 
-fn bytes(kept: &BTreeMap<u64, List>) -> usize {
+/// Returns the total size of the digests in bytes.
+fn digest_bytes(kept: &BTreeMap<u64, List>) -> usize {
     kept.values().map(|list| list.digests.len()).sum()
 }
 
--- a/crates/filbertstack-control/src/document/packed.rs
+++ b/crates/filbertstack-control/src/document/packed.rs
@@ -1,8 +1,8 @@
-//! Documents compressed, as they go between processes and into the log.
+//! Documents are compressed when they are sent between processes and written to the log.
 //!
-//! *Load pattern*: documents of a thousand routes follow each other several times a second. As they
-//! come, each takes some hundred KB of the link to each voter, of its disk and of the entries that it
-//! keeps in memory; compressed, a tenth of that.
+//! *Load pattern*: documents of a thousand routes follow each other several times a second. Uncompressed,
+//! each takes some hundred KB of the link to each voter, of the voter's disk and of the log entries that
+//! the voter keeps in memory. Compressed, it takes a tenth of that.
 
 use std::io;
 use std::io::Read as _;
@@ -16,8 +16,8 @@
 
 use super::Document;
 
-/// The longest document that is unpacked, in bytes: more than operators may send.
-const LONGEST: u64 = 8 << 20;
+/// The longest document that is unpacked, in bytes. It is longer than any document that operators may send.
+const MAX_UNPACKED_BYTES: u64 = 8 << 20;
 
 /// A compressed document.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
@@ -25,7 +25,7 @@
     /// The document's version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Its bytes, compressed (zlib).
+    /// The zlib-compressed bytes of the document.
     #[prost(bytes = "bytes", tag = "2")]
     pub body: Bytes,
 }
@@ -38,11 +38,11 @@
     Unreadable {
         /// The document's version.
         version: u64,
-        /// What is wrong with it.
+        /// The error of the decompressor.
         source: io::Error,
     },
-    /// The document is longer than one may be.
-    #[error("version {version} is longer than {LONGEST} bytes; shorten the document")]
+    /// The unpacked document is too long.
+    #[error("version {version} is longer than {MAX_UNPACKED_BYTES} bytes; shorten the document")]
     TooLong {
         /// The document's version.
         version: u64,
@@ -53,7 +53,7 @@
     /// Compresses a document.
     ///
     /// # Errors
-    /// Those of the compressor.
+    /// Returns the errors of the compressor.
     pub fn pack(document: &Document) -> io::Result<Self> {
         let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(&document.body)?;
@@ -62,17 +62,17 @@
         Ok(Self { version, body })
     }
 
-    /// The document, with the bytes that were packed.
+    /// Returns the document with the bytes that were packed.
     ///
     /// # Errors
-    /// [`UnpackError`] if the bytes are none, or too long.
+    /// Returns an [`UnpackError`] if the bytes can't be decompressed, or the document is too long.
     pub fn unpack(&self) -> Result<Document, UnpackError> {
         let version = self.version;
         let mut body = Vec::new();
-        let mut decoder = ZlibDecoder::new(&self.body[..]).take(LONGEST + 1);
+        let mut decoder = ZlibDecoder::new(&self.body[..]).take(MAX_UNPACKED_BYTES + 1);
         let read = decoder.read_to_end(&mut body);
         read.map_err(|source| UnpackError::Unreadable { version, source })?;
-        if body.len() as u64 > LONGEST {
+        if body.len() as u64 > MAX_UNPACKED_BYTES {
             return Err(UnpackError::TooLong { version });
         }
         let body = body.into();
