--- a/crates/filbertstack-control/src/command.rs
+++ b/crates/filbertstack-control/src/command.rs
@@ -1,15 +1,15 @@
-//! Commands: what the replicated log carries, as `prost` messages.
+//! Commands are the entries of the replicated log, as `prost` messages.
 //!
-//! A command holds everything its effect depends on, the time included, so that every replica
-//! computes the same state from the same log.
+//! A command holds everything that its effect depends on, including the time. So every replica computes
+//! the same state from the same log.
 
 use prost::Message;
 
-/// One entry of the log.
+/// The content of one log entry.
 #[derive(Clone, PartialEq, Message)]
 pub struct Command {
-    /// The proposer's clock in milliseconds since the Unix epoch. The state's clock is the
-    /// greatest seen, so a slow clock holds it still and never turns it back.
+    /// The proposer's clock in milliseconds since the Unix epoch. The state's clock is the greatest time
+    /// seen, so a proposer whose clock is slow stops the state's clock for a while and never sets it back.
     #[prost(uint64, tag = "1")]
     pub now: u64,
     /// What to do.
@@ -18,7 +18,7 @@
 }
 
 impl Command {
-    /// A command stamped with the time `now`.
+    /// Creates a command with the time `now`.
     pub fn new(now: u64, body: Body) -> Self {
         Self {
             now,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The bytes that go into the log.
+    /// Returns the bytes that go into the log.
     pub fn to_bytes(&self) -> Vec<u8> {
         self.encode_to_vec()
     }
@@ -41,7 +41,7 @@
     /// Adds a version of a model to the catalogue.
     #[prost(message, tag = "3")]
     Publish(Publish),
-    /// Takes a version out of the catalogue.
+    /// Removes a version from the catalogue.
     #[prost(message, tag = "4")]
     Retire(Retire),
     /// Records lasting facts about instances.
@@ -59,41 +59,41 @@
     /// Records how a claimed request ended.
     #[prost(message, tag = "9")]
     Settle(Settle),
-    /// Gives a claim back whose request certainly did not run.
+    /// Releases a claim whose request certainly did not run.
     #[prost(message, tag = "10")]
     Release(Release),
-    /// Marks the open claims of a dead entry as unknown.
+    /// Marks the open claims of an entry process that has ended as unknown.
     #[prost(message, tag = "11")]
     Forsake(Forsake),
-    /// Several commands under one time: one disk sync for many proposals.
+    /// Holds several commands under one time, so that many proposals need one disk sync.
     #[prost(message, tag = "12")]
     Batch(Batch),
-    /// Gives standing orders a new fence.
+    /// Gives the current orders of targets a new fence.
     #[prost(message, tag = "13")]
     Renew(Renew),
-    /// Gives back an attempt's claim that may or may not have been committed: the proposer lost
-    /// the outcome and has dispatched nothing.
+    /// Releases an attempt's claim that may or may not have been committed: the proposer did not get the
+    /// outcome and has dispatched nothing.
     #[prost(message, tag = "14")]
     Abandon(Claim),
 }
 
 /// A change of the declarations.
 ///
-/// Each section of `text` replaces the whole object of its kind and name; objects that `text`
-/// does not name stay as they are, and only `removals` removes.
+/// Each section of `text` replaces the whole object of its kind and name. Objects that `text` does not
+/// name stay as they are; only `removals` removes objects.
 #[derive(Clone, PartialEq, Message)]
 pub struct Apply {
     /// The operator's own identifier of this request, the same in every resend.
     #[prost(string, tag = "1")]
     pub request: String,
-    /// The operator, by the name of the key that authenticated the request.
+    /// The operator: the name of the key that authenticated the request.
     #[prost(string, tag = "2")]
     pub operator: String,
-    /// The revision that the operator saw; without it the change applies to whatever stands.
+    /// The revision that the operator saw. Without it the change applies to any revision.
     #[prost(uint64, optional, tag = "3")]
     pub expected: Option<u64>,
-    /// When the operator's client made the request, in Unix milliseconds, the same in every
-    /// resend. It lets a state that has forgotten the request refuse it.
+    /// When the operator's client made the request, in Unix milliseconds, the same in every resend. The
+    /// time lets a state that has forgotten the request refuse it.
     #[prost(uint64, tag = "4")]
     pub issued: u64,
     /// The sections, as INI.
@@ -128,7 +128,7 @@
 }
 
 impl Object {
-    /// The object of `kind` called `name`.
+    /// Creates the object of `kind` with the name `name`.
     pub fn new(kind: Kind, name: &str) -> Self {
         Self {
             kind: kind as i32,
@@ -148,8 +148,8 @@
     }
 }
 
-/// A version of a model: the facts that decisions need. The manifest's bytes stay in the chunk
-/// stores under `root`.
+/// The facts about a version of a model that decisions need. The bytes of the manifest are in the chunk
+/// stores, under `root`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Publish {
     /// The manifest's digest, 32 bytes.
@@ -173,12 +173,12 @@
     /// The URL below which the origin has the files and the manifest.
     #[prost(string, tag = "7")]
     pub origin: String,
-    /// The same at the weight store; empty if it has none.
+    /// The URL of the same files at the weight store, or empty if the store has none.
     #[prost(string, tag = "8")]
     pub store: String,
 }
 
-/// Takes a version out of the catalogue.
+/// Removes a version from the catalogue.
 #[derive(Clone, PartialEq, Message)]
 pub struct Retire {
     /// The manifest's digest, 32 bytes.
@@ -186,7 +186,7 @@
     pub root: Vec<u8>,
 }
 
-/// Lasting facts about instances: sent when they are new or changed, never as a heartbeat.
+/// Lasting facts about instances. They are sent when an instance is new or changed, never as a heartbeat.
 #[derive(Clone, PartialEq, Message)]
 pub struct Register {
     /// New or changed instances.
@@ -197,7 +197,7 @@
     pub gone: Vec<String>,
 }
 
-/// An instance as it announced itself.
+/// The facts about an instance, as the instance announced them.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Instance {
     /// The name.
@@ -225,19 +225,19 @@
 /// New desired states of targets.
 #[derive(Clone, PartialEq, Message)]
 pub struct Orders {
-    /// The leader's term; an older one than the state has seen changes nothing.
+    /// The leader's term. Orders of a term older than the highest seen change nothing.
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// The targets whose desired state changes, at most one element each.
+    /// The targets whose desired state changes, each at most once.
     #[prost(message, repeated, tag = "2")]
     pub targets: Vec<Desired>,
 }
 
-/// Gives the standing orders of targets that do not follow them a new fence, so that they are
-/// acted on again.
+/// Gives the orders of targets that do not follow them a new fence, so that the targets act on them
+/// again.
 #[derive(Clone, PartialEq, Message)]
 pub struct Renew {
-    /// The leader's term; an older one than the state has seen changes nothing.
+    /// The leader's term. A term older than the highest seen changes nothing.
     #[prost(uint64, tag = "1")]
     pub term: u64,
     /// The targets.
@@ -245,13 +245,13 @@
     pub targets: Vec<String>,
 }
 
-/// Everything that one target shall hold.
+/// The desired state of one target.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Desired {
     /// The target's name.
     #[prost(string, tag = "1")]
     pub target: String,
-    /// What it shall hold; empty to unload all.
+    /// The versions that the target shall hold; empty if it shall unload all.
     #[prost(message, repeated, tag = "2")]
     pub holds: Vec<Hold>,
 }
@@ -259,7 +259,7 @@
 /// One version that a target shall hold.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Message)]
 pub struct Hold {
-    /// The deployment it belongs to.
+    /// The deployment that the version is held for.
     #[prost(string, tag = "1")]
     pub deployment: String,
     /// The model's name.
@@ -273,41 +273,41 @@
     pub duty: i32,
 }
 
-/// What a target shall do with a version that it holds.
+/// What a target shall do with a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum Duty {
-    /// Fetch, load and serve it.
+    /// The target fetches, loads and serves the version.
     Serve = 0,
-    /// Finish the requests in progress, take no new ones, then unload it.
+    /// The target finishes the requests in progress, accepts no new ones, and then unloads the version.
     Drain = 1,
-    /// Fetch and verify it, and load nothing.
+    /// The target fetches and verifies the version, and does not load it.
     Fetch = 2,
 }
 
 /// A claim of an idempotency key.
 #[derive(Clone, PartialEq, Message)]
 pub struct Claim {
-    /// The organisation; keys of different organisations never meet.
+    /// The organisation. Equal keys of different organisations are independent of each other.
     #[prost(string, tag = "1")]
     pub organisation: String,
     /// The caller's key.
     #[prost(string, tag = "2")]
     pub key: String,
-    /// When the key was made in Unix milliseconds, if the key itself says so.
+    /// When the key was made, in Unix milliseconds, if the key itself contains the time.
     #[prost(uint64, optional, tag = "3")]
     pub issued: Option<u64>,
     /// The digest of the request, at least 16 bytes.
     #[prost(bytes = "vec", tag = "4")]
     pub body: Vec<u8>,
-    /// The entry process that claims: its number is drawn anew at each start.
+    /// The number of the entry process that claims; each start of an entry draws a new one.
     #[prost(uint64, tag = "5")]
     pub entry: u64,
-    /// The entry's own number for this attempt, never used again by it.
+    /// The entry's number for this attempt, which it never uses again.
     #[prost(uint64, tag = "6")]
     pub attempt: u64,
-    /// When the claim, if nobody settled it, counts as unknown: the request's deadline and some
-    /// grace, in Unix milliseconds.
+    /// When the claim counts as unknown if it was not settled, in Unix milliseconds: the request's
+    /// deadline and a grace period.
     #[prost(uint64, tag = "7")]
     pub until: u64,
     /// How long the key is kept after its last change, in milliseconds.
@@ -327,7 +327,7 @@
     /// The fence of the claim that ran.
     #[prost(uint64, tag = "3")]
     pub fence: u64,
-    /// The answer; absent if it is not known whether the request ran.
+    /// The answer, or `None` if it is not known whether the request ran.
     #[prost(message, optional, tag = "4")]
     pub answer: Option<Answer>,
 }
@@ -341,12 +341,12 @@
     /// The digest of the whole answer, 32 bytes.
     #[prost(bytes = "vec", tag = "2")]
     pub digest: Vec<u8>,
-    /// The answer itself, if it is small enough to be kept.
+    /// The whole answer, if it is small enough to be kept.
     #[prost(bytes = "vec", optional, tag = "3")]
     pub bytes: Option<Vec<u8>>,
 }
 
-/// Gives a claim back: its request certainly did not run.
+/// Releases a claim whose request certainly did not run.
 #[derive(Clone, PartialEq, Message)]
 pub struct Release {
     /// The organisation.
@@ -360,18 +360,18 @@
     pub fence: u64,
 }
 
-/// An entry process is dead: what it had claimed and not settled is unknown from now on.
+/// Marks the claims that an entry process has not settled as unknown, because the process has ended.
 #[derive(Clone, PartialEq, Message)]
 pub struct Forsake {
-    /// The entry process's number, as in its claims.
+    /// The number of the entry process, as in its claims.
     #[prost(uint64, tag = "1")]
     pub entry: u64,
 }
 
-/// Several commands in one log entry; a batch holds no batch.
+/// Several commands in one log entry. A batch must not hold another batch.
 #[derive(Clone, PartialEq, Message)]
 pub struct Batch {
-    /// The commands; only the batch's own time counts.
+    /// The commands. Their own times are ignored; the time of the batch applies to all of them.
     #[prost(message, repeated, tag = "1")]
     pub commands: Vec<Command>,
 }
--- a/crates/filbertstack-control/src/outcome.rs
+++ b/crates/filbertstack-control/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcomes: what a command came to, as `prost` messages that travel back to the proposer.
+//! Outcomes are the results of commands, as `prost` messages that are sent back to the proposer.
 
 use prost::Message;
 
@@ -7,16 +7,16 @@
 use crate::limits::MAX_REASON;
 use crate::limits::MAX_REASONS;
 
-/// What a command came to.
+/// The result of a command.
 #[derive(Clone, PartialEq, Message)]
 pub struct Outcome {
-    /// The kind of outcome; `None` only from a newer peer.
+    /// The outcome by kind. It is `None` only if a peer of a newer version sent the outcome.
     #[prost(oneof = "Reply", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9")]
     pub reply: Option<Reply>,
 }
 
 impl Outcome {
-    /// The bytes that travel back to the proposer.
+    /// Returns the bytes that are sent back to the proposer.
     pub fn to_bytes(&self) -> Vec<u8> {
         self.encode_to_vec()
     }
@@ -28,19 +28,19 @@
     }
 }
 
-/// An outcome by kind of command.
+/// The outcome of a command, by kind.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Reply {
-    /// A change of declarations is in.
+    /// A change of declarations was accepted.
     #[prost(message, tag = "1")]
     Accepted(Accepted),
-    /// Another change came first.
+    /// Another change was accepted first.
     #[prost(message, tag = "2")]
     Conflict(Conflict),
-    /// A command is wrong in itself or cannot be met.
+    /// The command is invalid, or the state does not allow it.
     #[prost(message, tag = "3")]
     Rejected(Rejected),
-    /// A command without an answer of its own took effect.
+    /// A command without an outcome kind of its own took effect.
     #[prost(message, tag = "4")]
     Done(Done),
     /// Orders were recorded.
@@ -49,7 +49,7 @@
     /// A claim was decided.
     #[prost(message, tag = "6")]
     Claimed(Claimed),
-    /// The claim that was to be settled or released stands under another fence, or not at all.
+    /// The claim to settle or release has another fence, has ended already, or does not exist.
     #[prost(message, tag = "7")]
     Stale(Stale),
     /// The outcomes of a batch, in its order.
@@ -60,28 +60,28 @@
     Forsaken(Forsaken),
 }
 
-/// A change of declarations is in.
+/// A change of declarations was accepted.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Accepted {
-    /// The revision that holds the change.
+    /// The revision that has the change.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Whether anything changed: a change to what already stands takes no revision.
+    /// Whether anything changed. Declaring what is already in force makes no new revision.
     #[prost(bool, tag = "2")]
     pub changed: bool,
-    /// What looks wrong without being impossible.
+    /// Conditions that look wrong but do not prevent the change.
     #[prost(message, repeated, tag = "3")]
     pub warnings: Vec<Reason>,
 }
 
-/// Another change came first.
+/// Another change was accepted first.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Conflict {
-    /// The revision that stands.
+    /// The revision in force.
     #[prost(uint64, tag = "1")]
     pub current: u64,
-    /// The change that took the revision after the expected one, if it is still remembered;
-    /// the latest change otherwise.
+    /// The change that made the revision after the expected one if it is still remembered, otherwise the
+    /// latest change.
     #[prost(message, optional, tag = "2")]
     pub won: Option<Change>,
 }
@@ -89,27 +89,27 @@
 /// A change of declarations that was accepted.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Change {
-    /// The revision it made.
+    /// The revision that the change made.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Who made it.
+    /// The operator who made the change.
     #[prost(string, tag = "2")]
     pub operator: String,
     /// The request's identifier.
     #[prost(string, tag = "3")]
     pub request: String,
-    /// When, by the state's clock in Unix milliseconds.
+    /// When the change was accepted, by the state's clock in Unix milliseconds.
     #[prost(uint64, tag = "4")]
     pub at: u64,
-    /// The objects it wrote or removed, the first of them if there are many.
+    /// The objects that the change wrote or removed; only the first of them if there are many.
     #[prost(message, repeated, tag = "5")]
     pub objects: Vec<Object>,
 }
 
-/// A command is wrong in itself or cannot be met.
+/// The command is invalid, or the state does not allow it.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Rejected {
-    /// Every reason at once.
+    /// All reasons.
     #[prost(message, repeated, tag = "1")]
     pub reasons: Vec<Reason>,
 }
@@ -120,10 +120,10 @@
     /// A [`Fault`].
     #[prost(enumeration = "Fault", tag = "1")]
     pub fault: i32,
-    /// The object it is about, such as `deployment drafting`.
+    /// The object that the reason is about, such as `deployment drafting`.
     #[prost(string, tag = "2")]
     pub object: String,
-    /// What is wrong and the remedy.
+    /// What is wrong, and the remedy.
     #[prost(string, tag = "3")]
     pub what: String,
 }
@@ -141,41 +141,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Fault {
-    /// The command itself does not read.
+    /// The command itself is malformed.
     Malformed = 0,
-    /// The declarations do not read as INI.
+    /// The declarations can't be parsed as INI.
     Syntax = 1,
-    /// A selector asks for a label key that nothing has.
+    /// A selector names a label key that nothing has.
     UnknownKey = 2,
-    /// A selector of pools or a rule leads to nothing.
+    /// A selector or a rule selects nothing.
     LeadsNowhere = 3,
     /// The pools have too few instances, or none large enough.
     CannotHold = 4,
-    /// The version is not in the catalogue, or is another model's.
+    /// The version is not in the catalogue, or is a version of another model.
     UnknownVersion = 5,
-    /// Two rules of one order can match one request and lead to different places.
+    /// Two rules with the same order can match one request and route it to different places.
     Ambiguous = 6,
-    /// One rule selects two versions of one model.
+    /// One rule selects several versions of one model.
     MixedVersions = 7,
-    /// An object to remove does not stand, or stands in the same text.
+    /// An object to remove is not declared, or the same change also writes it.
     Removal = 8,
-    /// The request identifier was used for another body.
+    /// The request identifier was used for another change.
     RequestReused = 9,
-    /// The request is older than what the state remembers.
+    /// The request or claim is too old.
     Expired = 10,
-    /// The request's time lies ahead of the state's clock.
+    /// The time of the request or key is ahead of the state's clock.
     FromFuture = 11,
     /// A size or count is over its limit.
     TooLarge = 12,
-    /// The version is still declared.
+    /// The version to retire is still declared.
     InUse = 13,
-    /// The term is older than the state's.
+    /// The term is older than the highest term that the state has seen.
     OldTerm = 14,
     /// The same digest was published with other facts.
     Differs = 15,
 }
 
-/// A command without an answer of its own took effect, or had done so before.
+/// A command without an outcome kind of its own took effect, or had taken effect before.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Done {
     /// Whether the state changed.
@@ -186,10 +186,10 @@
 /// Orders were recorded.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Ordered {
-    /// The highest sequence given out.
+    /// The highest sequence assigned.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
-    /// How many targets' desired state changed.
+    /// The number of targets whose order changed.
     #[prost(uint32, tag = "2")]
     pub changed: u32,
 }
@@ -197,7 +197,7 @@
 /// A claim was decided.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Claimed {
-    /// The decision; `None` only from a newer peer.
+    /// The decision. It is `None` only if a peer of a newer version sent it.
     #[prost(oneof = "Decision", tags = "1, 2, 3, 4, 5, 6, 7, 8")]
     pub decision: Option<Decision>,
 }
@@ -205,10 +205,10 @@
 /// The decision on a claim.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
 pub enum Decision {
-    /// The claimer alone may run the request, once, under this fence.
+    /// Only the attempt that claimed may run the request, once, under this fence.
     #[prost(uint64, tag = "1")]
     Granted(u64),
-    /// Another attempt holds the key until the given Unix millisecond at the latest.
+    /// Another attempt holds the key, at the latest until this time in Unix milliseconds.
     #[prost(uint64, tag = "2")]
     InProgress(u64),
     /// The request ran; this is its answer.
@@ -217,32 +217,33 @@
     /// The request may have run and is never run again under this key.
     #[prost(message, tag = "4")]
     Unknown(Nothing),
-    /// The key stands for another request.
+    /// The key was used for another request.
     #[prost(message, tag = "5")]
     BodyDiffers(Nothing),
-    /// The key is older than what is kept: whether it ran is no longer known.
+    /// The key is older than the keys that are kept, so it is no longer known whether its request ran.
     #[prost(message, tag = "6")]
     Expired(Nothing),
-    /// The claim is wrong in itself or its key's time lies ahead of the state's clock.
+    /// The claim is malformed, its deadline has passed, or its key's time is ahead of the state's clock.
     #[prost(message, tag = "7")]
     Refused(Reason),
-    /// No room: the request did not run; come back after this many milliseconds.
+    /// There is no room for another claim. The request did not run; the caller may send it again after
+    /// this many milliseconds.
     #[prost(uint64, tag = "8")]
     Full(u64),
 }
 
-/// Nothing to say.
+/// An empty message.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Nothing {}
 
-/// The claim stands under another fence, or not at all: nothing changed.
+/// The claim has another fence, has ended already, or does not exist. Nothing changed.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Stale {}
 
 /// The outcomes of a batch.
 #[derive(Clone, PartialEq, Message)]
 pub struct Outcomes {
-    /// One for each command, in the batch's order.
+    /// The outcome of each command, in the order of the batch.
     #[prost(message, repeated, tag = "1")]
     pub outcomes: Vec<Outcome>,
 }
@@ -250,15 +251,15 @@
 /// Open claims became unknown.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Forsaken {
-    /// How many.
+    /// The number of claims that became unknown.
     #[prost(uint32, tag = "1")]
     pub claims: u32,
 }
 
 impl Reason {
-    /// A reason about `object`, empty if it is about the command as a whole.
+    /// Creates a reason about `object`, which is empty if the reason is about the command as a whole.
     ///
-    /// Its text is cut to [`MAX_REASON`] characters: it may quote what an operator sent, and the
+    /// The text is cut to [`MAX_REASON`] characters, because it may quote what an operator sent and the
     /// state remembers the outcomes of thousands of requests.
     pub fn new(fault: Fault, object: &str, what: impl Into<String>) -> Self {
         let what: String = what.into();
@@ -270,7 +271,7 @@
         }
     }
 
-    /// A reason about a command that does not read.
+    /// Creates a reason for a malformed command.
     pub fn malformed(what: impl Into<String>) -> Self {
         Self::new(Fault::Malformed, "", what)
     }
