--- a/crates/filbertstack-control/src/catalogue.rs
+++ b/crates/filbertstack-control/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue: the published versions of models, by manifest digest.
+//! The catalogue holds the published versions of models, by manifest digest.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
     pub operator: String,
     /// The URL below which the origin has the files and the manifest.
     pub origin: Arc<str>,
-    /// The same at the weight store; empty if it has none.
+    /// The URL of the same files at the weight store, or empty if the store has none.
     pub store: Arc<str>,
 }
 
@@ -39,27 +39,27 @@
 }
 
 impl Catalogue {
-    /// The version under `root`.
+    /// Returns the version whose manifest has the digest `root`.
     pub fn get(&self, root: &Digest) -> Option<&Version> {
         self.versions.get(root)
     }
 
-    /// The versions by digest.
+    /// Returns the versions by manifest digest.
     pub fn iter(&self) -> impl Iterator<Item = (&Digest, &Version)> {
         self.versions.iter()
     }
 
-    /// How many there are.
+    /// Returns the number of versions.
     pub fn len(&self) -> usize {
         self.versions.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether no version is published.
     pub fn is_empty(&self) -> bool {
         self.versions.is_empty()
     }
 
-    /// The version under `root` as it was published.
+    /// Returns the command that publishes the version `root` as it is now.
     pub fn published(&self, root: &Digest) -> Option<Publish> {
         let version = self.versions.get(root)?;
         Some(Publish {
@@ -74,17 +74,17 @@
         })
     }
 
-    /// Adds a version, or changes where its files lie; `Ok(false)` if all that stands already.
+    /// Adds a version, or changes the URLs of its files. Returns `Ok(false)` if nothing changed.
     pub(crate) fn publish(&mut self, publish: Publish) -> Result<bool, Reason> {
-        let (root, version) = read(publish)?;
+        let (root, version) = parse_version(publish)?;
         if let Some(known) = self.versions.get_mut(&root) {
             if !same_facts(known, &version) {
-                return Err(differs(&root));
+                return Err(mismatch(&root));
             }
-            let moved = (&known.origin, &known.store) != (&version.origin, &version.store);
+            let relocated = (&known.origin, &known.store) != (&version.origin, &version.store);
             known.origin = version.origin;
             known.store = version.store;
-            return Ok(moved);
+            return Ok(relocated);
         }
         if self.versions.len() >= MAX_VERSIONS {
             return Err(Reason::new(
@@ -97,13 +97,13 @@
         Ok(true)
     }
 
-    /// Removes a version; whether it was there.
+    /// Removes a version. Returns whether it was published.
     pub(crate) fn retire(&mut self, root: &Digest) -> bool {
         self.versions.remove(root).is_some()
     }
 }
 
-fn read(publish: Publish) -> Result<(Digest, Version), Reason> {
+fn parse_version(publish: Publish) -> Result<(Digest, Version), Reason> {
     let root = Digest::from_slice(&publish.root)
         .ok_or_else(|| Reason::malformed("the manifest's digest is not 32 bytes"))?;
     let model = publish
@@ -119,28 +119,29 @@
         manifest: publish.manifest,
         chunks: publish.chunks,
         operator: publish.operator,
-        origin: read_url("origin", publish.origin)?,
-        store: read_url("store", publish.store)?,
+        origin: parse_url("origin", publish.origin)?,
+        store: parse_url("store", publish.store)?,
     };
     Ok((root, version))
 }
 
-fn read_url(what: &str, url: String) -> Result<Arc<str>, Reason> {
-    let http = url.is_empty() || url.starts_with("http://");
-    let plain = url.len() <= MAX_URL && url.bytes().all(|byte| byte.is_ascii_graphic());
-    if http && plain {
+fn parse_url(what: &str, url: String) -> Result<Arc<str>, Reason> {
+    let is_http = url.is_empty() || url.starts_with("http://");
+    let printable = url.len() <= MAX_URL && url.bytes().all(|byte| byte.is_ascii_graphic());
+    if is_http && printable {
         return Ok(url.into());
     }
     let text = format!("{what}: give an http:// URL of at most {MAX_URL} bytes");
     Err(Reason::malformed(text))
 }
 
-/// The first publisher's name stays; who else publishes the same bytes changes nothing.
+/// Compares all facts but the operator: the first publisher's name stays, whoever publishes the same
+/// version again.
 fn same_facts(a: &Version, b: &Version) -> bool {
     (&a.model, a.weights, a.manifest, a.chunks) == (&b.model, b.weights, b.manifest, b.chunks)
 }
 
-fn differs(root: &Digest) -> Reason {
+fn mismatch(root: &Digest) -> Reason {
     let what = format!(
         "version {root} is published with another model or other sizes: publish under the model \
          it was made for"
--- a/crates/filbertstack-control/src/claims.rs
+++ b/crates/filbertstack-control/src/claims.rs
@@ -1,14 +1,15 @@
-//! Claims: at most one run for each idempotency key.
+//! Claims ensure that the request of an idempotency key runs at most once.
 //!
-//! An entry commits a claim before the first byte of a request that may not be repeated goes to a
-//! target. The claim's fence names the one attempt that may run it. What the state promises:
+//! An entry commits a claim before it sends the first byte of a request that must not be repeated to a
+//! target. The claim's fence identifies the one attempt that may run the request. The state guarantees:
 //!
-//! - A key that carries its own time runs at most once, for ever: a row is only forgotten by
-//!   raising the organisation's mark to the key's time, and a key at or under the mark without a
-//!   row is refused as expired.
-//! - A plain key runs at most once within the claim's life after its last change. Its row is never
-//!   forgotten early: with no room left, new claims are refused instead.
-//! - An attempt that ended without a word leaves the key unknown; no one runs it again.
+//! - A request whose key contains its own time runs at most once, without a time limit. A row is only
+//!   forgotten by raising the organisation's `forgotten_until` to the key's time, and a key without a row
+//!   whose time is at or before `forgotten_until` is refused as expired.
+//! - A request with a plain key runs at most once within the claim's life after its last change. Its row
+//!   is never forgotten early: if no room is left, new claims are refused instead.
+//! - An attempt that ended without reporting a result leaves the key unknown, and its request is never
+//!   run again under this key.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,10 +22,10 @@
 use crate::command::Release;
 use crate::command::Settle;
 use crate::limits::Limits;
-use crate::limits::MAX_AHEAD;
 use crate::limits::MAX_ANSWER;
+use crate::limits::MAX_CLAIM_LIFE_MS;
+use crate::limits::MAX_CLOCK_AHEAD_MS;
 use crate::limits::MAX_ID;
-use crate::limits::MAX_LIFE;
 use crate::outcome::Claimed;
 use crate::outcome::Decision;
 use crate::outcome::Fault;
@@ -33,25 +34,26 @@
 
 /// The first 16 bytes of the digest of organisation and key.
 ///
-/// Two of a million keys meet with a chance of 10^-27; a whole key would cost up to 255 bytes.
+/// Among a million keys the chance of a collision is 10^-27. A whole key would take up to 255 bytes.
 pub(crate) type ClaimKey = [u8; 16];
 
-/// The bytes of a request's digest that are kept, enough to tell two requests apart.
+/// The number of bytes kept of a request's digest, enough to distinguish two requests.
 pub(crate) const BODY_LEN: usize = 16;
 
-/// How far a claim has come.
+/// The stage of a claim.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Stage {
-    /// Granted and not yet settled.
+    /// The claim was granted and is not settled.
     Open,
-    /// It ran and the caller's answer is known.
+    /// The request ran, and the caller's answer is known.
     Ran(Box<Answer>),
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// It certainly did not run; another attempt may claim the key.
+    /// The request certainly did not run, and another attempt may claim the key.
     Released,
 }
 
+/// The claim of one key.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Row {
     pub(crate) organisation: Arc<str>,
@@ -60,21 +62,27 @@
     pub(crate) entry: u64,
     pub(crate) attempt: u64,
     pub(crate) fence: u64,
+    /// When an open claim counts as unknown, in Unix milliseconds.
     pub(crate) until: u64,
+    /// How long the row is kept after its last change, in milliseconds.
     pub(crate) life: u64,
+    /// When the row expires, in Unix milliseconds.
     pub(crate) expires: u64,
     pub(crate) stage: Stage,
-    /// When the kept answer was settled, as an ordinal; 0 if no answer's bytes are kept.
-    pub(crate) kept: u64,
+    /// The ordinal of the settlement that brought the kept answer, or 0 if the row keeps no answer bytes.
+    pub(crate) answer_ordinal: u64,
 }
 
-/// What is kept for each organisation.
+/// The summary of one organisation's claims.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Ledger {
-    pub(crate) mark: u64,
+    /// The latest time of a forgotten key, in Unix milliseconds. A key with a time at or before it may
+    /// have been forgotten.
+    pub(crate) forgotten_until: u64,
+    /// The number of rows.
     pub(crate) rows: usize,
-    /// The rows that may be forgotten before they expire, the soonest to expire first.
-    pub(crate) spare: BTreeSet<(u64, ClaimKey)>,
+    /// The rows that may be forgotten before they expire, by their time of expiry.
+    pub(crate) evictable: BTreeSet<(u64, ClaimKey)>,
 }
 
 /// All claims.
@@ -82,10 +90,13 @@
 pub struct Claims {
     pub(crate) rows: BTreeMap<ClaimKey, Row>,
     pub(crate) ledgers: BTreeMap<Arc<str>, Ledger>,
-    /// The last ordinal given out, as a fence or to an answer.
+    /// The last ordinal assigned, to a claim as its fence or to an answer.
     pub(crate) ordinal: u64,
+    /// All rows by their time of expiry.
     expiries: BTreeSet<(u64, ClaimKey)>,
+    /// The open rows by entry process.
     open: BTreeSet<(u64, ClaimKey)>,
+    /// The rows with kept answers, by the ordinals of the answers.
     answers: BTreeMap<u64, ClaimKey>,
     answer_bytes: usize,
 }
@@ -93,16 +104,16 @@
 /// Counts of the claims kept.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClaimCounts {
-    /// Rows of every stage.
+    /// The number of rows of all stages.
     pub rows: usize,
-    /// Rows granted and not settled.
+    /// The number of rows that are granted and not settled.
     pub open: usize,
-    /// Bytes of answers kept.
+    /// The total size of the kept answers in bytes.
     pub answers: usize,
 }
 
 impl Claims {
-    /// Counts of the claims kept.
+    /// Returns counts of the claims kept.
     pub fn counts(&self) -> ClaimCounts {
         ClaimCounts {
             rows: self.rows.len(),
@@ -111,9 +122,9 @@
         }
     }
 
-    /// Decides a claim at the time `clock`.
+    /// Decides on a claim at the time `clock`.
     pub(crate) fn claim(&mut self, claim: &Claim, clock: u64, limits: &Limits) -> Claimed {
-        let decision = match check(claim, clock) {
+        let decision = match validate(claim, clock) {
             Ok(()) => self.decide(claim, clock, limits),
             Err(reason) => Decision::Refused(reason),
         };
@@ -125,9 +136,9 @@
     fn decide(&mut self, claim: &Claim, clock: u64, limits: &Limits) -> Decision {
         let key = claim_key(&claim.organisation, &claim.key);
         if let Some(row) = self.rows.get(&key) {
-            return match known(row, claim, clock) {
-                Known::Free => self.grant(key, claim, clock),
-                Known::Decided(decision) => decision,
+            return match key_state(row, claim, clock) {
+                KeyState::Free => self.grant(key, claim, clock),
+                KeyState::Decided(decision) => decision,
             };
         }
         if self.is_forgotten(claim) {
@@ -135,35 +146,38 @@
         }
         match self.make_room(&claim.organisation, limits) {
             Ok(()) => self.grant(key, claim, clock),
-            Err(wait) => Decision::Full(wait.since(clock)),
+            Err(no_room) => Decision::Full(no_room.wait_ms(clock)),
         }
     }
 
-    /// Whether the key, of which no row stands, may have been forgotten.
+    /// Returns whether a key that has no row may have been forgotten.
     fn is_forgotten(&self, claim: &Claim) -> bool {
-        let mark = self.ledgers.get(&*claim.organisation).map_or(0, |l| l.mark);
-        claim.issued.is_some_and(|issued| issued <= mark)
+        let forgotten_until = self
+            .ledgers
+            .get(&*claim.organisation)
+            .map_or(0, |l| l.forgotten_until);
+        claim.issued.is_some_and(|issued| issued <= forgotten_until)
     }
 
     /// Grants a claim, unless its request's deadline has passed.
     ///
-    /// A released row is kept until the claim's deadline: up to then it holds back late copies of
-    /// the claim, after it the deadline does. So a key given back takes no room for long, and in
-    /// overload, when most are given back, those that ran keep theirs.
+    /// A released row is kept until the claim's deadline. Until then the row refuses late copies of the
+    /// claim; afterwards the deadline does. So a released key does not take room for long, and in overload,
+    /// when most keys are released, the keys whose requests ran keep their rows.
     fn grant(&mut self, key: ClaimKey, claim: &Claim, clock: u64) -> Decision {
         if claim.until < clock {
             let what = "the claim's deadline has passed, it did not run: if this repeats, set the \
                         entry's clock";
             return Decision::Refused(Reason::new(Fault::Expired, "", what));
         }
-        let organisation = self.organisation(&claim.organisation);
-        self.take_out(&key);
+        let organisation = self.shared_name(&claim.organisation);
+        self.remove_row(&key);
         self.ordinal += 1;
-        let life = claim.life.clamp(1, MAX_LIFE);
-        let until = claim.until.min(clock.saturating_add(MAX_LIFE));
+        let life = claim.life.clamp(1, MAX_CLAIM_LIFE_MS);
+        let until = claim.until.min(clock.saturating_add(MAX_CLAIM_LIFE_MS));
         let row = Row {
             organisation,
-            body: body_of(claim),
+            body: body_prefix(claim),
             issued: claim.issued,
             entry: claim.entry,
             attempt: claim.attempt,
@@ -172,46 +186,48 @@
             life,
             expires: clock.saturating_add(life).max(until),
             stage: Stage::Open,
-            kept: 0,
+            answer_ordinal: 0,
         };
-        self.put_in(key, row);
+        self.insert_row(key, row);
         Decision::Granted(self.ordinal)
     }
 
-    /// Records the end of a claimed request; false if the claim stands under another fence.
+    /// Records the end of a claimed request. Returns false if the claim has another fence or has ended.
     pub(crate) fn settle(&mut self, settle: Settle, clock: u64, limits: &Limits) -> bool {
         let key = claim_key(&settle.organisation, &settle.key);
-        let Some(mut row) = self.take_fenced(&key, settle.fence) else {
+        let Some(mut row) = self.remove_fenced(&key, settle.fence) else {
             return false;
         };
         let stage = settle.answer.map_or(Stage::Unknown, |answer| {
-            Stage::Ran(Box::new(bounded(answer)))
+            Stage::Ran(Box::new(limit_size(answer)))
         });
-        if keeps_bytes(&stage) {
+        if has_bytes(&stage) {
             self.ordinal += 1;
-            row.kept = self.ordinal;
+            row.answer_ordinal = self.ordinal;
         }
         self.close(key, row, stage, clock);
         self.trim_answers(limits);
         true
     }
 
-    /// Gives a claim back; false if the claim stands under another fence.
+    /// Releases a claim. Returns false if the claim has another fence or has ended.
     pub(crate) fn release(&mut self, release: &Release, clock: u64) -> bool {
         let key = claim_key(&release.organisation, &release.key);
-        let Some(row) = self.take_fenced(&key, release.fence) else {
+        let Some(row) = self.remove_fenced(&key, release.fence) else {
             return false;
         };
         self.close(key, row, Stage::Released, clock);
         true
     }
 
-    /// Gives back an attempt's claim whether or not it was committed; false if it ended otherwise.
+    /// Releases an attempt's claim whether or not it was committed. Returns false if the claim ended in
+    /// another way.
     ///
-    /// Without the claim a released row is put in its place. The claim may still be on its way: it
-    /// would be granted to nobody, and the key would be unknown though nothing ran.
+    /// If there is no claim, this inserts a released row, because the claim may still arrive later. Without
+    /// the row it would be granted although nobody waits for it, and the key would become unknown although
+    /// nothing ran.
     pub(crate) fn abandon(&mut self, claim: &Claim, clock: u64, limits: &Limits) -> bool {
-        if check(claim, clock).is_err() {
+        if validate(claim, clock).is_err() {
             return false;
         }
         let key = claim_key(&claim.organisation, &claim.key);
@@ -223,7 +239,7 @@
             Some((fence, true)) => fence,
             Some((_, false)) => return false,
             None => {
-                // A released row would make a key that ran and was forgotten free again.
+                // A released row would free a key whose request ran and whose row was forgotten.
                 let forgotten = self.is_forgotten(claim);
                 if forgotten || self.make_room(&claim.organisation, limits).is_err() {
                     return false;
@@ -234,89 +250,93 @@
                 }
             }
         };
-        let row = self.take_fenced(&key, fence);
+        let row = self.remove_fenced(&key, fence);
         row.map(|row| self.close(key, row, Stage::Released, clock))
             .is_some()
     }
 
-    /// Makes the open claims of an entry process unknown; how many there were.
+    /// Marks the open claims of an entry process as unknown. Returns their number.
     pub(crate) fn forsake(&mut self, entry: u64, clock: u64) -> u32 {
         let of_entry = self.open.range((entry, [0; 16])..=(entry, [u8::MAX; 16]));
         let keys: Vec<_> = of_entry.map(|(_, key)| *key).collect();
         for key in &keys {
-            self.lose(key, clock);
+            self.mark_unknown(key, clock);
         }
         u32::try_from(keys.len()).unwrap_or(u32::MAX)
     }
 
-    /// Forgets the rows whose time has run out. An open one becomes unknown for another life:
-    /// nobody said how it ended, so it must not look as if the key were new.
+    /// Forgets the rows that have expired. An open row becomes unknown for another life: nothing is known
+    /// about how its request ended, so the key must not look new.
     pub(crate) fn expire(&mut self, clock: u64) {
         while let Some((expires, key)) = self.expiries.first().copied() {
             if expires > clock {
                 return;
             }
             if self.rows.get(&key).is_some_and(|r| r.stage == Stage::Open) {
-                self.lose(&key, clock);
+                self.mark_unknown(&key, clock);
             } else {
                 self.forget(&key);
             }
         }
     }
 
-    fn lose(&mut self, key: &ClaimKey, clock: u64) {
-        if let Some(row) = self.take_out(key) {
+    /// Closes the claim of a key as unknown.
+    fn mark_unknown(&mut self, key: &ClaimKey, clock: u64) {
+        if let Some(row) = self.remove_row(key) {
             self.close(*key, row, Stage::Unknown, clock);
         }
     }
 
+    /// Inserts a row again that was removed, with its last stage and its time of expiry.
     fn close(&mut self, key: ClaimKey, mut row: Row, stage: Stage, clock: u64) {
         row.expires = match stage {
             Stage::Released => row.until.max(clock).saturating_add(1),
             _ => clock.saturating_add(row.life),
         };
         row.stage = stage;
-        self.put_in(key, row);
+        self.insert_row(key, row);
     }
 
-    /// Makes room for one more row, or says when there may be some.
-    fn make_room(&mut self, organisation: &str, limits: &Limits) -> Result<(), Room> {
-        let of_org = self.ledgers.get(organisation);
-        if of_org.is_some_and(|ledger| ledger.rows >= limits.org_claims) {
-            self.forget_spare(organisation)?;
+    /// Makes room for one more row, or returns when there may be room.
+    fn make_room(&mut self, organisation: &str, limits: &Limits) -> Result<(), NoRoom> {
+        let ledger = self.ledgers.get(organisation);
+        if ledger.is_some_and(|ledger| ledger.rows >= limits.org_claims) {
+            self.evict(organisation)?;
         }
         if self.rows.len() < limits.claims {
             return Ok(());
         }
-        let most = self.ledgers.iter().max_by_key(|(_, ledger)| ledger.rows);
-        let most = most.map_or_else(|| organisation.into(), |(name, _)| name.clone());
-        self.forget_spare(&most)
+        let largest = self.ledgers.iter().max_by_key(|(_, ledger)| ledger.rows);
+        let largest = largest.map_or_else(|| organisation.into(), |(name, _)| name.clone());
+        self.evict(&largest)
     }
 
-    /// Forgets the organisation's row that would expire first of those that may go early.
-    fn forget_spare(&mut self, organisation: &str) -> Result<(), Room> {
+    /// Forgets the organisation's evictable row that would expire first.
+    fn evict(&mut self, organisation: &str) -> Result<(), NoRoom> {
         let ledger = self.ledgers.get(organisation);
-        let spare = ledger.and_then(|ledger| ledger.spare.first()).copied();
-        let Some((_, key)) = spare else {
-            let next = self.expiries.first().map_or(0, |(expires, _)| *expires);
-            return Err(Room { next });
+        let evictable = ledger.and_then(|ledger| ledger.evictable.first()).copied();
+        let Some((_, key)) = evictable else {
+            let next_expiry = self.expiries.first().map_or(0, |(expires, _)| *expires);
+            return Err(NoRoom { next_expiry });
         };
         self.forget(&key);
         Ok(())
     }
 
+    /// Removes a row and raises the organisation's `forgotten_until` to the time of its key.
     fn forget(&mut self, key: &ClaimKey) {
-        let Some(row) = self.take_out(key) else {
+        let Some(row) = self.remove_row(key) else {
             return;
         };
         if row.stage == Stage::Released {
             return;
         }
         let ledger = self.ledgers.entry(row.organisation).or_default();
-        ledger.mark = ledger.mark.max(row.issued.unwrap_or(0));
+        ledger.forgotten_until = ledger.forgotten_until.max(row.issued.unwrap_or(0));
     }
 
-    /// Drops the oldest answers over the limit; that they ran, and their digests, stay.
+    /// Drops the bytes of the oldest answers until the rest is within the limit. Their rows keep the
+    /// status and the digest.
     fn trim_answers(&mut self, limits: &Limits) {
         while self.answer_bytes > limits.answers {
             let Some((_, key)) = self.answers.pop_first() else {
@@ -325,58 +345,59 @@
             let Some(row) = self.rows.get_mut(&key) else {
                 continue;
             };
-            row.kept = 0;
+            row.answer_ordinal = 0;
             if let Stage::Ran(answer) = &mut row.stage {
                 self.answer_bytes -= answer.bytes.take().map_or(0, |bytes| bytes.len());
             }
         }
     }
 
-    fn take_fenced(&mut self, key: &ClaimKey, fence: u64) -> Option<Row> {
+    /// Removes the row of a claim that is open or unknown under `fence`.
+    fn remove_fenced(&mut self, key: &ClaimKey, fence: u64) -> Option<Row> {
         let row = self.rows.get(key)?;
         let settled = matches!(row.stage, Stage::Ran(_) | Stage::Released);
         if row.fence != fence || settled {
             return None;
         }
-        self.take_out(key)
+        self.remove_row(key)
     }
 
-    /// Takes a row out of the table and of every index.
-    fn take_out(&mut self, key: &ClaimKey) -> Option<Row> {
+    /// Removes a row from the table and from every index.
+    fn remove_row(&mut self, key: &ClaimKey) -> Option<Row> {
         let row = self.rows.remove(key)?;
         self.expiries.remove(&(row.expires, *key));
         self.open.remove(&(row.entry, *key));
-        if self.answers.remove(&row.kept).is_some() {
-            self.answer_bytes -= kept_bytes(&row.stage);
+        if self.answers.remove(&row.answer_ordinal).is_some() {
+            self.answer_bytes -= answer_len(&row.stage);
         }
         if let Some(ledger) = self.ledgers.get_mut(&row.organisation) {
             ledger.rows -= 1;
-            ledger.spare.remove(&(row.expires, *key));
+            ledger.evictable.remove(&(row.expires, *key));
         }
         Some(row)
     }
 
-    /// Puts a row into the table and every index.
-    pub(crate) fn put_in(&mut self, key: ClaimKey, row: Row) {
+    /// Inserts a row into the table and into every index.
+    pub(crate) fn insert_row(&mut self, key: ClaimKey, row: Row) {
         self.expiries.insert((row.expires, key));
         if row.stage == Stage::Open {
             self.open.insert((row.entry, key));
         }
-        if row.kept > 0 {
-            self.answers.insert(row.kept, key);
-            self.answer_bytes += kept_bytes(&row.stage);
+        if row.answer_ordinal > 0 {
+            self.answers.insert(row.answer_ordinal, key);
+            self.answer_bytes += answer_len(&row.stage);
         }
         let ledger = self.ledgers.entry(row.organisation.clone()).or_default();
         ledger.rows += 1;
         let ended = matches!(row.stage, Stage::Ran(_) | Stage::Unknown);
         if row.issued.is_some() && ended {
-            ledger.spare.insert((row.expires, key));
+            ledger.evictable.insert((row.expires, key));
         }
         self.rows.insert(key, row);
     }
 
-    /// The organisation's shared name.
-    pub(crate) fn organisation(&mut self, name: &str) -> Arc<str> {
+    /// Returns the name of an organisation as it is shared by its rows, and adds its ledger if it has none.
+    pub(crate) fn shared_name(&mut self, name: &str) -> Arc<str> {
         if let Some((shared, _)) = self.ledgers.get_key_value(name) {
             return shared.clone();
         }
@@ -386,41 +407,48 @@
     }
 }
 
-/// No room: the moment at which the next row expires.
-struct Room {
-    next: u64,
+/// There is no room for another claim.
+struct NoRoom {
+    /// When the next row expires, in Unix milliseconds.
+    next_expiry: u64,
 }
 
-impl Room {
-    /// The shortest wait that is told to a caller, in milliseconds.
-    const LEAST_WAIT: u64 = 1000;
+impl NoRoom {
+    /// The shortest wait that a caller is asked for.
+    const MIN_WAIT_MS: u64 = 1000;
 
-    fn since(&self, clock: u64) -> u64 {
-        self.next.saturating_sub(clock).max(Self::LEAST_WAIT)
+    /// Returns how long a caller should wait, in milliseconds.
+    fn wait_ms(&self, clock: u64) -> u64 {
+        self.next_expiry
+            .saturating_sub(clock)
+            .max(Self::MIN_WAIT_MS)
     }
 }
 
-enum Known {
+/// The state of a key that has a row.
+enum KeyState {
+    /// The key may be claimed again.
     Free,
+    /// The row determines the decision.
     Decided(Decision),
 }
 
-/// What a standing row says to a claim.
-fn known(row: &Row, claim: &Claim, clock: u64) -> Known {
-    let same = is_attempt(row, claim);
-    // A key that was given back ran nothing, so it stands for no request yet.
-    if row.stage != Stage::Released && row.body != body_of(claim) {
-        return Known::Decided(Decision::BodyDiffers(Nothing {}));
+/// Returns the state of a key for a claim, by the key's row.
+fn key_state(row: &Row, claim: &Claim, clock: u64) -> KeyState {
+    let same_attempt = is_attempt(row, claim);
+    // No request ran under a released key, so the key does not belong to a request yet.
+    if row.stage != Stage::Released && row.body != body_prefix(claim) {
+        return KeyState::Decided(Decision::BodyDiffers(Nothing {}));
     }
-    Known::Decided(match &row.stage {
-        // The proposer's own resend: it lost the log's answer and gets the same grant.
-        Stage::Open if same => Decision::Granted(row.fence),
+    KeyState::Decided(match &row.stage {
+        // The proposer did not get the outcome and sends the claim again: it gets the same grant.
+        Stage::Open if same_attempt => Decision::Granted(row.fence),
         Stage::Open if clock <= row.until => Decision::InProgress(row.until),
         Stage::Open | Stage::Unknown => Decision::Unknown(Nothing {}),
         Stage::Ran(answer) => Decision::Ran(answer.as_ref().clone()),
-        // A late copy of the attempt that gave the key back: nobody waits for its grant.
-        Stage::Released if same => Decision::InProgress(clock),
-        Stage::Released => return Known::Free,
+        // This is a late copy of the released claim: nobody waits for its grant.
+        Stage::Released if same_attempt => Decision::InProgress(clock),
+        Stage::Released => return KeyState::Free,
     })
 }
 
@@ -428,9 +456,9 @@
     (row.entry, row.attempt) == (claim.entry, claim.attempt)
 }
 
-fn check(claim: &Claim, clock: u64) -> Result<(), Reason> {
-    let named = |text: &str| !text.is_empty() && text.len() <= MAX_ID;
-    if !named(&claim.organisation) || !named(&claim.key) {
+fn validate(claim: &Claim, clock: u64) -> Result<(), Reason> {
+    let valid_len = |text: &str| !text.is_empty() && text.len() <= MAX_ID;
+    if !valid_len(&claim.organisation) || !valid_len(&claim.key) {
         let what = format!("give an organisation and a key of 1 to {MAX_ID} bytes");
         return Err(Reason::malformed(what));
     }
@@ -440,7 +468,7 @@
     }
     if claim
         .issued
-        .is_some_and(|issued| issued > clock.saturating_add(MAX_AHEAD))
+        .is_some_and(|issued| issued > clock.saturating_add(MAX_CLOCK_AHEAD_MS))
     {
         let what = "the key's time lies ahead: set the caller's clock and draw a new key";
         return Err(Reason::new(Fault::FromFuture, "", what));
@@ -449,20 +477,20 @@
 }
 
 fn claim_key(organisation: &str, key: &str) -> ClaimKey {
-    // The organisation's length in front keeps `ab` + `c` apart from `a` + `bc`.
+    // The length of the organisation distinguishes `ab` + `c` from `a` + `bc`.
     let text = format!("{}:{organisation}{key}", organisation.len());
-    let mut short = ClaimKey::default();
-    short.copy_from_slice(&Digest::of(text.as_bytes()).as_bytes()[..16]);
-    short
+    let mut prefix = ClaimKey::default();
+    prefix.copy_from_slice(&Digest::of(text.as_bytes()).as_bytes()[..16]);
+    prefix
 }
 
-fn body_of(claim: &Claim) -> [u8; BODY_LEN] {
+fn body_prefix(claim: &Claim) -> [u8; BODY_LEN] {
     let mut body = [0; BODY_LEN];
     body.copy_from_slice(&claim.body[..BODY_LEN]);
     body
 }
 
-fn bounded(mut answer: Answer) -> Answer {
+fn limit_size(mut answer: Answer) -> Answer {
     answer.bytes = answer.bytes.filter(|bytes| bytes.len() <= MAX_ANSWER);
     answer
         .digest
@@ -470,11 +498,11 @@
     answer
 }
 
-fn keeps_bytes(stage: &Stage) -> bool {
+fn has_bytes(stage: &Stage) -> bool {
     matches!(stage, Stage::Ran(answer) if answer.bytes.is_some())
 }
 
-fn kept_bytes(stage: &Stage) -> usize {
+fn answer_len(stage: &Stage) -> usize {
     match stage {
         Stage::Ran(answer) => answer.bytes.as_ref().map_or(0, Vec::len),
         _ => 0,
--- a/crates/filbertstack-control/src/declared.rs
+++ b/crates/filbertstack-control/src/declared.rs
@@ -1,4 +1,4 @@
-//! The declarations in force, changed by compare-and-set on their revision.
+//! The declarations in force change by compare-and-set on their revision.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,9 +10,9 @@
 use crate::command::Apply;
 use crate::command::Kind;
 use crate::command::Object;
+use crate::limits::MAX_CHANGE_OBJECTS;
 use crate::limits::MAX_DECLARED;
 use crate::limits::MAX_HISTORY;
-use crate::limits::MAX_NAMED;
 use crate::limits::MAX_OBJECTS;
 use crate::limits::MAX_TEXT;
 use crate::limits::MAX_TOMBSTONES;
@@ -31,67 +31,69 @@
 pub struct Declared {
     pub(crate) current: Declarations,
     pub(crate) revision: u64,
-    /// The revision that last wrote each standing object.
+    /// The revision that last wrote each declared object.
     pub(crate) written: BTreeMap<Object, u64>,
-    /// The revision that removed each object that no longer stands.
+    /// The revision that removed each object that is no longer declared.
     pub(crate) removed: BTreeMap<Object, u64>,
-    /// Removals up to this revision may be forgotten: a follower behind it needs everything.
+    /// Removals up to this revision may be forgotten: a follower with an older revision needs all
+    /// declarations.
     pub(crate) floor: u64,
     pub(crate) history: VecDeque<Change>,
 }
 
-/// What validation looks at besides the declarations.
+/// The parts of the state that validation reads besides the declarations.
 #[derive(Clone, Copy)]
-pub(crate) struct Surroundings<'a> {
+pub(crate) struct ValidationContext<'a> {
     pub(crate) catalogue: &'a Catalogue,
     pub(crate) register: &'a Register,
     pub(crate) clock: u64,
 }
 
-/// A change that reads, with what is already known to be wrong with it.
-struct Proposed {
+/// The declarations after a change that parses, with the reasons already found against it.
+struct ParsedChange {
     after: Declarations,
     reasons: Vec<Reason>,
 }
 
 impl Declared {
-    /// The declarations.
+    /// Returns the declarations.
     pub fn current(&self) -> &Declarations {
         &self.current
     }
 
-    /// The revision: 0 before the first change, one more at each.
+    /// Returns the revision: 0 before the first change, and one more at each change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The latest accepted changes, oldest first.
+    /// Returns the latest accepted changes, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &Change> {
         self.history.iter()
     }
 
-    /// The revision that last wrote `object`.
+    /// Returns the revision that last wrote `object`.
     pub fn written(&self, object: &Object) -> Option<u64> {
         self.written.get(object).copied()
     }
 
-    pub(crate) fn apply(&mut self, apply: &Apply, around: Surroundings) -> Outcome {
-        let clash = apply.expected.filter(|expected| *expected != self.revision);
-        if let Some(expected) = clash {
+    /// Validates a change and, if there is no reason against it, puts it in force.
+    pub(crate) fn apply(&mut self, apply: &Apply, context: ValidationContext) -> Outcome {
+        let conflicting = apply.expected.filter(|expected| *expected != self.revision);
+        if let Some(expected) = conflicting {
             return Reply::Conflict(self.conflict(expected)).into();
         }
-        let proposed = match self.proposed(apply) {
-            Ok(proposed) => proposed,
+        let parsed = match self.parse_change(apply) {
+            Ok(parsed) => parsed,
             Err(reasons) => return reasons.into(),
         };
-        let Proposed { after, mut reasons } = proposed;
-        let touched = touched(&self.current, &after);
+        let ParsedChange { after, mut reasons } = parsed;
+        let touched = changed_objects(&self.current, &after);
         let proposal = Proposal {
             before: &self.current,
             after: &after,
             touched: &touched,
-            catalogue: around.catalogue,
-            register: around.register,
+            catalogue: context.catalogue,
+            register: context.register,
         };
         let found = proposal.validate();
         reasons.extend(found.reasons);
@@ -100,7 +102,7 @@
         }
         let changed = !touched.is_empty();
         if changed {
-            self.accept(apply, after, touched, around.clock);
+            self.accept(apply, after, touched, context.clock);
         }
         Reply::Accepted(Accepted {
             revision: self.revision,
@@ -121,13 +123,14 @@
         }
     }
 
-    /// The declarations after the change, not yet validated; an error if the change does not read.
-    fn proposed(&self, apply: &Apply) -> Result<Proposed, Vec<Reason>> {
+    /// Returns the declarations after the change, not yet validated. Returns an error if the change can't
+    /// be parsed.
+    fn parse_change(&self, apply: &Apply) -> Result<ParsedChange, Vec<Reason>> {
         if apply.text.len() > MAX_TEXT || apply.removals.len() > MAX_OBJECTS {
             let what = format!("a change of more than {MAX_TEXT} bytes or {MAX_OBJECTS} removals");
             return Err(vec![Reason::new(Fault::TooLarge, "", what)]);
         }
-        let given = Declarations::parse("declarations", &apply.text).map_err(|problems| {
+        let written = Declarations::parse("declarations", &apply.text).map_err(|problems| {
             let texts = problems.0.iter().map(ToString::to_string);
             texts
                 .map(|what| Reason::new(Fault::Syntax, "", what))
@@ -136,11 +139,11 @@
         let mut after = self.current.clone();
         let mut reasons = Vec::new();
         for object in &apply.removals {
-            reasons.extend(remove(&mut after, &given, object).err());
+            reasons.extend(apply_removal(&mut after, &written, object).err());
         }
-        after.deployments.extend(given.deployments);
-        after.pools.extend(given.pools);
-        after.rules.extend(given.rules);
+        after.deployments.extend(written.deployments);
+        after.pools.extend(written.pools);
+        after.rules.extend(written.rules);
         if after.deployments.len() + after.pools.len() + after.rules.len() > MAX_OBJECTS {
             let what = format!("more than {MAX_OBJECTS} objects declared: remove some");
             reasons.push(Reason::new(Fault::TooLarge, "", what));
@@ -149,14 +152,14 @@
             let what = format!("more than {MAX_DECLARED} bytes declared in all: remove some");
             reasons.push(Reason::new(Fault::TooLarge, "", what));
         }
-        Ok(Proposed { after, reasons })
+        Ok(ParsedChange { after, reasons })
     }
 
     fn accept(&mut self, apply: &Apply, after: Declarations, touched: BTreeSet<Object>, at: u64) {
         self.revision += 1;
         self.current = after;
         for object in &touched {
-            if stands(&self.current, object) {
+            if is_declared(&self.current, object) {
                 self.removed.remove(object);
                 self.written.insert(object.clone(), self.revision);
             } else {
@@ -170,14 +173,14 @@
             operator: apply.operator.clone(),
             request: apply.request.clone(),
             at,
-            objects: touched.into_iter().take(MAX_NAMED).collect(),
+            objects: touched.into_iter().take(MAX_CHANGE_OBJECTS).collect(),
         });
         if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
     }
 
-    /// Forgets the oldest removals over the limit, all of one revision together.
+    /// Forgets the oldest removals over the limit. All removals of one revision go together.
     fn trim_removed(&mut self) {
         while self.removed.len() > MAX_TOMBSTONES {
             let oldest = self.removed.values().min().copied().unwrap_or(0);
@@ -187,49 +190,54 @@
     }
 }
 
-fn remove(after: &mut Declarations, given: &Declarations, object: &Object) -> Result<(), Reason> {
+fn apply_removal(
+    after: &mut Declarations,
+    written: &Declarations,
+    object: &Object,
+) -> Result<(), Reason> {
     let refuse = |what: &str| Err(Reason::new(Fault::Removal, &object.to_string(), what));
     if Kind::try_from(object.kind).is_err() {
         return refuse("is of no known kind: use deployment, pool or rule");
     }
-    if stands(given, object) {
+    if is_declared(written, object) {
         return refuse("is both written and removed: keep one of them");
     }
-    if !erase(after, object) {
+    if !remove_object(after, object) {
         return refuse("is not declared: leave it out of the removals");
     }
     Ok(())
 }
 
-pub(crate) fn erase(from: &mut Declarations, object: &Object) -> bool {
+/// Removes `object` from the declarations. Returns whether it was declared.
+pub(crate) fn remove_object(from: &mut Declarations, object: &Object) -> bool {
     let name = object.name.as_str();
     match object.kind() {
-        Kind::Deployment => take(&mut from.deployments, name),
-        Kind::Pool => take(&mut from.pools, name),
-        Kind::Rule => take(&mut from.rules, name),
+        Kind::Deployment => remove_named(&mut from.deployments, name),
+        Kind::Pool => remove_named(&mut from.pools, name),
+        Kind::Rule => remove_named(&mut from.rules, name),
     }
 }
 
-fn take<N: std::str::FromStr + Ord, T>(from: &mut BTreeMap<N, T>, name: &str) -> bool {
+fn remove_named<N: std::str::FromStr + Ord, T>(from: &mut BTreeMap<N, T>, name: &str) -> bool {
     name.parse().is_ok_and(|name| from.remove(&name).is_some())
 }
 
-/// Whether `object` stands in `declared`.
-pub(crate) fn stands(declared: &Declarations, object: &Object) -> bool {
+/// Returns whether `declared` has `object`.
+pub(crate) fn is_declared(declared: &Declarations, object: &Object) -> bool {
     section_text(declared, object).is_some()
 }
 
-/// The keys of `object` in their canonical form, without the section's header.
+/// Returns the keys of `object` in their canonical form, without the section's header.
 pub(crate) fn section_text(declared: &Declarations, object: &Object) -> Option<String> {
     let name = object.name.as_str();
     match object.kind() {
-        Kind::Deployment => render(&declared.deployments, name),
-        Kind::Pool => render(&declared.pools, name),
-        Kind::Rule => render(&declared.rules, name),
+        Kind::Deployment => render_named(&declared.deployments, name),
+        Kind::Pool => render_named(&declared.pools, name),
+        Kind::Rule => render_named(&declared.rules, name),
     }
 }
 
-fn render<N: std::str::FromStr + Ord, T: ToString>(
+fn render_named<N: std::str::FromStr + Ord, T: ToString>(
     from: &BTreeMap<N, T>,
     name: &str,
 ) -> Option<String> {
@@ -237,22 +245,22 @@
     Some(value.to_string())
 }
 
-/// The objects that differ between two sets of declarations.
-fn touched(before: &Declarations, after: &Declarations) -> BTreeSet<Object> {
+/// Returns the objects that differ between two sets of declarations.
+fn changed_objects(before: &Declarations, after: &Declarations) -> BTreeSet<Object> {
     let mut objects = BTreeSet::new();
-    differing(&before.deployments, &after.deployments, |name| {
+    for_each_difference(&before.deployments, &after.deployments, |name| {
         objects.insert(Object::new(Kind::Deployment, name.as_str()));
     });
-    differing(&before.pools, &after.pools, |name| {
+    for_each_difference(&before.pools, &after.pools, |name| {
         objects.insert(Object::new(Kind::Pool, name.as_str()));
     });
-    differing(&before.rules, &after.rules, |name| {
+    for_each_difference(&before.rules, &after.rules, |name| {
         objects.insert(Object::new(Kind::Rule, name.as_str()));
     });
     objects
 }
 
-fn differing<N: Ord, T: PartialEq>(
+fn for_each_difference<N: Ord, T: PartialEq>(
     before: &BTreeMap<N, T>,
     after: &BTreeMap<N, T>,
     mut report: impl FnMut(&N),
--- a/crates/filbertstack-control/src/key.rs
+++ b/crates/filbertstack-control/src/key.rs
@@ -1,9 +1,10 @@
-//! The time that an idempotency key carries in itself.
+//! This module reads the creation time that is part of some idempotency keys.
 
-/// When the key was made, in Unix milliseconds, if it is a UUID of version 7; `None` for any other.
+/// Returns when the key was made, in Unix milliseconds, if it is a UUID of version 7, and `None` for any
+/// other key.
 ///
-/// The same key always gives the same time, whoever reads it, which is what lets the state forget
-/// the key and still refuse it.
+/// Every reader gets the same time from the same key. This lets the state forget a key and still refuse
+/// it later.
 ///
 /// ```
 /// use filbertstack_control::key::key_time;
@@ -13,7 +14,7 @@
 /// ```
 pub fn key_time(key: &str) -> Option<u64> {
     let dashes = [8, 13, 18, 23];
-    let shaped = key.len() == 36
+    let has_uuid_form = key.len() == 36
         && key.bytes().enumerate().all(|(i, byte)| {
             if dashes.contains(&i) {
                 byte == b'-'
@@ -21,10 +22,10 @@
                 byte.is_ascii_hexdigit()
             }
         });
-    if !shaped || key.as_bytes()[14] != b'7' {
+    if !has_uuid_form || key.as_bytes()[14] != b'7' {
         return None;
     }
-    let is_variant = matches!(key.as_bytes()[19], b'8' | b'9' | b'a' | b'b' | b'A' | b'B');
+    let has_rfc_variant = matches!(key.as_bytes()[19], b'8' | b'9' | b'a' | b'b' | b'A' | b'B');
     let digits = format!("{}{}", &key[..8], &key[9..13]);
-    is_variant.then(|| u64::from_str_radix(&digits, 16).ok())?
+    has_rfc_variant.then(|| u64::from_str_radix(&digits, 16).ok())?
 }
--- a/crates/filbertstack-control/src/lib.rs
+++ b/crates/filbertstack-control/src/lib.rs
@@ -1,8 +1,9 @@
-//! The replicated control state: declarations, published versions, instances, orders and claims.
+//! This crate holds the replicated control state: declarations, published versions, instances, orders
+//! and claims.
 //!
-//! [`ControlState`] is a deterministic state machine. The replicated log hands it the bytes of a
-//! [`command::Command`] and gets an [`outcome::Outcome`]; the same log gives the same state and
-//! the same outcomes on every replica, also when a replica started from a snapshot.
+//! [`ControlState`] is a deterministic state machine. The replicated log passes it the bytes of a
+//! [`command::Command`] and receives an [`outcome::Outcome`]. The same log produces the same state and
+//! the same outcomes on every replica, including a replica that started from a snapshot.
 //!
 //! ```
 //! use filbertstack_control::ControlState;
--- a/crates/filbertstack-control/src/limits.rs
+++ b/crates/filbertstack-control/src/limits.rs
@@ -1,25 +1,26 @@
-//! Bounds of the state: every size and count that a peer, operator or caller controls.
+//! This module defines the limits of the state: one for every size and count that a peer, operator or
+//! caller controls.
 
-/// The bounds that a state keeps. They are part of the state: a snapshot carries them.
+/// The limits that a state enforces. They are part of the state, so a snapshot contains them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Request identifiers remembered.
+    /// The most request identifiers remembered.
     pub requests: usize,
     /// How long a request identifier is remembered, in milliseconds.
-    pub request_age: u64,
-    /// Claims kept over all organisations.
+    pub request_age_ms: u64,
+    /// The most claims kept over all organisations.
     pub claims: usize,
-    /// Claims kept of one organisation.
+    /// The most claims kept for one organisation.
     pub org_claims: usize,
-    /// Bytes of answers kept over all claims.
+    /// The most bytes of answers kept over all claims.
     pub answers: usize,
 }
 
 impl Limits {
-    /// The bounds of a node's 128 MiB for control; docs/design/control-state.md has the sums.
+    /// The limits of a node that has 128 MiB for control. docs/design/control-state.md has the sums.
     pub const DEFAULT: Self = Self {
         requests: 4096,
-        request_age: 24 * 3_600_000,
+        request_age_ms: 24 * 3_600_000,
         claims: 100_000,
         org_claims: 25_000,
         answers: 8 << 20,
@@ -32,9 +33,9 @@
     }
 }
 
-/// How far a client's clock may run ahead of the state's, in milliseconds. Without a bound, one
-/// request stamped years ahead would, once forgotten, make every honest stamp look too old.
-pub const MAX_AHEAD: u64 = 5 * 60_000;
+/// How far a client's clock may run ahead of the state's clock, in milliseconds. Without a limit, one
+/// request with a time years ahead would, once it is forgotten, make every correct time look too old.
+pub const MAX_CLOCK_AHEAD_MS: u64 = 5 * 60_000;
 
 /// The longest text of a change, in bytes.
 pub const MAX_TEXT: usize = 256 << 10;
@@ -54,8 +55,8 @@
 /// The longest text of all declarations together, in bytes.
 pub const MAX_DECLARED: usize = 2 << 20;
 
-/// The most objects that the history names of one change.
-pub const MAX_NAMED: usize = 32;
+/// The most objects that the history records of one change.
+pub const MAX_CHANGE_OBJECTS: usize = 32;
 
 /// The most objects declared, of all kinds.
 pub const MAX_OBJECTS: usize = 4096;
@@ -63,7 +64,7 @@
 /// The most versions in the catalogue.
 pub const MAX_VERSIONS: usize = 1024;
 
-/// The most instances registered.
+/// The most registered instances.
 pub const MAX_INSTANCES: usize = 8192;
 
 /// The longest labels of an instance, in bytes.
@@ -72,14 +73,14 @@
 /// The most versions that one target is ordered to hold.
 pub const MAX_HOLDS: usize = 64;
 
-/// The longest answer that a claim keeps, in bytes; of a longer one only the digest stays.
+/// The longest answer that a claim keeps, in bytes. Of a longer one the claim keeps only the digest.
 pub const MAX_ANSWER: usize = 16 << 10;
 
 /// The longest time that a claim is kept after its last change, in milliseconds.
-pub const MAX_LIFE: u64 = 72 * 3_600_000;
+pub const MAX_CLAIM_LIFE_MS: u64 = 72 * 3_600_000;
 
-/// The most accepted changes remembered, to tell a loser what won.
+/// The most accepted changes remembered, so that a conflict can name the change that was accepted first.
 pub const MAX_HISTORY: usize = 256;
 
-/// The most removals remembered for followers; one that is further behind gets everything anew.
+/// The most removals remembered for followers. A follower that is further behind gets all declarations.
 pub const MAX_TOMBSTONES: usize = 1024;
--- a/crates/filbertstack-control/src/orders.rs
+++ b/crates/filbertstack-control/src/orders.rs
@@ -1,7 +1,7 @@
-//! Orders: the desired state of every target, each under a fence that only grows.
+//! Orders are the desired states of the targets. Each order has a fence, which only grows.
 //!
-//! The sequence counts over all terms and never starts again, so that a target's later order has
-//! the greater fence whichever leader gave it.
+//! The sequence counts over all terms and never starts again. So a later order of a target has the
+//! greater fence, whichever leader gave it.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::command::Desired;
 use crate::command::Hold;
 use crate::command::Lead;
-use crate::command::Orders as Batch;
+use crate::command::Orders as NewOrders;
 use crate::command::Renew;
 use crate::limits::MAX_HOLDS;
 use crate::limits::MAX_ID;
@@ -28,12 +28,12 @@
     pub sequence: u64,
 }
 
-/// What one target shall hold, and since which order.
+/// The versions that one target shall hold, and the fence of the order that said so.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// The order's fence.
     pub fence: Fence,
-    /// What the target shall hold, sorted.
+    /// The versions that the target shall hold, sorted.
     pub holds: Vec<Hold>,
 }
 
@@ -47,39 +47,40 @@
 }
 
 impl Orders {
-    /// The highest term whose leader committed anything.
+    /// Returns the highest term whose leader committed a command.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// The leader of that term.
+    /// Returns the leader of the highest term.
     pub fn leader(&self) -> &str {
         &self.leader
     }
 
-    /// The highest sequence given out.
+    /// Returns the highest sequence assigned.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// The order that stands for `target`.
+    /// Returns the current order of `target`.
     pub fn get(&self, target: &InstanceName) -> Option<&Order> {
         self.targets.get(target)
     }
 
-    /// The orders by target.
+    /// Returns the orders by target.
     pub fn iter(&self) -> impl Iterator<Item = (&InstanceName, &Order)> {
         self.targets.iter()
     }
 
-    /// The orders given after `sequence`.
+    /// Returns the orders given after `sequence`.
     pub fn since(&self, sequence: u64) -> impl Iterator<Item = (&InstanceName, &Order)> {
         self.targets
             .iter()
             .filter(move |(_, order)| order.fence.sequence > sequence)
     }
 
-    pub(crate) fn lead(&mut self, lead: Lead) -> Result<bool, Reason> {
+    /// Records the leader of a term. Returns whether the term or its leader changed.
+    pub(crate) fn record_leader(&mut self, lead: Lead) -> Result<bool, Reason> {
         if lead.term < self.term {
             return Err(old_term(lead.term, self.term));
         }
@@ -92,22 +93,22 @@
         Ok(changed)
     }
 
-    /// Records new desired states; a target whose state does not change keeps its fence.
-    pub(crate) fn order(&mut self, batch: Batch) -> Result<Ordered, Vec<Reason>> {
-        if batch.term < self.term {
-            return Err(vec![old_term(batch.term, self.term)]);
+    /// Records new desired states. A target whose state does not change keeps its fence.
+    pub(crate) fn record(&mut self, orders: NewOrders) -> Result<Ordered, Vec<Reason>> {
+        if orders.term < self.term {
+            return Err(vec![old_term(orders.term, self.term)]);
         }
-        let read = batch.targets.into_iter().map(read_target);
-        let targets: BTreeMap<_, _> = read.collect::<Result<_, _>>().map_err(|one| vec![one])?;
+        let parsed = orders.targets.into_iter().map(parse_target);
+        let targets: BTreeMap<_, _> = parsed.collect::<Result<_, _>>().map_err(|r| vec![r])?;
         let added = targets.keys().filter(|name| self.get(name).is_none());
         if self.targets.len() + added.count() > MAX_INSTANCES {
             let what = format!("orders for more than {MAX_INSTANCES} targets: unregister the gone");
             return Err(vec![Reason::new(Fault::TooLarge, "", what)]);
         }
-        self.term = batch.term;
+        self.term = orders.term;
         let mut changed = 0;
         for (name, holds) in targets {
-            changed += u32::from(self.set(name, holds));
+            changed += u32::from(self.replace(name, holds));
         }
         Ok(Ordered {
             sequence: self.sequence,
@@ -115,7 +116,7 @@
         })
     }
 
-    /// Gives standing orders a new fence; a target without an order has none to renew.
+    /// Gives the current orders of targets a new fence. A target without an order is skipped.
     pub(crate) fn renew(&mut self, renew: &Renew) -> Result<Ordered, Vec<Reason>> {
         if renew.term < self.term {
             return Err(vec![old_term(renew.term, self.term)]);
@@ -138,14 +139,14 @@
         })
     }
 
-    /// Drops the order of a target that is gone for good. Its sequence is never used again.
+    /// Removes the order of a target that is gone for good. Its sequence is never used again.
     pub(crate) fn forget(&mut self, target: &InstanceName) -> bool {
         self.targets.remove(target).is_some()
     }
 
-    fn set(&mut self, name: InstanceName, holds: Vec<Hold>) -> bool {
-        let standing = self.targets.get(&name);
-        if standing.is_some_and(|order| order.holds == holds) {
+    fn replace(&mut self, name: InstanceName, holds: Vec<Hold>) -> bool {
+        let current = self.targets.get(&name);
+        if current.is_some_and(|order| order.holds == holds) {
             return false;
         }
         self.sequence += 1;
@@ -158,7 +159,7 @@
     }
 }
 
-fn read_target(desired: Desired) -> Result<(InstanceName, Vec<Hold>), Reason> {
+fn parse_target(desired: Desired) -> Result<(InstanceName, Vec<Hold>), Reason> {
     let Desired { target, mut holds } = desired;
     let name = target
         .parse()
--- a/crates/filbertstack-control/src/register.rs
+++ b/crates/filbertstack-control/src/register.rs
@@ -1,8 +1,9 @@
-//! The register: lasting facts about instances, as they announced themselves.
+//! The register holds the lasting facts about instances, as the instances announced them.
 //!
-//! Only what changes with a machine's making stands here: labels (zone and region among them)
-//! and memory. Whether an instance is alive, what it holds and how loaded it is never goes
-//! through the log: 2,000 heartbeats a second would, these rows come to a few hundred a day.
+//! It holds only what is fixed when an instance is set up: its labels (zone and region among them) and
+//! its memory. Whether an instance is alive, which versions it holds and how loaded it is never goes
+//! through the log: that would be 2,000 heartbeats a second, while the rows of the register change a few
+//! hundred times a day.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +11,7 @@
 use filbertstack_core::names::InstanceName;
 
 use crate::command::Instance;
-use crate::command::Register as Rows;
+use crate::command::Register as Registration;
 use crate::limits::MAX_INSTANCES;
 use crate::limits::MAX_LABELS;
 use crate::outcome::Fault;
@@ -32,50 +33,50 @@
 }
 
 impl Register {
-    /// The facts of an instance.
+    /// Returns the facts of an instance.
     pub fn get(&self, name: &InstanceName) -> Option<&Facts> {
         self.instances.get(name)
     }
 
-    /// The instances by name.
+    /// Returns the instances by name.
     pub fn iter(&self) -> impl Iterator<Item = (&InstanceName, &Facts)> {
         self.instances.iter()
     }
 
-    /// How many there are.
+    /// Returns the number of instances.
     pub fn len(&self) -> usize {
         self.instances.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether no instance is registered.
     pub fn is_empty(&self) -> bool {
         self.instances.is_empty()
     }
 
-    /// Whether an instance has the label key.
-    pub fn has_key(&self, key: &str) -> bool {
+    /// Returns whether any instance has the label key.
+    pub fn has_label_key(&self, key: &str) -> bool {
         self.instances
             .values()
             .any(|facts| facts.labels.get(key).is_some())
     }
 
-    /// Takes in new rows and takes out those that are gone; all or nothing. Whether the register
-    /// changed.
-    pub(crate) fn update(&mut self, rows: &Rows) -> Result<bool, Vec<Reason>> {
-        let read = rows.instances.iter().map(read);
-        let (good, bad): (Vec<_>, Vec<_>) = read.partition(Result::is_ok);
-        let bad: Vec<_> = bad.into_iter().filter_map(Result::err).collect();
-        if !bad.is_empty() {
-            return Err(bad);
+    /// Adds or replaces rows and removes those that are gone, all of them or none. Returns whether the
+    /// register changed.
+    pub(crate) fn update(&mut self, rows: &Registration) -> Result<bool, Vec<Reason>> {
+        let parsed = rows.instances.iter().map(parse_instance);
+        let (valid, invalid): (Vec<_>, Vec<_>) = parsed.partition(Result::is_ok);
+        let invalid: Vec<_> = invalid.into_iter().filter_map(Result::err).collect();
+        if !invalid.is_empty() {
+            return Err(invalid);
         }
-        let good: BTreeMap<_, _> = good.into_iter().flatten().collect();
-        let added = good.keys().filter(|name| self.get(name).is_none());
+        let valid: BTreeMap<_, _> = valid.into_iter().flatten().collect();
+        let added = valid.keys().filter(|name| self.get(name).is_none());
         if self.instances.len() + added.count() > MAX_INSTANCES {
             let what = format!("more than {MAX_INSTANCES} instances: remove those that are gone");
             return Err(vec![Reason::new(Fault::TooLarge, "", what)]);
         }
         let mut changed = false;
-        for (name, facts) in good {
+        for (name, facts) in valid {
             changed |= self.instances.get(&name) != Some(&facts);
             self.instances.insert(name, facts);
         }
@@ -86,7 +87,7 @@
     }
 }
 
-fn read(row: &Instance) -> Result<(InstanceName, Facts), Reason> {
+fn parse_instance(row: &Instance) -> Result<(InstanceName, Facts), Reason> {
     let refuse = |what: String| Reason::new(Fault::Malformed, &row.name, what);
     if row.labels.len() > MAX_LABELS {
         return Err(refuse(format!("labels of more than {MAX_LABELS} bytes")));
--- a/crates/filbertstack-control/src/requests.rs
+++ b/crates/filbertstack-control/src/requests.rs
@@ -1,4 +1,4 @@
-//! The memory of request identifiers: a resend gets the first outcome.
+//! This module remembers the request identifiers of operators, so that a resend gets the first outcome.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -8,12 +8,12 @@
 
 use crate::command::Apply;
 use crate::limits::Limits;
-use crate::limits::MAX_AHEAD;
+use crate::limits::MAX_CLOCK_AHEAD_MS;
 use crate::outcome::Fault;
 use crate::outcome::Outcome;
 use crate::outcome::Reason;
 
-/// A request identifier within its operator: two operators never meet.
+/// A request identifier and its operator: identifiers of two operators are never confused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RequestKey {
     pub(crate) operator: String,
@@ -31,31 +31,32 @@
 
 /// A request that was decided.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Remembered {
+pub(crate) struct DecidedRequest {
     pub(crate) body: Digest,
     pub(crate) outcome: Outcome,
-    /// When it was decided, by the state's clock.
-    pub(crate) at: u64,
-    /// The client's time, if the request named no expected revision.
+    /// The state's clock when the request was decided.
+    pub(crate) decided_at: u64,
+    /// The client's time, if the request gave no expected revision.
     pub(crate) issued: Option<u64>,
 }
 
-/// The decided requests, bounded by count and age.
+/// The decided requests, limited by count and age.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Requests {
-    pub(crate) rows: BTreeMap<RequestKey, Remembered>,
-    /// The keys in the order they were decided.
-    pub(crate) order: VecDeque<RequestKey>,
-    /// The latest client's time of any unconditional request that was forgotten.
+    pub(crate) rows: BTreeMap<RequestKey, DecidedRequest>,
+    /// The keys in the order in which their requests were decided.
+    pub(crate) decided: VecDeque<RequestKey>,
+    /// The latest client's time of any forgotten request without an expected revision.
     ///
-    /// A request that names no revision is not protected by compare-and-set. If its identifier
-    /// was forgotten, a late resend would apply again and undo what came after. Every forgotten
-    /// one has a time at or under this mark, so refusing those is enough.
-    pub(crate) mark: u64,
+    /// Compare-and-set does not protect a request without an expected revision. If its identifier was
+    /// forgotten, a late resend would apply again and undo later changes. Every forgotten request has a
+    /// time at or before this one, so refusing requests with such a time is enough.
+    pub(crate) forgotten_until: u64,
 }
 
 impl Requests {
-    /// The first outcome if this is a resend, a refusal if it may not run, `None` if it is new.
+    /// Returns the first outcome if this is a resend, a refusal if the request may not run, and `None` if
+    /// it is new.
     pub(crate) fn check(&self, apply: &Apply, clock: u64) -> Option<Outcome> {
         if let Some(known) = self.rows.get(&RequestKey::of(apply)) {
             if known.body == body_digest(apply) {
@@ -67,49 +68,50 @@
         if apply.expected.is_some() {
             return None;
         }
-        if apply.issued > clock.saturating_add(MAX_AHEAD) {
+        if apply.issued > clock.saturating_add(MAX_CLOCK_AHEAD_MS) {
             let what = "the request is stamped ahead of the leader's clock: set the client's clock";
             return Some(Reason::new(Fault::FromFuture, "", what).into());
         }
         let what = "the request is older than what is remembered, it may have been applied: look \
                     with 'get', then apply anew";
-        let expired = apply.issued <= self.mark;
-        expired.then(|| Reason::new(Fault::Expired, "", what).into())
+        let forgotten = apply.issued <= self.forgotten_until;
+        forgotten.then(|| Reason::new(Fault::Expired, "", what).into())
     }
 
-    pub(crate) fn remember(&mut self, apply: &Apply, outcome: &Outcome, at: u64) {
+    /// Records the outcome of a request.
+    pub(crate) fn remember(&mut self, apply: &Apply, outcome: &Outcome, decided_at: u64) {
         let key = RequestKey::of(apply);
         let issued = apply.expected.is_none().then_some(apply.issued);
-        let row = Remembered {
+        let row = DecidedRequest {
             body: body_digest(apply),
             outcome: outcome.clone(),
-            at,
+            decided_at,
             issued,
         };
         self.rows.insert(key.clone(), row);
-        self.order.push_back(key);
+        self.decided.push_back(key);
     }
 
-    /// Forgets what is over the limits, the oldest first.
-    pub(crate) fn trim(&mut self, clock: u64, limits: &Limits) {
-        while let Some(key) = self.order.front() {
+    /// Forgets the oldest requests until the rest is within the limits.
+    pub(crate) fn forget_old(&mut self, clock: u64, limits: &Limits) {
+        while let Some(key) = self.decided.front() {
             let Some(row) = self.rows.get(key) else {
-                self.order.pop_front();
+                self.decided.pop_front();
                 continue;
             };
-            let old = row.at.saturating_add(limits.request_age) < clock;
-            if !old && self.rows.len() <= limits.requests {
+            let expired = row.decided_at.saturating_add(limits.request_age_ms) < clock;
+            if !expired && self.rows.len() <= limits.requests {
                 return;
             }
-            self.mark = self.mark.max(row.issued.unwrap_or(0));
+            self.forgotten_until = self.forgotten_until.max(row.issued.unwrap_or(0));
             self.rows.remove(key);
-            self.order.pop_front();
+            self.decided.pop_front();
         }
     }
 }
 
-/// The digest of what the request asks for, without who asks, under which identifier and when: an
-/// operator who runs the client again under one identifier sends another time.
+/// Returns the digest of the request without its operator, identifier and time. An operator who runs the
+/// client again under the same identifier sends another time.
 fn body_digest(apply: &Apply) -> Digest {
     let body = Apply {
         request: String::new(),
--- a/crates/filbertstack-control/src/snapshot.rs
+++ b/crates/filbertstack-control/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! Snapshots of the control state: canonical bytes, and a reader that trusts none of them.
+//! Snapshots of the control state have a canonical form, and the reader checks every byte of it.
 //!
-//! Every table is written in the order of its keys, so equal states give equal bytes. The reader
-//! builds the state and writes it again: bytes that differ come from no state of this version.
+//! Every table is written in the order of its keys, so equal states give equal bytes. The reader builds the
+//! state and writes it again. If the bytes differ, no state of this version wrote the snapshot.
 
 mod rows;
 
@@ -19,11 +19,11 @@
 use crate::command::Instance;
 use crate::command::Object;
 use crate::command::Publish;
-use crate::command::Register as Rows;
+use crate::command::Register as Registration;
 use crate::limits::Limits;
 use crate::orders::Fence;
 use crate::orders::Order;
-use crate::requests::Remembered;
+use crate::requests::DecidedRequest;
 use crate::requests::RequestKey;
 use crate::state::ControlState;
 use rows::ClaimRow;
@@ -40,25 +40,25 @@
 /// The version of the snapshot's format.
 const FORMAT: u32 = 1;
 
-/// Why a snapshot was not taken over.
+/// Why a snapshot was not restored.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RestoreError {
     /// The bytes do not decode.
     #[error("the snapshot does not decode ({what}): fetch it again from another voter")]
     Decode {
-        /// What the decoder said.
+        /// The decoder's error message.
         what: String,
     },
-    /// The format is another one.
+    /// The snapshot has another format.
     #[error("the snapshot has format {found}, this program reads format {FORMAT}: update it")]
     Format {
         /// The format found.
         found: u32,
     },
-    /// A part holds what no state could have written.
+    /// A part has content that no state could have written.
     #[error("the snapshot's {part} are damaged: fetch it again from another voter")]
     Damaged {
-        /// The part.
+        /// The damaged part.
         part: &'static str,
     },
 }
@@ -67,7 +67,7 @@
     RestoreError::Damaged { part }
 }
 
-/// Writes `state`.
+/// Returns the snapshot of `state`.
 pub(crate) fn write(state: &ControlState) -> Vec<u8> {
     let snapshot = Snapshot {
         format: FORMAT,
@@ -75,7 +75,7 @@
         index: state.index,
         limits: Some(limits_row(&state.limits)),
         declared: Some(declared_part(state)),
-        request_mark: state.requests.mark,
+        request_mark: state.requests.forgotten_until,
         requests: request_rows(state),
         versions: version_rows(state),
         instances: instance_rows(state),
@@ -90,7 +90,7 @@
 fn limits_row(limits: &Limits) -> LimitsRow {
     LimitsRow {
         requests: limits.requests as u64,
-        request_age: limits.request_age,
+        request_age: limits.request_age_ms,
         claims: limits.claims as u64,
         org_claims: limits.org_claims as u64,
         answers: limits.answers as u64,
@@ -113,17 +113,18 @@
     }
 }
 
-/// The requests in the order they were decided, which is the order they are forgotten in.
+/// Returns the requests in the order in which they were decided, which is also the order in which they are
+/// forgotten.
 fn request_rows(state: &ControlState) -> Vec<RequestRow> {
     let requests = &state.requests;
-    let rows = requests.order.iter();
+    let rows = requests.decided.iter();
     let rows = rows.filter_map(|key| requests.rows.get(key).map(|row| (key, row)));
     rows.map(|(key, row)| RequestRow {
         operator: key.operator.clone(),
         request: key.request.clone(),
         body: row.body.to_vec(),
         outcome: row.outcome.clone(),
-        at: row.at,
+        at: row.decided_at,
         issued: row.issued,
     })
     .collect()
@@ -168,20 +169,20 @@
     ledgers
         .map(|(organisation, ledger)| LedgerRow {
             organisation: organisation.to_string(),
-            mark: ledger.mark,
+            mark: ledger.forgotten_until,
         })
         .collect()
 }
 
 fn claim_rows(state: &ControlState) -> Vec<ClaimRow> {
     let names: Vec<_> = state.claims.ledgers.keys().collect();
-    let place = |row: &Row| names.binary_search(&&row.organisation).unwrap_or(0);
+    let ledger_index = |row: &Row| names.binary_search(&&row.organisation).unwrap_or(0);
     let rows = state.claims.rows.iter();
-    rows.map(|(key, row)| claim_row(key, row, place(row)))
+    rows.map(|(key, row)| claim_row(key, row, ledger_index(row)))
         .collect()
 }
 
-fn claim_row(key: &[u8], row: &Row, place: usize) -> ClaimRow {
+fn claim_row(key: &[u8], row: &Row, ledger_index: usize) -> ClaimRow {
     let (stage, answer) = match &row.stage {
         Stage::Open => (StageTag::Open, None),
         Stage::Ran(answer) => (StageTag::Ran, Some(answer.as_ref().clone())),
@@ -190,7 +191,7 @@
     };
     ClaimRow {
         key: key.to_vec(),
-        ledger: u32::try_from(place).unwrap_or(u32::MAX),
+        ledger: u32::try_from(ledger_index).unwrap_or(u32::MAX),
         body: row.body.to_vec(),
         issued: row.issued,
         entry: row.entry,
@@ -199,13 +200,13 @@
         until: row.until,
         life: row.life,
         expires: row.expires,
-        kept: row.kept,
+        kept: row.answer_ordinal,
         stage: stage as i32,
         answer,
     }
 }
 
-/// Reads a state.
+/// Reads a state from a snapshot.
 pub(crate) fn read(bytes: &[u8]) -> Result<ControlState, RestoreError> {
     let snapshot = Snapshot::decode(bytes).map_err(|error| RestoreError::Decode {
         what: error.to_string(),
@@ -223,7 +224,7 @@
         &mut state,
         snapshot.declared.ok_or(damaged("declarations"))?,
     )?;
-    state.requests.mark = snapshot.request_mark;
+    state.requests.forgotten_until = snapshot.request_mark;
     read_requests(&mut state, snapshot.requests)?;
     read_versions(&mut state, snapshot.versions)?;
     read_instances(&mut state, snapshot.instances)?;
@@ -240,7 +241,7 @@
     let size = |value: u64| usize::try_from(value).map_err(|_| damaged("limits"));
     Ok(Limits {
         requests: size(row.requests)?,
-        request_age: row.request_age,
+        request_age_ms: row.request_age,
         claims: size(row.claims)?,
         org_claims: size(row.org_claims)?,
         answers: size(row.answers)?,
@@ -270,33 +271,33 @@
             operator: row.operator,
             request: row.request,
         };
-        let remembered = Remembered {
+        let decided = DecidedRequest {
             body: Digest::from_slice(&row.body).ok_or(damaged("requests"))?,
             outcome: row.outcome,
-            at: row.at,
+            decided_at: row.at,
             issued: row.issued,
         };
-        state.requests.order.push_back(key.clone());
-        state.requests.rows.insert(key, remembered);
+        state.requests.decided.push_back(key.clone());
+        state.requests.rows.insert(key, decided);
     }
     Ok(())
 }
 
 fn read_versions(state: &mut ControlState, rows: Vec<Publish>) -> Result<(), RestoreError> {
     for row in rows {
-        let added = state.catalogue.publish(row);
-        added.map_err(|_| damaged("versions"))?;
+        let result = state.catalogue.publish(row);
+        result.map_err(|_| damaged("versions"))?;
     }
     Ok(())
 }
 
 fn read_instances(state: &mut ControlState, rows: Vec<Instance>) -> Result<(), RestoreError> {
-    let rows = Rows {
+    let rows = Registration {
         instances: rows,
         gone: Vec::new(),
     };
-    let added = state.register.update(&rows);
-    added.map(|_| ()).map_err(|_| damaged("instances"))
+    let result = state.register.update(&rows);
+    result.map(|_| ()).map_err(|_| damaged("instances"))
 }
 
 fn read_orders(state: &mut ControlState, part: OrdersPart) -> Result<(), RestoreError> {
@@ -326,9 +327,9 @@
 ) -> Result<(), RestoreError> {
     let mut names: Vec<Arc<str>> = Vec::new();
     for row in ledgers {
-        let name = state.claims.organisation(&row.organisation);
+        let name = state.claims.shared_name(&row.organisation);
         let ledger = Ledger {
-            mark: row.mark,
+            forgotten_until: row.mark,
             ..Ledger::default()
         };
         state.claims.ledgers.insert(name.clone(), ledger);
@@ -340,10 +341,10 @@
         let key = row.key.as_slice().try_into();
         let key = key.map_err(|_| damaged("claims"))?;
         let row = read_claim(organisation, row)?;
-        if row.fence > state.claims.ordinal || row.kept > state.claims.ordinal {
+        if row.fence > state.claims.ordinal || row.answer_ordinal > state.claims.ordinal {
             return Err(damaged("claims"));
         }
-        state.claims.put_in(key, row);
+        state.claims.insert_row(key, row);
     }
     Ok(())
 }
@@ -368,6 +369,6 @@
         life: row.life,
         expires: row.expires,
         stage,
-        kept: row.kept,
+        answer_ordinal: row.kept,
     })
 }
--- a/crates/filbertstack-control/src/snapshot/rows.rs
+++ b/crates/filbertstack-control/src/snapshot/rows.rs
@@ -1,4 +1,4 @@
-//! The messages that a snapshot is made of.
+//! This module defines the messages that make up a snapshot.
 
 use prost::Message;
 
@@ -128,7 +128,7 @@
 pub(super) struct ClaimRow {
     #[prost(bytes = "vec", tag = "1")]
     pub(super) key: Vec<u8>,
-    /// The place of the organisation among the ledgers.
+    /// The index of the organisation in [`Snapshot::ledgers`].
     #[prost(uint32, tag = "2")]
     pub(super) ledger: u32,
     #[prost(bytes = "vec", tag = "3")]
--- a/crates/filbertstack-control/src/state.rs
+++ b/crates/filbertstack-control/src/state.rs
@@ -1,4 +1,4 @@
-//! The control state: what the replicated log's commands make, one after the other.
+//! The control state is what the commands of the replicated log produce, applied in order.
 
 use filbertstack_core::Digest;
 use filbertstack_core::names::check_name;
@@ -10,10 +10,10 @@
 use crate::command::Batch;
 use crate::command::Body;
 use crate::command::Command;
-use crate::command::Register as Rows;
+use crate::command::Register as Registration;
 use crate::command::Retire;
 use crate::declared::Declared;
-use crate::declared::Surroundings;
+use crate::declared::ValidationContext;
 use crate::limits::Limits;
 use crate::limits::MAX_ID;
 use crate::orders::Orders;
@@ -33,8 +33,8 @@
 
 /// The state that every replica computes from the same log.
 ///
-/// It reads no clock and draws no random number. Commands change it through
-/// [`ControlState::apply`]; everything else is a query.
+/// It reads no clock and draws no random number. Only commands change it, through
+/// [`ControlState::apply`], apart from [`ControlState::restore`]; all other methods are queries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ControlState {
     pub(crate) limits: Limits,
@@ -49,7 +49,8 @@
 }
 
 impl ControlState {
-    /// An empty state with other bounds than [`Limits::DEFAULT`]; every replica needs the same.
+    /// Creates an empty state with limits other than [`Limits::DEFAULT`]. Every replica needs the same
+    /// limits.
     pub fn with_limits(limits: Limits) -> Self {
         Self {
             limits,
@@ -59,7 +60,7 @@
 
     /// Applies the log entry at `index`.
     ///
-    /// Bytes that are no command change nothing but the index, on every replica alike.
+    /// Bytes that do not decode as a command change nothing but the index, and do so on every replica.
     pub fn apply(&mut self, index: u64, command: &[u8]) -> Outcome {
         self.index = index;
         let Ok(command) = Command::decode(command) else {
@@ -67,7 +68,7 @@
         };
         self.clock = self.clock.max(command.now);
         self.claims.expire(self.clock);
-        self.requests.trim(self.clock, &self.limits);
+        self.requests.forget_old(self.clock, &self.limits);
         match command.body {
             Some(Body::Batch(batch)) => self.run_batch(batch),
             Some(body) => self.run(body),
@@ -75,51 +76,52 @@
         }
     }
 
-    /// The state as bytes; equal states give equal bytes.
+    /// Returns the state as bytes. Equal states give equal bytes.
     pub fn snapshot(&self) -> Vec<u8> {
         snapshot::write(self)
     }
 
-    /// Takes over the state that `bytes` hold; on an error the state stays as it was.
+    /// Replaces the state by the one in `bytes`. On an error the state stays as it was.
     ///
     /// # Errors
-    /// [`RestoreError`] if the bytes are no snapshot, or one that no state could have written.
+    /// Returns a [`RestoreError`] if the bytes are not a snapshot, or one that no state could have
+    /// written.
     pub fn restore(&mut self, bytes: &[u8]) -> Result<(), RestoreError> {
         *self = snapshot::read(bytes)?;
         Ok(())
     }
 
-    /// The state's clock in Unix milliseconds: the greatest time of any command.
+    /// Returns the state's clock in Unix milliseconds: the greatest time of any command so far.
     pub fn clock(&self) -> u64 {
         self.clock
     }
 
-    /// The index of the last log entry applied.
+    /// Returns the index of the last log entry applied.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// The declarations in force.
+    /// Returns the declarations in force.
     pub fn declared(&self) -> &Declared {
         &self.declared
     }
 
-    /// The published versions.
+    /// Returns the published versions.
     pub fn catalogue(&self) -> &Catalogue {
         &self.catalogue
     }
 
-    /// The instances registered.
+    /// Returns the registered instances.
     pub fn register(&self) -> &Register {
         &self.register
     }
 
-    /// The desired state of the targets.
+    /// Returns the desired state of the targets.
     pub fn orders(&self) -> &Orders {
         &self.orders
     }
 
-    /// The claims of idempotency keys.
+    /// Returns the claims of idempotency keys.
     pub fn claims(&self) -> &Claims {
         &self.claims
     }
@@ -144,8 +146,8 @@
             Body::Publish(publish) => done(self.catalogue.publish(publish).map_err(|r| vec![r])),
             Body::Retire(retire) => done(self.retire(&retire).map_err(|r| vec![r])),
             Body::Register(rows) => done(self.register_instances(&rows)),
-            Body::Lead(lead) => done(self.orders.lead(lead).map_err(|r| vec![r])),
-            Body::Orders(orders) => ordered(self.orders.order(orders)),
+            Body::Lead(lead) => done(self.orders.record_leader(lead).map_err(|r| vec![r])),
+            Body::Orders(orders) => ordered(self.orders.record(orders)),
             Body::Renew(renew) => ordered(self.orders.renew(&renew)),
             Body::Claim(claim) => {
                 Reply::Claimed(self.claims.claim(&claim, clock, &self.limits)).into()
@@ -165,21 +167,21 @@
     }
 
     fn declare(&mut self, apply: &Apply) -> Outcome {
-        if check_name(&apply.operator).is_err() || !is_id(&apply.request) {
+        if check_name(&apply.operator).is_err() || !is_valid_id(&apply.request) {
             let what = format!("give an operator's name and a request id of 1 to {MAX_ID} bytes");
             return Reason::malformed(what).into();
         }
         if let Some(first) = self.requests.check(apply, self.clock) {
             return first;
         }
-        let around = Surroundings {
+        let context = ValidationContext {
             catalogue: &self.catalogue,
             register: &self.register,
             clock: self.clock,
         };
-        let outcome = self.declared.apply(apply, around);
+        let outcome = self.declared.apply(apply, context);
         self.requests.remember(apply, &outcome, self.clock);
-        self.requests.trim(self.clock, &self.limits);
+        self.requests.forget_old(self.clock, &self.limits);
         outcome
     }
 
@@ -195,7 +197,7 @@
         Ok(self.catalogue.retire(&root))
     }
 
-    fn register_instances(&mut self, rows: &Rows) -> Result<bool, Vec<Reason>> {
+    fn register_instances(&mut self, rows: &Registration) -> Result<bool, Vec<Reason>> {
         let mut changed = self.register.update(rows)?;
         for name in rows.gone.iter().filter_map(|name| name.parse().ok()) {
             changed |= self.orders.forget(&name);
@@ -204,7 +206,7 @@
     }
 }
 
-fn is_id(text: &str) -> bool {
+fn is_valid_id(text: &str) -> bool {
     !text.is_empty() && text.len() <= MAX_ID
 }
 
--- a/crates/filbertstack-control/src/validate.rs
+++ b/crates/filbertstack-control/src/validate.rs
@@ -1,10 +1,10 @@
-//! Validation of declarations: every reason why they cannot be met, at once.
+//! Validation of declarations reports all reasons why they cannot be met, not only the first.
 //!
-//! Two kinds of facts are used. What is *declared* (and published) decides for all objects: it
-//! changes only by commands, so a selector that leads nowhere leads nowhere for good. What is
-//! *registered* about instances decides only for the objects that the change touches: an instance
-//! that left must not block a change to something else. With no instance registered at all, as at
-//! the first start, questions about instances become warnings.
+//! It uses two kinds of facts. What is *declared* or published is checked for all objects: it changes only
+//! by commands, so a selector that selects nothing will not select anything later by itself. What is
+//! *registered* about instances is checked only for the objects that the change touches, because an
+//! instance that has left must not block a change of other objects. While no instance is registered, as
+//! after the first start, reasons about instances become warnings.
 
 use std::collections::BTreeSet;
 
@@ -27,17 +27,17 @@
 use crate::register::Facts;
 use crate::register::Register;
 
-/// The keys that a rule's `requests` selects by.
+/// The keys that the `requests` selector of a rule may use.
 pub const REQUEST_KEYS: [&str; 3] = ["organisation", "model", "method"];
 
-/// What a validation found.
+/// The result of a validation.
 #[derive(Debug, Default)]
 pub(crate) struct Findings {
     pub(crate) reasons: Vec<Reason>,
     pub(crate) warnings: Vec<Reason>,
 }
 
-/// What a change would make of the declarations.
+/// A change of the declarations that is to be validated.
 pub(crate) struct Proposal<'a> {
     pub(crate) before: &'a Declarations,
     pub(crate) after: &'a Declarations,
@@ -47,12 +47,13 @@
 }
 
 impl Proposal<'_> {
+    /// Checks the whole change.
     pub(crate) fn validate(&self) -> Findings {
         let mut found = Findings::default();
         self.check_pools(&mut found);
         self.check_deployments(&mut found);
         self.check_rules(&mut found);
-        self.check_ties(&mut found);
+        self.check_ambiguity(&mut found);
         found
     }
 
@@ -66,8 +67,8 @@
             if !self.touches(Kind::Pool, name.as_str()) {
                 continue;
             }
-            let fits = self.check_instance_selector(&object, &pool.instances, found);
-            if fits && self.matching(&pool.instances).next().is_none() {
+            let valid = self.check_instance_selector(&object, &pool.instances, found);
+            if valid && self.matching(&pool.instances).next().is_none() {
                 let what = "no registered instance matches 'instances': check its values";
                 found
                     .warnings
@@ -80,17 +81,17 @@
         let pools: Vec<_> = self.after.pools.values().map(|p| &p.labels).collect();
         for (name, deployment) in &self.after.deployments {
             let object = Object::new(Kind::Deployment, name.as_str()).to_string();
-            let leads = check_selector(&object, "pools", &deployment.pools, &pools, found);
+            let resolves = check_selector(&object, "pools", &deployment.pools, &pools, found);
             self.check_version(&object, deployment, found);
             let touched = self.touches(Kind::Deployment, name.as_str())
                 || self.touches_pools_of(name.as_str(), deployment);
-            if leads && touched {
+            if resolves && touched {
                 self.check_capacity(&object, deployment, found);
             }
         }
     }
 
-    /// Whether a pool that the deployment selects, or selected before, is touched.
+    /// Returns whether the change touches a pool that the deployment selects or selected before.
     fn touches_pools_of(&self, name: &str, deployment: &Deployment) -> bool {
         let before = name
             .parse()
@@ -120,27 +121,29 @@
     }
 
     fn check_capacity(&self, object: &str, deployment: &Deployment, found: &mut Findings) {
-        let need = self.memory_of(deployment);
+        let memory = self.memory_of(deployment);
         let replicas = deployment.replicas as usize;
         let pools = self.after.pools.values();
-        let chosen: Vec<_> = pools
+        let selected: Vec<_> = pools
             .filter(|pool| deployment.pools.matches(&pool.labels))
             .collect();
         let in_pools = |facts: &Facts| {
-            chosen
+            selected
                 .iter()
                 .any(|pool| pool.instances.matches(&facts.labels))
         };
         let members = || self.register.iter().filter(|(_, facts)| in_pools(facts));
         let count = members().count();
-        let large = members().filter(|(_, facts)| facts.memory >= need).count();
+        let large = members()
+            .filter(|(_, facts)| facts.memory >= memory)
+            .count();
         if large >= replicas {
             return;
         }
         let what = format!(
             "{replicas} replicas of {} cannot stand: its pools have {count} instances, {large} of \
              them large enough; lower replicas, widen the pools or add instances",
-            render_size(need)
+            render_size(memory)
         );
         let reason = Reason::new(Fault::CannotHold, object, what);
         if self.register.is_empty() {
@@ -150,7 +153,7 @@
         }
     }
 
-    /// The memory a replica takes: what is declared, at least the size of the weights.
+    /// Returns the memory that a replica needs: the declared memory, but at least the size of the weights.
     fn memory_of(&self, deployment: &Deployment) -> u64 {
         let weights = self.catalogue.get(&deployment.version).map(|v| v.weights);
         deployment.memory.max(weights.unwrap_or(0))
@@ -182,20 +185,20 @@
         }
     }
 
-    fn check_models(&self, object: &str, rule: &Rule, by: &Selector, found: &mut Findings) {
+    fn check_models(&self, object: &str, rule: &Rule, selector: &Selector, found: &mut Findings) {
         let labels: Vec<_> = self.after.deployments.values().map(|d| &d.labels).collect();
-        if !check_selector(object, "deployments", by, &labels, found) {
+        if !check_selector(object, "deployments", selector, &labels, found) {
             return;
         }
-        let chosen = self.after.deployments.values();
-        let chosen: Vec<_> = chosen.filter(|d| by.matches(&d.labels)).collect();
-        check_named_models(object, rule, &chosen, found);
-        check_mixed_versions(object, rule, &chosen, found);
+        let selected = self.after.deployments.values();
+        let selected: Vec<_> = selected.filter(|d| selector.matches(&d.labels)).collect();
+        check_named_models(object, rule, &selected, found);
+        check_mixed_versions(object, rule, &selected, found);
     }
 
     fn check_rule_instances(&self, object: &str, instances: &Selector, found: &mut Findings) {
-        let fits = self.check_instance_selector(object, instances, found);
-        if !fits || self.matching(instances).next().is_some() {
+        let valid = self.check_instance_selector(object, instances, found);
+        if !valid || self.matching(instances).next().is_some() {
             return;
         }
         let what = "leads to nothing: no registered instance matches 'instances'";
@@ -204,7 +207,7 @@
             .push(Reason::new(Fault::LeadsNowhere, object, what));
     }
 
-    /// Checks the keys of a selector over instances; whether its matches may be looked at.
+    /// Checks the keys of a selector of instances. Returns whether it makes sense to look for matches.
     fn check_instance_selector(
         &self,
         object: &str,
@@ -222,7 +225,7 @@
             return false;
         }
         check_keys(object, "instances", instances, found, |key| {
-            self.register.has_key(key)
+            self.register.has_label_key(key)
         })
     }
 
@@ -235,15 +238,16 @@
             .map(|(name, _)| name)
     }
 
-    /// Rules of one order are tried by name, which no operator means by writing them: whichever
-    /// name sorts first would take the requests that both match.
-    fn check_ties(&self, found: &mut Findings) {
+    /// Checks that no two rules with the same order can match one request and route it to different
+    /// places. Rules with the same order are tried by name, so the rule whose name sorts first would take
+    /// the requests that both match, which no operator intends.
+    fn check_ambiguity(&self, found: &mut Findings) {
         let rules = self.after.ordered_rules();
         for (i, (name, rule)) in rules.iter().enumerate() {
             let same = rules[i + 1..]
                 .iter()
                 .take_while(|(_, next)| next.order == rule.order);
-            for (other, _) in same.filter(|(_, next)| ties(rule, next)) {
+            for (other, _) in same.filter(|(_, next)| are_ambiguous(rule, next)) {
                 let object = Object::new(Kind::Rule, name.as_str()).to_string();
                 let what = format!(
                     "ties with [rule {other}]: both have order {} and can match one request, but \
@@ -258,12 +262,13 @@
     }
 }
 
-fn ties(a: &Rule, b: &Rule) -> bool {
-    let paths = a.path.starts_with(&*b.path) || b.path.starts_with(&*a.path);
-    paths && a.requests.overlaps(&b.requests) && a.route != b.route
+fn are_ambiguous(a: &Rule, b: &Rule) -> bool {
+    let paths_overlap = a.path.starts_with(&*b.path) || b.path.starts_with(&*a.path);
+    paths_overlap && a.requests.overlaps(&b.requests) && a.route != b.route
 }
 
-/// Checks a selector over declared labels: known keys, no contradiction, something selected.
+/// Checks that a selector of declared objects uses known keys, does not contradict itself and selects at
+/// least one object.
 fn check_selector(
     object: &str,
     field: &str,
@@ -312,21 +317,21 @@
     selector: &Selector,
     found: &mut Findings,
 ) -> bool {
-    let good = selector.is_satisfiable();
-    if !good {
+    let satisfiable = selector.is_satisfiable();
+    if !satisfiable {
         let what = format!("'{field} = {selector}' contradicts itself: nothing can match it");
         found
             .reasons
             .push(Reason::new(Fault::LeadsNowhere, object, what));
     }
-    good
+    satisfiable
 }
 
-/// A rule that names a model which none of its deployments serves takes that model's requests and
-/// can answer none.
-fn check_named_models(object: &str, rule: &Rule, chosen: &[&Deployment], found: &mut Findings) {
+/// Checks that each model that a rule names is served by one of its deployments. Otherwise the rule would
+/// take the requests for that model and could answer none of them.
+fn check_named_models(object: &str, rule: &Rule, selected: &[&Deployment], found: &mut Findings) {
     for model in named_models(rule) {
-        if chosen.iter().any(|d| d.model.as_str() == model) {
+        if selected.iter().any(|d| d.model.as_str() == model) {
             continue;
         }
         let what = format!("leads to nothing for model '{model}': no selected deployment has it");
@@ -346,12 +351,13 @@
     named.flatten().map(AsRef::as_ref)
 }
 
-/// Two versions of one model behind one rule: which of them answers would be left to chance.
-fn check_mixed_versions(object: &str, rule: &Rule, chosen: &[&Deployment], found: &mut Findings) {
+/// Checks that a rule does not select several versions of one model. Otherwise it would be random which
+/// version answers.
+fn check_mixed_versions(object: &str, rule: &Rule, selected: &[&Deployment], found: &mut Findings) {
     let mut mixed = BTreeSet::new();
-    for (i, a) in chosen.iter().enumerate() {
+    for (i, a) in selected.iter().enumerate() {
         let other = |b: &&&Deployment| a.model == b.model && a.version != b.version;
-        if matches_model(rule, a.model.as_str()) && chosen[i + 1..].iter().any(|b| other(&b)) {
+        if matches_model(rule, a.model.as_str()) && selected[i + 1..].iter().any(|b| other(&b)) {
             mixed.insert(&a.model);
         }
     }
--- a/crates/filbertstack-control/src/view.rs
+++ b/crates/filbertstack-control/src/view.rs
@@ -1,8 +1,8 @@
-//! Views: what followers pull from the state, by the revision or sequence that they have.
+//! Views are what followers fetch from the state, by the revision or sequence that they already have.
 //!
-//! An entry follows the declarations with a [`Follower`]: it takes a [`Delta`] that holds only
-//! what changed, and moves only forward. An agent asks for the one order of its target; the gate
-//! decides whether it may act on it.
+//! An entry follows the declarations with a [`Follower`], which applies a [`Delta`] of the changed
+//! objects and never moves to an older revision. An agent asks for the order of its own target, and its
+//! gate decides whether the agent may act on it.
 
 use std::fmt::Write;
 
@@ -15,20 +15,20 @@
 use crate::command::Kind;
 use crate::command::Object;
 use crate::declared::Declared;
-use crate::declared::erase;
+use crate::declared::remove_object;
 use crate::declared::section_text;
 use crate::state::ControlState;
 
-/// The declarations' changes between two revisions.
+/// The changes of the declarations between two revisions.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Delta {
     /// The highest term that the sender's state has seen.
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// The revision that the changes start from; 0 if everything is here.
+    /// The revision that the changes start from, or 0 if the delta holds all declarations.
     #[prost(uint64, tag = "2")]
     pub from: u64,
-    /// The revision that they lead to.
+    /// The revision that the changes lead to.
     #[prost(uint64, tag = "3")]
     pub to: u64,
     /// The objects written.
@@ -50,7 +50,7 @@
     pub text: String,
 }
 
-/// The order of one target, with the term that vouches for its being the latest.
+/// The order of one target, with the term under which it is the latest.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TargetOrder {
     /// The target.
@@ -62,13 +62,14 @@
     /// The order's sequence.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// Everything that the target shall hold.
+    /// All versions that the target shall hold.
     #[prost(message, repeated, tag = "4")]
     pub holds: Vec<Hold>,
 }
 
 impl ControlState {
-    /// The declarations' changes since `revision`; everything if that is too far back.
+    /// Returns the changes of the declarations since `revision`, or all declarations if the removals
+    /// since then are no longer known.
     pub fn delta(&self, revision: u64) -> Delta {
         let declared = self.declared();
         let known = revision >= declared.floor && revision <= declared.revision;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The order of `target`; `None` if it never got one.
+    /// Returns the order of `target`, or `None` if there is none.
     pub fn target_order(&self, target: &InstanceName) -> Option<TargetOrder> {
         let order = self.orders().get(target)?;
         Some(TargetOrder {
@@ -104,7 +105,7 @@
     })
 }
 
-/// The declarations as one follower has them.
+/// A follower's copy of the declarations.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Follower {
     declared: Declarations,
@@ -112,10 +113,10 @@
     term: u64,
 }
 
-/// Why a follower did not take a delta.
+/// Why a follower did not apply a delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DeltaError {
-    /// The sender lags behind what this follower has.
+    /// The sender's term or revision is older than the follower's.
     #[error("the sender has term {term} revision {to}, behind this follower: ask another voter")]
     Behind {
         /// The sender's term.
@@ -123,16 +124,16 @@
         /// The sender's revision.
         to: u64,
     },
-    /// The delta starts after what this follower has.
+    /// The delta starts at a later revision than the follower has.
     #[error("the changes start at revision {from}, this follower has {have}: ask for all of them")]
     Gap {
-        /// Where the changes start.
+        /// The revision that the changes start from.
         from: u64,
-        /// What the follower has.
+        /// The revision that the follower has.
         have: u64,
     },
-    /// A section does not read: the sender runs another version of the program.
-    #[error("a section of revision {to} does not read: update this program")]
+    /// A section can't be parsed, because the sender runs another version of the program.
+    #[error("a section of revision {to} can't be parsed: update this program")]
     Unreadable {
         /// The revision that the changes lead to.
         to: u64,
@@ -140,25 +141,25 @@
 }
 
 impl Follower {
-    /// The declarations.
+    /// Returns the declarations.
     pub fn declared(&self) -> &Declarations {
         &self.declared
     }
 
-    /// The revision.
+    /// Returns the revision of the declarations.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The highest term heard.
+    /// Returns the highest term seen in a delta.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Takes a delta: all of it or, on an error, nothing. Whether the revision moved.
+    /// Applies a delta as a whole or, on an error, not at all. Returns whether the revision changed.
     ///
     /// # Errors
-    /// [`DeltaError`] says whom to ask for what instead.
+    /// Returns a [`DeltaError`] that says what to request next, and from which voter.
     pub fn apply(&mut self, delta: &Delta) -> Result<bool, DeltaError> {
         if delta.term < self.term || delta.to < self.revision {
             return Err(DeltaError::Behind {
@@ -190,7 +191,7 @@
             if Kind::try_from(object.kind).is_err() {
                 return Err(unreadable());
             }
-            erase(&mut next, object);
+            remove_object(&mut next, object);
         }
         let mut text = String::new();
         for section in &delta.written {
--- a/crates/filbertstack-control/tests/fuzz/world.rs
+++ b/crates/filbertstack-control/tests/fuzz/world.rs
@@ -98,7 +98,7 @@
     pub fn new(flaw: Flaw) -> Self {
         let limits = Limits {
             requests: 6,
-            request_age: 60_000,
+            request_age_ms: 60_000,
             claims: 12,
             org_claims: 8,
             answers: 40,
