--- a/crates/filbertstack-control/src/claims.rs
+++ b/crates/filbertstack-control/src/claims.rs
@@ -323,7 +323,8 @@
         Ok(())
     }
 
-    /// Removes a row and raises the organisation's `forgotten_until` to the time of its key.
+    /// Removes a row. Unless the claim was released, this raises the organisation's `forgotten_until` to the
+    /// time of the key.
     fn forget(&mut self, key: &ClaimKey) {
         let Some(row) = self.remove_row(key) else {
             return;
@@ -490,6 +491,7 @@
     body
 }
 
+/// Drops the bytes of an answer longer than [`MAX_ANSWER`], and cuts a digest that is too long.
 fn limit_size(mut answer: Answer) -> Answer {
     answer.bytes = answer.bytes.filter(|bytes| bytes.len() <= MAX_ANSWER);
     answer
