--- a/crates/filbertstack-control/tests/gate.rs
+++ b/crates/filbertstack-control/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The agent's gate across restarts, old leaders and delayed messages.
+//! Tests the agent's gate with restarts, old leaders and delayed messages.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 use filbertstack_control::gate::VoterReport;
 use filbertstack_core::Digest;
 
-fn word(voter: &str, term: u64, config: u64, voters: &[&str]) -> VoterReport {
+fn report(voter: &str, term: u64, config: u64, voters: &[&str]) -> VoterReport {
     let name = |text: &&str| text.parse().expect("a name");
     VoterReport {
         voter: name(&voter),
@@ -23,21 +23,21 @@
     }
 }
 
-fn armed(heard: Arming) -> ArmedGate {
-    match heard {
+fn expect_armed(arming: Arming) -> ArmedGate {
+    match arming {
         Arming::Armed(armed) => armed,
         Arming::Waiting(_) => panic!("still waiting"),
     }
 }
 
-fn waiting(heard: Arming) -> UnarmedGate {
-    match heard {
-        Arming::Waiting(newborn) => newborn,
+fn expect_waiting(arming: Arming) -> UnarmedGate {
+    match arming {
+        Arming::Waiting(gate) => gate,
         Arming::Armed(armed) => panic!("armed too early: {armed:?}"),
     }
 }
 
-const fn order(incarnation: u64, term: u64, sequence: u64) -> Delivery {
+const fn delivery(incarnation: u64, term: u64, sequence: u64) -> Delivery {
     Delivery {
         incarnation,
         term,
@@ -47,80 +47,82 @@
 
 const ABC: [&str; 3] = ["a", "b", "c"];
 
-/// The leader of term 4 freezes; term 5 orders version 2. The agent restarts without a disk, and
-/// the old leader wakes and orders version 1 first. Engines that ignore fences would load it; the
-/// gate has heard of term 5 from a majority and refuses.
+/// Guards against a restarted agent that obeys an old leader. The leader of term 4 freezes, and the leader
+/// of term 5 orders version 2. The agent, which has no disk, restarts, and the old leader resumes and orders
+/// version 1 first. Engines that ignore fences would load it.
 #[test]
-fn restarted_agent_refuses_the_leader_that_slept() {
-    let newborn = UnarmedGate::new(2);
-    // The old leader is a voter too and believes in its own term.
-    let newborn = waiting(newborn.add_report(word("a", 4, 1, &ABC)));
-    let mut gate = armed(newborn.add_report(word("b", 5, 1, &ABC)));
-    let stale = gate.accept(&order(2, 4, 10));
+fn restarted_agent_refuses_the_order_of_an_old_leader() {
+    let gate = UnarmedGate::new(2);
+    // The old leader is a voter too and reports its own term.
+    let gate = expect_waiting(gate.add_report(report("a", 4, 1, &ABC)));
+    let mut gate = expect_armed(gate.add_report(report("b", 5, 1, &ABC)));
+    let stale = gate.accept(&delivery(2, 4, 10));
     assert_eq!(stale, Err(Refusal::OldTerm { given: 4, seen: 5 }));
-    assert_eq!(gate.accept(&order(2, 5, 11)), Ok(OrderStatus::New));
-    // Broken on purpose: a gate that believes the first voter takes the old order.
-    let mut early = armed(UnarmedGate::new(2).add_report(word("a", 4, 1, &["a"])));
-    assert_eq!(early.accept(&order(2, 4, 10)), Ok(OrderStatus::New));
+    assert_eq!(gate.accept(&delivery(2, 5, 11)), Ok(OrderStatus::New));
+    // A gate that trusts the first voter accepts the old order, so the majority is what prevents it.
+    let mut trusting = expect_armed(UnarmedGate::new(2).add_report(report("a", 4, 1, &["a"])));
+    assert_eq!(trusting.accept(&delivery(2, 4, 10)), Ok(OrderStatus::New));
 }
 
-/// Two voters were replaced while they were cut off. They still hold the old set for true and
-/// would make a majority of it; the one that knows the new set decides.
+/// Guards against a majority of an old set of voters. Two voters were replaced while they were cut off, and
+/// they still report the old set, of which they are a majority. The voter that knows the new set decides.
 #[test]
-fn replaced_voters_are_no_majority() {
-    let newborn = waiting(UnarmedGate::new(1).add_report(word("a", 3, 1, &ABC)));
-    let newborn = waiting(newborn.add_report(word("c", 7, 9, &["c", "d", "e"])));
-    let gate = armed(newborn.add_report(word("d", 8, 9, &["c", "d", "e"])));
+fn replaced_voters_do_not_form_a_majority() {
+    let gate = expect_waiting(UnarmedGate::new(1).add_report(report("a", 3, 1, &ABC)));
+    let gate = expect_waiting(gate.add_report(report("c", 7, 9, &["c", "d", "e"])));
+    let gate = expect_armed(gate.add_report(report("d", 8, 9, &["c", "d", "e"])));
     assert_eq!(gate.term(), 8);
 }
 
-/// One voter answers twice: that is still one voter.
+/// Guards against counting a voter that reports twice as two voters.
 #[test]
-fn one_voter_twice_is_no_majority() {
-    let newborn = waiting(UnarmedGate::new(1).add_report(word("a", 3, 1, &ABC)));
-    waiting(newborn.add_report(word("a", 3, 1, &ABC)));
+fn repeated_reports_of_one_voter_do_not_form_a_majority() {
+    let gate = expect_waiting(UnarmedGate::new(1).add_report(report("a", 3, 1, &ABC)));
+    expect_waiting(gate.add_report(report("a", 3, 1, &ABC)));
 }
 
-/// The network holds an order back until the agent has restarted. It is of the present term, and
-/// would be the first to arrive; but it names the process before.
+/// Guards against an order that the network delays until the agent has restarted. Its term is the present
+/// one and it arrives first, but it names the previous process.
 #[test]
-fn delayed_order_for_the_process_before_is_refused() {
-    let newborn = waiting(UnarmedGate::new(3).add_report(word("a", 5, 1, &ABC)));
-    let mut gate = armed(newborn.add_report(word("b", 5, 1, &ABC)));
-    let delayed = gate.accept(&order(2, 5, 10));
+fn delayed_order_for_the_previous_process_is_refused() {
+    let gate = expect_waiting(UnarmedGate::new(3).add_report(report("a", 5, 1, &ABC)));
+    let mut gate = expect_armed(gate.add_report(report("b", 5, 1, &ABC)));
+    let delayed = gate.accept(&delivery(2, 5, 10));
     assert_eq!(delayed, Err(Refusal::OtherProcess { given: 2, own: 3 }));
     assert_eq!(gate.sequence(), 0);
 }
 
-/// Orders arrive twice and crossed; the latest stands, also under a new leader who sends it again.
+/// Guards against an older order that replaces a later one. Orders arrive repeatedly and out of order, and
+/// a new leader sends the latest order again.
 #[test]
-fn crossed_orders_never_go_back() {
-    let newborn = waiting(UnarmedGate::new(1).add_report(word("a", 5, 1, &ABC)));
-    let mut gate = armed(newborn.add_report(word("b", 5, 1, &ABC)));
-    assert_eq!(gate.accept(&order(1, 5, 12)), Ok(OrderStatus::New));
+fn reordered_orders_never_replace_a_later_one() {
+    let gate = expect_waiting(UnarmedGate::new(1).add_report(report("a", 5, 1, &ABC)));
+    let mut gate = expect_armed(gate.add_report(report("b", 5, 1, &ABC)));
+    assert_eq!(gate.accept(&delivery(1, 5, 12)), Ok(OrderStatus::New));
     assert_eq!(
-        gate.accept(&order(1, 5, 11)),
+        gate.accept(&delivery(1, 5, 11)),
         Err(Refusal::OldOrder {
             given: 11,
             seen: 12
         })
     );
-    assert_eq!(gate.accept(&order(1, 6, 12)), Ok(OrderStatus::Repeated));
-    assert!(gate.accept(&order(1, 5, 13)).is_err());
+    assert_eq!(gate.accept(&delivery(1, 6, 12)), Ok(OrderStatus::Repeated));
+    assert!(gate.accept(&delivery(1, 5, 13)).is_err());
     gate.observe_term(9);
-    assert!(gate.accept(&order(1, 8, 13)).is_err());
+    assert!(gate.accept(&delivery(1, 8, 13)).is_err());
 }
 
-/// A request passes only while exactly its version serves; a draining version ends what it has.
+/// Guards against a request that runs on another version, or on one that is loading or draining, and
+/// against unloading a version with requests in progress.
 #[test]
-fn request_passes_only_for_the_version_that_serves() {
+fn request_is_admitted_only_while_its_version_serves() {
     let (old, new) = (Digest::of(b"old"), Digest::of(b"new"));
     let mut versions = Versions::default();
     assert_eq!(versions.admit(&old), Err(NotRun::Absent));
     versions.load(old);
     assert_eq!(versions.admit(&old), Err(NotRun::Loading));
     assert!(versions.serve(&old));
-    let passed = versions.admit(&old).expect("it serves");
+    let admitted = versions.admit(&old).expect("it serves");
     assert_eq!(versions.admit(&new), Err(NotRun::Absent));
     assert!(versions.drain(&old));
     assert!(
@@ -129,6 +131,6 @@
     );
     assert_eq!(versions.admit(&old), Err(NotRun::Draining));
     assert!(!versions.unload(&old));
-    versions.finish(&passed);
+    versions.finish(&admitted);
     assert!(versions.unload(&old));
 }
--- a/crates/filbertstack-control/tests/lease.rs
+++ b/crates/filbertstack-control/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Config leases over a leader, voters and entries whose clocks run at different rates.
+//! Simulates configuration leases of a leader, voters and entries whose clocks run at different rates.
 
 use std::collections::BTreeMap;
 
@@ -15,30 +15,31 @@
 use proptest::test_runner::RngAlgorithm;
 use proptest::test_runner::TestRng;
 
+/// A deliberate fault of the simulated nodes, which the simulation must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Flaw {
     None,
-    /// An entry counts its lease from when the grant arrived.
+    /// An entry counts its lease from the arrival of the grant.
     CountedFromArrival,
     /// A voter grants beyond its own lease.
-    BeyondOwn,
+    GrantsBeyondOwnLease,
     /// A voter grants to an entry that is behind.
-    GrantsBehind,
-    /// A new leader does not wait for the grants of the old one.
-    Impatient,
-    /// A clock runs a fifth slow, far over the drift allowed for.
+    GrantsToFollowerBehind,
+    /// A new leader does not wait until the grants of the old leader have run out.
+    NoWaitAfterElection,
+    /// A clock runs a fifth too slow, far more than the allowed drift.
     SlowClock,
 }
 
 const FLAWS: [Flaw; 5] = [
     Flaw::CountedFromArrival,
-    Flaw::BeyondOwn,
-    Flaw::GrantsBehind,
-    Flaw::Impatient,
+    Flaw::GrantsBeyondOwnLease,
+    Flaw::GrantsToFollowerBehind,
+    Flaw::NoWaitAfterElection,
     Flaw::SlowClock,
 ];
 
-const STEP: u64 = 100;
+const STEP_MS: u64 = 100;
 const VOTERS: usize = 3;
 const ENTRIES: usize = 9;
 
@@ -47,10 +48,10 @@
     revision: u64,
     holder: Holder,
     granter: Granter,
-    /// How many milliseconds its clock counts in a thousand.
+    /// How many milliseconds the node's clock counts in a thousand.
     rate: u64,
-    cut: bool,
-    asked: u64,
+    cut_off: bool,
+    last_renewal: u64,
 }
 
 impl Node {
@@ -61,18 +62,18 @@
             holder: Holder::default(),
             granter: Granter::new(Millis::ZERO),
             rate,
-            cut: false,
-            asked: 0,
+            cut_off: false,
+            last_renewal: 0,
         }
     }
 
-    fn clock(&self, at: u64) -> Millis {
-        Millis(at * self.rate / 1000)
+    fn clock(&self, now: u64) -> Millis {
+        Millis(now * self.rate / 1000)
     }
 }
 
-/// A grant under way to a node.
-struct Flying {
+/// The answer to a renewal on its way to a node.
+struct PendingAnswer {
     arrives: u64,
     to: usize,
     grant: Option<Grant>,
@@ -82,14 +83,14 @@
 struct World {
     flaw: Flaw,
     rng: TestRng,
-    at: u64,
+    now: u64,
     leader: Granter,
     revision: u64,
     accepted: Millis,
-    /// The highest revision that was said to be in force.
-    promised: u64,
+    /// The highest revision that the leader reported as in force.
+    reported: u64,
     nodes: Vec<Node>,
-    flying: Vec<Flying>,
+    pending: Vec<PendingAnswer>,
     spans: BTreeMap<u64, u64>,
 }
 
@@ -110,117 +111,121 @@
             flaw,
             nodes,
             rng,
-            at: 0,
+            now: 0,
             leader: Granter::new(Millis::ZERO),
             revision: 1,
             accepted: Millis::ZERO,
-            promised: 0,
-            flying: Vec::new(),
+            reported: 0,
+            pending: Vec::new(),
             spans: BTreeMap::new(),
         }
     }
 
-    /// Half a minute to begin with, then changes, cuts and new leaders by chance.
+    /// Runs the simulation: 30 seconds without faults, then random changes, cuts and new leaders.
     fn run(&mut self) -> Result<(), String> {
         for step in 0..3000 {
-            self.at += STEP;
+            self.now += STEP_MS;
             if step > 300 {
-                self.disturb();
+                self.inject_faults();
             }
-            self.ask();
+            self.renew_due();
             self.arrive();
-            self.promise();
+            self.report_in_force();
             self.check()?;
         }
         Ok(())
     }
 
-    fn disturb(&mut self) {
-        if draw(&mut self.rng, 120) == 0 && self.promised == self.revision {
+    fn inject_faults(&mut self) {
+        if draw(&mut self.rng, 120) == 0 && self.reported == self.revision {
             self.revision += 1;
-            self.accepted = Millis(self.at);
+            self.accepted = Millis(self.now);
         }
         if draw(&mut self.rng, 60) == 0 {
             let n = draw(&mut self.rng, 12) as usize;
-            self.nodes[n].cut = !self.nodes[n].cut;
+            self.nodes[n].cut_off = !self.nodes[n].cut_off;
         }
         if draw(&mut self.rng, 900) == 0 {
             self.leader = Granter::new(match self.flaw {
-                Flaw::Impatient => Millis(self.at) - Millis(2 * LENGTH.0),
-                _ => Millis(self.at),
+                Flaw::NoWaitAfterElection => Millis(self.now) - Millis(2 * LENGTH.0),
+                _ => Millis(self.now),
             });
-            self.accepted = Millis(self.at);
+            self.accepted = Millis(self.now);
         }
     }
 
-    fn ask(&mut self) {
+    fn renew_due(&mut self) {
         for n in 0..self.nodes.len() {
-            let due = self.at >= self.nodes[n].asked + RENEW_INTERVAL.0;
-            if due && !self.nodes[n].cut {
-                self.nodes[n].asked = self.at;
-                self.ask_one(n);
+            let due = self.now >= self.nodes[n].last_renewal + RENEW_INTERVAL.0;
+            if due && !self.nodes[n].cut_off {
+                self.nodes[n].last_renewal = self.now;
+                self.renew(n);
             }
         }
     }
 
-    /// Asks on the way out, so that only the way back takes time: up to nine seconds.
-    fn ask_one(&mut self, n: usize) {
-        let local = self.nodes[n].clock(self.at);
+    /// Sends the renewal of one node. It arrives at once; only the answer takes time, up to nine seconds.
+    fn renew(&mut self, n: usize) {
+        let local = self.nodes[n].clock(self.now);
         let (grant, revision) = if n < VOTERS {
             let node = &mut self.nodes[n];
-            let ask = node.granter.renewal(node.revision, local);
-            let own = Millis(self.at) + LENGTH;
-            let now = Millis(self.at);
-            let grant = self.leader.grant(&node.name, ask, self.revision, own, now);
+            let renewal = node.granter.renewal(node.revision, local);
+            let own_until = Millis(self.now) + LENGTH;
+            let now = Millis(self.now);
+            let grant = self
+                .leader
+                .grant(&node.name, renewal, self.revision, own_until, now);
             (grant.ok(), self.revision)
         } else {
-            self.ask_voter(n, local)
+            self.renew_at_voter(n, local)
         };
-        let slow = draw(&mut self.rng, 4) == 0;
-        let way = u64::from(draw(&mut self.rng, if slow { 9000 } else { 200 }));
-        self.flying.push(Flying {
-            arrives: self.at + way,
+        let slow_link = draw(&mut self.rng, 4) == 0;
+        let delay = u64::from(draw(&mut self.rng, if slow_link { 9000 } else { 200 }));
+        self.pending.push(PendingAnswer {
+            arrives: self.now + delay,
             to: n,
             grant,
             revision,
         });
     }
 
-    fn ask_voter(&mut self, n: usize, local: Millis) -> (Option<Grant>, u64) {
+    fn renew_at_voter(&mut self, n: usize, local: Millis) -> (Option<Grant>, u64) {
         let mut revision = self.nodes[n].revision;
         let name = self.nodes[n].name.clone();
         let voter = &mut self.nodes[n % VOTERS];
-        if self.flaw == Flaw::GrantsBehind {
+        if self.flaw == Flaw::GrantsToFollowerBehind {
             revision = voter.revision;
         }
-        let ask = Renewal {
+        let renewal = Renewal {
             sent: local,
             revision,
             lowest: revision,
         };
-        let now = voter.clock(self.at);
-        let own = match self.flaw {
-            Flaw::BeyondOwn => now + LENGTH,
+        let now = voter.clock(self.now);
+        let own_until = match self.flaw {
+            Flaw::GrantsBeyondOwnLease => now + LENGTH,
             _ => voter.holder.until().unwrap_or_default(),
         };
-        let grant = voter.granter.grant(&name, ask, voter.revision, own, now);
+        let grant = voter
+            .granter
+            .grant(&name, renewal, voter.revision, own_until, now);
         (grant.ok(), voter.revision)
     }
 
     fn arrive(&mut self) {
-        let now = self.at;
-        let (here, still): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flying)
+        let now = self.now;
+        let (arrived, pending): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending)
             .into_iter()
-            .partition(|one| one.arrives <= now);
-        self.flying = still;
-        for one in here {
-            let node = &mut self.nodes[one.to];
-            if node.cut {
+            .partition(|answer| answer.arrives <= now);
+        self.pending = pending;
+        for answer in arrived {
+            let node = &mut self.nodes[answer.to];
+            if node.cut_off {
                 continue;
             }
-            node.revision = node.revision.max(one.revision);
+            node.revision = node.revision.max(answer.revision);
             let local = node.clock(now);
-            if let Some(mut grant) = one.grant {
+            if let Some(mut grant) = answer.grant {
                 if self.flaw == Flaw::CountedFromArrival {
                     grant.sent = local;
                 }
@@ -229,25 +234,25 @@
         }
     }
 
-    fn promise(&mut self) {
-        let force = self
+    fn report_in_force(&mut self) {
+        let state = self
             .leader
-            .in_force(self.revision, self.accepted, Millis(self.at));
-        if force == RevisionState::InForce && self.promised < self.revision {
-            self.promised = self.revision;
-            let span = Millis(self.at).since(self.accepted).0;
+            .in_force(self.revision, self.accepted, Millis(self.now));
+        if state == RevisionState::InForce && self.reported < self.revision {
+            self.reported = self.revision;
+            let span = Millis(self.now).since(self.accepted).0;
             *self.spans.entry(span / 1000).or_default() += 1;
         }
     }
 
-    /// Nobody serves under a revision older than one that was said to be in force.
+    /// Checks that no entry serves under a revision older than one that was reported as in force.
     fn check(&self) -> Result<(), String> {
         for node in &self.nodes[VOTERS..] {
-            let serves = node.holder.check(node.clock(self.at)).is_ok();
-            if serves && node.revision < self.promised {
-                let promised = self.promised;
+            let serves = node.holder.check(node.clock(self.now)).is_ok();
+            if serves && node.revision < self.reported {
+                let reported = self.reported;
                 return Err(format!(
-                    "{} serves under {}, {promised} is in force",
+                    "{} serves under {}, {reported} is in force",
                     node.name, node.revision
                 ));
             }
@@ -262,10 +267,11 @@
 
 const SEEDS: u8 = 60;
 
-/// Changes, cuts of any node and new leaders while grants take up to nine seconds to arrive: what
-/// is said to be in force is in force, and it is said within 14 seconds whatever is cut off.
+/// Guards against a revision that is reported as in force while an entry still serves an older one, and
+/// against a report that takes more than 14 seconds. Nodes are cut off, leaders change, and grants take up
+/// to nine seconds to arrive.
 #[test]
-fn what_is_in_force_is_in_force_everywhere() {
+fn revision_in_force_is_in_force_everywhere() {
     let mut spans = BTreeMap::<u64, u64>::new();
     for seed in 0..SEEDS {
         let mut world = World::new(Flaw::None, seed);
@@ -293,9 +299,9 @@
     }
 }
 
-/// An entry cut off from the control state refuses at once, and says when to come back.
+/// Guards against an entry without a lease that serves requests, or refuses them without a time to retry.
 #[test]
-fn entry_without_a_lease_refuses_with_a_time() {
+fn entry_without_lease_refuses_and_says_when_to_retry() {
     let mut holder = Holder::default();
     assert!(holder.check(Millis::ZERO).is_err());
     holder.accept(Grant {
