--- a/crates/filbertstack-control/tests/claims.rs
+++ b/crates/filbertstack-control/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys: room, windows and what callers are told.
+//! Tests the claims of idempotency keys: their limits, their expiry and the decisions that callers get.
 
 use filbertstack_control::ControlState;
 use filbertstack_control::Limits;
@@ -12,15 +12,15 @@
 use filbertstack_control::outcome::Outcome;
 use filbertstack_control::outcome::Reply;
 
-const START: u64 = 1_700_000_000_000;
-const HOUR: u64 = 3_600_000;
+const START_MS: u64 = 1_700_000_000_000;
+const HOUR_MS: u64 = 3_600_000;
 
 fn run(state: &mut ControlState, now: u64, body: Body) -> Outcome {
     let index = state.index() + 1;
     state.apply(index, &Command::new(now, body).to_bytes())
 }
 
-fn small() -> ControlState {
+fn small_state() -> ControlState {
     ControlState::with_limits(Limits {
         claims: 16,
         org_claims: 8,
@@ -29,7 +29,7 @@
     })
 }
 
-fn claim_of(organisation: &str, key: &str, issued: Option<u64>, now: u64) -> Claim {
+fn new_claim(organisation: &str, key: &str, issued: Option<u64>, now: u64) -> Claim {
     Claim {
         organisation: organisation.into(),
         key: key.into(),
@@ -38,7 +38,7 @@
         entry: 1,
         attempt: now,
         until: now + 60_000,
-        life: 24 * HOUR,
+        life: 24 * HOUR_MS,
     }
 }
 
@@ -64,31 +64,31 @@
     run(state, now, Body::Settle(settle));
 }
 
-fn granted(decision: &Decision) -> u64 {
+fn expect_granted(decision: &Decision) -> u64 {
     match decision {
         Decision::Granted(fence) => *fence,
         other => panic!("{other:?}"),
     }
 }
 
-/// In overload hundreds of requests are claimed, refused as "not run" and given back. They must
-/// not fill the room for hours: what ran keeps its row, and a new booking finds room.
+/// Guards against released claims that take room for hours. In overload, hundreds of requests are claimed,
+/// refused as "not run" and released. The key whose request ran keeps its row, and new claims find room.
 #[test]
-fn claims_given_back_leave_room() {
-    let mut state = small();
-    let fence = granted(&claim(
+fn released_claims_leave_room() {
+    let mut state = small_state();
+    let fence = expect_granted(&claim(
         &mut state,
-        START,
-        claim_of("prairie", "ran", None, START),
+        START_MS,
+        new_claim("prairie", "ran", None, START_MS),
     ));
-    settle(&mut state, START, "ran", fence, 5);
+    settle(&mut state, START_MS, "ran", fence, 5);
     for n in 0..200 {
-        let now = START + n * 20_000;
+        let now = START_MS + n * 20_000;
         let key = format!("k{n}");
-        let fence = granted(&claim(
+        let fence = expect_granted(&claim(
             &mut state,
             now,
-            claim_of("prairie", &key, None, now),
+            new_claim("prairie", &key, None, now),
         ));
         let release = Release {
             organisation: "prairie".into(),
@@ -97,84 +97,93 @@
         };
         run(&mut state, now, Body::Release(release));
     }
-    let now = START + 2 * HOUR;
-    let again = claim(&mut state, now, claim_of("prairie", "ran", None, now));
+    let now = START_MS + 2 * HOUR_MS;
+    let again = claim(&mut state, now, new_claim("prairie", "ran", None, now));
     assert!(matches!(again, Decision::Ran(_)), "{again:?}");
 }
 
-/// One organisation claims more keys than it has room for. Plain ones are refused with a time to
-/// come back and none is forgotten; another organisation is not touched by it.
+/// Guards against forgetting plain keys, and against one organisation that takes the room of another. When
+/// an organisation claims more keys than it may, further claims are refused with a time to retry.
 #[test]
-fn full_room_refuses_and_forgets_no_plain_key() {
-    let mut state = small();
+fn full_organisation_is_refused_and_keeps_plain_keys() {
+    let mut state = small_state();
     for n in 0..8 {
-        granted(&claim(
+        expect_granted(&claim(
             &mut state,
-            START,
-            claim_of("loud", &format!("k{n}"), None, START),
+            START_MS,
+            new_claim("loud", &format!("k{n}"), None, START_MS),
         ));
     }
-    let full = claim(&mut state, START, claim_of("loud", "k8", None, START));
+    let full = claim(
+        &mut state,
+        START_MS,
+        new_claim("loud", "k8", None, START_MS),
+    );
     let Decision::Full(wait) = full else {
         panic!("{full:?}");
     };
     assert!(wait >= 1000);
-    granted(&claim(
+    expect_granted(&claim(
         &mut state,
-        START,
-        claim_of("quiet", "k0", None, START),
+        START_MS,
+        new_claim("quiet", "k0", None, START_MS),
     ));
     let known = claim(
         &mut state,
-        START + 1,
-        claim_of("loud", "k0", None, START + 1),
+        START_MS + 1,
+        new_claim("loud", "k0", None, START_MS + 1),
     );
     assert!(matches!(known, Decision::InProgress(_)), "{known:?}");
 }
 
-/// Keys with a time make room for newer ones. A resend of a forgotten key is told that it is too
-/// old, and never runs again.
+/// Guards against a second run of a key that was forgotten to make room for newer keys. Keys that contain
+/// their time may be forgotten early; a resend of such a key is refused as expired.
 #[test]
-fn forgotten_key_with_a_time_is_expired() {
-    let mut state = small();
+fn forgotten_timed_key_is_refused_as_expired() {
+    let mut state = small_state();
     for n in 0..12 {
-        let now = START + n;
+        let now = START_MS + n;
         let key = format!("k{n}");
-        let fence = granted(&claim(
+        let fence = expect_granted(&claim(
             &mut state,
             now,
-            claim_of("prairie", &key, Some(now), now),
+            new_claim("prairie", &key, Some(now), now),
         ));
         settle(&mut state, now, &key, fence, 5);
     }
-    let now = START + 100;
-    let old = claim(&mut state, now, claim_of("prairie", "k0", Some(START), now));
+    let now = START_MS + 100;
+    let old = claim(
+        &mut state,
+        now,
+        new_claim("prairie", "k0", Some(START_MS), now),
+    );
     assert!(matches!(old, Decision::Expired(_)), "{old:?}");
     let new = claim(
         &mut state,
         now,
-        claim_of("prairie", "k11", Some(START + 11), now),
+        new_claim("prairie", "k11", Some(START_MS + 11), now),
     );
     assert!(matches!(new, Decision::Ran(_)), "{new:?}");
 }
 
-/// Answers are dropped before rows: a resend still learns that it ran, and with which digest.
+/// Guards against forgetting a run together with its answer. Only the bytes of the answer are dropped: a
+/// resend still gets the status and the digest.
 #[test]
 fn dropped_answer_keeps_its_digest() {
-    let mut state = small();
+    let mut state = small_state();
     for key in ["a", "b", "c"] {
-        let fence = granted(&claim(
+        let fence = expect_granted(&claim(
             &mut state,
-            START,
-            claim_of("prairie", key, None, START),
+            START_MS,
+            new_claim("prairie", key, None, START_MS),
         ));
-        settle(&mut state, START, key, fence, 40);
+        settle(&mut state, START_MS, key, fence, 40);
     }
     let kept = ["a", "b", "c"].map(|key| {
         match claim(
             &mut state,
-            START + 1,
-            claim_of("prairie", key, None, START + 1),
+            START_MS + 1,
+            new_claim("prairie", key, None, START_MS + 1),
         ) {
             Decision::Ran(answer) => (answer.bytes.map(|b| b.len()), answer.digest.len()),
             other => panic!("{other:?}"),
@@ -184,39 +193,43 @@
     assert_eq!(state.claims().counts().answers, 80);
 }
 
-/// An entry claims, then says nothing more. Once the request's deadline has passed the key is
-/// unknown, and stays so; only the attempt itself may still say how it ended.
+/// Guards against a second run of a key whose entry claims it and never settles it. After the request's
+/// deadline the key is unknown. Only the attempt that holds the claim may still settle it.
 #[test]
-fn silent_attempt_leaves_the_key_unknown() {
-    let mut state = small();
-    let fence = granted(&claim(
+fn unsettled_claim_leaves_the_key_unknown() {
+    let mut state = small_state();
+    let fence = expect_granted(&claim(
         &mut state,
-        START,
-        claim_of("prairie", "k", None, START),
+        START_MS,
+        new_claim("prairie", "k", None, START_MS),
     ));
-    let now = START + 60_001;
-    let unknown = claim(&mut state, now, claim_of("prairie", "k", None, now));
+    let now = START_MS + 60_001;
+    let unknown = claim(&mut state, now, new_claim("prairie", "k", None, now));
     assert!(matches!(unknown, Decision::Unknown(_)), "{unknown:?}");
     settle(&mut state, now, "k", fence, 5);
-    let ran = claim(&mut state, now + 1, claim_of("prairie", "k", None, now + 1));
+    let ran = claim(
+        &mut state,
+        now + 1,
+        new_claim("prairie", "k", None, now + 1),
+    );
     assert!(matches!(ran, Decision::Ran(_)), "{ran:?}");
 }
 
-/// An entry's claim is under way when the leader changes, and the entry gives up: nothing was sent
-/// to a target. It abandons the attempt, which holds whichever of the two arrives first, and the
-/// caller's resend runs at once instead of finding the key unknown.
+/// Guards against a key that becomes unknown although nothing ran. The leader changes while a claim is on
+/// its way; the entry has sent nothing to a target and abandons the claim. Whichever of the two commands is
+/// applied first, the caller's resend is granted at once.
 #[test]
-fn abandoned_attempt_frees_the_key_in_any_order() {
+fn abandoned_claim_frees_the_key_in_any_order() {
     for claim_first in [true, false] {
-        let mut state = small();
-        let lost = claim_of("prairie", "k", None, START);
+        let mut state = small_state();
+        let lost = new_claim("prairie", "k", None, START_MS);
         if claim_first {
-            granted(&claim(&mut state, START, lost.clone()));
+            expect_granted(&claim(&mut state, START_MS, lost.clone()));
         }
-        run(&mut state, START, Body::Abandon(lost.clone()));
-        let late = claim(&mut state, START, lost);
+        run(&mut state, START_MS, Body::Abandon(lost.clone()));
+        let late = claim(&mut state, START_MS, lost);
         assert!(!matches!(late, Decision::Granted(_)), "{late:?}");
-        let resend = claim_of("prairie", "k", None, START + 1);
-        granted(&claim(&mut state, START + 1, resend));
+        let resend = new_claim("prairie", "k", None, START_MS + 1);
+        expect_granted(&claim(&mut state, START_MS + 1, resend));
     }
 }
--- a/crates/filbertstack-control/tests/common/mod.rs
+++ b/crates/filbertstack-control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the control state share.
+//! Helpers that the tests of the control state share.
 
 use filbertstack_control::ControlState;
 use filbertstack_control::command::Apply;
@@ -11,7 +11,7 @@
 use filbertstack_control::outcome::Reply;
 use filbertstack_core::Digest;
 
-pub const START: u64 = 1_700_000_000_000;
+pub const START_MS: u64 = 1_700_000_000_000;
 
 pub fn run(state: &mut ControlState, now: u64, body: Body) -> Outcome {
     let index = state.index() + 1;
@@ -42,8 +42,8 @@
     }
 }
 
-/// Three engines in three zones and a plain service, with version 1 and 2 of a model.
-pub fn furnished() -> ControlState {
+/// Returns a state with three engines in three zones, a plain service and versions 1 and 2 of a model.
+pub fn populated_state() -> ControlState {
     let mut state = ControlState::default();
     let zones = ["regina-hall", "winnipeg-hall", "calgary-hall"];
     let mut instances: Vec<_> = zones
@@ -55,9 +55,9 @@
         instances,
         gone: Vec::new(),
     };
-    run(&mut state, START, Body::Register(rows));
-    run(&mut state, START, publish("draft", 1));
-    run(&mut state, START, publish("draft", 2));
+    run(&mut state, START_MS, Body::Register(rows));
+    run(&mut state, START_MS, publish("draft", 1));
+    run(&mut state, START_MS, publish("draft", 2));
     state
 }
 
@@ -66,14 +66,14 @@
         request: request.into(),
         operator: "ann".into(),
         expected,
-        issued: START,
+        issued: START_MS,
         text: text.into(),
         removals: Vec::new(),
     }
 }
 
-/// A deployment of version `n` on `replicas` instances, its pool and its rule.
-pub fn whole(n: u8, replicas: u32) -> String {
+/// Returns a deployment of version `n` on `replicas` instances, with its pool and its rule.
+pub fn full_declarations(n: u8, replicas: u32) -> String {
     format!(
         "[deployment drafting]\nlabels = team=drafting\nmodel = draft\nversion = {}\n\
          replicas = {replicas}\nmemory = 8GiB\npools = tier=large\n\
@@ -83,7 +83,7 @@
     )
 }
 
-/// The reasons of a refusal as text, one a line.
+/// Returns the reasons of a refusal as text, one per line.
 pub fn reasons(outcome: &Outcome) -> String {
     let Some(Reply::Rejected(rejected)) = &outcome.reply else {
         return format!("{outcome:?}");
--- a/crates/filbertstack-control/tests/declare.rs
+++ b/crates/filbertstack-control/tests/declare.rs
@@ -1,14 +1,14 @@
-//! Declarations: compare-and-set, resends, validation and what followers get.
+//! Tests declarations: compare-and-set, resends, validation and the deltas for followers.
 
 mod common;
 
-use common::START;
+use common::START_MS;
 use common::apply;
-use common::furnished;
+use common::full_declarations;
+use common::populated_state;
 use common::reasons;
 use common::revision;
 use common::run;
-use common::whole;
 use filbertstack_control::ControlState;
 use filbertstack_control::Limits;
 use filbertstack_control::command::Apply;
@@ -21,16 +21,16 @@
 use filbertstack_control::view::Follower;
 
 fn declare(state: &mut ControlState, apply: Apply) -> filbertstack_control::outcome::Outcome {
-    run(state, START, Body::Apply(apply))
+    run(state, START_MS, Body::Apply(apply))
 }
 
-/// Two operators change the same revision. The log puts one first; the other is told who won
-/// under which request, and nothing of its change is in force.
+/// Guards against a lost update when two operators change the same revision. The later change in the log
+/// gets a conflict that names the accepted change, and no part of the later change is in force.
 #[test]
-fn race_under_one_number_has_one_winner() {
-    let mut state = furnished();
-    let won = declare(&mut state, apply("a", Some(0), &whole(1, 2)));
-    let mut late = apply("b", Some(0), &whole(1, 3));
+fn concurrent_changes_of_one_revision_accept_only_one() {
+    let mut state = populated_state();
+    let won = declare(&mut state, apply("a", Some(0), &full_declarations(1, 2)));
+    let mut late = apply("b", Some(0), &full_declarations(1, 3));
     late.operator = "bob".into();
     let lost = declare(&mut state, late);
     assert_eq!(revision(&won), Some(1));
@@ -44,24 +44,24 @@
     assert_eq!(deployment.map(|d| d.replicas), Some(2));
 }
 
-/// The operator loses the answer, the leader changes, the new one starts from a snapshot, and the
-/// operator asks again: the first outcome comes back and nothing applies twice.
+/// Guards against applying a resend twice. The operator does not get the answer, and the new leader starts
+/// from a snapshot. The resend gets the first outcome.
 #[test]
 fn resend_gets_first_outcome_after_snapshot() {
-    let mut state = furnished();
-    let first = declare(&mut state, apply("a", None, &whole(1, 2)));
-    declare(&mut state, apply("b", Some(1), &whole(1, 3)));
+    let mut state = populated_state();
+    let first = declare(&mut state, apply("a", None, &full_declarations(1, 2)));
+    declare(&mut state, apply("b", Some(1), &full_declarations(1, 3)));
     let mut other = ControlState::default();
     other.restore(&state.snapshot()).expect("a good snapshot");
-    let again = declare(&mut other, apply("a", None, &whole(1, 2)));
+    let again = declare(&mut other, apply("a", None, &full_declarations(1, 2)));
     assert_eq!(first, again);
     assert_eq!(other.declared().revision(), 2);
-    let reused = declare(&mut other, apply("a", None, &whole(1, 1)));
+    let reused = declare(&mut other, apply("a", None, &full_declarations(1, 1)));
     insta::assert_snapshot!(reasons(&reused), @"this request identifier was used for another change: draw a new one");
 }
 
-/// A resend arrives after its identifier was forgotten and after another change. Without a
-/// revision only the request's own time can tell: it is refused instead of undoing that change.
+/// Guards against a resend that undoes a later change. It arrives after its identifier was forgotten, and it
+/// gives no expected revision, so only its own time shows that it is old.
 #[test]
 fn forgotten_request_never_applies_again() {
     let limits = Limits {
@@ -72,7 +72,7 @@
     let pool = |labels: &str| format!("[pool halls]\nlabels = {labels}\ninstances = role=llm\n");
     for (request, labels) in [("a", "v=1"), ("b", "v=2"), ("c", "v=3")] {
         let outcome = declare(&mut state, apply(request, None, &pool(labels)));
-        // The requests of one moment: the mark of a forgotten one takes its fellows along.
+        // All requests have the same time, so forgetting one makes the state refuse the others as old.
         assert!(
             revision(&outcome).is_some() || request == "c",
             "{outcome:?}"
@@ -83,24 +83,27 @@
         reasons(&again).starts_with("the request is older"),
         "{again:?}"
     );
-    let held = declare(&mut state, apply("a", Some(0), &pool("v=1")));
-    assert!(matches!(held.reply, Some(Reply::Conflict(_))), "{held:?}");
+    let conditional = declare(&mut state, apply("a", Some(0), &pool("v=1")));
+    assert!(
+        matches!(conditional.reply, Some(Reply::Conflict(_))),
+        "{conditional:?}"
+    );
 }
 
-/// A client's clock runs a day ahead. Taking its stamp would make all honest ones look old once
-/// it is forgotten, so it is refused.
+/// Guards against a client whose clock runs a day ahead. Once its request is forgotten, its time would make
+/// all requests with a correct time look old.
 #[test]
-fn stamp_from_the_future_is_refused() {
-    let mut state = furnished();
-    let mut ahead = apply("a", None, &whole(1, 2));
-    ahead.issued = START + 86_400_000;
+fn request_with_a_future_time_is_refused() {
+    let mut state = populated_state();
+    let mut ahead = apply("a", None, &full_declarations(1, 2));
+    ahead.issued = START_MS + 86_400_000;
     let outcome = declare(&mut state, ahead);
     assert!(reasons(&outcome).contains("set the client's clock"));
 }
 
 #[test]
-fn every_reason_is_told_at_once() {
-    let mut state = furnished();
+fn all_reasons_are_returned_at_once() {
+    let mut state = populated_state();
     let text = "[deployment a]\nlabels = team=x\nmodel = draft\n\
          version = 0000000000000000000000000000000000000000000000000000000000000000\n\
          replicas = 9\nmemory = 32GiB\npools = tier=large\n\
@@ -124,13 +127,13 @@
     assert_eq!(state.declared().revision(), 0);
 }
 
-/// Two deployments hold two versions of one model and one rule selects both: which version
-/// answers would be left to chance. Apart by labels, both may stand.
+/// Guards against a rule that selects two versions of one model, so that it is random which version answers.
+/// With different labels, both deployments may be declared.
 #[test]
 fn mixed_versions_behind_one_rule_are_refused() {
-    let mut state = furnished();
-    let second = whole(2, 1).replace("[deployment drafting]", "[deployment canary]");
-    let both = whole(1, 1) + second.split("[pool").next().expect("the deployment");
+    let mut state = populated_state();
+    let second = full_declarations(2, 1).replace("[deployment drafting]", "[deployment canary]");
+    let both = full_declarations(1, 1) + second.split("[pool").next().expect("the deployment");
     let mixed = declare(&mut state, apply("a", None, &both));
     assert!(reasons(&mixed).contains("several versions"), "{mixed:?}");
     let apart = both.replacen("team=drafting", "team=old", 1);
@@ -138,52 +141,52 @@
     assert_eq!(revision(&good), Some(1), "{good:?}");
 }
 
-/// The instances leave for good. A change of something else must still go in, and one that needs
-/// the instances is refused.
+/// Guards against instances that have left and block changes of other objects. A change that needs the
+/// instances is refused.
 #[test]
-fn lost_instances_block_only_what_needs_them() {
-    let mut state = furnished();
-    declare(&mut state, apply("a", None, &whole(1, 3)));
+fn lost_instances_block_only_changes_that_need_them() {
+    let mut state = populated_state();
+    declare(&mut state, apply("a", None, &full_declarations(1, 3)));
     let gone = filbertstack_control::command::Register {
         instances: Vec::new(),
         gone: vec!["calgary-hall".into()],
     };
-    run(&mut state, START, Body::Register(gone));
+    run(&mut state, START_MS, Body::Register(gone));
     let other = "[rule desk]\norder = 5\npath = /desk\ninstances = role=desk\n";
     assert_eq!(
         revision(&declare(&mut state, apply("b", None, other))),
         Some(2)
     );
-    let same = declare(&mut state, apply("c", None, &whole(1, 3)));
+    let same = declare(&mut state, apply("c", None, &full_declarations(1, 3)));
     assert_eq!(revision(&same), Some(2), "no change takes no revision");
-    let more = declare(&mut state, apply("d", None, &whole(2, 3)));
+    let more = declare(&mut state, apply("d", None, &full_declarations(2, 3)));
     assert!(reasons(&more).contains("3 replicas"), "{more:?}");
 }
 
 #[test]
 fn declared_version_is_not_retired() {
-    let mut state = furnished();
-    declare(&mut state, apply("a", None, &whole(1, 2)));
+    let mut state = populated_state();
+    declare(&mut state, apply("a", None, &full_declarations(1, 2)));
     let retire = |n| {
         Body::Retire(Retire {
             root: common::version(n).to_vec(),
         })
     };
-    let used = run(&mut state, START, retire(1));
+    let used = run(&mut state, START_MS, retire(1));
     assert!(reasons(&used).contains("[deployment drafting]"));
-    run(&mut state, START, retire(2));
+    run(&mut state, START_MS, retire(2));
     assert_eq!(state.catalogue().len(), 1);
 }
 
-/// A follower hears voters that lag, an old leader and a delta with a hole: it moves only
-/// forward and ends with exactly what was accepted.
+/// Guards against a follower that moves back to an older revision or skips changes. It gets an old delta and
+/// one that starts too late, and ends with exactly the accepted declarations.
 #[test]
-fn follower_moves_only_forward() {
-    let mut state = furnished();
+fn follower_never_moves_back() {
+    let mut state = populated_state();
     let mut follower = Follower::default();
-    declare(&mut state, apply("a", None, &whole(1, 2)));
+    declare(&mut state, apply("a", None, &full_declarations(1, 2)));
     let old = state.delta(0);
-    declare(&mut state, apply("b", None, &whole(2, 2)));
+    declare(&mut state, apply("b", None, &full_declarations(2, 2)));
     let mut removal = apply("c", None, "");
     removal.removals = vec![Object::new(Kind::Rule, "drafting")];
     declare(&mut state, removal);
@@ -197,18 +200,18 @@
         Err(DeltaError::Behind { term: 0, to: 1 })
     );
     assert_eq!(follower.declared(), state.declared().current());
-    declare(&mut state, apply("d", None, &whole(1, 1)));
+    declare(&mut state, apply("d", None, &full_declarations(1, 1)));
     let delta = state.delta(follower.revision());
     assert_eq!(delta.written.len(), 2, "the pool did not change");
     assert_eq!(follower.apply(&delta), Ok(true));
     assert_eq!(follower.declared(), state.declared().current());
 }
 
-/// An operator sends a value of a quarter of a megabyte. The refusal quotes only its beginning: the
-/// state remembers thousands of refusals.
+/// Guards against refusals that fill the memory. The state remembers thousands of them, so the refusal of a
+/// value of a quarter of a megabyte quotes only the beginning of the value.
 #[test]
-fn refusals_are_short() {
-    let mut state = furnished();
+fn refusals_quote_only_the_beginning_of_a_value() {
+    let mut state = populated_state();
     let text = format!("[pool halls]\ninstances = {}\n", "?".repeat(200_000));
     let outcome = declare(&mut state, apply("a", None, &text));
     assert!(reasons(&outcome).chars().count() <= 600);
@@ -217,17 +220,17 @@
     assert!(reasons(&outcome).contains("more than 262144 bytes"));
 }
 
-/// A snapshot with a flipped bit or cut short is refused, and the state stays as it was.
+/// Guards against restoring a snapshot with a flipped bit or a truncated one. The state stays as it was.
 #[test]
 fn damaged_snapshot_changes_nothing() {
-    let mut state = furnished();
-    declare(&mut state, apply("a", None, &whole(1, 2)));
+    let mut state = populated_state();
+    declare(&mut state, apply("a", None, &full_declarations(1, 2)));
     let good = state.snapshot();
     for at in (0..good.len()).step_by(7) {
         let mut bad = good.clone();
         bad[at] ^= 0x40;
         let restored = state.restore(&bad);
-        // What decodes and is canonical is another state, which the log's checksum tells apart.
+        // A canonical snapshot that decodes is a valid other state; the log's checksum detects the change.
         if restored.is_ok() {
             assert_eq!(state.snapshot(), bad);
             state.restore(&good).expect("the good one");
--- a/crates/filbertstack-control/tests/document.rs
+++ b/crates/filbertstack-control/tests/document.rs
@@ -1,4 +1,4 @@
-//! The mode of whole documents: the highest version is in force.
+//! Tests the mode of whole documents, in which the highest version is in force.
 
 use bytes::Bytes;
 use filbertstack_control::document::Change;
@@ -12,13 +12,13 @@
 use proptest::prelude::*;
 use prost::Message as _;
 
-fn put(version: u64, body: &str) -> Vec<u8> {
+fn document_command(version: u64, body: &str) -> Vec<u8> {
     let body = Bytes::copy_from_slice(body.as_bytes());
     let kind = Some(Kind::Document(Document { version, body }));
     Change { kind }.encode_to_vec()
 }
 
-fn command(packed: Packed) -> Vec<u8> {
+fn packed_command(packed: Packed) -> Vec<u8> {
     let kind = Some(Kind::Packed(packed));
     Change { kind }.encode_to_vec()
 }
@@ -28,7 +28,7 @@
     Packed::pack(&Document { version, body }).expect("compressed")
 }
 
-fn name(model: &str, version: u64) -> Vec<u8> {
+fn weights_command(model: &str, version: u64) -> Vec<u8> {
     let model = model.to_owned();
     let kind = Some(Kind::Weights(Weights { model, version }));
     Change { kind }.encode_to_vec()
@@ -49,32 +49,41 @@
     }
 }
 
-fn keep(documents: &mut Documents, list: List) -> Effect {
+fn keep_list(documents: &mut Documents, list: List) -> Effect {
     let kind = Some(Kind::List(list));
     documents.apply(&Change { kind }.encode_to_vec())
 }
 
-/// Two operators send different content under one number. One gets in; the other's must never
-/// be read back or obeyed, also when it is sent again.
+/// Guards against two operators who send different content under one version. Only the first content takes
+/// effect, even if the other is sent again.
 #[test]
-fn other_content_under_the_version_held_changes_nothing() {
+fn other_content_under_the_same_version_changes_nothing() {
     let mut documents = Documents::default();
-    assert_eq!(documents.apply(&put(7, "first")), Effect::InForce);
-    assert_eq!(documents.apply(&put(7, "second")), Effect::Superseded);
-    assert_eq!(documents.apply(&put(6, "older")), Effect::Superseded);
+    assert_eq!(
+        documents.apply(&document_command(7, "first")),
+        Effect::InForce
+    );
+    assert_eq!(
+        documents.apply(&document_command(7, "second")),
+        Effect::Superseded
+    );
+    assert_eq!(
+        documents.apply(&document_command(6, "older")),
+        Effect::Superseded
+    );
     assert_eq!(&documents.document().body[..], b"first");
 }
 
-/// Guards against a storm of long documents that fills the voters' links and the log's memory.
+/// Guards against long documents that, sent often, fill the voters' links and the memory of the log.
 #[test]
-fn a_document_of_many_routes_takes_little_of_the_log() {
+fn long_document_is_compressed_in_the_log() {
     let route = |n: u32| {
         format!(
             r#"{{"name":"r-{n}","host":"h-{n}.example","pathPrefix":"/p-{n}/","kind":"streaming","timeoutMs":6000,"service":"drafting"}}"#
         )
     };
     let body = (0..1_800).map(route).collect::<Vec<_>>().join(",");
-    let packed = command(pack(3, body.clone()));
+    let packed = packed_command(pack(3, body.clone()));
     assert!(
         packed.len() * 10 < body.len(),
         "{} of {}",
@@ -91,58 +100,60 @@
     assert_eq!(restarted, documents);
 }
 
-/// Guards against a replica that stops, or takes half of a document, at bytes that are none.
+/// Guards against a replica that stops at invalid packed bytes, or applies half of a document.
 #[test]
-fn packed_bytes_that_are_no_document_change_nothing() {
+fn invalid_packed_bytes_change_nothing() {
     let mut documents = Documents::default();
-    documents.apply(&put(1, "a"));
-    let whole = pack(2, "a document".repeat(100));
+    documents.apply(&document_command(1, "a"));
+    let intact = pack(2, "a document".repeat(100));
     let cut = Packed {
-        body: whole.body.slice(..whole.body.len() / 2),
-        ..whole
+        body: intact.body.slice(..intact.body.len() / 2),
+        ..intact
     };
-    assert_eq!(documents.apply(&command(cut)), Effect::Unreadable);
+    assert_eq!(documents.apply(&packed_command(cut)), Effect::Unreadable);
     let long = pack(2, vec![0; 64 << 20]);
-    assert_eq!(documents.apply(&command(long)), Effect::Unreadable);
+    assert_eq!(documents.apply(&packed_command(long)), Effect::Unreadable);
     assert_eq!(&documents.document().body[..], b"a");
     assert_eq!(
-        documents.apply(&command(pack(1, "other"))),
+        documents.apply(&packed_command(pack(1, "other"))),
         Effect::Superseded
     );
 }
 
 #[test]
-fn bytes_that_are_no_command_change_nothing() {
+fn invalid_command_bytes_change_nothing() {
     let mut documents = Documents::default();
-    documents.apply(&put(1, "a"));
+    documents.apply(&document_command(1, "a"));
     assert_eq!(documents.apply(&[0xff; 9]), Effect::Unreadable);
     assert_eq!(documents.document().version, 1);
     assert!(documents.restore(&[0xff; 9]).is_err());
     assert_eq!(documents.document().version, 1);
 }
 
-/// Guards against an agent that takes an older version, which an engine may yet load, for unknown.
+/// Guards against an agent that regards an older version as unknown although an engine may still load it.
 #[test]
-fn older_versions_of_weights_outlast_a_restart() {
+fn older_weights_versions_survive_a_restart() {
     let mut documents = Documents::default();
     for version in [2, 3, 5, 5, 4, 9, 10, 12] {
-        documents.apply(&name("m", version));
+        documents.apply(&weights_command("m", version));
     }
-    let image = documents.snapshot();
+    let snapshot_bytes = documents.snapshot();
     let mut restarted = Documents::default();
-    restarted.restore(&image).expect("its own snapshot");
+    restarted
+        .restore(&snapshot_bytes)
+        .expect("its own snapshot");
     let named: Vec<u64> = restarted.weights().map(|w| w.version).collect();
     assert_eq!(named, [5, 9, 10, 12]);
     assert_eq!(restarted, documents);
 }
 
-/// Guards against a list of pieces that is gone when all processes start again, so that nobody knows
-/// which version lies at an engine.
+/// Guards against losing a list of pieces when all processes restart. Without it, nothing can recognize the
+/// version that an engine holds.
 #[test]
-fn lists_of_pieces_outlast_a_restart() {
+fn piece_lists_survive_a_restart() {
     let mut documents = Documents::default();
     for version in [1, 2, 4] {
-        let kept = keep(&mut documents, list(version, 48, 7));
+        let kept = keep_list(&mut documents, list(version, 48, 7));
         assert_eq!(kept, Effect::InForce);
     }
     let mut restarted = Documents::default();
@@ -157,38 +168,41 @@
     );
 }
 
-/// Guards against a list that came spoilt from the origin and is kept for good.
+/// Guards against a corrupt list from the origin that is never replaced.
 #[test]
-fn a_list_takes_the_place_of_an_earlier_one() {
+fn new_list_replaces_an_earlier_one() {
     let mut documents = Documents::default();
-    keep(&mut documents, list(2, 48, 1));
-    assert_eq!(keep(&mut documents, list(2, 48, 2)), Effect::InForce);
-    assert_eq!(keep(&mut documents, list(2, 48, 2)), Effect::Superseded);
+    keep_list(&mut documents, list(2, 48, 1));
+    assert_eq!(keep_list(&mut documents, list(2, 48, 2)), Effect::InForce);
+    assert_eq!(
+        keep_list(&mut documents, list(2, 48, 2)),
+        Effect::Superseded
+    );
     assert_eq!(documents.list(&weights(2)), Some(&list(2, 48, 2)));
 }
 
-/// Guards against lists of thousands of pieces that fill the voters' memory.
+/// Guards against lists of thousands of pieces that fill the voters' memory: the oldest are dropped.
 #[test]
-fn the_oldest_lists_give_way_when_they_are_long() {
+fn oldest_lists_are_dropped_over_the_limit() {
     let mut documents = Documents::default();
     for version in 1..=40 {
-        keep(&mut documents, list(version, 128, 1));
+        keep_list(&mut documents, list(version, 128, 1));
     }
     assert!(documents.snapshot().len() < 70 << 10);
     assert_eq!(documents.list(&weights(24)), None);
     assert_eq!(documents.list(&weights(25)), Some(&list(25, 128, 1)));
     for version in 41..=43 {
-        keep(&mut documents, list(version, 16_384, 1));
+        keep_list(&mut documents, list(version, 16_384, 1));
     }
     assert_eq!(documents.list(&weights(41)), None);
     assert!(documents.list(&weights(42)).is_some());
 }
 
 proptest! {
-    /// Against the simplest oracle: the maximum so far, with the body that came with it first.
-    /// Snapshots are taken and restored at any moment, as after a restart.
+    /// Compares with the simplest oracle: the highest version so far, with its first body. Snapshots are
+    /// taken and restored at random moments, as in a restart.
     #[test]
-    fn the_highest_version_so_far_is_in_force(
+    fn highest_version_is_in_force(
         steps in prop::collection::vec((0_u64..12, 0_u8..4, any::<bool>()), 1..200),
     ) {
         let mut documents = Documents::default();
@@ -199,19 +213,19 @@
             let (effect, newer) = if kind == 0 {
                 let newer = number > weights;
                 weights = weights.max(number);
-                (documents.apply(&name("m", number)), newer)
+                (documents.apply(&weights_command("m", number)), newer)
             } else {
                 let newer = number > version;
                 if newer {
                     (version, body) = (number, text.clone());
                 }
-                (documents.apply(&put(number, &text)), newer)
+                (documents.apply(&document_command(number, &text)), newer)
             };
             prop_assert_eq!(effect == Effect::InForce, newer);
             if snapshot {
-                let image = documents.snapshot();
+                let snapshot_bytes = documents.snapshot();
                 documents = Documents::default();
-                documents.restore(&image).expect("its own snapshot");
+                documents.restore(&snapshot_bytes).expect("its own snapshot");
             }
             prop_assert_eq!(documents.document().version, version);
             prop_assert_eq!(&documents.document().body[..], body.as_bytes());
