--- a/crates/filbertstack-control/examples/measure.rs
+++ b/crates/filbertstack-control/examples/measure.rs
@@ -1,9 +1,10 @@
-//! Measures the control state, placement and gossip at growing sizes.
+//! Measures the control state, placement and gossip at a given size.
 //!
 //! `cargo run --release -p filbertstack-control --example measure -- claims 80000`
 //!
-//! Memory is the growth of the process's resident set, which holds what the allocator keeps: one
-//! measure a process, as another one would fill what the first left free.
+//! Memory is measured as the growth of the process's resident set, which includes memory that the allocator
+//! keeps after it is freed. So each process runs one measurement: a second one would reuse the memory that
+//! the first left free.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -47,8 +48,8 @@
 use filbertstack_policy::placement::decide;
 use prost::Message as _;
 
-const NOW: u64 = 1_700_000_000_000;
-const PAGE: usize = 4096;
+const NOW_MS: u64 = 1_700_000_000_000;
+const PAGE_BYTES: usize = 4096;
 
 fn main() {
     let arguments: Vec<_> = std::env::args().skip(1).collect();
@@ -67,13 +68,13 @@
     }
 }
 
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1);
-    pages.and_then(|n| n.parse().ok()).unwrap_or(0) * PAGE
+    pages.and_then(|n| n.parse().ok()).unwrap_or(0) * PAGE_BYTES
 }
 
-fn per(total: usize, count: usize) -> usize {
+fn bytes_each(total: usize, count: usize) -> usize {
     total / count.max(1)
 }
 
@@ -85,7 +86,7 @@
 
 fn run(state: &mut ControlState, body: Body) {
     let index = state.index() + 1;
-    state.apply(index, &Command::new(NOW, body).to_bytes());
+    state.apply(index, &Command::new(NOW_MS, body).to_bytes());
 }
 
 fn snapshot(state: &ControlState) -> String {
@@ -106,22 +107,22 @@
     Claim {
         organisation: format!("organisation-{}", n % 10),
         key: format!("01890a5d-ac96-774b-bcce-{n:012}"),
-        issued: Some(NOW),
+        issued: Some(NOW_MS),
         body: Digest::of(&n.to_be_bytes()).to_vec(),
         entry: (n % 340) as u64,
         attempt: n as u64,
-        until: NOW + 60_000,
+        until: NOW_MS + 60_000,
         life: 24 * 3_600_000,
     }
 }
 
 fn claims(count: usize, answer: Option<usize>) {
-    let before = resident();
+    let before = resident_bytes();
     let mut state = ControlState::default();
     let start = Instant::now();
     for first in (0..count).step_by(64) {
         let batch =
-            (first..(first + 64).min(count)).map(|n| Command::new(NOW, Body::Claim(claim(n))));
+            (first..(first + 64).min(count)).map(|n| Command::new(NOW_MS, Body::Claim(claim(n))));
         let commands = batch.collect();
         run(&mut state, Body::Batch(Batch { commands }));
     }
@@ -149,7 +150,7 @@
         );
     }
     let settled = micros(start, count);
-    let bytes = per(resident().saturating_sub(before), count);
+    let bytes = bytes_each(resident_bytes().saturating_sub(before), count);
     println!(
         "claims {count}, answers of {answer:?} bytes: {bytes} bytes each, claim {claimed:.2} us, \
          settle {settled:.2} us; {}",
@@ -157,7 +158,7 @@
     );
 }
 
-fn furnished(instances: usize) -> ControlState {
+fn populated_state(instances: usize) -> ControlState {
     let mut state = ControlState::default();
     let row = |n: usize| Instance {
         name: format!("engine-{n:04}"),
@@ -202,8 +203,8 @@
 }
 
 fn deployments(count: usize) {
-    let mut state = furnished(2000);
-    let before = resident();
+    let mut state = populated_state(2000);
+    let before = resident_bytes();
     let pools = (0..4)
         .map(|n| format!("[pool p{n}]\nlabels = tier=t{n}\ninstances = role=llm, tier=t{n}\n"));
     let text: String = pools.chain((0..count).map(|n| section(n, 10))).collect();
@@ -212,14 +213,14 @@
             request: format!("r{request}"),
             operator: "ann".into(),
             expected: None,
-            issued: NOW,
+            issued: NOW_MS,
             text,
             removals: Vec::new(),
         })
     };
     run(&mut state, apply(text, 0));
     assert_eq!(state.declared().current().deployments.len(), count);
-    let bytes = per(resident().saturating_sub(before), count);
+    let bytes = bytes_each(resident_bytes().saturating_sub(before), count);
     let start = Instant::now();
     for n in 0..50 {
         run(&mut state, apply(section(n % count, 11 + n), n + 1));
@@ -235,8 +236,8 @@
 }
 
 fn targets(count: usize) {
-    let mut state = furnished(0);
-    let before = resident();
+    let mut state = populated_state(0);
+    let before = resident_bytes();
     let desired = |n: usize, version: u8| Desired {
         target: format!("engine-{n:04}"),
         holds: vec![Hold {
@@ -253,7 +254,7 @@
         })
     };
     run(&mut state, orders(0));
-    let bytes = per(resident().saturating_sub(before), count);
+    let bytes = bytes_each(resident_bytes().saturating_sub(before), count);
     let start = Instant::now();
     run(&mut state, orders(1));
     let order = micros(start, count);
@@ -321,7 +322,7 @@
         name: format!("{letter}{n:04}").parse().expect("a name"),
         kind,
         region: format!("region-{}", n % 6).parse().expect("a name"),
-        incarnation: NOW,
+        incarnation: NOW_MS,
         version: 1,
         state: State::Up,
         doubt: Doubt::None,
@@ -331,7 +332,7 @@
     let rows: Vec<_> = entry_rows
         .chain((0..targets).map(|n| row(RowKind::Target, 't', n)))
         .collect();
-    let before = resident();
+    let before = resident_bytes();
     let me = row(RowKind::Entry, 'e', 0);
     let mut node = Gossip::new(me, Vec::new(), Settings::DEFAULT, 1);
     let message = Message {
@@ -341,7 +342,7 @@
     };
     let mut now = Millis::secs(1000);
     node.receive(&rows[0].name, message, now);
-    let bytes = per(resident().saturating_sub(before), rows.len());
+    let bytes = bytes_each(resident_bytes().saturating_sub(before), rows.len());
     let start = Instant::now();
     node.tick(now);
     let refresh = micros(start, 1);
--- a/crates/filbertstack-control/tests/fuzz.rs
+++ b/crates/filbertstack-control/tests/fuzz.rs
@@ -1,8 +1,8 @@
-//! Stateful fuzzing of the control state against a plain oracle.
+//! Fuzzes the control state with random commands and compares it with a simple oracle.
 //!
-//! Every case runs on two replicas: one applies all commands, the other starts anew from a
-//! snapshot of any earlier moment and replays the tail. Each [`Flaw`] breaks the callers or the
-//! recovery on purpose and must be found by the same oracle under the same seed.
+//! Every case runs on two replicas. One applies all commands; the other restarts from a snapshot of any
+//! earlier moment and replays the tail of the log. Each [`Flaw`] is a deliberate fault of the callers or of
+//! the recovery, which the same oracle must detect under the same seed.
 //!
 //! `FILBERTSTACK_FUZZ_CASES=10000` runs longer.
 
@@ -38,7 +38,7 @@
     given.ok().and_then(|n| n.parse().ok()).unwrap_or(CASES)
 }
 
-/// What the cases must meet to prove anything.
+/// The outcomes that the cases must produce for the test to be meaningful.
 const OUTCOMES: [&str; 11] = [
     "Accepted",
     "Conflict",
@@ -53,14 +53,14 @@
     "Refused",
 ];
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Debug)]
 struct Report {
     steps: usize,
     tally: BTreeMap<String, u32>,
 }
 
-/// Runs the plan's cases; the steps taken, or what the oracle found.
+/// Runs the cases of the plan. Returns the steps and outcomes, or what the oracle found.
 fn fuzz(flaw: Flaw, cases: u32) -> Result<Report, String> {
     let config = Config {
         cases,
@@ -76,7 +76,7 @@
     let result = runner.run(&strategy, |((), ops, seen)| {
         let mut world = World::new(flaw);
         for op in &ops {
-            // Tells the shrinker, which does not run for a flaw, which steps were reached.
+            // This tells the shrinker which steps were reached. It does not run for a flaw.
             if let Some(count) = seen.as_ref().filter(|_| flaw == Flaw::None) {
                 count.fetch_add(1, Ordering::SeqCst);
             }
@@ -96,8 +96,8 @@
         .map_err(|e| e.to_string())
 }
 
-/// Operators race and resend, callers repeat their keys, entries die, voters restart from
-/// snapshots. Nothing accepted is lost or reverted and no key runs twice.
+/// Guards against accepted changes that are lost or reverted, and against keys that run twice. Operators
+/// race and resend, callers repeat their keys, entries end, and voters restart from snapshots.
 #[test]
 fn replicas_agree_with_the_oracle() {
     let report = fuzz(Flaw::None, cases()).unwrap_or_else(|found| panic!("{found}"));
@@ -109,7 +109,7 @@
     }
 }
 
-/// Each broken variant is found: the oracle can fail, and for the reason it should.
+/// Guards against an oracle that detects nothing: it must detect each flaw, by the expected symptom.
 #[test]
 fn every_flaw_is_found() {
     for (flaw, symptom) in Flaw::ALL {
--- a/crates/filbertstack-control/tests/fuzz/oracle.rs
+++ b/crates/filbertstack-control/tests/fuzz/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle: plain maps that remember everything and never forget.
+//! The oracle keeps everything in plain maps and never forgets anything.
 
 use std::collections::BTreeMap;
 
@@ -8,43 +8,43 @@
 use filbertstack_control::outcome::Outcome;
 use filbertstack_control::outcome::Reply;
 
-use crate::world::LIFE;
+use crate::world::LIFE_MS;
 
-/// A change as the oracle saw it first.
+/// A change and its outcome, as the oracle judged it first.
 #[derive(Clone, Debug)]
-struct Seen {
+struct FirstJudgement {
     apply: Apply,
     outcome: Outcome,
 }
 
-/// Declarations: the pools' values under a revision.
+/// The expected declarations: a revision and the values of the pools.
 #[derive(Default)]
 pub struct Declared {
     pub revision: u64,
     pub pools: BTreeMap<String, u8>,
-    seen: BTreeMap<(String, String), Seen>,
-    /// The latest time of a request that named no revision.
+    seen: BTreeMap<(String, String), FirstJudgement>,
+    /// The latest time of a request without an expected revision.
     newest: u64,
 }
 
-/// What a change writes, in the oracle's own words.
+/// The effect of a change on a pool. It removes the pool if there is no value.
 pub struct Write {
     pub pool: String,
     pub value: Option<u8>,
 }
 
 impl Declared {
-    /// Checks the outcome of a change and takes it in.
+    /// Checks the outcome of a change and records it.
     pub fn judge(&mut self, apply: &Apply, write: &Write, got: &Outcome) -> Result<(), String> {
         let key = (apply.operator.clone(), apply.request.clone());
         if let Some(first) = self.seen.get(&key).cloned() {
-            if self.judge_again(&first, apply, write, got)? {
+            if self.judge_resend(&first, apply, write, got)? {
                 return Ok(());
             }
         } else {
             self.judge_new(apply, write, got)?;
         }
-        let seen = Seen {
+        let seen = FirstJudgement {
             apply: apply.clone(),
             outcome: got.clone(),
         };
@@ -52,10 +52,10 @@
         Ok(())
     }
 
-    /// Judges a resend; whether its first outcome still stands for the next one.
-    fn judge_again(
+    /// Judges a resend. Returns whether the first outcome still applies to further resends.
+    fn judge_resend(
         &mut self,
-        first: &Seen,
+        first: &FirstJudgement,
         apply: &Apply,
         write: &Write,
         got: &Outcome,
@@ -74,7 +74,7 @@
                 _ => Err(format!("a change applied twice: {apply:?} {got:?}")),
             };
         }
-        // The first time changed nothing and is forgotten: it is judged like a new one.
+        // The first request changed nothing and was forgotten, so the resend is judged like a new request.
         match got.reply {
             Some(Reply::Rejected(_)) => Ok(true),
             _ => self.judge_new(apply, write, got).map(|()| false),
@@ -97,8 +97,8 @@
             }
             _ if clash => wrong("a change under an old revision went in"),
             Some(Reply::Accepted(accepted)) => {
-                let stood = self.pools.get(&write.pool).copied();
-                self.revision += u64::from(stood != write.value);
+                let previous = self.pools.get(&write.pool).copied();
+                self.revision += u64::from(previous != write.value);
                 match write.value {
                     Some(value) => self.pools.insert(write.pool.clone(), value),
                     None => self.pools.remove(&write.pool),
@@ -120,7 +120,7 @@
     }
 }
 
-/// How far the oracle knows a key to have come.
+/// The expected stage of a key's claim.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Stage {
     Open,
@@ -129,7 +129,7 @@
     Released,
 }
 
-/// Everything about one key.
+/// The expected state of one key.
 #[derive(Clone, Debug)]
 pub struct Key {
     pub claim: Claim,
@@ -148,7 +148,7 @@
 }
 
 impl Claims {
-    /// Checks a decision and takes it in; `ran` says whether the entry runs what it is granted.
+    /// Checks a decision and records it. `ran` says whether the entry runs a request that is granted.
     pub fn judge(
         &mut self,
         claim: &Claim,
@@ -170,7 +170,7 @@
         };
         let same = (key.claim.entry, key.claim.attempt) == (claim.entry, claim.attempt);
         let body = key.claim.body == claim.body;
-        let gone = now >= key.changed + LIFE && key.stage != Stage::Open;
+        let gone = now >= key.changed + LIFE_MS && key.stage != Stage::Open;
         let late = now > key.claim.until;
         match got {
             Decision::Granted(fence) if same && key.stage == Stage::Open => {
@@ -230,10 +230,10 @@
         Ok(())
     }
 
-    /// An open claim whose life ran out is unknown from then on.
+    /// Marks the open claims whose life has run out as unknown.
     pub fn tick(&mut self, now: u64) {
         for key in self.keys.values_mut() {
-            if key.stage == Stage::Open && now >= (key.changed + LIFE).max(key.claim.until) {
+            if key.stage == Stage::Open && now >= (key.changed + LIFE_MS).max(key.claim.until) {
                 key.stage = Stage::Unknown;
                 key.changed = now;
             }
--- a/crates/filbertstack-control/tests/fuzz/plan.rs
+++ b/crates/filbertstack-control/tests/fuzz/plan.rs
@@ -1,4 +1,4 @@
-//! What happens in a case: steps drawn by weight, their picks resolved when they run.
+//! The plan of a case draws its steps by weight. The picks of a step are resolved when the step runs.
 
 use proptest::prelude::BoxedStrategy;
 use proptest::prelude::Just;
@@ -7,7 +7,7 @@
 use proptest::prop_oneof;
 use proptest_state_machine::ReferenceStateMachine;
 
-/// Which revision an operator names.
+/// Which revision an operator expects.
 #[derive(Clone, Copy, Debug)]
 pub enum Expect {
     Current,
@@ -15,7 +15,7 @@
     Any,
 }
 
-/// One step. A `pick` counts back from the latest thing of its kind.
+/// One step. A `pick` counts back from the latest item of its kind.
 #[derive(Clone, Debug)]
 pub enum Op {
     Tick(u64),
@@ -28,7 +28,7 @@
     },
     Resend(u8),
     Reuse(u8),
-    /// Two claims in one batch, by two entries.
+    /// Two entries claim one key in one batch.
     Claim {
         pick: u8,
         fresh: bool,
@@ -53,7 +53,7 @@
     Pull(u8),
 }
 
-/// The plan has no state of its own: picks are resolved by the world.
+/// The plan has no state of its own, because [`World`](crate::world::World) resolves the picks.
 #[derive(Clone, Debug)]
 pub struct Plan;
 
--- a/crates/filbertstack-control/tests/fuzz/world.rs
+++ b/crates/filbertstack-control/tests/fuzz/world.rs
@@ -1,4 +1,4 @@
-//! Two replicas, the callers and operators around them, and the oracle that watches.
+//! The world of a case has two replicas, the callers and operators that use them, and the oracle.
 
 use std::collections::BTreeMap;
 
@@ -33,32 +33,32 @@
 use crate::plan::Expect;
 use crate::plan::Op;
 
-const START: u64 = 1_700_000_000_000;
-pub const LIFE: u64 = 30_000;
-const DEADLINE: u64 = 5_000;
+const START_MS: u64 = 1_700_000_000_000;
+pub const LIFE_MS: u64 = 30_000;
+const DEADLINE_MS: u64 = 5_000;
 
-/// What is broken on purpose.
+/// A deliberate fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Flaw {
     None,
-    /// The client stamps every resend anew.
+    /// The client gives every resend a new time.
     RestampedResend,
     /// The client draws a new identifier for every resend.
     NewIdentifier,
-    /// The entry drops the operator's revision.
+    /// The entry drops the operator's expected revision.
     DroppedRevision,
-    /// A restart forgets the tail of the log after the snapshot.
+    /// A restart does not replay the log after the snapshot.
     LostTail,
-    /// The entry stamps keys by its own clock instead of the key's time.
+    /// The entry sends the time of its own clock instead of the key's time.
     RestampedKey,
-    /// An entry gives back a claim whose request may have run.
+    /// An entry releases a claim whose request may have run.
     ReleasedUnknown,
-    /// A voter hands followers a delta that starts too late.
+    /// A voter sends followers a delta that lacks written objects.
     ShortDelta,
 }
 
 impl Flaw {
-    /// The flaws, each with what the oracle says of it.
+    /// The flaws, each with the message by which the oracle reports it.
     pub const ALL: [(Self, &str); 7] = [
         (Self::RestampedResend, "a change applied twice"),
         (Self::NewIdentifier, "a change applied twice"),
@@ -70,12 +70,13 @@
     ];
 }
 
+/// The world of a case.
 pub struct World {
     flaw: Flaw,
-    /// The true time; a leader's clock may lag behind it by `skew`.
-    wall: u64,
+    /// The true time in Unix milliseconds. A leader's clock may be behind it by `skew`.
+    true_time: u64,
     skew: u64,
-    /// The state's clock as it should be.
+    /// The expected value of the state's clock.
     clock: u64,
     log: Vec<Vec<u8>>,
     snapshots: Vec<(usize, Vec<u8>)>,
@@ -90,7 +91,7 @@
     attempts: u64,
     term: u64,
     fence: Fence,
-    /// How often each outcome was met.
+    /// How often each outcome occurred.
     pub tally: BTreeMap<String, u32>,
 }
 
@@ -108,13 +109,13 @@
             term: 1,
             leader: "van-1".into(),
         };
-        let first = Command::new(START, Body::Lead(lead)).to_bytes();
+        let first = Command::new(START_MS, Body::Lead(lead)).to_bytes();
         state.apply(1, &first);
         Self {
             flaw,
-            wall: START,
+            true_time: START_MS,
             skew: 0,
-            clock: START,
+            clock: START_MS,
             log: vec![first],
             snapshots: vec![(1, state.snapshot())],
             replica: state.clone(),
@@ -135,7 +136,7 @@
     pub fn step(&mut self, op: &Op) -> Result<(), String> {
         match op {
             Op::Tick(span) => {
-                self.wall += span;
+                self.true_time += span;
                 Ok(())
             }
             Op::Apply {
@@ -181,7 +182,7 @@
 
     /// Commits a command on both replicas.
     fn commit(&mut self, body: Body) -> Result<Outcome, String> {
-        let stamp = self.wall.saturating_sub(self.skew);
+        let stamp = self.true_time.saturating_sub(self.skew);
         self.clock = self.clock.max(stamp);
         let bytes = Command::new(stamp, body).to_bytes();
         self.log.push(bytes.clone());
@@ -206,7 +207,7 @@
             let value = pool.labels.get("v").and_then(|v| v.parse().ok());
             (name.to_string(), value.unwrap_or(u8::MAX))
         });
-        // A change is judged right after its commit; until then the oracle is one step behind.
+        // The oracle judges a change right after its commit. Until then the oracle is one revision behind.
         let behind = self.state.declared().revision() != self.declared.revision;
         if behind || values.eq(self.declared.pools.clone()) {
             return Ok(());
@@ -214,7 +215,7 @@
         Err(format!("declared differs: {standing:?}"))
     }
 
-    fn count(&mut self, what: &impl std::fmt::Debug) {
+    fn tally_outcome(&mut self, what: &impl std::fmt::Debug) {
         let text = format!("{what:?}");
         let name = text.trim_start_matches("Some(").split('(').next();
         *self
@@ -246,20 +247,20 @@
         }
     }
 
-    /// Submits a change; the oracle judges what the operator meant, not what a flaw made of it.
+    /// Submits a change. The oracle judges the change that the operator meant, without the flaw.
     fn submit(&mut self, apply: &Apply) -> Result<(), String> {
         let mut given = apply.clone();
         if self.flaw == Flaw::DroppedRevision {
             given.expected = None;
         }
         let outcome = self.commit(Body::Apply(given))?;
-        self.count(&outcome.reply);
+        self.tally_outcome(&outcome.reply);
         self.declared.judge(apply, &write_of(apply), &outcome)?;
         self.check_declared()
     }
 
     fn resend(&mut self, pick: u8) -> Result<(), String> {
-        let Some(meant) = back(&self.sent, pick).cloned() else {
+        let Some(meant) = nth_latest(&self.sent, pick).cloned() else {
             return Ok(());
         };
         let mut given = meant.clone();
@@ -275,14 +276,14 @@
     }
 
     fn reuse(&mut self, pick: u8) -> Result<(), String> {
-        let Some(mut other) = back(&self.sent, pick).cloned() else {
+        let Some(mut other) = nth_latest(&self.sent, pick).cloned() else {
             return Ok(());
         };
         other.text = "[pool p9]\nlabels = v=9\ninstances = role=llm\n".into();
         other.removals = Vec::new();
         let known = self.state.snapshot();
         let outcome = self.commit(Body::Apply(other.clone()))?;
-        // Once its first use is forgotten the identifier is as good as new.
+        // Once its first use is forgotten, the identifier counts as new.
         let refused = matches!(outcome.reply, Some(Reply::Rejected(_) | Reply::Conflict(_)));
         if refused {
             return self.check_declared();
@@ -305,7 +306,7 @@
         body: u8,
         ran: bool,
     ) -> Result<(), String> {
-        let known = back(&self.claimed, pick).filter(|_| !fresh);
+        let known = nth_latest(&self.claimed, pick).filter(|_| !fresh);
         let known = known.map(|claim| (claim.key.clone(), claim.issued));
         let (key, issued) = known.unwrap_or_else(|| {
             let key = format!("k{}", self.claimed.len());
@@ -325,8 +326,8 @@
             body: vec![body; 32],
             entry,
             attempt: self.attempts,
-            until: self.clock + DEADLINE,
-            life: LIFE,
+            until: self.clock + DEADLINE_MS,
+            life: LIFE_MS,
         }
     }
 
@@ -348,7 +349,7 @@
                 return Err(format!("no outcome of a claim: {outcome:?}"));
             };
             let decision = claimed.decision.ok_or("no decision")?;
-            self.count(&decision);
+            self.tally_outcome(&decision);
             if let Decision::Granted(fence) = decision {
                 self.granted.push((claim.clone(), fence));
             }
@@ -358,15 +359,15 @@
     }
 
     fn reclaim(&mut self, pick: u8) -> Result<(), String> {
-        let Some(claim) = back(&self.claimed, pick).cloned() else {
+        let Some(claim) = nth_latest(&self.claimed, pick).cloned() else {
             return Ok(());
         };
         self.submit_claims(&[claim], false)
     }
 
-    /// The holder of a key, if it may still speak for it.
+    /// Returns the claim that holds a key, with its fence, if the claim may still be settled or released.
     fn holder(&self, pick: u8) -> Option<(Claim, u64)> {
-        let claim = back(&self.claimed, pick)?;
+        let claim = nth_latest(&self.claimed, pick)?;
         let key = self.claims.keys.get(&claim.key)?;
         let speaks = matches!(key.stage, Stage::Open | Stage::Unknown);
         speaks.then(|| (key.claim.clone(), key.fence))
@@ -392,9 +393,9 @@
         self.close(&key, Stage::Ran, &outcome)
     }
 
-    /// The end of an earlier attempt arrives after the key went to another one.
+    /// Releases a claim of an earlier attempt after another attempt got the key.
     fn settle_late(&mut self, pick: u8) -> Result<(), String> {
-        let Some((claim, fence)) = back(&self.granted, pick).cloned() else {
+        let Some((claim, fence)) = nth_latest(&self.granted, pick).cloned() else {
             return Ok(());
         };
         // Another attempt, whose claim never arrived, is abandoned.
@@ -415,7 +416,7 @@
         }
     }
 
-    /// Only a claim whose request did not run is given back.
+    /// Releases a claim, but only one whose request did not run.
     fn release(&mut self, pick: u8) -> Result<(), String> {
         let Some((claim, fence)) = self.holder(pick) else {
             return Ok(());
@@ -430,7 +431,7 @@
             key: claim.key.clone(),
             fence,
         };
-        // Half of them have lost the outcome of their claim, and with it the fence.
+        // Half of the entries did not get the outcome of their claim, so they do not know the fence.
         let body = match fence % 2 {
             0 => Body::Release(release),
             _ => Body::Abandon(claim),
@@ -448,7 +449,7 @@
                 row.changed = now;
                 Ok(())
             }
-            // Forgotten, as only an unknown one can be.
+            // The row was forgotten, which can happen only to an unknown claim.
             Some(Reply::Stale(_) | Reply::Done(_)) if row.stage == Stage::Unknown => Ok(()),
             _ => Err(format!("an open claim could not be closed: {outcome:?}")),
         }
@@ -529,7 +530,7 @@
         }
     }
 
-    /// The replica starts anew from some earlier snapshot and replays what followed.
+    /// Restarts the replica from an earlier snapshot and replays the commands after it.
     fn restart(&mut self, pick: u8) -> Result<(), String> {
         let at = usize::from(pick) * self.snapshots.len() / 256;
         let (mut index, bytes) = self.snapshots[at].clone();
@@ -577,8 +578,8 @@
     }
 }
 
-/// The thing `pick` places before the latest.
-fn back<T>(things: &[T], pick: u8) -> Option<&T> {
+/// Returns the item `pick` places before the latest.
+fn nth_latest<T>(items: &[T], pick: u8) -> Option<&T> {
     let from_end = usize::from(pick) + 1;
-    things.len().checked_sub(from_end).map(|i| &things[i])
+    items.len().checked_sub(from_end).map(|i| &items[i])
 }
