--- a/crates/filbertstack-control/src/claims.rs
+++ b/crates/filbertstack-control/src/claims.rs
@@ -256,7 +256,7 @@
     }
 
     /// Marks the open claims of an entry process as unknown. Returns their number.
-    pub(crate) fn forsake(&mut self, entry: u64, clock: u64) -> u32 {
+    pub(crate) fn mark_entry_unknown(&mut self, entry: u64, clock: u64) -> u32 {
         let of_entry = self.open.range((entry, [0; 16])..=(entry, [u8::MAX; 16]));
         let keys: Vec<_> = of_entry.map(|(_, key)| *key).collect();
         for key in &keys {
--- a/crates/filbertstack-control/src/command.rs
+++ b/crates/filbertstack-control/src/command.rs
@@ -64,7 +64,7 @@
     Release(Release),
     /// Marks the open claims of an entry process that has ended as unknown.
     #[prost(message, tag = "11")]
-    Forsake(Forsake),
+    MarkUnknown(MarkUnknown),
     /// Holds several commands under one time, so that many proposals need one disk sync.
     #[prost(message, tag = "12")]
     Batch(Batch),
@@ -362,7 +362,7 @@
 
 /// Marks the claims that an entry process has not settled as unknown, because the process has ended.
 #[derive(Clone, PartialEq, Message)]
-pub struct Forsake {
+pub struct MarkUnknown {
     /// The number of the entry process, as in its claims.
     #[prost(uint64, tag = "1")]
     pub entry: u64,
--- a/crates/filbertstack-control/src/lease.rs
+++ b/crates/filbertstack-control/src/lease.rs
@@ -219,8 +219,8 @@
         }
     }
 
-    /// Returns whether `revision` is in force. Only the leader can tell, which has had the revision since
-    /// `accepted`.
+    /// Returns whether `revision` is in force. Only the leader, which has had the revision since `accepted`,
+    /// can tell.
     ///
     /// Even without confirmations, time is enough: a voter that does not have the revision has had no grant
     /// since then, so its lease and the leases that it granted run out within [`LENGTH`].
@@ -251,7 +251,8 @@
     Millis(span.0 + span.0.div_ceil(DRIFT_DIVISOR))
 }
 
-/// Returns the span that another node's clock may count while this node's clock counts `span`, at least.
+/// Returns the longest span that, measured by another node's clock, surely ends within `span` by this
+/// node's clock.
 fn subtract_drift(span: Millis) -> Millis {
     Millis(span.0 - span.0.div_ceil(DRIFT_DIVISOR).min(span.0))
 }
--- a/crates/filbertstack-control/src/state.rs
+++ b/crates/filbertstack-control/src/state.rs
@@ -158,8 +158,8 @@
                 let changed = self.claims.abandon(&claim, clock, &self.limits);
                 Reply::Done(Done { changed }).into()
             }
-            Body::Forsake(forsake) => {
-                let claims = self.claims.forsake(forsake.entry, clock);
+            Body::MarkUnknown(ended) => {
+                let claims = self.claims.mark_entry_unknown(ended.entry, clock);
                 Reply::Forsaken(Forsaken { claims }).into()
             }
             Body::Batch(_) => Reason::malformed("a batch holds no batch").into(),
--- a/crates/filbertstack-control/tests/fuzz/plan.rs
+++ b/crates/filbertstack-control/tests/fuzz/plan.rs
@@ -41,7 +41,7 @@
     LateSettle(u8),
     Skew(u64),
     Release(u8),
-    Forsake(u8),
+    MarkUnknown(u8),
     Lead,
     Order {
         target: u8,
@@ -102,7 +102,7 @@
             2 => (0..6_u8).prop_map(Op::Release),
             2 => (0..12_u8).prop_map(Op::LateSettle),
             1 => (0..30_000_u64).prop_map(Op::Skew),
-            1 => (0..2_u8).prop_map(Op::Forsake),
+            1 => (0..2_u8).prop_map(Op::MarkUnknown),
             1 => Just(Op::Lead),
             3 => (0..3_u8, 0..4_u8, any::<bool>()).prop_map(|(target, value, stale)| Op::Order {
                 target,
--- a/crates/filbertstack-control/tests/fuzz/world.rs
+++ b/crates/filbertstack-control/tests/fuzz/world.rs
@@ -11,10 +11,10 @@
 use filbertstack_control::command::Claim;
 use filbertstack_control::command::Command;
 use filbertstack_control::command::Desired;
-use filbertstack_control::command::Forsake;
 use filbertstack_control::command::Hold;
 use filbertstack_control::command::Kind;
 use filbertstack_control::command::Lead;
+use filbertstack_control::command::MarkUnknown;
 use filbertstack_control::command::Object;
 use filbertstack_control::command::Orders;
 use filbertstack_control::command::Release;
@@ -167,8 +167,8 @@
                 Ok(())
             }
             Op::Release(pick) => self.release(*pick),
-            Op::Forsake(entry) => self.forsake(u64::from(*entry)),
-            Op::Lead => self.lead(),
+            Op::MarkUnknown(entry) => self.mark_unknown(u64::from(*entry)),
+            Op::Lead => self.change_leader(),
             Op::Order {
                 target,
                 value,
@@ -455,8 +455,8 @@
         }
     }
 
-    fn forsake(&mut self, entry: u64) -> Result<(), String> {
-        let outcome = self.commit(Body::Forsake(Forsake { entry }))?;
+    fn mark_unknown(&mut self, entry: u64) -> Result<(), String> {
+        let outcome = self.commit(Body::MarkUnknown(MarkUnknown { entry }))?;
         let now = self.clock;
         let open = self.claims.keys.values_mut();
         let open = open.filter(|k| k.stage == Stage::Open && k.claim.entry == entry);
@@ -472,7 +472,7 @@
         }
     }
 
-    fn lead(&mut self) -> Result<(), String> {
+    fn change_leader(&mut self) -> Result<(), String> {
         self.term += 1;
         let lead = Lead {
             term: self.term,
