--- a/crates/filbertstack-control/src/document.rs
+++ b/crates/filbertstack-control/src/document.rs
@@ -14,7 +14,7 @@
 use prost::Message as _;
 use thiserror::Error;
 
-pub use self::lists::List;
+pub use self::lists::KeptList;
 use self::lists::Lists;
 pub use self::packed::Packed;
 pub use self::packed::UnpackError;
@@ -45,7 +45,7 @@
     Packed(Packed),
     /// The list of a version's pieces. No engine is ordered to load a version before its list is kept.
     #[prost(message, tag = "4")]
-    List(List),
+    List(KeptList),
 }
 
 /// A whole configuration.
@@ -98,7 +98,7 @@
     #[prost(message, repeated, tag = "2")]
     weights: Vec<Weights>,
     #[prost(message, repeated, tag = "3")]
-    lists: Vec<List>,
+    lists: Vec<KeptList>,
 }
 
 /// The bytes are not a snapshot of this state machine.
@@ -123,7 +123,7 @@
     }
 
     /// Returns the list of pieces of the latest version with a kept list that is not later than `upto`.
-    pub fn list(&self, upto: &Weights) -> Option<&List> {
+    pub fn list(&self, upto: &Weights) -> Option<&KeptList> {
         self.lists.latest(upto)
     }
 
@@ -139,7 +139,7 @@
         }
     }
 
-    fn keep_list(&mut self, list: List) -> Effect {
+    fn keep_list(&mut self, list: KeptList) -> Effect {
         if self.lists.keep(list) {
             Effect::InForce
         } else {
--- a/crates/filbertstack-control/src/document/lists.rs
+++ b/crates/filbertstack-control/src/document/lists.rs
@@ -17,7 +17,7 @@
 
 /// The pieces of one version.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct List {
+pub struct KeptList {
     /// The version.
     #[prost(message, required, tag = "1")]
     pub weights: Weights,
@@ -31,12 +31,12 @@
 
 /// The latest lists of each model.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Lists(BTreeMap<String, BTreeMap<u64, List>>);
+pub struct Lists(BTreeMap<String, BTreeMap<u64, KeptList>>);
 
 impl Lists {
     /// Keeps a list and replaces an earlier list of the same version, which may have arrived corrupt.
     /// Returns whether the list is new and kept.
-    pub fn keep(&mut self, list: List) -> bool {
+    pub fn keep(&mut self, list: KeptList) -> bool {
         let kept = self.0.entry(list.weights.model.clone()).or_default();
         let version = list.weights.version;
         if kept.get(&version) == Some(&list) {
@@ -50,7 +50,7 @@
     }
 
     /// Returns the list of the latest version of the model of `upto` that is not later than `upto`.
-    pub fn latest(&self, upto: &Weights) -> Option<&List> {
+    pub fn latest(&self, upto: &Weights) -> Option<&KeptList> {
         let kept = self.0.get(&upto.model)?;
         kept.range(..=upto.version)
             .next_back()
@@ -58,18 +58,18 @@
     }
 
     /// Returns all lists, those of one model in ascending order of their versions.
-    pub fn iter(&self) -> impl Iterator<Item = &List> {
+    pub fn iter(&self) -> impl Iterator<Item = &KeptList> {
         self.0.values().flat_map(BTreeMap::values)
     }
 }
 
 /// Returns the total size of the digests in bytes.
-fn digest_bytes(kept: &BTreeMap<u64, List>) -> usize {
+fn digest_bytes(kept: &BTreeMap<u64, KeptList>) -> usize {
     kept.values().map(|list| list.digests.len()).sum()
 }
 
-impl FromIterator<List> for Lists {
-    fn from_iter<I: IntoIterator<Item = List>>(lists: I) -> Self {
+impl FromIterator<KeptList> for Lists {
+    fn from_iter<I: IntoIterator<Item = KeptList>>(lists: I) -> Self {
         let mut kept = Self::default();
         for list in lists {
             kept.keep(list);
--- a/crates/filbertstack-control/tests/document.rs
+++ b/crates/filbertstack-control/tests/document.rs
@@ -5,8 +5,8 @@
 use filbertstack_control::document::Document;
 use filbertstack_control::document::Documents;
 use filbertstack_control::document::Effect;
+use filbertstack_control::document::KeptList;
 use filbertstack_control::document::Kind;
-use filbertstack_control::document::List;
 use filbertstack_control::document::Packed;
 use filbertstack_control::document::Weights;
 use proptest::prelude::*;
@@ -41,15 +41,15 @@
     }
 }
 
-fn list(version: u64, pieces: usize, digest: u8) -> List {
-    List {
+fn list(version: u64, pieces: usize, digest: u8) -> KeptList {
+    KeptList {
         weights: weights(version),
         bytes: 49_152,
         digests: vec![digest; pieces * 32].into(),
     }
 }
 
-fn keep_list(documents: &mut Documents, list: List) -> Effect {
+fn keep_list(documents: &mut Documents, list: KeptList) -> Effect {
     let kind = Some(Kind::List(list));
     documents.apply(&Change { kind }.encode_to_vec())
 }
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use filbertstack_control::document::Document;
 use filbertstack_control::document::Effect;
-use filbertstack_control::document::List;
+use filbertstack_control::document::KeptList;
 use filbertstack_control::document::Weights;
 use thiserror::Error;
 use tokio::task::spawn_local;
@@ -216,7 +216,7 @@
     ///
     /// # Errors
     /// [`GroupError`] if no voter answers.
-    pub async fn kept_list(&self, upto: Weights) -> Result<Option<List>, GroupError> {
+    pub async fn kept_list(&self, upto: Weights) -> Result<Option<KeptList>, GroupError> {
         if let Some(voter) = &self.voter {
             return Ok(voter.documents().list(&upto).cloned());
         }
--- a/crates/filbertstack-gateway/src/link/messages.rs
+++ b/crates/filbertstack-gateway/src/link/messages.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use filbertstack_control::document::Document;
-use filbertstack_control::document::List;
+use filbertstack_control::document::KeptList;
 use filbertstack_control::document::Weights;
 
 /// One frame of a link.
@@ -158,7 +158,7 @@
     NotKept(Nothing),
     /// A list of pieces that the voters keep.
     #[prost(message, tag = "8")]
-    List(List),
+    List(KeptList),
 }
 
 /// The pieces of a version.
--- a/crates/filbertstack-gateway/src/weights/mod.rs
+++ b/crates/filbertstack-gateway/src/weights/mod.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use filbertstack_control::document::List;
+use filbertstack_control::document::KeptList;
 use filbertstack_control::document::Weights;
 use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
@@ -129,8 +129,8 @@
 }
 
 /// A list of pieces as the voters keep it.
-fn packed(list: &PieceList) -> List {
-    List {
+fn packed(list: &PieceList) -> KeptList {
+    KeptList {
         weights: wire_name(&list.weights),
         bytes: list.bytes,
         digests: list.digests.concat().into(),
@@ -138,7 +138,7 @@
 }
 
 /// A list of pieces that the voters keep.
-pub fn unpacked(list: &List) -> PieceList {
+pub fn unpacked(list: &KeptList) -> PieceList {
     PieceList {
         weights: holding(&list.weights),
         bytes: list.bytes,
