--- a/crates/filbertstack-control/src/document.rs
+++ b/crates/filbertstack-control/src/document.rs
@@ -123,7 +123,7 @@
     }
 
     /// Returns the list of pieces of the latest version with a kept list that is not later than `upto`.
-    pub fn list(&self, upto: &Weights) -> Option<&KeptList> {
+    pub fn kept_list(&self, upto: &Weights) -> Option<&KeptList> {
         self.lists.latest(upto)
     }
 
--- a/crates/filbertstack-control/tests/document.rs
+++ b/crates/filbertstack-control/tests/document.rs
@@ -161,7 +161,11 @@
         .restore(&documents.snapshot())
         .expect("its own snapshot");
     assert_eq!(restarted, documents);
-    let latest = |upto| restarted.list(&weights(upto)).map(|l| l.weights.version);
+    let latest = |upto| {
+        restarted
+            .kept_list(&weights(upto))
+            .map(|l| l.weights.version)
+    };
     assert_eq!(
         [0, 1, 3, 4, u64::MAX].map(latest),
         [None, Some(1), Some(2), Some(4), Some(4)]
@@ -178,7 +182,7 @@
         keep_list(&mut documents, list(2, 48, 2)),
         Effect::Superseded
     );
-    assert_eq!(documents.list(&weights(2)), Some(&list(2, 48, 2)));
+    assert_eq!(documents.kept_list(&weights(2)), Some(&list(2, 48, 2)));
 }
 
 /// Guards against lists of thousands of pieces that fill the voters' memory: the oldest are dropped.
@@ -189,13 +193,13 @@
         keep_list(&mut documents, list(version, 128, 1));
     }
     assert!(documents.snapshot().len() < 70 << 10);
-    assert_eq!(documents.list(&weights(24)), None);
-    assert_eq!(documents.list(&weights(25)), Some(&list(25, 128, 1)));
+    assert_eq!(documents.kept_list(&weights(24)), None);
+    assert_eq!(documents.kept_list(&weights(25)), Some(&list(25, 128, 1)));
     for version in 41..=43 {
         keep_list(&mut documents, list(version, 16_384, 1));
     }
-    assert_eq!(documents.list(&weights(41)), None);
-    assert!(documents.list(&weights(42)).is_some());
+    assert_eq!(documents.kept_list(&weights(41)), None);
+    assert!(documents.kept_list(&weights(42)).is_some());
 }
 
 proptest! {
--- a/crates/filbertstack-gateway/src/control/node.rs
+++ b/crates/filbertstack-gateway/src/control/node.rs
@@ -218,7 +218,7 @@
     /// [`GroupError`] if no voter answers.
     pub async fn kept_list(&self, upto: Weights) -> Result<Option<KeptList>, GroupError> {
         if let Some(voter) = &self.voter {
-            return Ok(voter.documents().list(&upto).cloned());
+            return Ok(voter.documents().kept_list(&upto).cloned());
         }
         match self.ask_group(Question::List(upto), false).await? {
             Reply::List(list) => Ok(Some(list)),
@@ -231,7 +231,7 @@
         let Some(voter) = &self.voter else {
             return Reply::Failed("this node keeps no lists; ask a voter".into());
         };
-        match voter.documents().list(upto) {
+        match voter.documents().kept_list(upto) {
             Some(list) => Reply::List(list.clone()),
             None => Reply::NotKept(Nothing {}),
         }
