--- a/crates/filbertstack-control/src/claims.rs
+++ b/crates/filbertstack-control/src/claims.rs
@@ -109,7 +109,7 @@
     /// The number of rows that are granted and not settled.
     pub open: usize,
     /// The total size of the kept answers in bytes.
-    pub answers: usize,
+    pub answer_bytes: usize,
 }
 
 impl Claims {
@@ -118,7 +118,7 @@
         ClaimCounts {
             rows: self.rows.len(),
             open: self.open.len(),
-            answers: self.answer_bytes,
+            answer_bytes: self.answer_bytes,
         }
     }
 
@@ -339,7 +339,7 @@
     /// Drops the bytes of the oldest answers until the rest is within the limit. Their rows keep the
     /// status and the digest.
     fn trim_answers(&mut self, limits: &Limits) {
-        while self.answer_bytes > limits.answers {
+        while self.answer_bytes > limits.answer_bytes {
             let Some((_, key)) = self.answers.pop_first() else {
                 return;
             };
--- a/crates/filbertstack-control/src/limits.rs
+++ b/crates/filbertstack-control/src/limits.rs
@@ -13,7 +13,7 @@
     /// The most claims kept for one organisation.
     pub org_claims: usize,
     /// The most bytes of answers kept over all claims.
-    pub answers: usize,
+    pub answer_bytes: usize,
 }
 
 impl Limits {
@@ -23,7 +23,7 @@
         request_age_ms: 24 * 3_600_000,
         claims: 100_000,
         org_claims: 25_000,
-        answers: 8 << 20,
+        answer_bytes: 8 << 20,
     };
 }
 
--- a/crates/filbertstack-control/src/snapshot.rs
+++ b/crates/filbertstack-control/src/snapshot.rs
@@ -93,7 +93,7 @@
         request_age: limits.request_age_ms,
         claims: limits.claims as u64,
         org_claims: limits.org_claims as u64,
-        answers: limits.answers as u64,
+        answers: limits.answer_bytes as u64,
     }
 }
 
@@ -244,7 +244,7 @@
         request_age_ms: row.request_age,
         claims: size(row.claims)?,
         org_claims: size(row.org_claims)?,
-        answers: size(row.answers)?,
+        answer_bytes: size(row.answers)?,
     })
 }
 
--- a/crates/filbertstack-control/src/view.rs
+++ b/crates/filbertstack-control/src/view.rs
@@ -50,7 +50,7 @@
     pub text: String,
 }
 
-/// The order of one target, with the term under which it is the latest.
+/// The order of one target, with its fence.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct TargetOrder {
     /// The target.
@@ -68,8 +68,8 @@
 }
 
 impl ControlState {
-    /// Returns the changes of the declarations since `revision`, or all declarations if the removals
-    /// since then are no longer known.
+    /// Returns the changes of the declarations since `revision`. Returns all declarations if `revision` is
+    /// so old that removals after it may have been forgotten, or newer than this state.
     pub fn delta(&self, revision: u64) -> Delta {
         let declared = self.declared();
         let known = revision >= declared.floor && revision <= declared.revision;
--- a/crates/filbertstack-control/tests/claims.rs
+++ b/crates/filbertstack-control/tests/claims.rs
@@ -24,7 +24,7 @@
     ControlState::with_limits(Limits {
         claims: 16,
         org_claims: 8,
-        answers: 100,
+        answer_bytes: 100,
         ..Limits::DEFAULT
     })
 }
@@ -190,7 +190,7 @@
         }
     });
     assert_eq!(kept, [(None, 32), (Some(40), 32), (Some(40), 32)]);
-    assert_eq!(state.claims().counts().answers, 80);
+    assert_eq!(state.claims().counts().answer_bytes, 80);
 }
 
 /// Guards against a second run of a key whose entry claims it and never settles it. After the request's
--- a/crates/filbertstack-control/tests/fuzz/world.rs
+++ b/crates/filbertstack-control/tests/fuzz/world.rs
@@ -102,7 +102,7 @@
             request_age_ms: 60_000,
             claims: 12,
             org_claims: 8,
-            answers: 40,
+            answer_bytes: 40,
         };
         let mut state = ControlState::with_limits(limits);
         let lead = Lead {
