--- a/crates/filbertstack-agent/src/announce.rs
+++ b/crates/filbertstack-agent/src/announce.rs
@@ -14,11 +14,11 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-use filbertstack_control::gate::Armed;
+use filbertstack_control::gate::ArmedGate;
+use filbertstack_control::gate::Arming;
 use filbertstack_control::gate::Delivery;
-use filbertstack_control::gate::Heard;
-use filbertstack_control::gate::Newborn;
-use filbertstack_control::gate::VoterWord;
+use filbertstack_control::gate::UnarmedGate;
+use filbertstack_control::gate::VoterReport;
 use filbertstack_wire::Dialer;
 use filbertstack_wire::Role;
 use filbertstack_wire::messages::Announce;
@@ -72,7 +72,7 @@
     /// The orders last heard from each entry.
     pub heard: Mutex<HashMap<SocketAddr, Orders>>,
     /// The gate of orders, once a majority of the voters has told its term.
-    pub armed: Mutex<Option<Armed>>,
+    pub armed: Mutex<Option<ArmedGate>>,
 }
 
 /// A number that grows with each start of a process on one instance.
@@ -176,7 +176,7 @@
             term: orders.term.max(fence.term),
             sequence: fence.sequence,
         };
-        match armed.take(&delivery) {
+        match armed.accept(&delivery) {
             Ok(_) => {
                 *accepted = Some(fence);
                 self.term.fetch_max(armed.term(), Ordering::Relaxed);
@@ -188,28 +188,28 @@
     }
 
     /// The gate of orders, armed by a majority of the voters if it is not yet.
-    fn armed(&self, orders: &Orders) -> Option<Armed> {
+    fn armed(&self, orders: &Orders) -> Option<ArmedGate> {
         if let Some(armed) = &*lock(&self.armed) {
             return Some(armed.clone());
         }
-        let mut newborn = Newborn::new(self.incarnation);
+        let mut newborn = UnarmedGate::new(self.incarnation);
         for addr in orders.voters.iter().filter_map(|addr| addr.parse().ok()) {
             let Some(word) = self.ask_voter(addr) else {
                 continue;
             };
-            match newborn.hear(word) {
-                Heard::Armed(armed) => {
+            match newborn.add_report(word) {
+                Arming::Armed(armed) => {
                     *lock(&self.armed) = Some(armed.clone());
                     return Some(armed);
                 }
-                Heard::Waiting(waiting) => newborn = waiting,
+                Arming::Waiting(waiting) => newborn = waiting,
             }
         }
         debug!("no majority of the voters has told its term yet");
         None
     }
 
-    fn ask_voter(&self, addr: SocketAddr) -> Option<VoterWord> {
+    fn ask_voter(&self, addr: SocketAddr) -> Option<VoterReport> {
         let told = self
             .dialer
             .ask(addr, Role::Agent, Ask::Term(Empty {}), TIMEOUT);
@@ -217,10 +217,10 @@
             return None;
         };
         let voters = report.voters.iter().map(|name| name.parse());
-        Some(VoterWord {
+        Some(VoterReport {
             voter: report.voter.parse().ok()?,
             term: report.term,
-            config: report.config,
+            config_index: report.config,
             voters: voters.collect::<Result<_, _>>().ok()?,
         })
     }
--- a/crates/filbertstack-control/tests/fuzz/plan.rs
+++ b/crates/filbertstack-control/tests/fuzz/plan.rs
@@ -1,4 +1,4 @@
-//! What happens in a case: steps drawn by weight, their picks resolved when they run.
+//! The plan of a case draws its steps by weight. The picks of a step are resolved when the step runs.
 
 use proptest::prelude::BoxedStrategy;
 use proptest::prelude::Just;
@@ -7,7 +7,7 @@
 use proptest::prop_oneof;
 use proptest_state_machine::ReferenceStateMachine;
 
-/// Which revision an operator names.
+/// Which revision an operator expects.
 #[derive(Clone, Copy, Debug)]
 pub enum Expect {
     Current,
@@ -15,7 +15,7 @@
     Any,
 }
 
-/// One step. A `pick` counts back from the latest thing of its kind.
+/// One step. A `pick` counts back from the latest item of its kind.
 #[derive(Clone, Debug)]
 pub enum Op {
     Tick(u64),
@@ -28,7 +28,7 @@
     },
     Resend(u8),
     Reuse(u8),
-    /// Two claims in one batch, by two entries.
+    /// Two entries claim one key in one batch.
     Claim {
         pick: u8,
         fresh: bool,
@@ -41,7 +41,7 @@
     LateSettle(u8),
     Skew(u64),
     Release(u8),
-    Forsake(u8),
+    MarkUnknown(u8),
     Lead,
     Order {
         target: u8,
@@ -53,7 +53,7 @@
     Pull(u8),
 }
 
-/// The plan has no state of its own: picks are resolved by the world.
+/// The plan has no state of its own, because [`World`](crate::world::World) resolves the picks.
 #[derive(Clone, Debug)]
 pub struct Plan;
 
@@ -102,7 +102,7 @@
             2 => (0..6_u8).prop_map(Op::Release),
             2 => (0..12_u8).prop_map(Op::LateSettle),
             1 => (0..30_000_u64).prop_map(Op::Skew),
-            1 => (0..2_u8).prop_map(Op::Forsake),
+            1 => (0..2_u8).prop_map(Op::MarkUnknown),
             1 => Just(Op::Lead),
             3 => (0..3_u8, 0..4_u8, any::<bool>()).prop_map(|(target, value, stale)| Op::Order {
                 target,
--- a/crates/filbertstack-entry/src/lease.rs
+++ b/crates/filbertstack-entry/src/lease.rs
@@ -16,12 +16,12 @@
 use std::time::Instant;
 
 use filbertstack_control::lease;
-use filbertstack_control::lease::Ask as LeaseAsk;
 use filbertstack_control::lease::Expired;
-use filbertstack_control::lease::Force;
 use filbertstack_control::lease::Grant;
 use filbertstack_control::lease::Granter;
 use filbertstack_control::lease::Holder;
+use filbertstack_control::lease::Renewal as LeaseAsk;
+use filbertstack_control::lease::RevisionState;
 use filbertstack_core::Millis;
 use filbertstack_core::names::InstanceName;
 use filbertstack_wire::messages::Payload;
@@ -135,11 +135,11 @@
                     revision: ask.revision,
                     span: LEADER_SPAN,
                 };
-                self.lock().holder.take(grant);
+                self.lock().holder.accept(grant);
             } else if told != Some(news) || ask.sent >= due {
                 let granted = self.ask(ask);
                 told = granted.then_some(news);
-                due = ask.sent + lease::RENEW;
+                due = ask.sent + lease::RENEW_INTERVAL;
             }
         }
     }
@@ -172,7 +172,7 @@
         while state.accepted.len() > REMEMBERED {
             state.accepted.pop_first();
         }
-        state.granter.ask(revision, now)
+        state.granter.renewal(revision, now)
     }
 
     /// Asks the granter; false if nothing was granted.
@@ -200,7 +200,7 @@
             return false;
         }
         let (sent, span) = (Millis(reply.sent), Millis(reply.span));
-        self.lock().holder.take(Grant {
+        self.lock().holder.accept(Grant {
             sent,
             revision: reply.revision,
             span,
@@ -255,11 +255,11 @@
             });
         };
         Ok(match state.granter.in_force(revision, *accepted, now) {
-            Force::InForce => InForce {
+            RevisionState::InForce => InForce {
                 everywhere: true,
                 waiting: Vec::new(),
             },
-            Force::Waiting { laggards, .. } => {
+            RevisionState::Waiting { laggards, .. } => {
                 let waiting = laggards.iter().map(ToString::to_string).collect();
                 InForce {
                     everywhere: false,
--- a/crates/filbertstack-gateway/src/control/declared.rs
+++ b/crates/filbertstack-gateway/src/control/declared.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use filbertstack_control::document::Document;
-use filbertstack_control::document::VERSIONS;
+use filbertstack_control::document::KEPT_VERSIONS;
 use filbertstack_core::Millis;
 use filbertstack_core::serving::Catalogue;
 use filbertstack_platform::catalogue;
@@ -231,7 +231,7 @@
         record_version(
             versions,
             NamedVersion { version, at },
-            VERSIONS,
+            KEPT_VERSIONS,
             now,
             self.rollout,
         );
--- a/crates/filbertstack-gateway/src/control/machine.rs
+++ b/crates/filbertstack-gateway/src/control/machine.rs
@@ -4,7 +4,7 @@
 
 use filbertstack_control::document::Documents;
 use filbertstack_control::document::Effect;
-use filbertstack_control::document::ImageError;
+use filbertstack_control::document::SnapshotError;
 use filbertstack_log::StateMachine;
 use tokio::sync::watch;
 
@@ -37,7 +37,7 @@
 
 impl StateMachine for DocumentMachine {
     type Outcome = Effect;
-    type RestoreError = ImageError;
+    type RestoreError = SnapshotError;
 
     fn apply(&mut self, _index: u64, command: &[u8]) -> Effect {
         let effect = self.documents.apply(command);
@@ -51,7 +51,7 @@
         self.documents.snapshot()
     }
 
-    fn restore(&mut self, bytes: &[u8]) -> Result<(), ImageError> {
+    fn restore(&mut self, bytes: &[u8]) -> Result<(), SnapshotError> {
         self.documents.restore(bytes)?;
         self.publish();
         Ok(())
--- a/crates/filbertstack-gateway/src/weights/mod.rs
+++ b/crates/filbertstack-gateway/src/weights/mod.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use filbertstack_control::document::List;
+use filbertstack_control::document::KeptList;
 use filbertstack_control::document::Weights;
 use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
@@ -129,8 +129,8 @@
 }
 
 /// Converts a list of pieces to the form in which the voters keep it.
-fn encode_list(list: &PieceList) -> List {
-    List {
+fn encode_list(list: &PieceList) -> KeptList {
+    KeptList {
         weights: to_wire(&list.weights),
         bytes: list.bytes,
         digests: list.digests.concat().into(),
@@ -138,7 +138,7 @@
 }
 
 /// Converts a list of pieces from the form in which the voters keep it.
-pub fn decode_list(list: &List) -> PieceList {
+pub fn decode_list(list: &KeptList) -> PieceList {
     PieceList {
         weights: from_wire(&list.weights),
         bytes: list.bytes,
