--- a/crates/filbertstack-entry/src/answer.rs
+++ b/crates/filbertstack-entry/src/answer.rs
@@ -19,7 +19,7 @@
 use crate::http::SERVED_BY;
 use crate::http::Streamed;
 use crate::http::VERSION;
-use crate::table::Place;
+use crate::table::Endpoint;
 
 /// How much of an answer that is no stream is kept back, in bytes.
 const MAX_BACK: usize = 256 << 10;
@@ -70,7 +70,7 @@
     }
 
     /// Takes the head of the target's answer.
-    pub fn head(&mut self, head: &Head, place: &Place) {
+    pub fn head(&mut self, head: &Head, place: &Endpoint) {
         self.reset();
         self.status = u16::try_from(head.status).unwrap_or(502);
         self.fields = vec![
--- a/crates/filbertstack-entry/src/attempt.rs
+++ b/crates/filbertstack-entry/src/attempt.rs
@@ -19,7 +19,7 @@
 use filbertstack_wire::messages::Cause;
 use filbertstack_wire::messages::Dispatch;
 
-use crate::table::Place;
+use crate::table::Endpoint;
 use crate::traffic::Turn;
 
 /// How often an attempt looks whether it was withdrawn while no frame comes.
@@ -41,7 +41,7 @@
     /// Sends `dispatch` to `place`; what comes of it goes to `turns`.
     pub fn start(
         dialer: Arc<Dialer>,
-        place: &Place,
+        place: &Endpoint,
         key: AttemptKey,
         dispatch: Dispatch,
         deadline: Instant,
--- a/crates/filbertstack-entry/src/run.rs
+++ b/crates/filbertstack-entry/src/run.rs
@@ -33,7 +33,7 @@
 use crate::http;
 use crate::http::Refusal;
 use crate::race::Race;
-use crate::table::Place;
+use crate::table::Endpoint;
 use crate::traffic::Ticket;
 use crate::traffic::Turn;
 
@@ -93,7 +93,7 @@
     key: AttemptKey,
     number: u64,
     target: TargetKey,
-    place: Place,
+    place: Endpoint,
     span: Span,
     _sending: Attempt,
 }
--- a/crates/filbertstack-entry/src/table.rs
+++ b/crates/filbertstack-entry/src/table.rs
@@ -30,7 +30,7 @@
 
 /// A target as requests see it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Endpoint {
     /// Its instance name.
     pub name: InstanceName,
     /// Where links to its agent lead.
@@ -93,7 +93,7 @@
 pub struct Table {
     revision: u64,
     rules: Vec<TableRule>,
-    places: HashMap<(GroupKey, TargetKey), Place>,
+    places: HashMap<(GroupKey, TargetKey), Endpoint>,
     models: Vec<ModelName>,
 }
 
@@ -136,7 +136,7 @@
     }
 
     /// The target of a group.
-    pub fn place(&self, group: GroupKey, target: TargetKey) -> Option<&Place> {
+    pub fn place(&self, group: GroupKey, target: TargetKey) -> Option<&Endpoint> {
         self.places.get(&(group, target))
     }
 
@@ -256,7 +256,7 @@
     }
 
     /// Tells the router which targets may answer a group's requests, and notes their places.
-    fn fill(&self, group: GroupKey, places: Vec<Place>, flow: &mut Flow, table: &mut Table) {
+    fn fill(&self, group: GroupKey, places: Vec<Endpoint>, flow: &mut Flow, table: &mut Table) {
         let mut candidates = Vec::new();
         for place in places {
             if let Some(known) = self.targets.get(&place.name) {
@@ -288,14 +288,19 @@
 }
 
 /// Where requests of `rule` for `model` may be answered.
-fn places(rule: &Rule, model: Option<&ModelName>, view: &View, members: &[Member]) -> Vec<Place> {
+fn places(
+    rule: &Rule,
+    model: Option<&ModelName>,
+    view: &View,
+    members: &[Member],
+) -> Vec<Endpoint> {
     let staying = members.iter().filter(|member| !member.leaving);
     staying
         .filter_map(|member| place(rule, model, view, member))
         .collect()
 }
 
-fn place(rule: &Rule, model: Option<&ModelName>, view: &View, member: &Member) -> Option<Place> {
+fn place(rule: &Rule, model: Option<&ModelName>, view: &View, member: &Member) -> Option<Endpoint> {
     let version = match &rule.route {
         Route::Service { instances } if member.service && instances.matches(&member.labels) => None,
         Route::Models {
@@ -309,7 +314,7 @@
         }
         _ => return None,
     };
-    Some(Place {
+    Some(Endpoint {
         name: member.name.clone(),
         addr: member.addr,
         version,
