--- a/crates/filbertstack-entry/src/run.rs
+++ b/crates/filbertstack-entry/src/run.rs
@@ -191,8 +191,8 @@
         let table = self.calls.traffic.table();
         let group = self.job.chosen.group;
         let place = table
-            .place(group, target)
-            .or_else(|| self.job.table.place(group, target));
+            .endpoint(group, target)
+            .or_else(|| self.job.table.endpoint(group, target));
         let Some(place) = place.cloned() else {
             let outcome = Outcome::NotRun(NotRun::Absent);
             return self.failed(key, outcome, "the target left before the request was sent");
--- a/crates/filbertstack-entry/src/table.rs
+++ b/crates/filbertstack-entry/src/table.rs
@@ -93,7 +93,7 @@
 pub struct Table {
     revision: u64,
     rules: Vec<TableRule>,
-    places: HashMap<(GroupKey, TargetKey), Endpoint>,
+    endpoints: HashMap<(GroupKey, TargetKey), Endpoint>,
     models: Vec<ModelName>,
 }
 
@@ -136,8 +136,8 @@
     }
 
     /// The target of a group.
-    pub fn place(&self, group: GroupKey, target: TargetKey) -> Option<&Endpoint> {
-        self.places.get(&(group, target))
+    pub fn endpoint(&self, group: GroupKey, target: TargetKey) -> Option<&Endpoint> {
+        self.endpoints.get(&(group, target))
     }
 
     /// The revision of the declarations that it follows.
@@ -193,8 +193,8 @@
                 let group_name = (name.clone(), model.clone());
                 let old = self.groups.remove(&group_name);
                 let group = old.unwrap_or_else(|| flow.add_group(kind_of(rule)));
-                let places = places(rule, model.as_ref(), view, members);
-                self.fill(group, places, flow, &mut table);
+                let endpoints = endpoints(rule, model.as_ref(), view, members);
+                self.fill(group, endpoints, flow, &mut table);
                 groups.insert(group_name, group);
                 own.insert(model, group);
             }
@@ -255,13 +255,13 @@
         }
     }
 
-    /// Tells the router which targets may answer a group's requests, and notes their places.
-    fn fill(&self, group: GroupKey, places: Vec<Endpoint>, flow: &mut Flow, table: &mut Table) {
+    /// Tells the router which targets may answer a group's requests, and notes their endpoints.
+    fn fill(&self, group: GroupKey, endpoints: Vec<Endpoint>, flow: &mut Flow, table: &mut Table) {
         let mut candidates = Vec::new();
-        for place in places {
-            if let Some(known) = self.targets.get(&place.name) {
+        for endpoint in endpoints {
+            if let Some(known) = self.targets.get(&endpoint.name) {
                 candidates.push(known.key);
-                table.places.insert((group, known.key), place);
+                table.endpoints.insert((group, known.key), endpoint);
             }
         }
         flow.router_mut().set_candidates(group, &candidates);
@@ -288,7 +288,7 @@
 }
 
 /// Where requests of `rule` for `model` may be answered.
-fn places(
+fn endpoints(
     rule: &Rule,
     model: Option<&ModelName>,
     view: &View,
@@ -296,11 +296,16 @@
 ) -> Vec<Endpoint> {
     let staying = members.iter().filter(|member| !member.leaving);
     staying
-        .filter_map(|member| place(rule, model, view, member))
+        .filter_map(|member| endpoint_of(rule, model, view, member))
         .collect()
 }
 
-fn place(rule: &Rule, model: Option<&ModelName>, view: &View, member: &Member) -> Option<Endpoint> {
+fn endpoint_of(
+    rule: &Rule,
+    model: Option<&ModelName>,
+    view: &View,
+    member: &Member,
+) -> Option<Endpoint> {
     let version = match &rule.route {
         Route::Service { instances } if member.service && instances.matches(&member.labels) => None,
         Route::Models {
