--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -43,8 +43,8 @@
 use crate::run::End;
 use crate::run::Run;
 use crate::settings::Callers;
-use crate::table::Asked;
 use crate::table::Chosen;
+use crate::table::RequestInfo;
 use crate::table::SharedTable;
 use crate::traffic::Traffic;
 
@@ -139,7 +139,7 @@
         let prompt = is_model.then(|| Prompt::read(&body)).transpose();
         let prompt = prompt.map_err(|error| Refusal::not_run(400, error.to_string()))?;
         let method = request.method().as_str().to_owned();
-        let asked = Asked {
+        let asked = RequestInfo {
             labels: request_labels(&org, prompt.as_ref(), &method),
             path,
             model: prompt.as_ref().map(|prompt| &prompt.model),
--- a/crates/filbertstack-entry/src/table.rs
+++ b/crates/filbertstack-entry/src/table.rs
@@ -58,7 +58,7 @@
 
 /// A request as rules see it.
 #[derive(Clone, Debug)]
-pub struct Asked<'a> {
+pub struct RequestInfo<'a> {
     /// `organisation`, `model` and `method`.
     pub labels: Labels,
     /// The path.
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     /// [`NoRoute`] says why there is none.
-    pub fn find(&self, asked: &Asked<'_>) -> Result<Chosen, NoRoute> {
+    pub fn find(&self, asked: &RequestInfo<'_>) -> Result<Chosen, NoRoute> {
         let mut none = NoRoute::Rule;
         for TableRule { name, rule, groups } in &self.rules {
             let matches =
