--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -43,8 +43,8 @@
 use crate::run::End;
 use crate::run::Run;
 use crate::settings::Callers;
-use crate::table::Chosen;
 use crate::table::RequestInfo;
+use crate::table::RouteMatch;
 use crate::table::SharedTable;
 use crate::traffic::Traffic;
 
@@ -80,7 +80,7 @@
 /// A request that has been read and routed.
 pub(crate) struct Job {
     pub(crate) org: OrgName,
-    pub(crate) chosen: Chosen,
+    pub(crate) chosen: RouteMatch,
     pub(crate) table: SharedTable,
     pub(crate) need: Need,
     pub(crate) dispatch: Dispatch,
@@ -298,7 +298,7 @@
     asked.map_or(rule, |asked| rule.min(Millis(asked)))
 }
 
-fn need_of(chosen: &Chosen, prompt: Option<Prompt>) -> Need {
+fn need_of(chosen: &RouteMatch, prompt: Option<Prompt>) -> Need {
     let (cost, prefix) = match prompt {
         Some(prompt) if chosen.kind == Kind::Engines => (prompt.cost, prompt.prefix),
         _ => (Cost::CALL, Vec::new()),
--- a/crates/filbertstack-entry/src/table.rs
+++ b/crates/filbertstack-entry/src/table.rs
@@ -41,7 +41,7 @@
 
 /// What a rule says of the requests that it takes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Chosen {
+pub struct RouteMatch {
     /// The rule.
     pub rule: RuleName,
     /// The targets' group.
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     /// [`NoRoute`] says why there is none.
-    pub fn find(&self, asked: &RequestInfo<'_>) -> Result<Chosen, NoRoute> {
+    pub fn find(&self, asked: &RequestInfo<'_>) -> Result<RouteMatch, NoRoute> {
         let mut none = NoRoute::Rule;
         for TableRule { name, rule, groups } in &self.rules {
             let matches =
@@ -123,7 +123,7 @@
                 none = NoRoute::Model;
                 continue;
             };
-            return Ok(Chosen {
+            return Ok(RouteMatch {
                 rule: name.clone(),
                 group: *group,
                 kind,
