--- a/crates/filbertstack-entry/src/answer.rs
+++ b/crates/filbertstack-entry/src/answer.rs
@@ -11,8 +11,8 @@
 use filbertstack_wire::messages::Header;
 use tiny_http::Request;
 
-use crate::claims::Kept;
 use crate::claims::MAX_KEPT;
+use crate::claims::StoredAnswer;
 use crate::http;
 use crate::http::Field;
 use crate::http::OUTCOME;
@@ -169,8 +169,8 @@
     }
 
     /// The answer as it is kept for a resend, if it is small enough.
-    pub fn kept(&self) -> Option<Kept> {
-        (self.size <= MAX_KEPT).then(|| Kept {
+    pub fn kept(&self) -> Option<StoredAnswer> {
+        (self.size <= MAX_KEPT).then(|| StoredAnswer {
             media: self.media.clone(),
             body: self.body.clone(),
             version: self.version.clone(),
--- a/crates/filbertstack-entry/src/claims.rs
+++ b/crates/filbertstack-entry/src/claims.rs
@@ -44,7 +44,7 @@
 
 /// An answer as it is kept for a resend.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Kept {
+pub struct StoredAnswer {
     /// The media type.
     #[prost(string, tag = "1")]
     pub media: String,
@@ -79,7 +79,7 @@
         /// Its status.
         status: u16,
         /// The answer, if it was small enough to be kept.
-        kept: Option<Kept>,
+        kept: Option<StoredAnswer>,
     },
     /// It is refused.
     Refused(Refusal),
@@ -208,7 +208,7 @@
     let kept = answer
         .bytes
         .as_ref()
-        .and_then(|bytes| Kept::decode(bytes.as_slice()).ok());
+        .and_then(|bytes| StoredAnswer::decode(bytes.as_slice()).ok());
     NotGranted::Ran {
         status: u16::try_from(answer.status).unwrap_or(500),
         kept,
@@ -217,7 +217,7 @@
 
 impl Granted {
     /// Records that the request ran, with its answer if that is small enough to be kept.
-    pub fn settle(self, status: u16, digest: Digest, kept: Option<&Kept>) {
+    pub fn settle(self, status: u16, digest: Digest, kept: Option<&StoredAnswer>) {
         let bytes = kept
             .filter(|kept| kept.encoded_len() <= MAX_KEPT)
             .map(Message::encode_to_vec);
