--- a/crates/filbertstack-entry/src/answer.rs
+++ b/crates/filbertstack-entry/src/answer.rs
@@ -11,7 +11,7 @@
 use filbertstack_wire::messages::Header;
 use tiny_http::Request;
 
-use crate::claims::MAX_KEPT;
+use crate::claims::MAX_STORED_ANSWER;
 use crate::claims::StoredAnswer;
 use crate::http;
 use crate::http::Field;
@@ -170,7 +170,7 @@
 
     /// The answer as it is kept for a resend, if it is small enough.
     pub fn kept(&self) -> Option<StoredAnswer> {
-        (self.size <= MAX_KEPT).then(|| StoredAnswer {
+        (self.size <= MAX_STORED_ANSWER).then(|| StoredAnswer {
             media: self.media.clone(),
             body: self.body.clone(),
             version: self.version.clone(),
--- a/crates/filbertstack-entry/src/claims.rs
+++ b/crates/filbertstack-entry/src/claims.rs
@@ -37,7 +37,7 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The largest answer that is kept for a resend, in bytes.
-pub const MAX_KEPT: usize = 16 << 10;
+pub const MAX_STORED_ANSWER: usize = 16 << 10;
 
 /// The longest key, in bytes.
 pub const MAX_KEY: usize = 200;
@@ -219,7 +219,7 @@
     /// Records that the request ran, with its answer if that is small enough to be kept.
     pub fn settle(self, status: u16, digest: Digest, kept: Option<&StoredAnswer>) {
         let bytes = kept
-            .filter(|kept| kept.encoded_len() <= MAX_KEPT)
+            .filter(|kept| kept.encoded_len() <= MAX_STORED_ANSWER)
             .map(Message::encode_to_vec);
         let answer = Answer {
             status: status.into(),
