--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -27,11 +27,11 @@
 use filbertstack_wire::messages::Header;
 use tiny_http::Request;
 
+use crate::claims::ClaimRequest;
 use crate::claims::Claims;
 use crate::claims::Granted;
 use crate::claims::MAX_KEY;
 use crate::claims::NotGranted;
-use crate::claims::Wanted;
 use crate::guard::Gone;
 use crate::guard::Guard;
 use crate::http;
@@ -188,7 +188,7 @@
             method, path, body, ..
         } = &job.dispatch;
         let whole = [method.as_bytes(), b" ", path.as_bytes(), b"\n", body].concat();
-        let wanted = Wanted {
+        let wanted = ClaimRequest {
             org: &job.org,
             key,
             digest: Digest::of(&whole),
--- a/crates/filbertstack-entry/src/claims.rs
+++ b/crates/filbertstack-entry/src/claims.rs
@@ -58,7 +58,7 @@
 
 /// A request to be claimed.
 #[derive(Clone, Debug)]
-pub struct Wanted<'a> {
+pub struct ClaimRequest<'a> {
     /// The organisation.
     pub org: &'a OrgName,
     /// The caller's key.
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     /// [`NotGranted`] with what to tell the caller.
-    pub fn claim(&self, wanted: &Wanted<'_>) -> Result<Granted, NotGranted> {
+    pub fn claim(&self, wanted: &ClaimRequest<'_>) -> Result<Granted, NotGranted> {
         let grace = u64::try_from(GRACE.as_millis()).unwrap_or(u64::MAX);
         let claim = Claim {
             organisation: wanted.org.to_string(),
@@ -160,7 +160,7 @@
 
     fn decided(
         &self,
-        wanted: &Wanted<'_>,
+        wanted: &ClaimRequest<'_>,
         decision: Option<Decision>,
     ) -> Result<Granted, NotGranted> {
         let refusal = match decision {
