--- a/crates/filbertstack-entry/src/lead.rs
+++ b/crates/filbertstack-entry/src/lead.rs
@@ -32,7 +32,7 @@
 use crate::members::Member;
 use crate::members::Members;
 use crate::spread::Spread;
-use crate::view::Reached;
+use crate::view::Position;
 use crate::view::View;
 use crate::view::Views;
 use crate::voter::Voter;
@@ -168,7 +168,7 @@
 struct Round {
     began: Instant,
     /// What was seen in the last round: the targets' changes and how far the orders were.
-    seen: Option<(Reached, u64)>,
+    seen: Option<(Position, u64)>,
     placed: Instant,
     watcher: Watcher,
     faults: LoadFaults,
@@ -177,7 +177,7 @@
 impl Round {
     /// Whether to place now: at once after a change of declarations or orders, soon after a change
     /// of targets, and now and then.
-    fn is_due(&mut self, reached: Reached, targets: u64) -> bool {
+    fn is_due(&mut self, reached: Position, targets: u64) -> bool {
         let since = self.placed.elapsed();
         let due = match self.seen {
             Some((before, _)) if before != reached => true,
--- a/crates/filbertstack-entry/src/links.rs
+++ b/crates/filbertstack-entry/src/links.rs
@@ -35,7 +35,7 @@
 use crate::question::Envelope;
 use crate::question::Question;
 use crate::spread::Spread;
-use crate::view::Reached;
+use crate::view::Position;
 use crate::view::View;
 use crate::view::Views;
 use crate::view::update_since;
@@ -211,7 +211,7 @@
         let Some(voter) = &self.voter else {
             return responder.refuse("not a voter: ask one", 0);
         };
-        let reached = Reached {
+        let reached = Position {
             revision: watch.since,
             sequence: watch.sequence,
         };
--- a/crates/filbertstack-entry/src/machine.rs
+++ b/crates/filbertstack-entry/src/machine.rs
@@ -10,7 +10,7 @@
 use filbertstack_control::outcome::Outcome;
 use filbertstack_log::Machine;
 
-use crate::view::Reached;
+use crate::view::Position;
 use crate::view::Views;
 use crate::view::update_since;
 
@@ -32,7 +32,7 @@
 pub struct ControlMachine {
     control: Control,
     views: Arc<Views>,
-    shown: (Reached, u64),
+    shown: (Position, u64),
 }
 
 impl ControlMachine {
@@ -41,13 +41,13 @@
         Self {
             control,
             views,
-            shown: (Reached::default(), 0),
+            shown: (Position::default(), 0),
         }
     }
 
     fn show(&mut self) {
         let state = self.control.read();
-        let reached = Reached {
+        let reached = Position {
             revision: state.declared().revision(),
             sequence: state.orders().sequence(),
         };
--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -48,7 +48,7 @@
 use crate::settings::Settings;
 use crate::spread::Spread;
 use crate::traffic::Traffic;
-use crate::view::Reached;
+use crate::view::Position;
 use crate::view::Views;
 use crate::voter::Voter;
 use crate::voter::VoterConfig;
@@ -324,7 +324,7 @@
                 sharers = entries;
             }
             let view = self.views.get();
-            let now: (Reached, u64) = (view.reached(), self.members.sweep());
+            let now: (Position, u64) = (view.reached(), self.members.sweep());
             if seen != Some(now) {
                 self.traffic.update(&view, &self.members.live());
                 seen = Some(now);
--- a/crates/filbertstack-entry/src/view.rs
+++ b/crates/filbertstack-entry/src/view.rs
@@ -27,7 +27,7 @@
 
 /// How far a follower is: the declarations' revision and the orders' sequence.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Reached {
+pub struct Position {
     /// The revision of the declarations.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
@@ -36,7 +36,7 @@
     pub sequence: u64,
 }
 
-/// What changed since a follower's [`Reached`].
+/// What changed since a follower's [`Position`].
 #[derive(Clone, PartialEq, Message)]
 pub struct Update {
     /// The declarations' changes.
@@ -82,8 +82,8 @@
     }
 
     /// How far this view is.
-    pub fn reached(&self) -> Reached {
-        Reached {
+    pub fn reached(&self) -> Position {
+        Position {
             revision: self.revision(),
             sequence: self.sequence,
         }
@@ -126,7 +126,7 @@
 }
 
 /// What changed in `state` since `reached`.
-pub fn update_since(state: &ControlState, reached: Reached) -> Update {
+pub fn update_since(state: &ControlState, reached: Position) -> Update {
     let orders = state.orders();
     let changed: Vec<TargetOrder> = orders
         .since(reached.sequence)
@@ -181,7 +181,7 @@
     }
 
     /// Waits until the view is further than `reached` or has another term, or `wait` is over.
-    pub fn wait_beyond(&self, reached: Reached, term: u64, wait: Duration) -> Arc<View> {
+    pub fn wait_beyond(&self, reached: Position, term: u64, wait: Duration) -> Arc<View> {
         let until = Instant::now() + wait;
         let mut newest = self.lock();
         while newest.reached() == reached
--- a/tests/system/leaving.rs
+++ b/tests/system/leaving.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use filbertstack_entry::view::Reached;
+use filbertstack_entry::view::Position;
 use filbertstack_entry::view::Update;
 use filbertstack_wire::Dialer;
 use filbertstack_wire::Key;
@@ -200,7 +200,7 @@
 
 /// Asks for updates beyond the newest, until the question is held.
 fn hold_question(link: &Link) -> Replies {
-    let mut reached = Reached::default();
+    let mut reached = Position::default();
     let until = Instant::now() + PATIENCE;
     while Instant::now() < until {
         let ask = Ask::Watch(Watch {
