--- a/crates/filbertstack-entry/src/links.rs
+++ b/crates/filbertstack-entry/src/links.rs
@@ -137,7 +137,7 @@
 
     fn term(&self) -> TermReport {
         match &self.voter {
-            Some(voter) => voter.word(),
+            Some(voter) => voter.term_report(),
             None => TermReport {
                 term: self.views.get().term(),
                 ..TermReport::default()
--- a/crates/filbertstack-entry/src/voter.rs
+++ b/crates/filbertstack-entry/src/voter.rs
@@ -175,7 +175,7 @@
     }
 
     /// What this voter tells an agent that has just started.
-    pub fn word(&self) -> TermReport {
+    pub fn term_report(&self) -> TermReport {
         let status = self.replica.status();
         let voters = status.node.membership.voters.iter();
         TermReport {
