--- a/crates/filbertstack-entry/src/links.rs
+++ b/crates/filbertstack-entry/src/links.rs
@@ -228,7 +228,7 @@
             .ok()
             .and_then(|question| question.asked);
         match (asked, &self.voter) {
-            (Some(Asked::Standing(_)), Some(voter)) => {
+            (Some(Asked::VoterInfo(_)), Some(voter)) => {
                 let _ = responder.finish(payload(voter.standing().encode_to_vec()));
             }
             (Some(Asked::Lease(request)), Some(_)) => match self.leases.grant(&request) {
@@ -239,7 +239,7 @@
                 Ok(reply) => drop(responder.finish(payload(reply.encode_to_vec()))),
                 Err(text) => responder.refuse(&text, 500),
             },
-            (Some(Asked::Standing(_)), None) => responder.refuse("not a voter", 0),
+            (Some(Asked::VoterInfo(_)), None) => responder.refuse("not a voter", 0),
             _ => responder.refuse("a question of a later release: upgrade this end", 0),
         }
     }
--- a/crates/filbertstack-entry/src/question.rs
+++ b/crates/filbertstack-entry/src/question.rs
@@ -26,9 +26,9 @@
 /// What is asked.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
 pub enum Asked {
-    /// Who the far end is among the voters; answered by [`Standing`].
+    /// Who the far end is among the voters; answered by [`VoterInfo`].
     #[prost(message, tag = "1")]
-    Standing(Nothing),
+    VoterInfo(Nothing),
     /// Whether a revision is in force everywhere; answered by [`InForce`].
     #[prost(uint64, tag = "2")]
     InForce(u64),
@@ -74,7 +74,7 @@
 
 /// Who a voter is.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Standing {
+pub struct VoterInfo {
     /// Its instance name.
     #[prost(string, tag = "1")]
     pub name: String,
--- a/crates/filbertstack-entry/src/voter.rs
+++ b/crates/filbertstack-entry/src/voter.rs
@@ -52,7 +52,7 @@
 use crate::question::Asked;
 use crate::question::Envelope;
 use crate::question::Nothing;
-use crate::question::Standing;
+use crate::question::VoterInfo;
 use crate::question::ask;
 
 /// How often a voter looks after the membership while the group forms or changes.
@@ -223,10 +223,10 @@
     }
 
     /// Who this voter is.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> VoterInfo {
         let status = self.replica.status();
         let leader = status.node.leader.and_then(|leader| self.post.find(leader));
-        Standing {
+        VoterInfo {
             name: self.name.clone(),
             address: self.post.own.to_string(),
             node: status.id.0,
@@ -337,7 +337,7 @@
     }
 
     fn hear_from(&self, addr: SocketAddr) -> Option<Announcement> {
-        let question = ask(Asked::Standing(Nothing {}));
+        let question = ask(Asked::VoterInfo(Nothing {}));
         let told = self
             .post
             .dialer
@@ -346,7 +346,7 @@
         let Tell::Payload(Payload { body }) = told else {
             return None;
         };
-        let standing = Standing::decode(body).ok()?;
+        let standing = VoterInfo::decode(body).ok()?;
         Some(Announcement {
             name: standing.name,
             address: standing.address,
