--- a/crates/filbertstack-entry/src/lead.rs
+++ b/crates/filbertstack-entry/src/lead.rs
@@ -97,7 +97,7 @@
     }
 
     fn begin(&self, term: u64) -> bool {
-        let leader = self.voter.standing().name;
+        let leader = self.voter.voter_info().name;
         let lead = Body::Lead(Lead { term, leader });
         match self.ledger.propose(lead, PROPOSE_TIMEOUT) {
             Ok(_) => {
--- a/crates/filbertstack-entry/src/ledger.rs
+++ b/crates/filbertstack-entry/src/ledger.rs
@@ -81,7 +81,7 @@
     /// The address of the leader, as far as this entry knows it.
     pub fn leader(&self) -> Option<String> {
         match &self.voter {
-            Some(voter) => Some(voter.standing().leader).filter(|leader| !leader.is_empty()),
+            Some(voter) => Some(voter.voter_info().leader).filter(|leader| !leader.is_empty()),
             None => self.voters().first().map(ToString::to_string),
         }
     }
--- a/crates/filbertstack-entry/src/links.rs
+++ b/crates/filbertstack-entry/src/links.rs
@@ -229,7 +229,7 @@
             .and_then(|question| question.asked);
         match (asked, &self.voter) {
             (Some(Asked::VoterInfo(_)), Some(voter)) => {
-                let _ = responder.finish(payload(voter.standing().encode_to_vec()));
+                let _ = responder.finish(payload(voter.voter_info().encode_to_vec()));
             }
             (Some(Asked::Lease(request)), Some(_)) => match self.leases.grant(&request) {
                 Ok(reply) => drop(responder.finish(payload(reply.encode_to_vec()))),
--- a/crates/filbertstack-entry/src/voter.rs
+++ b/crates/filbertstack-entry/src/voter.rs
@@ -223,7 +223,7 @@
     }
 
     /// Who this voter is.
-    pub fn standing(&self) -> VoterInfo {
+    pub fn voter_info(&self) -> VoterInfo {
         let status = self.replica.status();
         let leader = status.node.leader.and_then(|leader| self.post.find(leader));
         VoterInfo {
