--- a/crates/filbertstack-entry/src/links.rs
+++ b/crates/filbertstack-entry/src/links.rs
@@ -146,7 +146,7 @@
     }
 
     fn announce(&self, announce: &Announce, responder: Responder) {
-        let Some(member) = Member::of(announce) else {
+        let Some(member) = Member::from_announce(announce) else {
             return responder.refuse("the announcement does not read: run the same release", 0);
         };
         if !self.membership.announce(announce, &member) {
--- a/crates/filbertstack-entry/src/members.rs
+++ b/crates/filbertstack-entry/src/members.rs
@@ -69,7 +69,7 @@
 
 impl Member {
     /// Reads an announcement; `None` if it does not read.
-    pub fn of(announce: &Announce) -> Option<Self> {
+    pub fn from_announce(announce: &Announce) -> Option<Self> {
         let labels: Labels = announce.labels.parse().ok()?;
         let zone = labels.get("zone")?.parse().ok()?;
         Some(Self {
@@ -142,7 +142,7 @@
 impl Members {
     /// Takes a target's row, which is newer than any before.
     pub fn take(&self, row: &Row) {
-        let Some(member) = announced(row).as_ref().and_then(Member::of) else {
+        let Some(member) = announced(row).as_ref().and_then(Member::from_announce) else {
             return;
         };
         let mut table = self.lock();
