--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -299,7 +299,7 @@
     }
 
     /// Where the target `member` is to announce itself next.
-    pub fn homes(&self, member: &InstanceName) -> Vec<SocketAddr> {
+    pub fn entries_for_target(&self, member: &InstanceName) -> Vec<SocketAddr> {
         let gossip = self.lock();
         let region = gossip.row(member).map_or(&self.region, |row| &row.region);
         let homes = gossip::homes(member, region, gossip.rows());
--- a/crates/filbertstack-entry/src/links.rs
+++ b/crates/filbertstack-entry/src/links.rs
@@ -183,7 +183,7 @@
                 .collect(),
             entries: self
                 .membership
-                .homes(&member.name)
+                .entries_for_target(&member.name)
                 .iter()
                 .map(ToString::to_string)
                 .collect(),
