--- a/crates/filbertstack-entry/src/lead.rs
+++ b/crates/filbertstack-entry/src/lead.rs
@@ -28,7 +28,7 @@
 use crate::fleet::CLOCK_START;
 use crate::fleet::Watcher;
 use crate::ledger::Ledger;
-use crate::machine::Control;
+use crate::machine::SharedState;
 use crate::members::Member;
 use crate::members::Members;
 use crate::spread::Spread;
@@ -56,7 +56,7 @@
     /// The voter.
     pub voter: Arc<Voter>,
     /// The control state.
-    pub control: Control,
+    pub control: SharedState,
     /// The orders that stand.
     pub views: Arc<Views>,
     /// What runs.
--- a/crates/filbertstack-entry/src/links.rs
+++ b/crates/filbertstack-entry/src/links.rs
@@ -28,7 +28,7 @@
 use crate::lease::Leases;
 use crate::ledger::Ledger;
 use crate::ledger::ProposeError;
-use crate::machine::Control;
+use crate::machine::SharedState;
 use crate::members::Member;
 use crate::members::Members;
 use crate::question::Asked;
@@ -52,7 +52,7 @@
     /// The voter, if this entry is one.
     pub voter: Option<Arc<Voter>>,
     /// The control state, if this entry is a voter.
-    pub control: Control,
+    pub control: SharedState,
     /// What this entry follows.
     pub views: Arc<Views>,
     /// The targets.
--- a/crates/filbertstack-entry/src/machine.rs
+++ b/crates/filbertstack-entry/src/machine.rs
@@ -16,11 +16,11 @@
 
 /// The control state, read by many threads and changed by the log alone.
 #[derive(Clone, Debug, Default)]
-pub struct Control {
+pub struct SharedState {
     state: Arc<RwLock<ControlState>>,
 }
 
-impl Control {
+impl SharedState {
     /// The state as it is now.
     pub fn read(&self) -> RwLockReadGuard<'_, ControlState> {
         self.state.read().unwrap_or_else(PoisonError::into_inner)
@@ -30,14 +30,14 @@
 /// Applies the log's commands and passes what followers see on to the [`Views`].
 #[derive(Debug)]
 pub struct ControlMachine {
-    control: Control,
+    control: SharedState,
     views: Arc<Views>,
     shown: (Position, u64),
 }
 
 impl ControlMachine {
     /// A machine whose state others read through `control`.
-    pub fn new(control: Control, views: Arc<Views>) -> Self {
+    pub fn new(control: SharedState, views: Arc<Views>) -> Self {
         Self {
             control,
             views,
--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -40,8 +40,8 @@
 use crate::ledger::Ledger;
 use crate::links::LateLinks;
 use crate::links::Links;
-use crate::machine::Control;
 use crate::machine::ControlMachine;
+use crate::machine::SharedState;
 use crate::members::Members;
 use crate::operators;
 use crate::operators::Operators;
@@ -131,7 +131,7 @@
         let handler = Arc::new(late.clone());
         let dialer = Arc::new(Dialer::new(&name, settings.keys.clone(), handler.clone()));
         let listener = Listener::start(links_socket, &name, settings.keys.clone(), handler)?;
-        let (control, views) = (Control::default(), Arc::new(Views::default()));
+        let (control, views) = (SharedState::default(), Arc::new(Views::default()));
         let voter = start_voter(&settings, &control, &views, &dialer)?;
         let voters = settings.voters.iter().map(|voter| voter.addr).collect();
         let ledger = Arc::new(Ledger::new(
@@ -271,7 +271,7 @@
         }
     }
 
-    fn links(&self, control: &Control, spread: Arc<Spread>) -> Links {
+    fn links(&self, control: &SharedState, spread: Arc<Spread>) -> Links {
         Links {
             spread,
             voter: self.voter.clone(),
@@ -284,7 +284,7 @@
         }
     }
 
-    fn start_threads(self: &Arc<Self>, control: &Control, spread: Arc<Spread>) {
+    fn start_threads(self: &Arc<Self>, control: &SharedState, spread: Arc<Spread>) {
         let refreshing = self.clone();
         thread::spawn(move || refreshing.refresh());
         let gossiping = self.clone();
@@ -489,7 +489,7 @@
 
 fn start_voter(
     settings: &Settings,
-    control: &Control,
+    control: &SharedState,
     views: &Arc<Views>,
     dialer: &Arc<Dialer>,
 ) -> Result<Option<Arc<Voter>>, StartError> {
