--- a/crates/filbertstack-entry/src/claims.rs
+++ b/crates/filbertstack-entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys: committed before a request that must not run twice is sent.
+//! Claims of idempotency keys. A claim is committed before a request that must not run twice is sent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,25 +24,25 @@
 use crate::ledger::ProposeError;
 use crate::voter::unix_millis;
 
-/// How long a key is kept after its last change: a day, past any resend by a person or a queue.
-pub const KEY_LIFE: Duration = Duration::from_secs(24 * 3600);
+/// The time for which a key is kept after its last change. A day covers resends by people and by queues.
+pub const KEY_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// How much longer than its request's deadline a claim stays open: the time to settle it.
-const GRACE: Duration = Duration::from_secs(15);
+/// The time for which a claim stays open beyond its request's deadline, so that it can be settled.
+const SETTLE_GRACE: Duration = Duration::from_secs(15);
 
-/// How long a claim may take to commit: an election and a round.
+/// The time that a claim may take to commit: an election and a round of the log.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a settlement may take to commit before the answer goes out without it.
+/// The time that a settlement may take to commit before the answer is sent without it.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The largest answer that is kept for a resend, in bytes.
+/// The largest answer that is stored for resends, in bytes.
 pub const MAX_STORED_ANSWER: usize = 16 << 10;
 
-/// The longest key, in bytes.
+/// The maximum length of a key, in bytes.
 pub const MAX_KEY: usize = 200;
 
-/// An answer as it is kept for a resend.
+/// An answer that is stored for resends of its request.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct StoredAnswer {
     /// The media type.
@@ -51,37 +51,37 @@
     /// The body.
     #[prost(bytes = "vec", tag = "2")]
     pub body: Vec<u8>,
-    /// The version that answered, as text; empty for a plain service.
+    /// The version that gave the answer, as text; empty for a plain service.
     #[prost(string, tag = "3")]
     pub version: String,
 }
 
-/// A request to be claimed.
+/// A request whose key is to be claimed.
 #[derive(Clone, Debug)]
 pub struct ClaimRequest<'a> {
     /// The organisation.
     pub org: &'a OrgName,
     /// The caller's key.
     pub key: &'a str,
-    /// What makes the request the same one: method, path and body.
+    /// The digest of method, path and body, which tells whether a resend is the same request.
     pub digest: Digest,
-    /// This attempt's number.
+    /// The number of this attempt.
     pub attempt: u64,
     /// The time left for the request.
     pub timeout: Millis,
 }
 
-/// What a claim came to, if it was not granted.
+/// The outcome of a claim that was not granted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NotGranted {
-    /// The request ran before; this is its answer.
+    /// The request ran before, and this is its answer.
     Ran {
-        /// Its status.
+        /// The HTTP status.
         status: u16,
-        /// The answer, if it was small enough to be kept.
+        /// The answer, if it was small enough to be stored.
         kept: Option<StoredAnswer>,
     },
-    /// It is refused.
+    /// The claim is refused.
     Refused(Refusal),
 }
 
@@ -92,7 +92,7 @@
     process: u64,
 }
 
-/// A claim that was granted: its request may run once. Dropped unsettled, it counts as unknown.
+/// A granted claim, whose request may run once. If it is dropped unsettled, the request counts as unknown.
 #[derive(Debug)]
 #[must_use = "a claim is settled or released, or its request counts as unknown"]
 pub struct Granted {
@@ -103,17 +103,17 @@
 }
 
 impl Claims {
-    /// Claims of this entry process, which `process` names and no other.
+    /// Creates the claims of this entry process. `process` is a number that no other process uses.
     pub fn new(ledger: Arc<Ledger>, process: u64) -> Self {
         Self { ledger, process }
     }
 
-    /// Claims a key. The same claim sent again after a lost reply gets the same grant.
+    /// Claims a key. A claim that is sent again after a lost reply gets the same grant.
     ///
     /// # Errors
-    /// [`NotGranted`] with what to tell the caller.
+    /// Returns [`NotGranted`] with the answer for the caller.
     pub fn claim(&self, wanted: &ClaimRequest<'_>) -> Result<Granted, NotGranted> {
-        let grace = u64::try_from(GRACE.as_millis()).unwrap_or(u64::MAX);
+        let grace_ms = u64::try_from(SETTLE_GRACE.as_millis()).unwrap_or(u64::MAX);
         let claim = Claim {
             organisation: wanted.org.to_string(),
             key: wanted.key.into(),
@@ -123,8 +123,8 @@
             attempt: wanted.attempt,
             until: unix_millis()
                 .saturating_add(wanted.timeout.0)
-                .saturating_add(grace),
-            life: u64::try_from(KEY_LIFE.as_millis()).unwrap_or(u64::MAX),
+                .saturating_add(grace_ms),
+            life: u64::try_from(KEY_RETENTION.as_millis()).unwrap_or(u64::MAX),
         };
         let outcome = self.propose(claim)?;
         let Some(Reply::Claimed(claimed)) = outcome.reply else {
@@ -133,13 +133,13 @@
                 Refusal::not_run(503, text).after_ms(1000),
             ));
         };
-        self.decided(wanted, claimed.decision)
+        self.grant(wanted, claimed.decision)
     }
 
-    /// Proposes the claim; a claim that may or may not stand is given up.
+    /// Proposes the claim, and abandons it if its outcome is unknown.
     ///
-    /// Nothing was sent to a target yet, so whatever became of the claim, nothing ran. Left as it
-    /// is, a claim whose outcome was lost would make the caller's resend "unknown".
+    /// Nothing has been sent to a target yet, so nothing ran, whatever the outcome of the claim. If the claim
+    /// were not abandoned, the caller's resend would be answered with "unknown".
     fn propose(&self, claim: Claim) -> Result<Outcome, NotGranted> {
         let proposed = self
             .ledger
@@ -151,14 +151,14 @@
         if let ProposeError::Unknown(_) = error {
             let abandoned = self.ledger.propose(Body::Abandon(claim), SETTLE_TIMEOUT);
             if let Err(error) = abandoned {
-                warn!("a claim was not given up: {error}");
+                warn!("could not abandon a claim: {error}");
             }
         }
         let refusal = Refusal::not_run(503, format!("the key can't be claimed now: {error}"));
         Err(NotGranted::Refused(refusal.after_ms(1000)))
     }
 
-    fn decided(
+    fn grant(
         &self,
         wanted: &ClaimRequest<'_>,
         decision: Option<Decision>,
@@ -172,11 +172,11 @@
                     fence,
                 });
             }
-            Some(Decision::Ran(answer)) => return Err(ran(&answer)),
+            Some(Decision::Ran(answer)) => return Err(replay(&answer)),
             Some(Decision::InProgress(until)) => {
-                let left = until.saturating_sub(unix_millis()).clamp(1000, 5000);
+                let retry_ms = until.saturating_sub(unix_millis()).clamp(1000, 5000);
                 let text = "the first request with this key is in progress: ask again later";
-                Refusal::unknown(409, text).after_ms(left)
+                Refusal::unknown(409, text).after_ms(retry_ms)
             }
             Some(Decision::Unknown(_)) => Refusal::unknown(
                 409,
@@ -204,7 +204,7 @@
     }
 }
 
-fn ran(answer: &Answer) -> NotGranted {
+fn replay(answer: &Answer) -> NotGranted {
     let kept = answer
         .bytes
         .as_ref()
@@ -216,7 +216,7 @@
 }
 
 impl Granted {
-    /// Records that the request ran, with its answer if that is small enough to be kept.
+    /// Records that the request ran, and stores its answer if it is small enough.
     pub fn settle(self, status: u16, digest: Digest, kept: Option<&StoredAnswer>) {
         let bytes = kept
             .filter(|kept| kept.encoded_len() <= MAX_STORED_ANSWER)
@@ -226,28 +226,28 @@
             digest: digest.to_vec(),
             bytes,
         };
-        self.end(Some(answer));
+        self.commit_settlement(Some(answer));
     }
 
-    /// Records that nobody knows whether the request ran.
+    /// Records that it is unknown whether the request ran.
     pub fn settle_unknown(self) {
-        self.end(None);
+        self.commit_settlement(None);
     }
 
-    fn end(self, answer: Option<Answer>) {
+    fn commit_settlement(self, answer: Option<Answer>) {
         let body = Body::Settle(Settle {
             organisation: self.organisation,
             key: self.key,
             fence: self.fence,
             answer,
         });
-        // Not settled, the claim turns unknown by itself after its deadline: never run again.
+        // A claim that is not settled counts as unknown after its deadline, and its request never runs again.
         if let Err(error) = self.ledger.propose(body, SETTLE_TIMEOUT) {
-            warn!("a claim was not settled: {error}");
+            warn!("could not settle a claim: {error}");
         }
     }
 
-    /// Gives the key back: the request certainly did not run.
+    /// Releases the key, because the request certainly did not run.
     pub fn release(self) {
         let body = Body::Release(Release {
             organisation: self.organisation,
@@ -255,7 +255,7 @@
             fence: self.fence,
         });
         if let Err(error) = self.ledger.propose(body, SETTLE_TIMEOUT) {
-            warn!("a claim was not released: {error}");
+            warn!("could not release a claim: {error}");
         }
     }
 }
