--- a/crates/filbertstack-entry/src/table.rs
+++ b/crates/filbertstack-entry/src/table.rs
@@ -1,7 +1,7 @@
-//! The routing table: which rule takes a request, and which targets may answer it.
+//! The routing table: it maps a request to a rule and to the targets that may answer it.
 //!
-//! It is built anew when the declarations or the targets change; a request reads one table from
-//! its start to its end.
+//! A new table is built when the declarations or the targets change. A request uses the same table from its
+//! start to its end.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -28,57 +28,57 @@
 use crate::members::Member;
 use crate::view::View;
 
-/// A target as requests see it.
+/// A target that may answer requests of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
     /// Its instance name.
     pub name: InstanceName,
-    /// Where links to its agent lead.
+    /// The address of its agent's links.
     pub addr: SocketAddr,
-    /// The version that it answers from; `None` for a plain service.
+    /// The version that it serves; `None` for a plain service.
     pub version: Option<Digest>,
 }
 
-/// What a rule says of the requests that it takes.
+/// The rule that matches a request, and what it says about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteMatch {
-    /// The rule.
+    /// The name of the rule.
     pub rule: RuleName,
-    /// The targets' group.
+    /// The group of targets that may answer.
     pub group: GroupKey,
-    /// What the targets are.
+    /// The kind of the targets.
     pub kind: Kind,
-    /// Whether a request may run twice.
+    /// Whether the request may run twice.
     pub idempotent: bool,
-    /// The longest a caller waits for the end of the answer.
+    /// The longest time that a caller waits for the end of the answer.
     pub timeout: Millis,
-    /// The priority at admission.
+    /// The priority of the request at admission.
     pub priority: Priority,
 }
 
-/// A request as rules see it.
+/// The properties of a request that rules match on.
 #[derive(Clone, Debug)]
 pub struct RequestInfo<'a> {
-    /// `organisation`, `model` and `method`.
+    /// The labels `organisation`, `model` and `method`.
     pub labels: Labels,
-    /// The path.
+    /// The path of the request.
     pub path: &'a str,
-    /// The model, if it asks for one.
+    /// The model, if the request names one.
     pub model: Option<&'a ModelName>,
 }
 
-/// Why no rule takes a request.
+/// The reason why no rule matches a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NoRoute {
-    /// No rule matches.
+    /// No rule matches the request.
     #[error("no rule takes this request: check its path, model and key, or declare a rule")]
     Rule,
-    /// Rules match, but none leads to the model.
+    /// Some rule matches, but none selects a deployment of the model.
     #[error("no deployment that a rule selects has this model: see GET /v1/models")]
     Model,
 }
 
-/// The key of a group: a rule and, for models, one of them.
+/// The name of a group: a rule and, if it routes to models, one of its models.
 type GroupName = (RuleName, Option<ModelName>);
 
 #[derive(Debug)]
@@ -98,21 +98,21 @@
 }
 
 impl Table {
-    /// The rule that takes a request, and the group of targets that may answer.
+    /// Returns the first rule that matches a request, with the group of targets that may answer.
     ///
     /// # Errors
-    /// [`NoRoute`] says why there is none.
-    pub fn find(&self, asked: &RequestInfo<'_>) -> Result<RouteMatch, NoRoute> {
-        let mut none = NoRoute::Rule;
+    /// Returns [`NoRoute`] with the reason why no rule matches.
+    pub fn find(&self, request: &RequestInfo<'_>) -> Result<RouteMatch, NoRoute> {
+        let mut reason = NoRoute::Rule;
         for TableRule { name, rule, groups } in &self.rules {
-            let matches =
-                asked.path.starts_with(rule.path.as_ref()) && rule.requests.matches(&asked.labels);
+            let matches = request.path.starts_with(rule.path.as_ref())
+                && rule.requests.matches(&request.labels);
             if !matches {
                 continue;
             }
             let kind = kind_of(rule);
             let model = if kind == Kind::Engines {
-                asked.model.cloned()
+                request.model.cloned()
             } else {
                 None
             };
@@ -120,7 +120,7 @@
                 continue;
             }
             let Some(group) = groups.get(&model) else {
-                none = NoRoute::Model;
+                reason = NoRoute::Model;
                 continue;
             };
             return Ok(RouteMatch {
@@ -132,20 +132,20 @@
                 priority: rule.priority,
             });
         }
-        Err(none)
+        Err(reason)
     }
 
-    /// The target of a group.
+    /// Returns a target of a group, with the version that it serves there.
     pub fn endpoint(&self, group: GroupKey, target: TargetKey) -> Option<&Endpoint> {
         self.endpoints.get(&(group, target))
     }
 
-    /// The revision of the declarations that it follows.
+    /// Returns the revision of the declarations that the table was built from.
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The models declared.
+    /// Returns the declared models.
     pub fn models(&self) -> &[ModelName] {
         &self.models
     }
@@ -158,21 +158,22 @@
     }
 }
 
-/// Builds tables, and keeps the router's targets and groups in step with them.
+/// Builds routing tables, and updates the router's targets and groups to match.
 #[derive(Debug, Default)]
 pub struct Builder {
-    targets: BTreeMap<InstanceName, Known>,
+    targets: BTreeMap<InstanceName, RoutedTarget>,
     groups: HashMap<GroupName, GroupKey>,
 }
 
+/// A target that the router knows.
 #[derive(Debug)]
-struct Known {
+struct RoutedTarget {
     key: TargetKey,
     incarnation: u64,
 }
 
 impl Builder {
-    /// Builds the table for `view` and the live `members`.
+    /// Builds the table for `view` and the live `members`, and updates `flow` to match.
     pub fn build(
         &mut self,
         now: Millis,
@@ -188,20 +189,20 @@
         let mut groups = HashMap::new();
         let declared = view.declared();
         for (name, rule) in declared.ordered_rules() {
-            let mut own = HashMap::new();
+            let mut rule_groups = HashMap::new();
             for model in models_of(rule, &declared.deployments) {
                 let group_name = (name.clone(), model.clone());
-                let old = self.groups.remove(&group_name);
-                let group = old.unwrap_or_else(|| flow.add_group(kind_of(rule)));
-                let endpoints = endpoints(rule, model.as_ref(), view, members);
-                self.fill(group, endpoints, flow, &mut table);
+                let existing = self.groups.remove(&group_name);
+                let group = existing.unwrap_or_else(|| flow.add_group(kind_of(rule)));
+                let endpoints = endpoints_of(rule, model.as_ref(), view, members);
+                self.set_candidates(group, endpoints, flow, &mut table);
                 groups.insert(group_name, group);
-                own.insert(model, group);
+                rule_groups.insert(model, group);
             }
             let rule = TableRule {
                 name: name.clone(),
                 rule: rule.clone(),
-                groups: own,
+                groups: rule_groups,
             };
             table.rules.push(rule);
         }
@@ -221,7 +222,7 @@
 
     fn sync_targets(&mut self, now: Millis, members: &[Member], flow: &mut Flow) {
         let router = flow.router_mut();
-        let first = self.targets.is_empty();
+        let first_build = self.targets.is_empty();
         self.targets.retain(|name, known| {
             let stays = members
                 .iter()
@@ -246,8 +247,8 @@
                 zone: member.zone.clone(),
                 slots: Some(member.slots),
             };
-            let key = router.target_up(now, info, !first);
-            let known = Known {
+            let key = router.target_up(now, info, !first_build);
+            let known = RoutedTarget {
                 key,
                 incarnation: member.incarnation,
             };
@@ -255,8 +256,14 @@
         }
     }
 
-    /// Tells the router which targets may answer a group's requests, and notes their endpoints.
-    fn fill(&self, group: GroupKey, endpoints: Vec<Endpoint>, flow: &mut Flow, table: &mut Table) {
+    /// Sets the router's candidates for a group, and adds their endpoints to the table.
+    fn set_candidates(
+        &self,
+        group: GroupKey,
+        endpoints: Vec<Endpoint>,
+        flow: &mut Flow,
+        table: &mut Table,
+    ) {
         let mut candidates = Vec::new();
         for endpoint in endpoints {
             if let Some(known) = self.targets.get(&endpoint.name) {
@@ -268,7 +275,7 @@
     }
 }
 
-/// The models that a rule leads to; one `None` for a plain service.
+/// Returns the models that a rule routes to; a single `None` for a plain service.
 fn models_of(
     rule: &Rule,
     deployments: &BTreeMap<DeploymentName, Deployment>,
@@ -287,8 +294,8 @@
     models
 }
 
-/// Where requests of `rule` for `model` may be answered.
-fn endpoints(
+/// Returns the targets that may answer requests of `rule` for `model`.
+fn endpoints_of(
     rule: &Rule,
     model: Option<&ModelName>,
     view: &View,
@@ -326,5 +333,5 @@
     })
 }
 
-/// A table shared by an entry's threads.
+/// A routing table that an entry's threads share.
 pub type SharedTable = Arc<Table>;
