--- a/crates/filbertstack-entry/tests/gossip.rs
+++ b/crates/filbertstack-entry/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! The gossip's messages as bytes.
+//! Tests of the encoding of the gossip's messages.
 
 use filbertstack_core::Millis;
 use filbertstack_entry::gossip::EntryFacts;
@@ -34,11 +34,10 @@
     }
 }
 
-// Entries at rest have no news for each other, and hear of each other all the same.
-// A message without rows that took no bytes would be taken for no message: neighbours would doubt
-// each other every few seconds.
+// Idle entries send each other messages without rows. If such a message encoded to no bytes, the receiver
+// would ignore it, and neighbours would suspect each other every few seconds.
 #[test]
-fn a_message_without_news_is_still_a_message() {
+fn message_without_rows_has_bytes() {
     for kind in [MessageKind::Push, MessageKind::Answer, MessageKind::Page] {
         let message = Message {
             kind,
@@ -53,7 +52,7 @@
 }
 
 #[test]
-fn a_message_is_read_as_it_was_written() {
+fn message_decodes_to_itself() {
     let mut rows = Vec::new();
     for kind in [RowKind::Entry, RowKind::Target] {
         for state in [State::Up, State::Leaving, State::Left] {
@@ -69,13 +68,13 @@
         rows,
         summary: Some(Summary(Box::new(summary))),
     };
-    let read = encoding::decode(&encoding::encode(&message));
-    assert_eq!(read, Some(message));
+    let decoded = encoding::decode(&encoding::encode(&message));
+    assert_eq!(decoded, Some(message));
 }
 
-// A thousand targets that fetch a version do not make news of every chunk.
+// If a row changed with every fetched chunk, a thousand targets that fetch a version would flood the gossip.
 #[test]
-fn progress_is_told_in_a_few_dozen_steps() {
+fn chunk_progress_is_coarse_while_fetching() {
     let facts = |chunks, stage: Stage| {
         let copy = Copy {
             chunks,
@@ -88,12 +87,12 @@
             ..Announce::default()
         })
     };
-    let mut told: Vec<_> = (0..100_000)
+    let mut distinct: Vec<_> = (0..100_000)
         .map(|chunks| facts(chunks, Stage::Fetching))
         .collect();
-    told.dedup();
+    distinct.dedup();
     // 0 to 7, four steps for each of the lengths from 4 to 16 bits, and three up to 100,000.
-    assert_eq!(told.len(), 8 + 13 * 4 + 3);
-    // What decisions rest on is told as it is.
+    assert_eq!(distinct.len(), 8 + 13 * 4 + 3);
+    // In other stages, which decisions depend on, the count stays exact.
     assert_ne!(facts(99_998, Stage::Serving), facts(99_999, Stage::Serving));
 }
