--- a/crates/filbertstack-entry/src/fleet.rs
+++ b/crates/filbertstack-entry/src/fleet.rs
@@ -1,6 +1,6 @@
-//! The fleet as placement sees it, made from announcements and the register.
+//! The fleet in the form that placement reads, derived from announcements and the register.
 //!
-//! An engine holds one version at a time: agents load the next once nothing runs on the last.
+//! An engine holds one version at a time: an agent loads the next version once no request runs on the last.
 
 use std::collections::BTreeMap;
 
@@ -14,29 +14,30 @@
 use filbertstack_policy::placement::Member as Placed;
 use filbertstack_policy::placement::SETTLE;
 use filbertstack_policy::placement::Stage;
-use filbertstack_wire::messages::Stage as Reported;
+use filbertstack_wire::messages::Stage as ReportedStage;
 
-use crate::members::Held;
+use crate::members::HeldVersion;
 use crate::members::Member;
 
-/// Where the watch's clock begins, so that moments before its start can be named.
+/// The time at which the tracker's clock starts. It is above zero so that earlier times can be expressed.
 pub const CLOCK_START: Millis = Millis::secs(3600);
 
+/// The last observed state of an instance.
 #[derive(Clone, Debug)]
-struct Seen {
+struct Observation {
     health: Health,
     holds: BTreeMap<Digest, Holding>,
 }
 
-/// Remembers since when each instance has been as it is.
+/// Tracks since when each instance has been in its current state.
 #[derive(Clone, Debug, Default)]
-pub struct Watcher {
-    seen: BTreeMap<InstanceName, Seen>,
+pub struct FleetTracker {
+    observations: BTreeMap<InstanceName, Observation>,
 }
 
-impl Watcher {
-    /// The fleet at `now`. An instance that is registered and not heard counts as away since it
-    /// was first missed, so that a new leader, which has heard nobody yet, moves nothing.
+impl FleetTracker {
+    /// Returns the fleet at `now`. A registered instance without an announcement counts as away since the
+    /// first observation that lacked it. So a new leader, which has no announcements yet, moves nothing.
     pub fn observe(
         &mut self,
         now: Millis,
@@ -46,9 +47,9 @@
     ) -> Fleet {
         let mut fleet = Fleet::new();
         for member in live.iter().filter(|member| !member.service) {
-            let seen = self.heard(now, member, &chunks);
-            let mut placed = Placed::new(member.labels.clone(), member.memory, seen.health);
-            placed.holds.clone_from(&seen.holds);
+            let observation = self.observe_live(now, member, &chunks);
+            let mut placed = Placed::new(member.labels.clone(), member.memory, observation.health);
+            placed.holds.clone_from(&observation.holds);
             placed.single = true;
             fleet.insert(member.name.clone(), placed);
         }
@@ -56,36 +57,41 @@
             if fleet.contains_key(name) {
                 continue;
             }
-            let health = self.missed(now, name);
+            let health = self.observe_missing(now, name);
             let placed = Placed::new(facts.labels.clone(), facts.memory, health);
             fleet.insert(name.clone(), placed);
         }
-        self.seen.retain(|name, _| fleet.contains_key(name));
+        self.observations.retain(|name, _| fleet.contains_key(name));
         fleet
     }
 
-    fn heard(&mut self, now: Millis, member: &Member, chunks: &impl Fn(&Digest) -> u32) -> &Seen {
-        let seen = self
-            .seen
+    fn observe_live(
+        &mut self,
+        now: Millis,
+        member: &Member,
+        chunks: &impl Fn(&Digest) -> u32,
+    ) -> &Observation {
+        let observation = self
+            .observations
             .entry(member.name.clone())
-            .or_insert_with(|| Seen {
-                // One that was never seen away is no flapping instance: it may get work at once.
+            .or_insert_with(|| Observation {
+                // An instance that was never away does not flap, so it may get work at once.
                 health: Health::Up(now - SETTLE),
                 holds: BTreeMap::new(),
             });
-        seen.health = match seen.health {
+        observation.health = match observation.health {
             _ if member.leaving => Health::Leaving,
             Health::Up(since) => Health::Up(since),
             Health::Away(_) | Health::Leaving => Health::Up(now),
         };
-        let before = std::mem::take(&mut seen.holds);
+        let before = std::mem::take(&mut observation.holds);
         for held in &member.held {
-            let Some(stage) = stage(held, chunks(&held.version)) else {
+            let Some(stage) = placement_stage(held, chunks(&held.version)) else {
                 continue;
             };
             let same = before.get(&held.version).filter(|old| old.stage == stage);
             let since = same.map_or(now, |old| old.since);
-            seen.holds.insert(
+            observation.holds.insert(
                 held.version,
                 Holding {
                     stage,
@@ -94,32 +100,32 @@
                 },
             );
         }
-        seen
+        observation
     }
 
-    fn missed(&mut self, now: Millis, name: &InstanceName) -> Health {
-        let away = Seen {
+    fn observe_missing(&mut self, now: Millis, name: &InstanceName) -> Health {
+        let away = Observation {
             health: Health::Away(now),
             holds: BTreeMap::new(),
         };
-        let seen = self.seen.entry(name.clone()).or_insert(away);
-        if !matches!(seen.health, Health::Away(_)) {
-            seen.health = Health::Away(now);
+        let observation = self.observations.entry(name.clone()).or_insert(away);
+        if !matches!(observation.health, Health::Away(_)) {
+            observation.health = Health::Away(now);
         }
-        seen.holds.clear();
-        seen.health
+        observation.holds.clear();
+        observation.health
     }
 }
 
-fn stage(held: &Held, chunks: u32) -> Option<Stage> {
+fn placement_stage(held: &HeldVersion, chunks: u32) -> Option<Stage> {
     let percent = held.chunks.saturating_mul(100) / chunks.max(1);
     Some(match held.stage {
-        Reported::Absent => return None,
-        Reported::Fetching => Stage::Chunks(u8::try_from(percent.min(99)).unwrap_or(99)),
-        Reported::Verified => Stage::Chunks(100),
-        Reported::Loading => Stage::Loading,
-        Reported::Serving => Stage::Serving,
-        Reported::Draining => Stage::Draining,
-        Reported::Failed => Stage::Failed,
+        ReportedStage::Absent => return None,
+        ReportedStage::Fetching => Stage::Chunks(u8::try_from(percent.min(99)).unwrap_or(99)),
+        ReportedStage::Verified => Stage::Chunks(100),
+        ReportedStage::Loading => Stage::Loading,
+        ReportedStage::Serving => Stage::Serving,
+        ReportedStage::Draining => Stage::Draining,
+        ReportedStage::Failed => Stage::Failed,
     })
 }
--- a/crates/filbertstack-entry/src/follow.rs
+++ b/crates/filbertstack-entry/src/follow.rs
@@ -1,4 +1,4 @@
-//! How an entry that is no voter follows the control state: it asks a voter what changed.
+//! Long polling of a voter for changes of the control state, by an entry that is not a voter itself.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,56 +18,56 @@
 use crate::view::Update;
 use crate::view::Views;
 
-/// How long a voter may hold the question while nothing changes, in milliseconds.
+/// The time for which a voter may hold a long poll while nothing changes, in milliseconds.
 ///
-/// A change then reaches a follower in one message instead of at the next poll, and an idle
-/// follower costs one small call in this time.
-pub const HOLD: u64 = 2_000;
+/// A change reaches a follower in one message instead of at the next poll, and an idle follower makes one
+/// small call in this time.
+pub const HOLD_MS: u64 = 2_000;
 
-/// How long an answer may take beyond the hold.
-const MARGIN: Duration = Duration::from_secs(2);
+/// The time that an answer may take beyond [`HOLD_MS`].
+const ANSWER_MARGIN: Duration = Duration::from_secs(2);
 
-/// The pause after a failed question.
-const PAUSE: Duration = Duration::from_millis(300);
+/// The pause after a failed poll.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Follows the control state until it is stopped.
+/// Keeps the views of an entry that is not a voter up to date.
 #[derive(Debug)]
-pub struct Follow {
+pub struct ControlFollower {
     /// This entry's instance name.
     pub name: String,
-    /// Whom to ask.
+    /// The client that asks the voters.
     pub ledger: Arc<Ledger>,
-    /// Where updates go.
+    /// The views that take the updates.
     pub views: Arc<Views>,
-    /// Ends the loop.
+    /// The flag that ends [`ControlFollower::run`].
     pub stopped: Arc<AtomicBool>,
 }
 
-impl Follow {
-    /// Follows until stopped.
+impl ControlFollower {
+    /// Polls the voters until stopped.
     pub fn run(&self) {
         while !self.stopped.load(Ordering::Relaxed) {
-            if let Err(text) = self.ask() {
-                debug!("no update of the control state: {text}");
-                thread::sleep(PAUSE);
+            if let Err(text) = self.poll() {
+                debug!("could not fetch an update of the control state: {text}");
+                thread::sleep(RETRY_PAUSE);
             }
         }
     }
 
-    fn ask(&self) -> Result<(), String> {
-        let reached = self.views.get().reached();
+    fn poll(&self) -> Result<(), String> {
+        let position = self.views.get().position();
         let ask = Ask::Watch(Watch {
-            since: reached.revision,
-            sequence: reached.sequence,
+            since: position.revision,
+            sequence: position.sequence,
             follower: self.name.clone(),
-            wait: HOLD,
+            wait: HOLD_MS,
         });
-        let timeout = Duration::from_millis(HOLD) + MARGIN;
-        let told = self
+        let timeout = Duration::from_millis(HOLD_MS) + ANSWER_MARGIN;
+        let answer = self
             .ledger
             .ask(&ask, timeout)
             .map_err(|error| error.to_string())?;
-        let Tell::Payload(Payload { body }) = told else {
+        let Tell::Payload(Payload { body }) = answer else {
             return Err("another reply than an update".into());
         };
         let update = Update::decode(body).map_err(|error| error.to_string())?;
@@ -79,6 +79,6 @@
         if !voters.is_empty() {
             self.ledger.set_voters(&voters);
         }
-        self.views.take(update).map_err(|error| error.to_string())
+        self.views.apply(update).map_err(|error| error.to_string())
     }
 }
--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -1,7 +1,7 @@
-//! The gossip over links: which entries and targets there are, as this entry knows it.
+//! The gossip over links, by which this entry knows the other entries and the targets.
 //!
-//! [`Membership`] gives [`Gossip`] the time, carries its messages between entries, takes the
-//! announcements of agents in, and keeps [`Members`] in step with the targets' rows.
+//! [`Membership`] drives [`Gossip`] with a clock, carries its messages between entries, adds the
+//! announcements of agents, and updates [`Members`] from the rows of targets.
 
 pub mod encoding;
 
@@ -58,25 +58,24 @@
 
 pub use encoding::EntryFacts;
 
-/// How long the far end may take to answer: a message that is later than the next few is not
-/// missed.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// The time that the far end may take to answer. A message that is overtaken by the next few is not needed.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The most entries that a caller is told: all of a fleet of today's size. At 340 entries a list
-/// of 16 is still spread over several zones.
-const MAX_TOLD: usize = 16;
+/// The maximum number of entries in a caller's list. A fleet of the usual size fits as a whole; at 340
+/// entries a list of 16 still covers several zones.
+const MAX_LISTED: usize = 16;
 
-/// The kind of the bytes sent, in the metrics.
-const METRIC: &str = "gossip";
+/// The label of the gossip in the metric of bytes sent.
+const METRIC_LABEL: &str = "gossip";
 
-/// Which entries and targets there are.
+/// The entries and targets that this entry knows through the gossip.
 pub struct Membership {
     name: InstanceName,
     region: RegionName,
     facts: EntryFacts,
-    /// Entries known from the settings, by name.
+    /// The entries that the settings list with a name.
     voters: HashMap<InstanceName, SocketAddr>,
-    /// Entries known from the settings without a name.
+    /// The entries that the settings list without a name.
     seeds: Vec<SocketAddr>,
     dialer: Arc<Dialer>,
     members: Arc<Members>,
@@ -86,7 +85,7 @@
 }
 
 impl Membership {
-    /// The membership as this entry knows it at its start: itself, and whom the settings name.
+    /// Creates the membership of an entry at its start, with the entry itself and those of the settings.
     pub fn new(
         settings: &Settings,
         dialer: Arc<Dialer>,
@@ -132,17 +131,17 @@
         }
     }
 
-    /// The targets, in step with their rows.
+    /// Returns the targets, which are kept up to date with their rows.
     pub const fn members(&self) -> &Arc<Members> {
         &self.members
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Millis {
         self.start.elapsed().into()
     }
 
-    /// Gossips until `stopped`.
+    /// Runs the rounds of the gossip until `stopped` is set.
     pub fn run(self: &Arc<Self>, stopped: &AtomicBool) {
         let settings = gossip::Settings::DEFAULT;
         for round in 0.. {
@@ -151,19 +150,19 @@
             }
             let alone = self.tick();
             if alone || round % settings.compare == 0 {
-                self.greet_seed(round);
+                self.contact_seed(round);
             }
             thread::sleep(settings.round.into());
         }
     }
 
-    /// One round; whether no other entry is known.
+    /// Runs one round. Returns whether no other entry is known.
     fn tick(self: &Arc<Self>) -> bool {
         let now = self.now();
         let mut gossip = self.lock();
         let sends = gossip.tick(now);
         let alone = gossip.view().is_empty();
-        self.pass_on(&mut gossip);
+        self.apply_changes(&mut gossip);
         drop(gossip);
         for send in sends {
             self.send(send);
@@ -171,20 +170,20 @@
         alone
     }
 
-    /// Sends on a thread of its own: a far end that is frozen must not hold the rounds up.
+    /// Sends a message on its own thread, so that a frozen far end does not delay the rounds.
     fn send(self: &Arc<Self>, send: Outgoing) {
         let Some(addr) = self.addr_of(&send.to) else {
             return;
         };
-        self.talk(addr, send.message);
+        self.start_exchange(addr, send.message);
     }
 
-    fn talk(self: &Arc<Self>, addr: SocketAddr, message: Message) {
+    fn start_exchange(self: &Arc<Self>, addr: SocketAddr, message: Message) {
         let membership = self.clone();
         let builder = thread::Builder::new()
             .name("gossip".into())
             .stack_size(STACK);
-        // Without a thread the message is lost, as it may be on the network.
+        // If the thread does not start, the message is lost, as it could be on the network.
         let _ = builder.spawn(move || {
             let mut next = Some(message);
             while let Some(message) = next {
@@ -193,30 +192,31 @@
         });
     }
 
-    /// Sends a message and takes its answer in; what to send next to the same entry.
+    /// Sends a message and handles its answer. Returns the next message for the same entry.
     fn exchange(&self, addr: SocketAddr, message: &Message) -> Option<Message> {
         let link = self.dialer.link(addr, Role::Peer);
         let link = link
-            .inspect_err(|error| debug!("gossip to {addr}: {error}"))
+            .inspect_err(|error| debug!("could not connect to {addr} for gossip: {error}"))
             .ok()?;
-        let body = self.counted(message);
-        let told = link.ask(Ask::Gossip(Payload { body }), TIMEOUT);
-        let told = told.inspect_err(|error| debug!("gossip to {addr}: {error}"));
-        let Ok(Tell::Payload(Payload { body })) = told else {
+        let body = self.encode_counted(message);
+        let answer = link.ask(Ask::Gossip(Payload { body }), ANSWER_TIMEOUT);
+        let answer = answer.inspect_err(|error| debug!("gossip with {addr} failed: {error}"));
+        let Ok(Tell::Payload(Payload { body })) = answer else {
             return None;
         };
-        self.take(&link.remote().name, &body)
+        self.handle(&link.remote().name, &body)
     }
 
-    /// Takes the message of another entry in, and answers it.
+    /// Handles a message of another entry and answers it.
     pub fn receive(&self, remote: &Remote, body: &[u8], responder: Responder) {
-        let answer = self.take(&remote.name, body);
-        let body = answer.map(|answer| self.counted(&answer));
-        // A caller that is gone asks again in its next round.
+        let answer = self.handle(&remote.name, body);
+        let body = answer.map(|answer| self.encode_counted(&answer));
+        // If the answer cannot be sent, the other entry asks again in its next round.
         let _ = responder.finish(payload(body.unwrap_or_default()));
     }
 
-    fn take(&self, from: &str, body: &[u8]) -> Option<Message> {
+    /// Passes a message to the gossip. Returns the answer to it.
+    fn handle(&self, from: &str, body: &[u8]) -> Option<Message> {
         if body.is_empty() {
             return None;
         }
@@ -224,37 +224,38 @@
         let now = self.now();
         let mut gossip = self.lock();
         let answers = gossip.receive(&from, message, now);
-        self.pass_on(&mut gossip);
+        self.apply_changes(&mut gossip);
         answers.into_iter().next().map(|answer| answer.message)
     }
 
-    fn counted(&self, message: &Message) -> Bytes {
+    /// Encodes a message and counts its bytes as sent.
+    fn encode_counted(&self, message: &Message) -> Bytes {
         let body = encoding::encode(message);
         self.telemetry
             .metrics
             .control
             .sent
-            .add(METRIC, body.len() as u64);
+            .add(METRIC_LABEL, body.len() as u64);
         body
     }
 
-    /// Greets an entry whose address alone is known from the settings, until its row is known.
+    /// Sends this entry's row to a seed whose row is not known yet. The settings give only a seed's address.
     ///
-    /// It answers an empty table with the rows of its own, and under its name.
-    fn greet_seed(self: &Arc<Self>, round: u64) {
+    /// The message carries the summary of an empty table, so the seed answers with its own rows and its name.
+    fn contact_seed(self: &Arc<Self>, round: u64) {
         let gossip = self.lock();
         let known: Vec<_> = gossip.rows().filter_map(EntryFacts::of).collect();
-        let hello = Message {
+        let message = Message {
             kind: MessageKind::Push,
             rows: vec![gossip.me().clone()],
             summary: Some(Summary(Box::new([0; SUMMARY_BUCKETS]))),
         };
         drop(gossip);
-        let met = |addr: &SocketAddr| known.iter().any(|facts| facts.links == *addr);
-        let unmet: Vec<_> = self.seeds.iter().filter(|addr| !met(addr)).collect();
+        let is_known = |addr: &SocketAddr| known.iter().any(|facts| facts.links == *addr);
+        let unknown: Vec<_> = self.seeds.iter().filter(|addr| !is_known(addr)).collect();
         let turn = usize::try_from(round).unwrap_or_default();
-        if let Some(addr) = unmet.get(turn % unmet.len().max(1)) {
-            self.talk(**addr, hello);
+        if let Some(addr) = unknown.get(turn % unknown.len().max(1)) {
+            self.start_exchange(**addr, message);
         }
     }
 
@@ -265,7 +266,7 @@
         known.or_else(|| self.voters.get(name).copied())
     }
 
-    /// Takes an agent's announcement in; false if its name is an entry's.
+    /// Adds an agent's announcement to the gossip. Returns false if an entry has the same name.
     pub fn announce(&self, announce: &Announce, member: &Member) -> bool {
         let now = self.now();
         let mut gossip = self.lock();
@@ -273,9 +274,9 @@
         if known.is_some_and(|row| row.kind == RowKind::Entry) {
             return false;
         }
-        let row = renewed(known, self.target_row(announce, member));
+        let row = unless_unchanged(known, self.target_row(announce, member));
         gossip.announce(Announcement { row }, now);
-        self.pass_on(&mut gossip);
+        self.apply_changes(&mut gossip);
         true
     }
 
@@ -298,7 +299,7 @@
         }
     }
 
-    /// Where the target `member` is to announce itself next.
+    /// Returns the link addresses of the entries to which the target `member` announces itself next.
     pub fn entries_for_target(&self, member: &InstanceName) -> Vec<SocketAddr> {
         let gossip = self.lock();
         let region = gossip.row(member).map_or(&self.region, |row| &row.region);
@@ -308,23 +309,24 @@
         facts.map(|facts| facts.links).collect()
     }
 
-    /// The entries that `caller` is told to use, best first.
-    pub fn entries_for(&self, caller: &str) -> Vec<EntryFacts> {
+    /// Returns the entries that `caller` should use, best first.
+    pub fn entries_for_caller(&self, caller: &str) -> Vec<EntryFacts> {
         let gossip = self.lock();
-        let names = gossip::spread(caller, Some(&self.region), gossip.rows(), MAX_TOLD);
+        let names = gossip::spread(caller, Some(&self.region), gossip.rows(), MAX_LISTED);
         let rows = names.iter().filter_map(|name| gossip.row(name));
         rows.filter_map(EntryFacts::of).collect()
     }
 
-    /// How many entries take work, as far as is known.
+    /// Returns the number of entries that are known to take requests.
     pub fn live_entries(&self) -> usize {
         let gossip = self.lock();
         let entries = gossip.rows().filter(|row| row.kind == RowKind::Entry);
         entries.filter(|row| row.takes_work()).count()
     }
 
-    /// Says that this entry leaves; until when it must serve callers that were told its address.
-    pub fn leave(&self) -> Departure {
+    /// Announces that this entry is leaving. Returns the time until which it must serve callers that have its
+    /// address.
+    pub fn announce_leaving(&self) -> Departure {
         let now = self.now();
         let mut gossip = self.lock();
         let facts = gossip.rows().filter_map(EntryFacts::of);
@@ -334,8 +336,8 @@
         Departure::begin(now, max_age)
     }
 
-    /// Says that this entry is gone, to its neighbours at once: there is no next round.
-    pub fn part(&self) {
+    /// Tells the neighbours at once that this entry has left, because no further round follows.
+    pub fn announce_left(&self) {
         let now = self.now();
         let mut gossip = self.lock();
         gossip.declare(State::Left, self.facts.to_facts(), now);
@@ -347,22 +349,23 @@
         });
         drop(gossip);
         for addr in view.iter().filter_map(|name| self.addr_of(name)) {
-            // Whoever does not hear it finds out by this entry's silence.
+            // A neighbour that misses the message finds out when this entry falls silent.
             if let Ok(link) = self.dialer.link(addr, Role::Peer) {
-                let _ = link.ask(Ask::Gossip(Payload { body: body.clone() }), PARTING);
+                let _ = link.ask(Ask::Gossip(Payload { body: body.clone() }), LEFT_TIMEOUT);
             }
         }
     }
 
-    fn pass_on(&self, gossip: &mut Gossip) {
+    /// Applies the changes of targets' rows to the members.
+    fn apply_changes(&self, gossip: &mut Gossip) {
         for change in gossip.take_changes() {
             match change {
-                Change::Updated(row) if row.kind == RowKind::Target => self.members.take(&row),
+                Change::Updated(row) if row.kind == RowKind::Target => self.members.update(&row),
                 Change::Updated(_) => {}
-                Change::Forgotten(name) => self.members.forget(&name),
+                Change::Forgotten(name) => self.members.remove(&name),
                 Change::NameTaken { incarnation } => error!(
-                    "another entry runs under the name {}, started at {incarnation} ms of its \
-                     clock: stop one of the two, or set this instance's clock and start anew",
+                    "another entry uses the name {} and was started at {incarnation} ms of its \
+                     clock: stop one of the two, or set this instance's clock and restart",
                     self.name
                 ),
             }
@@ -374,26 +377,25 @@
     }
 }
 
-/// How long the last word to one neighbour may take.
-const PARTING: Duration = Duration::from_millis(500);
+/// The time that the last message to one neighbour may take.
+const LEFT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The row to take in for an announced one: the known row if nothing but the announcement's
-/// number differs.
+/// Returns the known row if only the announcement's number differs from it, and the announced row otherwise.
 ///
-/// Agents number every announcement. Taken as it is, each would be news for every entry, once a
-/// second and target, and real news would wait behind them.
-fn renewed(known: Option<&Row>, announced: Row) -> Row {
-    let same = known.filter(|known| {
-        let raised = Row {
+/// Agents number every announcement. If the gossip took each number, every target would cause a change that
+/// spreads to every entry once a second, and real changes would be delayed behind these.
+fn unless_unchanged(known: Option<&Row>, announced: Row) -> Row {
+    let unchanged = known.filter(|known| {
+        let renumbered = Row {
             version: known.version,
             ..announced.clone()
         };
-        **known == raised
+        **known == renumbered
     });
-    same.cloned().unwrap_or(announced)
+    unchanged.cloned().unwrap_or(announced)
 }
 
-/// A number that grows with each start of this process on one instance.
+/// Returns a number that grows with each start of this process on one instance.
 fn incarnation() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/filbertstack-entry/src/gossip/encoding.rs
+++ b/crates/filbertstack-entry/src/gossip/encoding.rs
@@ -1,4 +1,4 @@
-//! The gossip's messages and the facts of its rows as bytes.
+//! The encoding of the gossip's messages and of the facts in its rows.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,19 +19,19 @@
 use filbertstack_wire::messages::Stage;
 use prost::Message as _;
 
-/// Of a number of chunks that is under way, so many leading bits are told on.
+/// The number of leading bits that are kept of a chunk count while a copy is in progress.
 const PROGRESS_BITS: u32 = 3;
 
-/// What an entry says of itself.
+/// The facts that an entry publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryFacts {
-    /// Where callers connect.
+    /// The address for callers.
     pub http: SocketAddr,
-    /// Where links connect.
+    /// The address for links.
     pub links: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// How long callers may keep its address.
+    /// The time for which callers may keep its address.
     pub max_age: Millis,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl EntryFacts {
-    /// The bytes for a row.
+    /// Encodes the facts for a row.
     pub fn to_facts(&self) -> Facts {
         let frame = EntryFrame {
             http: self.http.to_string(),
@@ -59,7 +59,7 @@
         Facts(frame.encode_to_vec().into())
     }
 
-    /// Reads an entry's row; `None` if it does not read.
+    /// Decodes the facts of an entry's row. Returns `None` if they are malformed.
     pub fn of(row: &Row) -> Option<Self> {
         let frame = EntryFrame::decode(&*row.facts.0).ok()?;
         Some(Self {
@@ -71,11 +71,11 @@
     }
 }
 
-/// The bytes of what a target announces, without what its row says itself.
+/// Encodes a target's announcement without the fields that its row already holds.
 ///
-/// Each row that changes goes to every entry. Chunks that arrive change it with each
-/// announcement, and a new version on 1,000 targets would hold up all other news; told by their
-/// leading bits they change it a few dozen times for a whole copy.
+/// Each changed row goes to every entry. The exact chunk count would change the row with each announcement,
+/// and a new version on 1,000 targets would delay all other changes. With only its leading bits, the count
+/// changes the row a few dozen times for a whole copy.
 pub fn target_facts(announce: &Announce) -> Facts {
     let mut facts = Announce {
         name: String::new(),
@@ -87,14 +87,14 @@
     };
     for copy in &mut facts.copies {
         if copy.stage() == Stage::Fetching {
-            copy.chunks = leading(copy.chunks);
+            copy.chunks = round_down(copy.chunks);
         }
     }
     Facts(facts.encode_to_vec().into())
 }
 
-/// What a target announced, from its row; `None` if it does not read.
-pub fn announced(row: &Row) -> Option<Announce> {
+/// Decodes the announcement in a target's row. Returns `None` if it is malformed.
+pub fn decode_announce(row: &Row) -> Option<Announce> {
     let facts = Announce::decode(&*row.facts.0).ok()?;
     Some(Announce {
         name: row.name.to_string(),
@@ -105,7 +105,8 @@
     })
 }
 
-fn leading(count: u32) -> u32 {
+/// Returns `count` with all but its [`PROGRESS_BITS`] leading bits cleared.
+fn round_down(count: u32) -> u32 {
     let bits = u32::BITS - count.leading_zeros();
     let cut = bits.saturating_sub(PROGRESS_BITS);
     count >> cut << cut
@@ -141,11 +142,11 @@
     facts: Vec<u8>,
 }
 
-/// The bytes of a message.
+/// Encodes a message.
 pub fn encode(message: &Message) -> Bytes {
     let kind = match message.kind {
-        // From one on: a push without news would be no bytes at all, which means no answer. It
-        // would not be heard, and neighbours at rest would doubt each other again and again.
+        // The kinds start at 1. With 0, a push without rows would encode to no bytes, which means "no
+        // answer". It would be ignored, and idle neighbours would suspect each other again and again.
         MessageKind::Push => 1,
         MessageKind::Answer => 2,
         MessageKind::Page => 3,
@@ -153,14 +154,14 @@
     let summary = message.summary.as_ref();
     let frame = MessageFrame {
         kind,
-        rows: message.rows.iter().map(row_frame).collect(),
+        rows: message.rows.iter().map(encode_row).collect(),
         summary: summary.map(|s| s.0.to_vec()).unwrap_or_default(),
     };
     frame.encode_to_vec().into()
 }
 
-/// Reads a message; `None` if it does not read. Rows that do not read are left out, so that a row
-/// of a later release does not keep the others back.
+/// Decodes a message. Returns `None` if it is malformed. Malformed rows are skipped, so that a row of a later
+/// release does not affect the others.
 pub fn decode(bytes: &[u8]) -> Option<Message> {
     let frame = MessageFrame::decode(bytes).ok()?;
     let kind = match frame.kind {
@@ -177,12 +178,12 @@
     };
     Some(Message {
         kind,
-        rows: frame.rows.into_iter().filter_map(row).collect(),
+        rows: frame.rows.into_iter().filter_map(decode_row).collect(),
         summary,
     })
 }
 
-fn row_frame(row: &Row) -> RowFrame {
+fn encode_row(row: &Row) -> RowFrame {
     RowFrame {
         name: row.name.to_string(),
         target: row.kind == RowKind::Target,
@@ -203,7 +204,7 @@
     }
 }
 
-fn row(frame: RowFrame) -> Option<Row> {
+fn decode_row(frame: RowFrame) -> Option<Row> {
     Some(Row {
         name: frame.name.parse().ok()?,
         kind: if frame.target {
--- a/crates/filbertstack-entry/src/lead.rs
+++ b/crates/filbertstack-entry/src/lead.rs
@@ -1,4 +1,4 @@
-//! The leader's duties: it decides what each target is to hold, and orders it through the log.
+//! The leader's work: it decides which versions each target holds and commits the orders through the log.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -26,7 +26,7 @@
 use spdlog::warn;
 
 use crate::fleet::CLOCK_START;
-use crate::fleet::Watcher;
+use crate::fleet::FleetTracker;
 use crate::ledger::Ledger;
 use crate::machine::SharedState;
 use crate::members::Member;
@@ -37,60 +37,61 @@
 use crate::view::Views;
 use crate::voter::Voter;
 
-/// How often the leader looks whether something changed.
+/// The interval at which the leader checks for changes.
 const TICK: Duration = Duration::from_millis(250);
 
-/// How often it places anew while targets change: a copy to many changes something all the time.
+/// The minimum interval between placement rounds while targets change. A copy to many targets changes some
+/// target all the time.
 ///
-/// A round over 2,000 instances takes 15 ms; each tick, that alone would be 6% of a core.
-const CHANGED: Duration = Duration::from_millis(750);
+/// A round over 2,000 instances takes 15 ms; a round in each tick would alone use 6% of a core.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(750);
 
-/// How often it places anew although nothing changed: waits that run out change the decision too.
-const ROUND: Duration = Duration::from_secs(2);
+/// The interval between placement rounds while nothing changes: a wait that expires changes the decision too.
+const IDLE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a command of the leader may take.
+/// The time that a command of the leader may take to commit.
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The leader's duties, run on every voter and idle on those that do not lead.
+/// The leader's loop; it runs on every voter and does nothing on a voter that does not lead.
 pub struct Leader {
-    /// The voter.
+    /// The voter of this entry.
     pub voter: Arc<Voter>,
     /// The control state.
     pub control: SharedState,
-    /// The orders that stand.
+    /// The current declarations and orders.
     pub views: Arc<Views>,
-    /// What runs.
+    /// The targets that have announced themselves.
     pub members: Arc<Members>,
-    /// Where orders go.
+    /// The client that proposes commands.
     pub ledger: Arc<Ledger>,
-    /// The plan of copies.
+    /// The plan by which versions are copied to targets.
     pub spread: Arc<Spread>,
-    /// Ends the loop.
+    /// The flag that ends [`Leader::run`].
     pub stopped: Arc<AtomicBool>,
 }
 
 impl Leader {
-    /// Runs until stopped.
+    /// Runs the loop until stopped.
     pub fn run(&self) {
-        let mut led = None;
-        let mut round = Round::new();
+        let mut begun_term = None;
+        let mut rounds = Rounds::new();
         while !self.stopped.load(Ordering::Relaxed) {
             thread::sleep(TICK);
             let Some(term) = self.voter.leads() else {
-                led = None;
+                begun_term = None;
                 self.spread.resign();
                 continue;
             };
-            if led != Some(term) {
+            if begun_term != Some(term) {
                 if !self.begin(term) {
                     continue;
                 }
-                led = Some(term);
-                round = Round::new();
+                begun_term = Some(term);
+                rounds = Rounds::new();
             }
-            if round.is_due(self.views.get().reached(), self.members.sweep()) {
+            if rounds.is_due(self.views.get().position(), self.members.sweep()) {
                 self.register();
-                self.order(term, &mut round);
+                self.order(term, &mut rounds);
             }
             self.spread.tend(term, &self.views.get());
         }
@@ -101,24 +102,24 @@
         let lead = Body::Lead(Lead { term, leader });
         match self.ledger.propose(lead, PROPOSE_TIMEOUT) {
             Ok(_) => {
-                info!("leading in term {term}");
+                info!("this voter leads in term {term}");
                 true
             }
             Err(error) => {
-                warn!("could not begin to lead: {error}");
+                warn!("could not commit the start of the term: {error}");
                 false
             }
         }
     }
 
-    /// Records new instances and changed labels, so that selectors can be checked against them.
+    /// Registers new instances and changed labels, so that selectors can be checked against them.
     fn register(&self) {
         let live = self.members.live();
         let state = self.control.read();
         let instances: Vec<Instance> = live
             .iter()
-            .filter(|member| is_news(&state, member))
-            .map(instance)
+            .filter(|member| needs_registration(&state, member))
+            .map(to_instance)
             .collect();
         drop(state);
         if instances.is_empty() {
@@ -129,27 +130,28 @@
             gone: Vec::new(),
         });
         if let Err(error) = self.ledger.propose(body, PROPOSE_TIMEOUT) {
-            warn!("instances not registered yet: {error}");
+            warn!("could not register instances, will retry: {error}");
         }
     }
 
-    /// Orders what differs from the standing orders.
-    fn order(&self, term: u64, round: &mut Round) {
+    /// Decides the placement and commits orders for the targets whose orders change.
+    fn order(&self, term: u64, rounds: &mut Rounds) {
         let live = self.members.live();
-        let now = CLOCK_START + round.began.elapsed().into();
+        let now = CLOCK_START + rounds.began.elapsed().into();
         let view = self.views.get();
         let state = self.control.read();
-        let fleet = round
-            .watcher
-            .observe(now, &live, state.register(), chunks(&state));
-        round.faults.observe(&fleet, now);
-        let wants = placement::wants(view.declared(), weights(&state));
-        let decision = placement::decide(&fleet, &wants, &standing(&view), &round.faults, now);
+        let fleet = rounds
+            .tracker
+            .observe(now, &live, state.register(), chunk_counts(&state));
+        rounds.faults.observe(&fleet, now);
+        let wants = placement::wants(view.declared(), weight_sizes(&state));
+        let decision =
+            placement::decide(&fleet, &wants, &current_orders(&view), &rounds.faults, now);
         let none = Vec::new();
         let targets: Vec<Desired> = decision
             .changed
             .iter()
-            .map(|name| desired(&state, name, decision.orders.get(name).unwrap_or(&none)))
+            .map(|name| to_desired(&state, name, decision.orders.get(name).unwrap_or(&none)))
             .collect();
         drop(state);
         if targets.is_empty() {
@@ -158,36 +160,36 @@
         let count = targets.len();
         let body = Body::Orders(Orders { term, targets });
         match self.ledger.propose(body, PROPOSE_TIMEOUT) {
-            Ok(_) => info!("ordered {count} targets anew"),
-            Err(error) => warn!("orders not given yet: {error}"),
+            Ok(_) => info!("committed new orders for {count} targets"),
+            Err(error) => warn!("could not commit orders, will retry: {error}"),
         }
     }
 }
 
-/// What a leader remembers from round to round; a new leader begins anew.
-struct Round {
+/// The state that a leader keeps between placement rounds; each term starts with a new one.
+struct Rounds {
     began: Instant,
-    /// What was seen in the last round: the targets' changes and how far the orders were.
-    seen: Option<(Position, u64)>,
-    placed: Instant,
-    watcher: Watcher,
+    /// The view's position and the targets' change count at the last round.
+    last_seen: Option<(Position, u64)>,
+    last_round: Instant,
+    tracker: FleetTracker,
     faults: LoadFaults,
 }
 
-impl Round {
-    /// Whether to place now: at once after a change of declarations or orders, soon after a change
-    /// of targets, and now and then.
-    fn is_due(&mut self, reached: Position, targets: u64) -> bool {
-        let since = self.placed.elapsed();
-        let due = match self.seen {
-            Some((before, _)) if before != reached => true,
-            Some((_, before)) if before != targets => since >= CHANGED,
-            Some(_) => since >= ROUND,
+impl Rounds {
+    /// Returns whether a round is due: at once after a change of declarations or orders, [`CHANGE_INTERVAL`]
+    /// after the last round if targets changed, and [`IDLE_INTERVAL`] after it otherwise.
+    fn is_due(&mut self, position: Position, targets: u64) -> bool {
+        let since = self.last_round.elapsed();
+        let due = match self.last_seen {
+            Some((before, _)) if before != position => true,
+            Some((_, before)) if before != targets => since >= CHANGE_INTERVAL,
+            Some(_) => since >= IDLE_INTERVAL,
             None => true,
         };
         if due {
-            self.seen = Some((reached, targets));
-            self.placed = Instant::now();
+            self.last_seen = Some((position, targets));
+            self.last_round = Instant::now();
         }
         due
     }
@@ -195,20 +197,20 @@
     fn new() -> Self {
         Self {
             began: Instant::now(),
-            seen: None,
-            placed: Instant::now(),
-            watcher: Watcher::default(),
+            last_seen: None,
+            last_round: Instant::now(),
+            tracker: FleetTracker::default(),
             faults: LoadFaults::default(),
         }
     }
 }
 
-fn is_news(state: &ControlState, member: &Member) -> bool {
+fn needs_registration(state: &ControlState, member: &Member) -> bool {
     let known = state.register().get(&member.name);
     known.is_none_or(|facts| facts.labels != member.labels || facts.memory != member.memory)
 }
 
-fn instance(member: &Member) -> Instance {
+fn to_instance(member: &Member) -> Instance {
     Instance {
         name: member.name.to_string(),
         labels: member.labels.to_string(),
@@ -216,19 +218,19 @@
     }
 }
 
-/// The standing orders as placement reads them.
-pub fn standing(view: &View) -> Standing {
+/// Returns the current orders in the form that placement reads.
+pub fn current_orders(view: &View) -> Standing {
     let orders = view.orders().iter();
     orders
         .map(|(name, order)| {
-            let mut holds: Vec<_> = order.holds.iter().filter_map(assignment).collect();
+            let mut holds: Vec<_> = order.holds.iter().filter_map(to_assignment).collect();
             holds.sort();
             (name.clone(), holds)
         })
         .collect()
 }
 
-fn assignment(hold: &Hold) -> Option<Assignment> {
+fn to_assignment(hold: &Hold) -> Option<Assignment> {
     Some(Assignment {
         deployment: hold.deployment.parse().ok()?,
         version: Digest::from_slice(&hold.version)?,
@@ -240,7 +242,7 @@
     })
 }
 
-fn desired(state: &ControlState, target: &InstanceName, holds: &[Assignment]) -> Desired {
+fn to_desired(state: &ControlState, target: &InstanceName, holds: &[Assignment]) -> Desired {
     let model = |assignment: &Assignment| {
         let version = state.catalogue().get(&assignment.version);
         version
@@ -264,8 +266,8 @@
     }
 }
 
-/// The sizes of published versions, as placement asks for them.
-pub fn weights(state: &ControlState) -> impl Fn(&Digest) -> u64 {
+/// Returns a function from a published version to the size of its weights in bytes.
+pub fn weight_sizes(state: &ControlState) -> impl Fn(&Digest) -> u64 {
     |version| {
         state
             .catalogue()
@@ -274,8 +276,8 @@
     }
 }
 
-/// The chunks of published versions.
-pub fn chunks(state: &ControlState) -> impl Fn(&Digest) -> u32 {
+/// Returns a function from a published version to its number of chunks.
+pub fn chunk_counts(state: &ControlState) -> impl Fn(&Digest) -> u32 {
     |version| {
         state
             .catalogue()
--- a/crates/filbertstack-entry/src/lease.rs
+++ b/crates/filbertstack-entry/src/lease.rs
@@ -1,8 +1,9 @@
-//! This entry's config lease, and those it grants: the clocks and calls around
-//! `filbertstack_control::lease`.
+//! The configuration lease of this entry, and the leases that it grants to others. This module adds clocks
+//! and calls to `filbertstack_control::lease`.
 //!
-//! A voter asks the leader, another entry asks a voter. Without a lease an entry refuses every
-//! request as "not run": it may have missed a change that is in force everywhere else.
+//! A voter requests its lease from the leader; another entry requests it from a voter. An entry without a
+//! lease refuses every request as "not run", because it may have missed a change that is in force everywhere
+//! else.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -34,38 +35,38 @@
 use crate::question::InForce;
 use crate::question::LeaseReply;
 use crate::question::LeaseRequest;
-use crate::question::ask;
+use crate::question::query;
 use crate::traffic::Traffic;
 use crate::view::Views;
 use crate::voter::Voter;
 
-/// How often it is looked whether something is to be told or asked.
+/// The interval at which the entry checks whether its lease must be renewed.
 const TICK: Duration = Duration::from_millis(100);
 
-/// How long a question for a lease may take.
+/// The time that a request for a lease may take.
 const ASK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long the leader's own lease lasts from tick to tick.
+/// The length of the lease that the leader gives itself at each tick.
 const LEADER_SPAN: Millis = Millis::secs(1);
 
-/// Where the clock begins, so that what stood before the start can be named.
+/// The time at which the clock starts. It is above zero so that times before the start can be expressed.
 const CLOCK_START: Millis = Millis::secs(3600);
 
-/// How many revisions' moments are remembered.
-const REMEMBERED: usize = 256;
+/// The number of revisions whose times of acceptance are kept.
+const MAX_REVISIONS: usize = 256;
 
 struct State {
     holder: Holder,
     granter: Granter,
-    /// The term that this entry led when its granter began.
+    /// The term in which this entry leads; a new term starts a new granter.
     term: Option<u64>,
-    /// The term in which this entry, as its leader, has applied all that was accepted before.
+    /// The term that this entry leads and in which it has applied all commands of earlier terms.
     caught_up: Option<u64>,
-    /// When each of the last revisions was first in use here.
+    /// The time at which this entry first used each of the last revisions.
     accepted: BTreeMap<u64, Millis>,
 }
 
-/// This entry's config lease, and those it grants.
+/// The configuration lease of this entry, and the leases that it grants.
 pub struct Leases {
     name: InstanceName,
     start: Instant,
@@ -85,7 +86,7 @@
 }
 
 impl Leases {
-    /// No lease yet.
+    /// Creates the state of an entry that holds no lease yet.
     pub fn new(
         name: InstanceName,
         voter: Option<Arc<Voter>>,
@@ -112,23 +113,23 @@
         }
     }
 
-    /// Whether requests may be served.
+    /// Checks whether this entry may serve requests.
     ///
     /// # Errors
-    /// [`Expired`] with the time to tell callers.
+    /// Returns [`Expired`] with the time after which callers may retry.
     pub fn check(&self) -> Result<(), Expired> {
         self.lock().holder.check(self.now())
     }
 
-    /// Keeps the lease until stopped.
+    /// Renews the lease until stopped.
     pub fn run(&self, stopped: &AtomicBool) {
-        let mut told = None;
-        let mut due = Millis::ZERO;
+        let mut reported = None;
+        let mut renewal_due = Millis::ZERO;
         while !stopped.load(Ordering::Relaxed) {
             thread::sleep(TICK);
             self.catch_up();
-            let ask = self.prepare();
-            let news = (ask.revision, ask.lowest);
+            let ask = self.next_request();
+            let report = (ask.revision, ask.lowest);
             if self.leads() {
                 let grant = Grant {
                     sent: ask.sent,
@@ -136,19 +137,18 @@
                     span: LEADER_SPAN,
                 };
                 self.lock().holder.take(grant);
-            } else if told != Some(news) || ask.sent >= due {
-                let granted = self.ask(ask);
-                told = granted.then_some(news);
-                due = ask.sent + lease::RENEW;
+            } else if reported != Some(report) || ask.sent >= renewal_due {
+                let granted = self.request(ask);
+                reported = granted.then_some(report);
+                renewal_due = ask.sent + lease::RENEW;
             }
         }
     }
 
-    /// As a new leader, applies all that was accepted before its term.
+    /// Waits, on a new leader, until all commands of earlier terms are applied.
     ///
-    /// A leader has its quorum lease before that: after a restart of all voters it would grant
-    /// leases on the empty table that it starts with, and callers would get "no rule" for rules
-    /// that were accepted.
+    /// A leader can hold its quorum lease earlier. After a restart of all voters it would then grant leases
+    /// on the empty routing table that it starts with, and callers would get "no rule" for accepted rules.
     fn catch_up(&self) {
         let Some((voter, term)) = self.voter.as_ref().and_then(|v| Some((v, v.leads()?))) else {
             return;
@@ -158,41 +158,41 @@
         }
     }
 
-    /// What this entry asks now: the revision is that of the routing table in use.
-    fn prepare(&self) -> LeaseAsk {
+    /// Returns the next request for a lease, with the revision of the routing table in use.
+    fn next_request(&self) -> LeaseAsk {
         let (now, revision) = (self.now(), self.traffic.table().revision());
         let leads = self.voter.as_ref().and_then(|voter| voter.leads());
         let mut state = self.lock();
         if leads.is_some() && leads != state.term {
-            // Grants of the leader before may still stand.
+            // Leases of the previous leader may still be valid, so the granter starts anew.
             state.granter = Granter::new(now);
         }
         state.term = leads;
         state.accepted.entry(revision).or_insert(now);
-        while state.accepted.len() > REMEMBERED {
+        while state.accepted.len() > MAX_REVISIONS {
             state.accepted.pop_first();
         }
         state.granter.ask(revision, now)
     }
 
-    /// Asks the granter; false if nothing was granted.
-    fn ask(&self, wanted: LeaseAsk) -> bool {
+    /// Requests a lease from the granter. Returns whether it was granted.
+    fn request(&self, wanted: LeaseAsk) -> bool {
         let request = LeaseRequest {
             name: self.name.to_string(),
             sent: wanted.sent.0,
             revision: wanted.revision,
             lowest: wanted.lowest,
         };
-        let asked = ask(Asked::Lease(request));
-        let told = match &self.voter {
-            Some(voter) => voter.ask_leader(asked, ASK_TIMEOUT),
-            None => self.ledger.ask(&asked, ASK_TIMEOUT),
+        let ask = query(Asked::Lease(request));
+        let answer = match &self.voter {
+            Some(voter) => voter.ask_leader(ask, ASK_TIMEOUT),
+            None => self.ledger.ask(&ask, ASK_TIMEOUT),
         };
-        let reply = match told {
+        let reply = match answer {
             Ok(Tell::Payload(Payload { body })) => LeaseReply::decode(body).unwrap_or_default(),
             Ok(_) => return false,
             Err(error) => {
-                debug!("no lease: {error}");
+                debug!("could not obtain a lease: {error}");
                 return false;
             }
         };
@@ -208,10 +208,10 @@
         true
     }
 
-    /// Grants a lease to another entry, or says why not.
+    /// Grants a lease to another entry.
     ///
     /// # Errors
-    /// The reason, for the asking entry's log.
+    /// Returns the reason, which the requesting entry logs.
     pub fn grant(&self, request: &LeaseRequest) -> Result<LeaseReply, String> {
         let from: InstanceName = request.name.parse().map_err(|error| format!("{error}"))?;
         let wanted = LeaseAsk {
@@ -223,12 +223,12 @@
         let leads = self.leads();
         let now = self.now();
         let mut state = self.lock();
-        let own = if leads {
+        let own_until = if leads {
             now + lease::LENGTH
         } else {
             state.holder.until().unwrap_or(now)
         };
-        let granted = state.granter.grant(&from, wanted, revision, own, now);
+        let granted = state.granter.grant(&from, wanted, revision, own_until, now);
         let grant = granted.map_err(|error| error.to_string())?;
         Ok(LeaseReply {
             sent: grant.sent.0,
@@ -237,18 +237,19 @@
         })
     }
 
-    /// How far `revision` is in force; only the leader knows.
+    /// Returns whether `revision` is in force everywhere, and which entries have yet to confirm it. Only the
+    /// leader knows this.
     ///
     /// # Errors
-    /// If this entry does not lead.
+    /// Returns an error if this entry does not lead.
     pub fn in_force(&self, revision: u64) -> Result<InForce, String> {
         if !self.leads() {
             return Err("not the leader: ask it".into());
         }
         let now = self.now();
         let state = self.lock();
-        let later = state.accepted.range(revision..).next();
-        let Some((_, accepted)) = later else {
+        let first_use = state.accepted.range(revision..).next();
+        let Some((_, accepted)) = first_use else {
             return Ok(InForce {
                 everywhere: false,
                 waiting: vec![self.name.to_string()],
@@ -269,15 +270,18 @@
         })
     }
 
-    /// Whether this entry leads, a majority confirmed it a moment ago, and its routing table shows
-    /// all that was accepted before its term.
+    /// Returns whether this entry leads, a majority has just confirmed it, and its routing table contains
+    /// every change accepted before its term.
     fn leads(&self) -> bool {
         let Some(voter) = &self.voter else {
             return false;
         };
         let caught_up = self.lock().caught_up;
-        let shown = self.traffic.table().revision() >= self.views.get().revision();
-        voter.has_quorum_lease() && caught_up.is_some() && caught_up == voter.leads() && shown
+        let table_current = self.traffic.table().revision() >= self.views.get().revision();
+        voter.has_quorum_lease()
+            && caught_up.is_some()
+            && caught_up == voter.leads()
+            && table_current
     }
 
     fn now(&self) -> Millis {
--- a/crates/filbertstack-entry/src/lib.rs
+++ b/crates/filbertstack-entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! The entry: callers' and operators' HTTP, admission, routing and, with a disk, a voter.
+//! The entry process: HTTP for callers and operators, admission, routing and, if it has a disk, a voter.
 //!
-//! [`Entry::start`] runs one entry from its [`Settings`]. Decisions come from
-//! `filbertstack_policy`, the control state from `filbertstack_control` through the replicated
-//! log; this crate joins them with sockets, threads and clocks.
+//! [`Entry::start`] runs one entry from its [`Settings`]. `filbertstack_policy` makes the decisions, and
+//! `filbertstack_control` holds the control state, which is replicated through the log. This crate connects
+//! them to sockets, threads and clocks.
 
 pub mod answer;
 pub mod attempt;
--- a/crates/filbertstack-entry/src/machine.rs
+++ b/crates/filbertstack-entry/src/machine.rs
@@ -1,4 +1,4 @@
-//! The control state as the machine of the replicated log.
+//! The control state as the state machine of the replicated log.
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -14,52 +14,53 @@
 use crate::view::Views;
 use crate::view::update_since;
 
-/// The control state, read by many threads and changed by the log alone.
+/// The control state, shared by many readers; only the log changes it.
 #[derive(Clone, Debug, Default)]
 pub struct SharedState {
     state: Arc<RwLock<ControlState>>,
 }
 
 impl SharedState {
-    /// The state as it is now.
+    /// Locks the current state for reading.
     pub fn read(&self) -> RwLockReadGuard<'_, ControlState> {
         self.state.read().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Applies the log's commands and passes what followers see on to the [`Views`].
+/// Applies the log's commands and publishes what followers see to the [`Views`].
 #[derive(Debug)]
 pub struct ControlMachine {
     control: SharedState,
     views: Arc<Views>,
-    shown: (Position, u64),
+    /// The position and the term last published to the views.
+    published: (Position, u64),
 }
 
 impl ControlMachine {
-    /// A machine whose state others read through `control`.
+    /// Creates a machine whose state other threads read through `control`.
     pub fn new(control: SharedState, views: Arc<Views>) -> Self {
         Self {
             control,
             views,
-            shown: (Position::default(), 0),
+            published: (Position::default(), 0),
         }
     }
 
-    fn show(&mut self) {
+    fn publish(&mut self) {
         let state = self.control.read();
-        let reached = Position {
+        let position = Position {
             revision: state.declared().revision(),
             sequence: state.orders().sequence(),
         };
-        let now = (reached, state.orders().term());
-        if now == self.shown {
+        let now = (position, state.orders().term());
+        if now == self.published {
             return;
         }
-        let update = update_since(&state, self.shown.0);
+        let update = update_since(&state, self.published.0);
         drop(state);
-        // The log only moves forward, so its own updates always fit.
-        if self.views.take(update).is_ok() {
-            self.shown = now;
+        // The log only moves forward, so an update from it always continues the last one.
+        if self.views.apply(update).is_ok() {
+            self.published = now;
         }
     }
 }
@@ -76,7 +77,7 @@
             .unwrap_or_else(PoisonError::into_inner);
         let outcome = state.apply(index, command);
         drop(state);
-        self.show();
+        self.publish();
         outcome
     }
 
@@ -92,7 +93,7 @@
             .unwrap_or_else(PoisonError::into_inner);
         state.restore(bytes)?;
         drop(state);
-        self.show();
+        self.publish();
         Ok(())
     }
 }
--- a/crates/filbertstack-entry/src/members.rs
+++ b/crates/filbertstack-entry/src/members.rs
@@ -1,4 +1,4 @@
-//! The targets, as the gossip's rows tell of them.
+//! The targets that this entry knows from the rows of the gossip.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,57 +18,57 @@
 use filbertstack_wire::messages::Fence;
 use filbertstack_wire::messages::Stage;
 
-use crate::gossip::encoding::announced;
+use crate::gossip::encoding::decode_announce;
 
-/// How long a target that is gone stays in `status`.
-const REMEMBERED: Duration = Duration::from_secs(600);
+/// The time for which `status` still lists a target that is gone.
+const LOST_RETENTION: Duration = Duration::from_secs(600);
 
-/// A version on a target, as announced.
+/// A version that a target has announced as held.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldVersion {
     /// The deployment that wants it.
     pub deployment: String,
     /// The version.
     pub version: Digest,
-    /// How far it is.
+    /// The stage that the target has reached with it.
     pub stage: Stage,
-    /// Chunks held.
+    /// The number of chunks held.
     pub chunks: u32,
-    /// What last went wrong; empty if nothing did.
+    /// The last problem; empty if there was none.
     pub trouble: String,
 }
 
-/// A target as it last announced itself.
+/// A target in the state of its last announcement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// Its instance name.
     pub name: InstanceName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where links to its agent lead.
+    /// The address of its agent's links.
     pub addr: SocketAddr,
     /// Its labels.
     pub labels: Labels,
     /// Its memory for weights, in bytes.
     pub memory: u64,
-    /// Grows with each start of the agent.
+    /// A number that grows with each start of the agent.
     pub incarnation: u64,
-    /// Grows with each announcement.
+    /// A number that grows with each announcement.
     pub version: u64,
-    /// What it holds.
-    pub held: Vec<Held>,
+    /// The versions that it holds.
+    pub held: Vec<HeldVersion>,
     /// Whether it is leaving.
     pub leaving: bool,
     /// Whether it is a plain service.
     pub service: bool,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: u32,
     /// The highest fencing number it has accepted.
     pub fence: Option<Fence>,
 }
 
 impl Member {
-    /// Reads an announcement; `None` if it does not read.
+    /// Reads an announcement. Returns `None` if it is malformed.
     pub fn from_announce(announce: &Announce) -> Option<Self> {
         let labels: Labels = announce.labels.parse().ok()?;
         let zone = labels.get("zone")?.parse().ok()?;
@@ -80,7 +80,7 @@
             memory: announce.memory,
             incarnation: announce.incarnation,
             version: announce.version,
-            held: announce.copies.iter().filter_map(held).collect(),
+            held: announce.copies.iter().filter_map(held_version).collect(),
             leaving: announce.leaving,
             service: announce.service,
             slots: announce.slots,
@@ -88,19 +88,20 @@
         })
     }
 
-    /// Whether it holds every chunk of `version`.
+    /// Returns whether the target holds every chunk of `version`.
     pub fn holds(&self, version: Digest) -> bool {
-        let whole = |held: &Held| held.version == version && held.stage >= Stage::Verified;
+        let whole = |held: &HeldVersion| held.version == version && held.stage >= Stage::Verified;
         self.held.iter().any(whole)
     }
 
-    /// The version of `deployment` that it answers from now.
+    /// Returns the version of `deployment` from which the target serves.
     pub fn serving(&self, deployment: &str) -> Option<Digest> {
-        let serving = |held: &&Held| held.stage == Stage::Serving && held.deployment == deployment;
+        let serving =
+            |held: &&HeldVersion| held.stage == Stage::Serving && held.deployment == deployment;
         self.held.iter().find(serving).map(|held| held.version)
     }
 
-    /// Whether what decisions rest on differs, the announcement's number aside.
+    /// Returns whether anything but the announcement's number differs.
     fn differs(&self, other: &Self) -> bool {
         let other = Self {
             version: self.version,
@@ -110,8 +111,8 @@
     }
 }
 
-fn held(copy: &Copy) -> Option<Held> {
-    Some(Held {
+fn held_version(copy: &Copy) -> Option<HeldVersion> {
+    Some(HeldVersion {
         deployment: copy.deployment.clone(),
         version: Digest::from_slice(&copy.digest)?,
         stage: copy.stage(),
@@ -121,76 +122,90 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownTarget {
     member: Member,
-    /// Since when it is gone.
-    gone: Option<Instant>,
+    /// The time at which the target was reported gone.
+    gone_since: Option<Instant>,
 }
 
 #[derive(Debug, Default)]
 struct Table {
-    rows: BTreeMap<InstanceName, Known>,
+    rows: BTreeMap<InstanceName, KnownTarget>,
+    /// The number of changes so far.
     changes: u64,
 }
 
-/// The targets that some entry heard of.
+/// The targets that the gossip knows, and those that left a short time ago.
 #[derive(Debug, Default)]
 pub struct Members {
     table: Mutex<Table>,
 }
 
 impl Members {
-    /// Takes a target's row, which is newer than any before.
-    pub fn take(&self, row: &Row) {
-        let Some(member) = announced(row).as_ref().and_then(Member::from_announce) else {
+    /// Stores a target's row. The gossip passes on only rows that are newer than the last one.
+    pub fn update(&self, row: &Row) {
+        let Some(member) = decode_announce(row)
+            .as_ref()
+            .and_then(Member::from_announce)
+        else {
             return;
         };
         let mut table = self.lock();
         let known = table.rows.get(&member.name);
-        let news = known.is_none_or(|known| {
-            known.member.differs(&member) || known.gone.is_some() != row.is_gone()
+        let changed = known.is_none_or(|known| {
+            known.member.differs(&member) || known.gone_since.is_some() != row.is_gone()
         });
-        let gone = row.is_gone().then(Instant::now);
-        table.changes += u64::from(news);
-        let known = Known { member, gone };
+        let gone_since = row.is_gone().then(Instant::now);
+        table.changes += u64::from(changed);
+        let known = KnownTarget { member, gone_since };
         table.rows.insert(row.name.clone(), known);
     }
 
-    /// Drops a target that the gossip no longer knows.
-    pub fn forget(&self, name: &InstanceName) {
+    /// Removes a target that the gossip no longer knows.
+    pub fn remove(&self, name: &InstanceName) {
         let mut table = self.lock();
         let known = table.rows.remove(name);
         table.changes += u64::from(known.is_some());
     }
 
-    /// The targets that are there, those that leave among them.
+    /// Returns the live targets, including those that are leaving.
     pub fn live(&self) -> Vec<Member> {
         let table = self.lock();
-        let live = table.rows.values().filter(|known| known.gone.is_none());
+        let live = table
+            .rows
+            .values()
+            .filter(|known| known.gone_since.is_none());
         live.map(|known| known.member.clone()).collect()
     }
 
-    /// The target of this name, if it is there.
+    /// Returns the live target of this name.
     pub fn get(&self, name: &str) -> Option<Member> {
         let table = self.lock();
-        let known = table.rows.get(name).filter(|known| known.gone.is_none())?;
+        let known = table
+            .rows
+            .get(name)
+            .filter(|known| known.gone_since.is_none())?;
         Some(known.member.clone())
     }
 
-    /// The targets that are gone, not yet forgotten.
+    /// Returns the targets that are gone and still listed.
     pub fn lost(&self) -> Vec<Member> {
         let table = self.lock();
-        let lost = table.rows.values().filter(|known| known.gone.is_some());
+        let lost = table
+            .rows
+            .values()
+            .filter(|known| known.gone_since.is_some());
         lost.map(|known| known.member.clone()).collect()
     }
 
-    /// Forgets what is long gone, and returns a number that changes with what decisions rest on.
+    /// Removes targets that have been gone for [`LOST_RETENTION`], and returns the number of changes so far.
+    /// Two calls return the same number if nothing changed that placement or routing depends on.
     pub fn sweep(&self) -> u64 {
         let mut table = self.lock();
-        let is_old = |gone: Instant| gone.elapsed() >= REMEMBERED;
+        let is_expired = |since: Instant| since.elapsed() >= LOST_RETENTION;
         table
             .rows
-            .retain(|_, known| !known.gone.is_some_and(is_old));
+            .retain(|_, known| !known.gone_since.is_some_and(is_expired));
         table.changes
     }
 
--- a/crates/filbertstack-entry/src/operators.rs
+++ b/crates/filbertstack-entry/src/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask over HTTP: apply, publish, declarations, status.
+//! The HTTP interface for operators: apply, publish, drain, declarations, in-force and status.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,55 +33,55 @@
 
 use crate::call::bearer;
 use crate::fleet::CLOCK_START;
-use crate::fleet::Watcher;
+use crate::fleet::FleetTracker;
 use crate::guard::Guard;
 use crate::http;
 use crate::http::Refusal;
-use crate::lead::standing;
+use crate::lead::current_orders;
 use crate::lease::Leases;
 use crate::ledger::Ledger;
 use crate::ledger::ProposeError;
-use crate::members::Held;
+use crate::members::HeldVersion;
 use crate::members::Member;
 use crate::members::Members;
 use crate::question::Asked;
 use crate::question::InForce;
-use crate::question::ask;
+use crate::question::query;
 use crate::settings::Callers;
 use crate::view::View;
 use crate::view::Views;
 use crate::voter::Voter;
 
-/// Where operators' paths begin.
+/// The prefix of operators' paths.
 pub const PREFIX: &str = "/operator/";
 
-/// How long a change may take to commit: an election and a round.
+/// The time that a change may take to commit: an election and a round of the log.
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How long another entry may take to answer.
+/// The time that another entry may take to answer.
 const ASK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long an agent may take to answer.
+/// The time that an agent may take to answer a drain call.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An `apply` as the client sends it.
+/// The body of an `apply` request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
-    /// The client's own identifier, the same in every resend.
+    /// The client's identifier of the request, the same in every resend.
     pub request: String,
-    /// The revision that the operator saw.
+    /// The revision that the change is based on.
     pub expected: Option<u64>,
-    /// When the client made the request, in Unix milliseconds, the same in every resend.
+    /// The time at which the client made the request, in Unix milliseconds, the same in every resend.
     pub issued: u64,
-    /// The sections, as INI.
+    /// The declared sections, as INI.
     pub text: String,
-    /// Objects to remove, as `kind name`.
+    /// The objects to remove, each as `kind name`.
     #[serde(default)]
     pub removals: Vec<String>,
 }
 
-/// A `publish` as the client sends it.
+/// The body of a `publish` request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PublishRequest {
@@ -97,12 +97,12 @@
     pub chunks: u32,
     /// The URL of the files at the origin.
     pub origin: String,
-    /// The URL of the files at the weight store; empty if there is none.
+    /// The URL of the files at the weight store; empty without a weight store.
     #[serde(default)]
     pub store: String,
 }
 
-/// A `drain` as the client sends it.
+/// The body of a `drain` request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainRequest {
@@ -110,27 +110,27 @@
     pub name: InstanceName,
 }
 
-/// Answers operators.
+/// The handler of operators' requests.
 #[derive(Debug)]
 pub struct Operators {
-    /// Who may.
+    /// The secrets of operators.
     pub operators: Callers,
-    /// Where changes go.
+    /// The client that proposes changes.
     pub ledger: Arc<Ledger>,
-    /// What is declared.
+    /// The current declarations and orders.
     pub views: Arc<Views>,
-    /// What runs.
+    /// The targets that have announced themselves.
     pub members: Arc<Members>,
-    /// Links to agents.
+    /// The dialer of links to agents.
     pub dialer: Arc<Dialer>,
-    /// Config leases.
+    /// The configuration leases.
     pub leases: Arc<Leases>,
-    /// The largest body, in bytes.
+    /// The limit of a request body, in bytes.
     pub max_body: usize,
 }
 
 impl Operators {
-    /// Answers one request below [`PREFIX`].
+    /// Answers one request whose path starts with [`PREFIX`].
     pub fn answer(&self, mut request: Request, guard: &Guard) {
         let answered = self.route(&mut request, guard);
         guard.end_body(request.remote_addr());
@@ -171,9 +171,9 @@
             }
             (Method::Get, "in-force") => self.in_force(request.url()),
             (Method::Get, "status") => {
-                let mut status = status(&self.views.get(), &self.members);
+                let mut status = status_json(&self.views.get(), &self.members);
                 status["leader"] = json!(self.ledger.leader());
-                status["control"] = self.ledger.voter().map_or(Value::Null, control);
+                status["control"] = self.ledger.voter().map_or(Value::Null, control_json);
                 Ok((200, status))
             }
             _ => Err(Refusal::not_run(
@@ -231,18 +231,20 @@
         self.propose(body)
     }
 
-    /// Asks the leader how far a revision is in force.
+    /// Answers whether a revision is in force everywhere, as the leader sees it.
     fn in_force(&self, url: &str) -> Result<(u16, Value), Refusal> {
         let revision = url
             .split("revision=")
             .nth(1)
             .and_then(|text| text.parse().ok());
-        let wrong = || Refusal::not_run(400, "name the revision: in-force?revision=NUMBER");
-        let revision: u64 = revision.ok_or_else(wrong)?;
-        let here = self.leases.in_force(revision);
-        let force = here.or_else(|_| {
-            let told = self.ledger.ask(&ask(Asked::InForce(revision)), ASK_TIMEOUT);
-            match told {
+        let invalid = || Refusal::not_run(400, "name the revision: in-force?revision=NUMBER");
+        let revision: u64 = revision.ok_or_else(invalid)?;
+        let local = self.leases.in_force(revision);
+        let force = local.or_else(|_| {
+            let answer = self
+                .ledger
+                .ask(&query(Asked::InForce(revision)), ASK_TIMEOUT);
+            match answer {
                 Ok(Tell::Payload(Payload { body })) => {
                     InForce::decode(body).map_err(|error| error.to_string())
                 }
@@ -257,17 +259,17 @@
         ))
     }
 
-    /// Tells the target's agent to take nothing new.
+    /// Tells the target's agent to refuse new requests.
     fn drain(&self, wanted: &DrainRequest) -> Result<(u16, Value), Refusal> {
         let live = self.members.live();
         let member = live.iter().find(|member| member.name == wanted.name);
         let member = member
             .ok_or_else(|| Refusal::not_run(404, "no live target has this name: see 'status'"))?;
         let ask = Ask::Drain(Empty {});
-        let told = self
+        let answer = self
             .dialer
             .ask(member.addr, Role::Agent, ask, DRAIN_TIMEOUT);
-        told.map_err(|error| Refusal::not_run(503, error.to_string()).after_ms(1000))?;
+        answer.map_err(|error| Refusal::not_run(503, error.to_string()).after_ms(1000))?;
         Ok((200, json!({ "leaving": member.name })))
     }
 
@@ -295,7 +297,7 @@
     let split = text
         .split_once(' ')
         .and_then(|(kind, name)| Some((kind_of(kind)?, name)));
-    let wrong = || {
+    let invalid = || {
         let text = format!(
             "'{text}' is nothing to remove: write 'deployment NAME', 'pool NAME' or \
                             'rule NAME'"
@@ -304,10 +306,10 @@
     };
     split
         .map(|(kind, name)| Object::new(kind, name))
-        .ok_or_else(wrong)
+        .ok_or_else(invalid)
 }
 
-/// An outcome as operators see it, with its HTTP status.
+/// Returns the HTTP status and the body that answer an operator for an outcome.
 fn outcome_json(outcome: Outcome) -> (u16, Value) {
     match outcome.reply {
         Some(Reply::Accepted(accepted)) => {
@@ -338,21 +340,21 @@
     }
 }
 
-/// What is declared, what runs, and the difference.
-fn status(view: &View, members: &Members) -> Value {
+/// Returns the status: what is declared, what is serving, and the difference.
+fn status_json(view: &View, members: &Members) -> Value {
     let live = members.live();
     let lost: Vec<String> = members.lost().iter().map(|m| m.name.to_string()).collect();
     json!({
         "revision": view.revision(),
         "term": view.term(),
-        "deployments": deployments(view, &live),
-        "targets": live.iter().map(target).collect::<Vec<_>>(),
+        "deployments": deployments_json(view, &live),
+        "targets": live.iter().map(target_json).collect::<Vec<_>>(),
         "lost": lost,
     })
 }
 
-/// The group of voters, as the voter that is asked sees it.
-fn control(voter: &Voter) -> Value {
+/// Returns the state of the group of voters as this entry's voter sees it.
+fn control_json(voter: &Voter) -> Value {
     let status = voter.status();
     let names = |members: &[filbertstack_log::Member]| -> Vec<Value> {
         let members = members.iter();
@@ -372,20 +374,20 @@
     })
 }
 
-/// Each deployment as placement sees it from here.
-fn deployments(view: &View, live: &[Member]) -> Vec<Value> {
+/// Returns the status of each deployment, computed by placement from this entry's view.
+fn deployments_json(view: &View, live: &[Member]) -> Vec<Value> {
     let now = CLOCK_START;
     let chunks = |version: &Digest| view.version(*version).map_or(0, |facts| facts.chunks);
     let weights = |version: &Digest| view.version(*version).map_or(0, |facts| facts.weights);
-    let fleet = Watcher::default().observe(now, live, &Register::default(), chunks);
+    let fleet = FleetTracker::default().observe(now, live, &Register::default(), chunks);
     let wants = placement::wants(view.declared(), weights);
     let faults = LoadFaults::default();
-    let decision = placement::decide(&fleet, &wants, &standing(view), &faults, now);
+    let decision = placement::decide(&fleet, &wants, &current_orders(view), &faults, now);
     let all = placement::status(&fleet, &wants, &decision, &faults, now);
-    all.iter().map(deployment).collect()
+    all.iter().map(deployment_json).collect()
 }
 
-fn deployment(status: &DeploymentStatus) -> Value {
+fn deployment_json(status: &DeploymentStatus) -> Value {
     let why: Vec<String> = status.why.iter().map(ToString::to_string).collect();
     json!({
         "deployment": status.deployment,
@@ -398,17 +400,17 @@
     })
 }
 
-fn target(member: &Member) -> Value {
+fn target_json(member: &Member) -> Value {
     json!({
         "name": member.name,
         "zone": member.zone,
         "leaving": member.leaving,
         "service": member.service,
-        "held": member.held.iter().map(held).collect::<Vec<_>>(),
+        "held": member.held.iter().map(held_json).collect::<Vec<_>>(),
     })
 }
 
-fn held(held: &Held) -> Value {
+fn held_json(held: &HeldVersion) -> Value {
     json!({
         "deployment": held.deployment,
         "version": held.version,
--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -1,4 +1,4 @@
-//! One entry, from its start to its end.
+//! The lifecycle of an entry: it starts the listeners and threads, serves requests and stops.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -28,7 +28,7 @@
 
 use crate::call::Calls;
 use crate::claims::Claims;
-use crate::follow::Follow;
+use crate::follow::ControlFollower;
 use crate::gossip::Membership;
 use crate::guard;
 use crate::guard::Guard;
@@ -53,30 +53,30 @@
 use crate::voter::Voter;
 use crate::voter::VoterConfig;
 
-/// How often the routing table is brought up to date while nothing changes.
-const REFRESH: Duration = Duration::from_millis(100);
+/// The interval at which the entry checks whether the routing table must be rebuilt.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a stop looks whether it is over.
+/// The interval at which [`Entry::stop`] checks whether it may go on.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// How long what peers have asked may take when the entry ends. Its voter has ended by then, so that
-/// proposals have their outcome, and questions that are held are answered.
-const LAST_CALLS: Duration = Duration::from_secs(1);
+/// The time that calls from peers get to finish when the entry stops. The voter has stopped by then, so
+/// proposals have their outcome and long polls have been answered.
+const CALL_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The stack of a request's thread, in bytes.
-const STACK: usize = 512 << 10;
+/// The stack size of a request's thread, in bytes.
+const REQUEST_STACK_SIZE: usize = 512 << 10;
 
-/// Why an entry did not start.
+/// The reason why an entry did not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address is taken or not this instance's.
+    /// An address is in use or does not belong to this instance.
     #[error("{addr}: {source}; give a free address of this instance in [entry] {key}")]
     Bind {
-        /// The settings' key.
+        /// The key in the settings.
         key: &'static str,
         /// The address.
         addr: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The HTTP library did not start.
@@ -85,10 +85,10 @@
     /// The log did not start.
     #[error(transparent)]
     Log(#[from] LogError),
-    /// The links can't be served.
+    /// The listener for links did not start.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// A thread or socket could not be made.
+    /// The operating system refused a thread or socket.
     #[error("the system refused a thread or socket: {0}; raise the process's limits")]
     Io(#[from] std::io::Error),
 }
@@ -113,14 +113,14 @@
     voter: Option<Arc<Voter>>,
     stopped: Arc<AtomicBool>,
     leaving: AtomicBool,
-    serving: AtomicUsize,
+    active_requests: AtomicUsize,
 }
 
 impl Entry {
     /// Starts an entry.
     ///
     /// # Errors
-    /// [`StartError`] names what to change.
+    /// Returns a [`StartError`] that names what to change.
     pub fn start(mut settings: Settings, telemetry: Arc<Telemetry>) -> Result<Self, StartError> {
         let links_socket = bind("links", settings.links)?;
         let http_socket = bind("listen", settings.listen)?;
@@ -162,43 +162,43 @@
         })
     }
 
-    /// Where callers and operators connect.
+    /// Returns the address for callers and operators.
     pub fn addr(&self) -> SocketAddr {
         self.guard.addr()
     }
 
-    /// Where links connect.
+    /// Returns the address for links.
     pub fn links(&self) -> SocketAddr {
         self.inner.settings.links
     }
 
-    /// Leaves, and returns when the requests in progress have ended; false if some had not when
-    /// the stop timeout ran out.
+    /// Takes the entry out of service and waits for the requests in progress. Returns false if some were
+    /// still in progress when the stop timeout expired.
     ///
-    /// Callers keep the entry's address for `max_age`, so it serves that long after every other
-    /// entry has stopped giving it out; then it takes nothing new.
+    /// Callers cache the entry's address for `max_age`, so the entry serves for that long after every other
+    /// entry has stopped listing it. After that it refuses new requests.
     pub fn stop(self) -> bool {
         let inner = &self.inner;
         let until = Instant::now() + Duration::from(inner.settings.stop_timeout);
-        let departure = inner.membership.leave();
+        let departure = inner.membership.announce_leaving();
         while !departure.is_over(inner.membership.now()) && Instant::now() < until {
             thread::sleep(STOP_POLL);
         }
         inner.leaving.store(true, Ordering::SeqCst);
-        while inner.serving.load(Ordering::SeqCst) > 0 && Instant::now() < until {
+        while inner.active_requests.load(Ordering::SeqCst) > 0 && Instant::now() < until {
             thread::sleep(STOP_POLL);
         }
         let passed_on = self.guard.await_answers(until);
-        let requests = inner.serving.load(Ordering::SeqCst);
+        let requests = inner.active_requests.load(Ordering::SeqCst);
         if requests > 0 || !passed_on {
-            warn!("stop timeout ran out, requests break off", kv: { requests, passed_on });
+            warn!("stop timeout expired; requests in progress are aborted", kv: { requests, passed_on });
         }
         if let Some(voter) = &inner.voter {
             voter.stop();
         }
-        inner.membership.part();
+        inner.membership.announce_left();
         inner.views.end_waits();
-        self.listener.finish(LAST_CALLS);
+        self.listener.finish(CALL_DRAIN_TIMEOUT);
         requests == 0 && passed_on
     }
 }
@@ -267,7 +267,7 @@
             voter,
             stopped: Arc::new(AtomicBool::new(false)),
             leaving: AtomicBool::new(false),
-            serving: AtomicUsize::new(0),
+            active_requests: AtomicUsize::new(0),
         }
     }
 
@@ -285,10 +285,10 @@
     }
 
     fn start_threads(self: &Arc<Self>, control: &SharedState, spread: Arc<Spread>) {
-        let refreshing = self.clone();
-        thread::spawn(move || refreshing.refresh());
-        let gossiping = self.clone();
-        thread::spawn(move || gossiping.membership.run(&gossiping.stopped));
+        let refresher = self.clone();
+        thread::spawn(move || refresher.refresh());
+        let gossiper = self.clone();
+        thread::spawn(move || gossiper.membership.run(&gossiper.stopped));
         let (leases, stopped) = (self.calls.leases.clone(), self.stopped.clone());
         thread::spawn(move || leases.run(&stopped));
         if let Some(voter) = &self.voter {
@@ -304,32 +304,32 @@
             thread::spawn(move || leader.run());
             return;
         }
-        let follow = Follow {
+        let follower = ControlFollower {
             name: self.settings.name.to_string(),
             ledger: self.operators.ledger.clone(),
             views: self.views.clone(),
             stopped: self.stopped.clone(),
         };
-        thread::spawn(move || follow.run());
+        thread::spawn(move || follower.run());
     }
 
-    /// Keeps the routing table in step with the declarations and the targets.
+    /// Rebuilds the routing table whenever the declarations or the targets change.
     fn refresh(&self) {
-        let mut seen = None;
-        let mut sharers = 0;
+        let mut applied = None;
+        let mut shared_by = 0;
         while !self.stopped.load(Ordering::Relaxed) {
             let entries = self.membership.live_entries();
-            if sharers != entries {
+            if shared_by != entries {
                 self.traffic.share(entries);
-                sharers = entries;
+                shared_by = entries;
             }
             let view = self.views.get();
-            let now: (Position, u64) = (view.reached(), self.members.sweep());
-            if seen != Some(now) {
+            let now: (Position, u64) = (view.position(), self.members.sweep());
+            if applied != Some(now) {
                 self.traffic.update(&view, &self.members.live());
-                seen = Some(now);
+                applied = Some(now);
             }
-            thread::sleep(REFRESH);
+            thread::sleep(REFRESH_INTERVAL);
         }
     }
 
@@ -348,38 +348,38 @@
             ..
         } = self.settings;
         let guard = Arc::new(Guard::start(socket, inner_addr, max_body, max_connections)?);
-        let (serving, taking, guarding) = (self.clone(), server.clone(), guard.clone());
+        let (inner, accepting, guarding) = (self.clone(), server.clone(), guard.clone());
         thread::Builder::new().name("http".into()).spawn(move || {
-            for request in taking.incoming_requests() {
-                serving.clone().take(request, guarding.clone());
+            for request in accepting.incoming_requests() {
+                inner.clone().dispatch(request, guarding.clone());
             }
         })?;
         info!("entry {} listens on {}", self.settings.name, guard.addr());
         Ok((guard, server))
     }
 
-    fn take(self: Arc<Self>, request: Request, guard: Arc<Guard>) {
+    fn dispatch(self: Arc<Self>, request: Request, guard: Arc<Guard>) {
         if request.url() == guard::HELLO {
             let _ = http::greet(request);
             return;
         }
         let builder = thread::Builder::new()
             .name("request".into())
-            .stack_size(STACK);
-        // Counted before it looks whether the entry leaves: a stop that has seen no request then
-        // knows that none will run.
-        self.serving.fetch_add(1, Ordering::SeqCst);
+            .stack_size(REQUEST_STACK_SIZE);
+        // The request is counted before its thread reads `leaving`: once `Entry::stop` has set the flag and
+        // seen a count of zero, no further request runs.
+        self.active_requests.fetch_add(1, Ordering::SeqCst);
         let inner = self.clone();
         let started = builder.spawn(move || {
-            let _serving = Serving(&inner.serving);
+            let _active = ActiveRequest(&inner.active_requests);
             if inner.leaving.load(Ordering::SeqCst) {
-                let _ = http::refuse(request, &leaving());
+                let _ = http::refuse(request, &leaving_refusal());
                 return;
             }
             inner.answer(request, &guard);
         });
         if started.is_err() {
-            self.serving.fetch_sub(1, Ordering::SeqCst);
+            self.active_requests.fetch_sub(1, Ordering::SeqCst);
         }
     }
 
@@ -411,29 +411,29 @@
     }
 
     fn metrics(&self, request: Request) -> std::io::Result<()> {
-        self.measure();
+        self.update_gauges();
         let text = self.telemetry.metrics.render();
         let fields = [Field::new("content-type", "text/plain; version=0.0.4")];
         http::respond(request, 200, &fields, text.as_bytes())
     }
 
-    /// Sets the levels that are read when they are asked for.
-    fn measure(&self) {
+    /// Updates the gauges that are computed when metrics are scraped.
+    fn update_gauges(&self) {
         let metrics = &self.telemetry.metrics;
-        let level = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
-        metrics.entry.in_flight.set(level(self.traffic.open()));
+        let from_count = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
+        metrics.entry.in_flight.set(from_count(self.traffic.open()));
         metrics
             .entry
             .targets
-            .set("live", level(self.members.live().len()));
+            .set("live", from_count(self.members.live().len()));
         metrics
             .entry
             .targets
-            .set("lost", level(self.members.lost().len()));
+            .set("lost", from_count(self.members.lost().len()));
         let view = self.views.get();
-        let whole = |number: u64| i64::try_from(number).unwrap_or(i64::MAX);
-        metrics.control.revision.set(whole(view.revision()));
-        metrics.control.term.set(whole(view.term()));
+        let from_number = |number: u64| i64::try_from(number).unwrap_or(i64::MAX);
+        metrics.control.revision.set(from_number(view.revision()));
+        metrics.control.term.set(from_number(view.term()));
         let leads = self
             .voter
             .as_ref()
@@ -446,10 +446,10 @@
             Ok(organisation) => organisation,
             Err(refusal) => return http::refuse(request, &refusal),
         };
-        // Drawn anew each time: an organisation's callers would otherwise all take one entry.
+        // A new random suffix for each call spreads the callers of one organisation over the entries.
         let caller = format!("{organisation}/{}", rand::random::<u32>());
-        let told = self.membership.entries_for(&caller);
-        let entries: Vec<_> = told
+        let listed = self.membership.entries_for_caller(&caller);
+        let entries: Vec<_> = listed
             .iter()
             .map(|entry| json!({ "addr": entry.http, "zone": entry.zone }))
             .collect();
@@ -474,10 +474,10 @@
     }
 }
 
-/// Counts a request for as long as it is served.
-struct Serving<'a>(&'a AtomicUsize);
+/// Counts a request as active until it is dropped.
+struct ActiveRequest<'a>(&'a AtomicUsize);
 
-impl Drop for Serving<'_> {
+impl Drop for ActiveRequest<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
@@ -505,8 +505,8 @@
     Ok(Some(Voter::start(data, config, machine, dialer.clone())?))
 }
 
-/// A refusal while the entry leaves; kept here so that every path says the same.
-pub fn leaving() -> Refusal {
+/// Returns the refusal that every path sends while the entry is leaving.
+pub fn leaving_refusal() -> Refusal {
     Refusal::not_run(
         503,
         "this entry is leaving: ask GET /v1/entries for another",
--- a/crates/filbertstack-entry/src/question.rs
+++ b/crates/filbertstack-entry/src/question.rs
@@ -1,10 +1,10 @@
-//! Questions between entries: prost messages inside `Ask::Query`.
+//! Queries between entries, as prost messages inside `Ask::Query`.
 
 use filbertstack_wire::messages::Ask;
 use filbertstack_wire::messages::Payload;
 use prost::Message;
 
-/// A message of the log's consensus, with where its sender is reached.
+/// A message of the log's consensus, with the address of its sender.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Envelope {
     /// The sender's address for links.
@@ -15,64 +15,64 @@
     pub message: bytes::Bytes,
 }
 
-/// A question.
+/// A query to another entry.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Question {
-    /// What is asked.
+    /// The kind of query; absent if this release does not know it.
     #[prost(oneof = "Asked", tags = "1, 2, 4")]
     pub asked: Option<Asked>,
 }
 
-/// What is asked.
+/// The kind of a query, with its arguments.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
 pub enum Asked {
-    /// Who the far end is among the voters; answered by [`VoterInfo`].
+    /// Asks a voter for its identity and its view of the group; answered by [`VoterInfo`].
     #[prost(message, tag = "1")]
-    VoterInfo(Nothing),
-    /// Whether a revision is in force everywhere; answered by [`InForce`].
+    VoterInfo(NoArguments),
+    /// Asks whether a revision is in force everywhere; answered by [`InForce`].
     #[prost(uint64, tag = "2")]
     InForce(u64),
-    /// A config lease; answered by [`LeaseReply`].
+    /// Requests a configuration lease; answered by [`LeaseReply`].
     #[prost(message, tag = "4")]
     Lease(LeaseRequest),
 }
 
-/// An entry's question for a config lease.
+/// A request of an entry for a configuration lease.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LeaseRequest {
     /// The entry's instance name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// When it was sent, by the entry's own clock in milliseconds.
+    /// The time of sending by the entry's own clock, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub sent: u64,
-    /// The revision that the entry acts on.
+    /// The revision that the entry uses.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// The lowest revision in force below the entry.
+    /// The lowest revision that the holders of leases from this entry use.
     #[prost(uint64, tag = "4")]
     pub lowest: u64,
 }
 
-/// A config lease.
+/// A granted configuration lease.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct LeaseReply {
-    /// When the question was sent.
+    /// The time of sending from the request.
     #[prost(uint64, tag = "1")]
     pub sent: u64,
-    /// The revision that it holds for, and any later one.
+    /// The lowest revision for which the lease is valid.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// How long it lasts from `sent` on, in milliseconds.
+    /// The length of the lease from `sent` on, in milliseconds; zero if none is granted.
     #[prost(uint64, tag = "3")]
     pub span: u64,
 }
 
-/// No fields.
+/// An empty message, for a query without arguments.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Nothing {}
+pub struct NoArguments {}
 
-/// Who a voter is.
+/// A voter's identity and its view of the group.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct VoterInfo {
     /// Its instance name.
@@ -81,33 +81,33 @@
     /// Its address for links.
     #[prost(string, tag = "2")]
     pub address: String,
-    /// Its identity in the log.
+    /// Its node identity in the log.
     #[prost(uint64, tag = "3")]
     pub node: u64,
-    /// The group that it belongs to; zero if none.
+    /// The group of voters that it belongs to; zero if none.
     #[prost(uint64, tag = "4")]
     pub cluster: u64,
-    /// The address of the leader it knows; empty if none.
+    /// The address of the leader that it knows; empty if none.
     #[prost(string, tag = "5")]
     pub leader: String,
-    /// Its term.
+    /// The term that it is in.
     #[prost(uint64, tag = "6")]
     pub term: u64,
 }
 
-/// How far a revision is in force.
+/// The state of a revision on all entries.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct InForce {
-    /// Whether every entry acts on it or on a later one, or has no config lease.
+    /// Whether every entry uses it or a later one, or holds no configuration lease.
     #[prost(bool, tag = "1")]
     pub everywhere: bool,
-    /// The names of those still to confirm, the first few.
+    /// The names of the first few entries that have not confirmed it yet.
     #[prost(string, repeated, tag = "2")]
     pub waiting: Vec<String>,
 }
 
-/// The call that asks `asked`.
-pub fn ask(asked: Asked) -> Ask {
+/// Returns the call that sends a query.
+pub fn query(asked: Asked) -> Ask {
     let question = Question { asked: Some(asked) };
     Ask::Query(Payload {
         body: question.encode_to_vec().into(),
--- a/crates/filbertstack-entry/src/settings.rs
+++ b/crates/filbertstack-entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry: read once at start, all of them checked.
+//! The settings of an entry. They are read and checked as a whole, once at the start.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -28,29 +28,29 @@
 use filbertstack_wire::Keyring;
 use filbertstack_wire::frame::MAX_BODY;
 
-/// How long callers keep an entry's address by default.
+/// The default time for which callers keep an entry's address.
 pub const DEFAULT_MAX_AGE: Millis = Millis::secs(30);
 
-/// How long a stop takes at most by default: 6 s until every entry knows of it, the default
-/// `max-age`, and the default timeout of a rule, with a few seconds to spare.
+/// The default time limit of a stop. It covers the 6 s until every entry knows of the stop, the default
+/// `max-age`, the default timeout of a rule, and a few seconds in reserve.
 pub const DEFAULT_STOP_TIMEOUT: Millis = Millis::secs(100);
 
-/// The largest request body by default, in bytes: a long prompt fits many times over.
+/// The default limit of a request body, in bytes. It is many times the size of a long prompt.
 pub const DEFAULT_MAX_BODY: u64 = 4 << 20;
 
-/// How many callers' connections an entry holds by default.
+/// The default limit of callers' connections to an entry.
 pub const DEFAULT_MAX_CONNECTIONS: u32 = 2048;
 
-/// One voter as the settings name it.
+/// A voter as listed in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Voter {
+pub struct VoterAddr {
     /// Its instance name.
     pub name: InstanceName,
-    /// Where its links lead.
+    /// Its address for links.
     pub addr: SocketAddr,
 }
 
-/// Who may call with which secret.
+/// The secrets that authenticate callers or operators, with their organisations.
 #[derive(Clone, Default)]
 pub struct Callers(HashMap<blake3::Hash, OrgName>);
 
@@ -61,8 +61,8 @@
 }
 
 impl Callers {
-    /// Secrets are kept as hashes, so that looking one up takes the same time for every caller.
-    fn of(credentials: Vec<Credential>) -> Result<Self, String> {
+    /// Stores the secrets as hashes, so that a lookup takes the same time for every caller.
+    fn from_credentials(credentials: Vec<Credential>) -> Result<Self, String> {
         let mut callers = HashMap::new();
         for Credential { name, secret } in credentials {
             let org: OrgName = name.parse().map_err(|error| format!("{error}"))?;
@@ -71,7 +71,7 @@
         Ok(Self(callers))
     }
 
-    /// Whose secret this is.
+    /// Returns the organisation that the secret belongs to.
     pub fn find(&self, secret: &str) -> Option<&OrgName> {
         self.0.get(&blake3::hash(secret.as_bytes()))
     }
@@ -86,31 +86,31 @@
     pub zone: ZoneName,
     /// Its region.
     pub region: RegionName,
-    /// Where callers and operators connect.
+    /// The address for callers and operators.
     pub listen: SocketAddr,
-    /// Where links of entries and agents connect.
+    /// The address for links of entries and agents.
     pub links: SocketAddr,
-    /// How long callers may keep its address.
+    /// The time for which callers may keep its address.
     pub max_age: Millis,
-    /// How long a stop waits for requests in progress.
+    /// The time limit of a stop, which waits for requests in progress.
     pub stop_timeout: Millis,
-    /// The largest request body, in bytes.
+    /// The limit of a request body, in bytes.
     pub max_body: usize,
-    /// The most connections of callers at once.
+    /// The limit of concurrent connections of callers.
     pub max_connections: usize,
-    /// The voters at the first start.
-    pub voters: Vec<Voter>,
-    /// Links of entries to gossip with at first.
+    /// The voters that form the group at the first start.
+    pub voters: Vec<VoterAddr>,
+    /// The link addresses of entries with which the gossip starts.
     pub seeds: Vec<SocketAddr>,
-    /// The data folder of a voter.
+    /// The data folder; only a voter has one.
     pub data: Option<PathBuf>,
-    /// The keys of links.
+    /// The keys that authenticate links.
     pub keys: Keyring,
-    /// Callers' secrets.
+    /// The secrets of callers.
     pub callers: Callers,
-    /// Operators' secrets.
+    /// The secrets of operators.
     pub operators: Callers,
-    /// Logs, metrics and traces.
+    /// The settings of logs, metrics and traces.
     pub telemetry: TelemetrySettings,
 }
 
@@ -118,16 +118,16 @@
     /// Reads and checks the file at `path`.
     ///
     /// # Errors
-    /// Every problem of the file at once.
+    /// Returns all problems of the file.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let document = settings::read_document(path)?;
         Ok(Self::from_document(document)?)
     }
 
-    /// Checks `document`; relative paths are relative to its file's folder.
+    /// Checks `document`. Relative paths in it are relative to its file's folder.
     ///
     /// # Errors
-    /// Every problem at once.
+    /// Returns all problems of the document.
     pub fn from_document(mut document: Document) -> Result<Self, Problems> {
         let mut problems = Problems::default();
         let folder = settings::folder(&document);
@@ -146,11 +146,11 @@
             Some(settings) => problems.into_result(settings),
             None => Err(problems
                 .into_result(())
-                .expect_err("a part is missing for a reason")),
+                .expect_err("a missing part adds a problem")),
         }
     }
 
-    /// Whether this entry votes.
+    /// Returns whether this entry is a voter.
     pub const fn is_voter(&self) -> bool {
         self.data.is_some()
     }
@@ -169,7 +169,7 @@
 }
 
 struct ControlSection {
-    voters: Vec<Voter>,
+    voters: Vec<VoterAddr>,
     seeds: Vec<SocketAddr>,
 }
 
@@ -275,7 +275,7 @@
     })
 }
 
-fn parse_voters(text: &str) -> Result<Vec<Voter>, String> {
+fn parse_voters(text: &str) -> Result<Vec<VoterAddr>, String> {
     let parts = text
         .split(',')
         .map(str::trim)
@@ -283,13 +283,13 @@
     parts.map(parse_voter).collect()
 }
 
-fn parse_voter(text: &str) -> Result<Voter, String> {
+fn parse_voter(text: &str) -> Result<VoterAddr, String> {
     let (name, addr) = text
         .split_once('@')
         .ok_or_else(|| format!("'{text}' is not a voter: write NAME@IP:port"))?;
     let name = name.parse().map_err(|error| format!("{error}"))?;
     let addr = parse_addr(addr).map_err(|error| error.to_string())?;
-    Ok(Voter { name, addr })
+    Ok(VoterAddr { name, addr })
 }
 
 fn read_disk(section: &mut Section, folder: &Path, problems: &mut Problems) -> Option<PathBuf> {
@@ -341,7 +341,7 @@
 ) -> Option<Callers> {
     let text = require_file(section, key, folder, problems)?;
     let credentials = parse_credentials(&text).map_err(|error| error.to_string());
-    match credentials.and_then(Callers::of) {
+    match credentials.and_then(Callers::from_credentials) {
         Ok(callers) => Some(callers),
         Err(error) => {
             problems
--- a/crates/filbertstack-entry/src/view.rs
+++ b/crates/filbertstack-entry/src/view.rs
@@ -1,7 +1,7 @@
-//! What an entry follows of the control state: declarations, orders and published versions.
+//! An entry's copy of a part of the control state: declarations, orders and published versions.
 //!
-//! Voters take it from their own replica; other entries pull what changed from a voter. Either
-//! way it only moves forward.
+//! A voter reads it from its own replica; another entry polls a voter for the changes. In both cases the copy
+//! only moves forward.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 use filbertstack_core::names::InstanceName;
 use prost::Message;
 
-/// How far a follower is: the declarations' revision and the orders' sequence.
+/// The position of a follower: the declarations' revision and the orders' sequence.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Position {
     /// The revision of the declarations.
@@ -36,19 +36,19 @@
     pub sequence: u64,
 }
 
-/// What changed since a follower's [`Position`].
+/// The changes since a follower's [`Position`].
 #[derive(Clone, PartialEq, Message)]
 pub struct Update {
-    /// The declarations' changes.
+    /// The changes of the declarations.
     #[prost(message, required, tag = "1")]
     pub delta: Delta,
-    /// The orders given since.
+    /// The orders given since that position.
     #[prost(message, repeated, tag = "2")]
     pub orders: Vec<TargetOrder>,
-    /// The sequence that they lead to.
+    /// The sequence after these orders.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// The versions that those orders name.
+    /// The published versions that these orders name.
     #[prost(message, repeated, tag = "4")]
     pub versions: Vec<Publish>,
     /// The voters' addresses.
@@ -56,7 +56,7 @@
     pub voters: Vec<String>,
 }
 
-/// What an entry follows of the control state.
+/// The part of the control state that an entry follows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
     follower: Follower,
@@ -66,49 +66,49 @@
 }
 
 impl View {
-    /// The declarations in force.
+    /// Returns the declarations.
     pub fn declared(&self) -> &Declarations {
         self.follower.declared()
     }
 
-    /// The revision of the declarations.
+    /// Returns the revision of the declarations.
     pub fn revision(&self) -> u64 {
         self.follower.revision()
     }
 
-    /// The highest term heard of.
+    /// Returns the highest term seen.
     pub fn term(&self) -> u64 {
         self.follower.term()
     }
 
-    /// How far this view is.
-    pub fn reached(&self) -> Position {
+    /// Returns the position of this view.
+    pub fn position(&self) -> Position {
         Position {
             revision: self.revision(),
             sequence: self.sequence,
         }
     }
 
-    /// The order that stands for `target`.
+    /// Returns the current order for `target`.
     pub fn order(&self, target: &InstanceName) -> Option<&TargetOrder> {
         self.orders.get(target)
     }
 
-    /// Every order, by target.
+    /// Returns all current orders, by target.
     pub fn orders(&self) -> &BTreeMap<InstanceName, TargetOrder> {
         &self.orders
     }
 
-    /// The facts of a published version that some order names.
+    /// Returns the facts of a published version that some order names.
     pub fn version(&self, version: Digest) -> Option<&Publish> {
         self.versions.get(&version)
     }
 
-    /// Takes an update: all of it, or nothing.
+    /// Applies an update as a whole, or not at all.
     ///
     /// # Errors
-    /// [`DeltaError`] if it is behind or starts too late.
-    pub fn take(&mut self, update: Update) -> Result<(), DeltaError> {
+    /// Returns a [`DeltaError`] if the update is behind this view or starts after its position.
+    pub fn apply(&mut self, update: Update) -> Result<(), DeltaError> {
         self.follower.take(&update.delta)?;
         for order in update.orders {
             if let Ok(target) = order.target.parse() {
@@ -125,11 +125,11 @@
     }
 }
 
-/// What changed in `state` since `reached`.
-pub fn update_since(state: &ControlState, reached: Position) -> Update {
+/// Returns the changes of `state` since `position`.
+pub fn update_since(state: &ControlState, position: Position) -> Update {
     let orders = state.orders();
     let changed: Vec<TargetOrder> = orders
-        .since(reached.sequence)
+        .since(position.sequence)
         .filter_map(|(target, _)| state.target_order(target))
         .collect();
     let mut versions = BTreeMap::new();
@@ -142,7 +142,7 @@
         }
     }
     Update {
-        delta: state.delta(reached.revision),
+        delta: state.delta(position.revision),
         orders: changed,
         sequence: orders.sequence(),
         versions: versions.into_values().collect(),
@@ -155,24 +155,24 @@
 pub struct Views {
     newest: Mutex<Arc<View>>,
     changed: Condvar,
-    /// Whether this entry ends, so that nobody is to wait for a change here.
+    /// Set when the entry stops; no thread waits for a change from then on.
     ending: AtomicBool,
 }
 
 impl Views {
-    /// The newest view.
+    /// Returns the newest view.
     pub fn get(&self) -> Arc<View> {
         self.lock().clone()
     }
 
-    /// Takes an update into the newest view.
+    /// Applies an update to the newest view and wakes the waiting threads if the view changed.
     ///
     /// # Errors
-    /// As [`View::take`].
-    pub fn take(&self, update: Update) -> Result<(), DeltaError> {
+    /// Returns the same errors as [`View::apply`].
+    pub fn apply(&self, update: Update) -> Result<(), DeltaError> {
         let mut newest = self.lock();
         let mut view = View::clone(&newest);
-        view.take(update)?;
+        view.apply(update)?;
         if **newest != view {
             *newest = Arc::new(view);
             self.changed.notify_all();
@@ -180,11 +180,11 @@
         Ok(())
     }
 
-    /// Waits until the view is further than `reached` or has another term, or `wait` is over.
-    pub fn wait_beyond(&self, reached: Position, term: u64, wait: Duration) -> Arc<View> {
+    /// Waits until the view's position differs from `position` or its term from `term`, at most for `wait`.
+    pub fn wait_beyond(&self, position: Position, term: u64, wait: Duration) -> Arc<View> {
         let until = Instant::now() + wait;
         let mut newest = self.lock();
-        while newest.reached() == reached
+        while newest.position() == position
             && newest.term() == term
             && !self.ending.load(Ordering::SeqCst)
         {
@@ -198,10 +198,10 @@
         newest.clone()
     }
 
-    /// Ends every wait for a change, and those to come: this entry ends, and whoever waits is told
-    /// what there is.
+    /// Ends all current and future waits for a change. The entry calls this when it stops; the waiting
+    /// threads return the current view.
     pub fn end_waits(&self) {
-        // Under the lock, so that no wait begins between its look at the flag and the wake-up.
+        // The lock ensures that no thread starts to wait between its check of the flag and the wake-up.
         let _newest = self.lock();
         self.ending.store(true, Ordering::SeqCst);
         self.changed.notify_all();
--- a/crates/filbertstack-entry/src/voter.rs
+++ b/crates/filbertstack-entry/src/voter.rs
@@ -1,4 +1,4 @@
-//! A voter: the replica of the log, its messages on links, and how the group forms.
+//! A voter: its replica of the log, the log's messages over links, and the membership of the group.
 
 use std::collections::HashMap;
 use std::fs;
@@ -51,32 +51,33 @@
 use crate::machine::ControlMachine;
 use crate::question::Asked;
 use crate::question::Envelope;
-use crate::question::Nothing;
+use crate::question::NoArguments;
 use crate::question::VoterInfo;
-use crate::question::ask;
+use crate::question::query;
 
-/// How often a voter looks after the membership while the group forms or changes.
-const TEND: Duration = Duration::from_millis(300);
+/// The interval between membership checks while the group forms or changes.
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How often the leader asks the listed voters who they are: a lost disk is found within this.
-const TEND_IDLE: Duration = Duration::from_secs(3);
+/// The interval between membership checks of a settled group. The leader queries the identities of the listed
+/// voters in each check, so it finds a lost disk within this time.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
-/// How long a question to another voter may take.
+/// The time that a query to another voter may take.
 const ASK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a change of the membership may take.
+/// The time that a change of the membership may take.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How many messages may wait for one peer; more are dropped, as the network may do.
-const QUEUE: usize = 1024;
+/// The number of messages that may wait for one peer. Further messages are dropped, as on a lossy network.
+const QUEUE_LEN: usize = 1024;
 
-/// How long a stop tries to pass the leadership on.
-const STOP_PATIENCE: Duration = Duration::from_secs(2);
+/// The time for which a voter that stops tries to hand the leadership over.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A voter.
+/// A member of the group that replicates the log.
 pub struct Voter {
     replica: Replica<ControlMachine>,
-    post: Arc<Post>,
+    sender: Arc<PeerSender>,
     name: String,
     listed: Vec<String>,
     listed_addrs: Vec<SocketAddr>,
@@ -91,22 +92,22 @@
     }
 }
 
-/// What a voter is started with.
+/// The parameters of a voter's start.
 #[derive(Debug)]
 pub struct VoterConfig {
-    /// Its instance name.
+    /// The voter's instance name.
     pub name: String,
-    /// Its address for links.
+    /// The voter's address for links.
     pub addr: SocketAddr,
-    /// The voters that the settings list, this one among them.
-    pub listed: Vec<crate::settings::Voter>,
+    /// The voters that the settings list, including this one.
+    pub listed: Vec<crate::settings::VoterAddr>,
 }
 
 impl Voter {
     /// Opens the data folder and starts the replica.
     ///
     /// # Errors
-    /// [`StartError`] names the remedy.
+    /// Returns a [`StartError`] that names the remedy.
     pub fn start(
         data: &Path,
         config: VoterConfig,
@@ -115,12 +116,12 @@
     ) -> Result<Arc<Self>, StartError> {
         let _ = fs::create_dir_all(data);
         let disk = Folder::lock(data)?;
-        let post = Arc::new(Post::new(dialer, config.addr));
-        let transport = PostTransport(post.clone());
+        let sender = Arc::new(PeerSender::new(dialer, config.addr));
+        let transport = PeerTransport(sender.clone());
         let replica = Replica::start(disk, ReplicaSettings::default(), machine, transport)?;
         let voter = Arc::new(Self {
             replica,
-            post,
+            sender,
             name: config.name,
             listed: config
                 .listed
@@ -130,51 +131,51 @@
             listed_addrs: config.listed.iter().map(|voter| voter.addr).collect(),
             stopped: AtomicBool::new(false),
         });
-        let tending = voter.clone();
-        thread::spawn(move || tending.tend());
+        let maintainer = voter.clone();
+        thread::spawn(move || maintainer.maintain_membership());
         Ok(voter)
     }
 
-    /// Where its links lead.
+    /// Returns this voter's address for links.
     pub fn addr(&self) -> SocketAddr {
-        self.post.own
+        self.sender.own
     }
 
-    /// The replica's status.
+    /// Returns the replica's status.
     pub fn status(&self) -> ReplicaStatus {
         self.replica.status()
     }
 
-    /// Whether this voter leads, and in which term.
+    /// Returns the term that this voter leads, or `None` if it does not lead.
     pub fn leads(&self) -> Option<u64> {
         let status = self.replica.status();
         (status.node.role == RoleName::Leader && status.failed.is_none())
             .then_some(status.node.term)
     }
 
-    /// Whether this voter leads and a majority confirmed it a moment ago.
+    /// Returns whether this voter leads and a majority has just confirmed it.
     pub fn has_quorum_lease(&self) -> bool {
         let status = self.replica.status();
         let leads = status.node.role == RoleName::Leader && status.failed.is_none();
         leads && status.lease.is_some_and(|until| Instant::now() < until)
     }
 
-    /// Asks the leader that this voter knows.
+    /// Sends a call to the leader that this voter knows.
     ///
     /// # Errors
-    /// [`WireError`] if there is none or it does not answer.
+    /// Returns a [`WireError`] if no other leader is known or it does not answer.
     pub fn ask_leader(&self, ask: Ask, timeout: Duration) -> Result<Tell, WireError> {
         let leader = self.replica.status().node.leader;
         let addr = leader
-            .and_then(|leader| self.post.find(leader))
+            .and_then(|leader| self.sender.addr_of(leader))
             .ok_or(WireError::Lost)?;
-        if addr == self.post.own {
+        if addr == self.sender.own {
             return Err(WireError::Lost);
         }
-        self.post.dialer.ask(addr, Role::Peer, ask, timeout)
+        self.sender.dialer.ask(addr, Role::Peer, ask, timeout)
     }
 
-    /// What this voter tells an agent that has just started.
+    /// Returns the term and the voters, for an agent that has just started.
     pub fn term_report(&self) -> TermReport {
         let status = self.replica.status();
         let voters = status.node.membership.voters.iter();
@@ -186,21 +187,21 @@
         }
     }
 
-    /// Takes a message of another voter.
+    /// Delivers a message of another voter to the replica.
     pub fn deliver(&self, envelope: Envelope) {
         let Ok(message) = LogMessage::from_bytes(envelope.message) else {
             return;
         };
         if let Ok(from) = envelope.from.parse() {
-            self.post.learn(message.sender(), from);
+            self.sender.set_addr(message.sender(), from);
         }
         self.replica.deliver(message);
     }
 
-    /// Proposes a command, stamped with this voter's clock, so that one clock counts at a time.
+    /// Proposes a command with a timestamp of this voter's clock, so that only the leader's clock is used.
     ///
     /// # Errors
-    /// [`ProposeError`] says whether it may have taken effect.
+    /// Returns a [`ProposeError`] that says whether the command may have taken effect.
     pub fn propose(&self, command: &[u8], deadline: Instant) -> Result<Outcome, ProposeError> {
         let decoded = Command::decode(command);
         let mut command = decoded.map_err(|error| ProposeError::NotRun(error.to_string()))?;
@@ -212,23 +213,26 @@
         }
     }
 
-    /// Waits until all that was accepted is applied here.
+    /// Waits until every command accepted so far is applied here.
     ///
     /// # Errors
-    /// Why a read here would not be current.
+    /// Returns the reason why a read here would not be current.
     pub fn read_barrier(&self, timeout: Duration) -> Result<(), ProposeError> {
         let read = self.replica.read_barrier(Instant::now() + timeout);
         read.map(drop)
             .map_err(|error| ProposeError::NotRun(error.to_string()))
     }
 
-    /// Who this voter is.
+    /// Returns this voter's identity and its view of the group.
     pub fn voter_info(&self) -> VoterInfo {
         let status = self.replica.status();
-        let leader = status.node.leader.and_then(|leader| self.post.find(leader));
+        let leader = status
+            .node
+            .leader
+            .and_then(|leader| self.sender.addr_of(leader));
         VoterInfo {
             name: self.name.clone(),
-            address: self.post.own.to_string(),
+            address: self.sender.own.to_string(),
             node: status.id.0,
             cluster: status.cluster.map_or(0, |cluster| cluster.0),
             leader: leader.map(|addr| addr.to_string()).unwrap_or_default(),
@@ -236,7 +240,7 @@
         }
     }
 
-    /// The addresses of the voters.
+    /// Returns the addresses of the voters, those of the settings if the group has not formed yet.
     pub fn voters(&self) -> Vec<SocketAddr> {
         let membership = self.replica.status().node.membership;
         let addrs = membership
@@ -251,19 +255,19 @@
         }
     }
 
-    /// Passes the leadership on and stops.
+    /// Hands the leadership over and stops.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
-        self.replica.stop(STOP_PATIENCE);
+        self.replica.stop(HANDOVER_TIMEOUT);
     }
 
-    /// Ends the threads at once.
+    /// Ends the threads without handing the leadership over.
     pub fn halt(&self) {
         self.stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Looks after the membership: forms the group once, and replaces a voter that lost its disk.
-    fn tend(&self) {
+    /// Maintains the membership: forms the group once, and replaces a voter that lost its disk.
+    fn maintain_membership(&self) {
         while !self.stopped.load(Ordering::Relaxed) {
             let status = self.replica.status();
             let membership = &status.node.membership;
@@ -276,20 +280,24 @@
             } else if self.leads().is_some() {
                 self.repair(membership);
             }
-            self.pause(if settled { TEND_IDLE } else { TEND });
+            self.pause(if settled {
+                IDLE_CHECK_INTERVAL
+            } else {
+                CHECK_INTERVAL
+            });
         }
     }
 
     fn pause(&self, span: Duration) {
         let until = Instant::now() + span;
         while Instant::now() < until && !self.stopped.load(Ordering::Relaxed) {
-            thread::sleep(TEND.min(span));
+            thread::sleep(CHECK_INTERVAL.min(span));
         }
     }
 
     fn form(&self) {
-        let heard = self.hear();
-        if Formation::decide(&self.name, &self.listed, &heard) != Formation::Create {
+        let announced = self.announcements();
+        if Formation::decide(&self.name, &self.listed, &announced) != Formation::Create {
             return;
         }
         let wanted = u32::try_from(self.listed.len()).unwrap_or(1);
@@ -301,22 +309,22 @@
     }
 
     fn repair(&self, membership: &Membership) {
-        let heard = self.hear();
-        let change = Formation::next(membership, &self.listed, &heard)
-            .or_else(|| replacement(membership, &self.listed, &heard));
+        let announced = self.announcements();
+        let change = Formation::next(membership, &self.listed, &announced)
+            .or_else(|| replacement(membership, &self.listed, &announced));
         let Some(change) = change else {
             return;
         };
         let text = format!("{change:?}");
         let deadline = Instant::now() + CHANGE_TIMEOUT;
         let changed = match change {
-            // Waits for a moment when the learner holds everything.
+            // Retries until the learner holds every committed entry, which under load happens only at times.
             Change::Promote(node) => self.replica.promote(node, deadline),
             change => self.replica.change(change, deadline),
         };
         match changed {
             Ok(_) => info!("membership changed: {text}"),
-            Err(error) => info!("membership not changed yet: {text}: {error}"),
+            Err(error) => info!("could not change the membership, will retry: {text}: {error}"),
         }
     }
 
@@ -324,49 +332,54 @@
         Member {
             node: self.replica.status().id.0,
             name: self.name.clone(),
-            address: self.post.own.to_string(),
+            address: self.sender.own.to_string(),
         }
     }
 
-    fn hear(&self) -> Vec<Announcement> {
+    fn announcements(&self) -> Vec<Announcement> {
         let others = self
             .listed_addrs
             .iter()
-            .filter(|addr| **addr != self.post.own);
-        others.filter_map(|addr| self.hear_from(*addr)).collect()
+            .filter(|addr| **addr != self.sender.own);
+        others
+            .filter_map(|addr| self.announcement_of(*addr))
+            .collect()
     }
 
-    fn hear_from(&self, addr: SocketAddr) -> Option<Announcement> {
-        let question = ask(Asked::VoterInfo(Nothing {}));
-        let told = self
-            .post
+    fn announcement_of(&self, addr: SocketAddr) -> Option<Announcement> {
+        let ask = query(Asked::VoterInfo(NoArguments {}));
+        let answer = self
+            .sender
             .dialer
-            .ask(addr, Role::Peer, question, ASK_TIMEOUT)
+            .ask(addr, Role::Peer, ask, ASK_TIMEOUT)
             .ok()?;
-        let Tell::Payload(Payload { body }) = told else {
+        let Tell::Payload(Payload { body }) = answer else {
             return None;
         };
-        let standing = VoterInfo::decode(body).ok()?;
+        let info = VoterInfo::decode(body).ok()?;
         Some(Announcement {
-            name: standing.name,
-            address: standing.address,
-            node: NodeId(standing.node),
-            cluster: (standing.cluster != 0).then_some(ClusterId(standing.cluster)),
+            name: info.name,
+            address: info.address,
+            node: NodeId(info.node),
+            cluster: (info.cluster != 0).then_some(ClusterId(info.cluster)),
         })
     }
 }
 
-/// The next change that replaces a listed voter which came back under a new identity.
+/// Returns the next change that replaces a listed voter which came back under a new identity.
 ///
-/// Its old identity's disk is gone, so the old one can never vote again. The new one is added as
-/// a learner, votes once it holds everything, and only then the old one is removed: at no point
-/// does fewer than the old majority hold what was accepted.
+/// The disk of the old identity is gone, so the old identity can never vote again. The new one is added as a
+/// learner and votes once it has caught up with the log; only then the old one is removed. At no point do
+/// fewer voters than the old majority hold the accepted entries.
 fn replacement(
     membership: &Membership,
     listed: &[String],
-    heard: &[Announcement],
+    announced: &[Announcement],
 ) -> Option<Change> {
-    for fresh in heard.iter().filter(|heard| listed.contains(&heard.name)) {
+    for fresh in announced
+        .iter()
+        .filter(|voter| listed.contains(&voter.name))
+    {
         let old = membership.voters.iter().find(|m| m.name == fresh.name);
         let is_voter = membership.is_voter(fresh.node);
         let is_learner = membership.is_learner(fresh.node);
@@ -400,7 +413,7 @@
     None
 }
 
-/// The clock in Unix milliseconds.
+/// Returns the current time in Unix milliseconds.
 pub fn unix_millis() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -408,46 +421,46 @@
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Sends the log's messages, a queue and a thread for each peer.
-struct Post {
+/// Sends the log's messages, with a queue and a thread for each peer.
+struct PeerSender {
     dialer: Arc<Dialer>,
     own: SocketAddr,
-    places: Mutex<HashMap<NodeId, SocketAddr>>,
+    addrs: Mutex<HashMap<NodeId, SocketAddr>>,
     queues: Mutex<HashMap<SocketAddr, SyncSender<LogMessage>>>,
 }
 
-impl Post {
+impl PeerSender {
     fn new(dialer: Arc<Dialer>, own: SocketAddr) -> Self {
         Self {
             dialer,
             own,
-            places: Mutex::default(),
+            addrs: Mutex::default(),
             queues: Mutex::default(),
         }
     }
 
-    fn learn(&self, node: NodeId, addr: SocketAddr) {
-        lock(&self.places).insert(node, addr);
+    fn set_addr(&self, node: NodeId, addr: SocketAddr) {
+        lock(&self.addrs).insert(node, addr);
     }
 
-    fn find(&self, node: NodeId) -> Option<SocketAddr> {
-        lock(&self.places).get(&node).copied()
+    fn addr_of(&self, node: NodeId) -> Option<SocketAddr> {
+        lock(&self.addrs).get(&node).copied()
     }
 
     fn send(&self, addr: SocketAddr, message: LogMessage) {
         let mut queues = lock(&self.queues);
         let queue = queues.entry(addr).or_insert_with(|| {
-            let (sender, receiver) = sync_channel(QUEUE);
+            let (sender, receiver) = sync_channel(QUEUE_LEN);
             let (dialer, own) = (self.dialer.clone(), self.own);
-            thread::spawn(move || carry(&dialer, own, addr, &receiver));
+            thread::spawn(move || send_queued(&dialer, own, addr, &receiver));
             sender
         });
-        // A full queue drops the message: the log sends again what was not acknowledged.
+        // A full queue drops the message; the log sends unacknowledged entries again.
         let _ = queue.try_send(message);
     }
 }
 
-fn carry(dialer: &Dialer, own: SocketAddr, to: SocketAddr, queue: &Receiver<LogMessage>) {
+fn send_queued(dialer: &Dialer, own: SocketAddr, to: SocketAddr, queue: &Receiver<LogMessage>) {
     while let Ok(message) = queue.recv() {
         let envelope = Envelope {
             from: own.to_string(),
@@ -462,11 +475,11 @@
     }
 }
 
-struct PostTransport(Arc<Post>);
+struct PeerTransport(Arc<PeerSender>);
 
-impl Transport for PostTransport {
+impl Transport for PeerTransport {
     fn send(&self, to: NodeId, message: LogMessage) {
-        if let Some(addr) = self.0.find(to) {
+        if let Some(addr) = self.0.addr_of(to) {
             self.0.send(addr, message);
         }
     }
@@ -474,7 +487,7 @@
     fn configure(&self, membership: &Membership) {
         for member in membership.members() {
             if let Ok(addr) = member.address.parse() {
-                self.0.learn(member.id(), addr);
+                self.0.set_addr(member.id(), addr);
             }
         }
     }
