--- a/crates/filbertstack-entry/src/claims.rs
+++ b/crates/filbertstack-entry/src/claims.rs
@@ -112,17 +112,17 @@
     ///
     /// # Errors
     /// Returns [`NotGranted`] with the answer for the caller.
-    pub fn claim(&self, wanted: &ClaimRequest<'_>) -> Result<Granted, NotGranted> {
+    pub fn claim(&self, request: &ClaimRequest<'_>) -> Result<Granted, NotGranted> {
         let grace_ms = u64::try_from(SETTLE_GRACE.as_millis()).unwrap_or(u64::MAX);
         let claim = Claim {
-            organisation: wanted.org.to_string(),
-            key: wanted.key.into(),
-            issued: key_time(wanted.key),
-            body: wanted.digest.to_vec(),
+            organisation: request.org.to_string(),
+            key: request.key.into(),
+            issued: key_time(request.key),
+            body: request.digest.to_vec(),
             entry: self.process,
-            attempt: wanted.attempt,
+            attempt: request.attempt,
             until: unix_millis()
-                .saturating_add(wanted.timeout.0)
+                .saturating_add(request.timeout.0)
                 .saturating_add(grace_ms),
             life: u64::try_from(KEY_RETENTION.as_millis()).unwrap_or(u64::MAX),
         };
@@ -133,7 +133,7 @@
                 Refusal::not_run(503, text).after_ms(1000),
             ));
         };
-        self.grant(wanted, claimed.decision)
+        self.grant(request, claimed.decision)
     }
 
     /// Proposes the claim, and abandons it if its outcome is unknown.
@@ -160,15 +160,15 @@
 
     fn grant(
         &self,
-        wanted: &ClaimRequest<'_>,
+        request: &ClaimRequest<'_>,
         decision: Option<Decision>,
     ) -> Result<Granted, NotGranted> {
         let refusal = match decision {
             Some(Decision::Granted(fence)) => {
                 return Ok(Granted {
                     ledger: self.ledger.clone(),
-                    organisation: wanted.org.to_string(),
-                    key: wanted.key.into(),
+                    organisation: request.org.to_string(),
+                    key: request.key.into(),
                     fence,
                 });
             }
--- a/crates/filbertstack-entry/src/fleet.rs
+++ b/crates/filbertstack-entry/src/fleet.rs
@@ -84,13 +84,13 @@
             Health::Up(since) => Health::Up(since),
             Health::Away(_) | Health::Leaving => Health::Up(now),
         };
-        let before = std::mem::take(&mut observation.holds);
+        let previous = std::mem::take(&mut observation.holds);
         for held in &member.held {
             let Some(stage) = placement_stage(held, chunks(&held.version)) else {
                 continue;
             };
-            let same = before.get(&held.version).filter(|old| old.stage == stage);
-            let since = same.map_or(now, |old| old.since);
+            let unchanged = previous.get(&held.version).filter(|old| old.stage == stage);
+            let since = unchanged.map_or(now, |old| old.since);
             observation.holds.insert(
                 held.version,
                 Holding {
--- a/crates/filbertstack-entry/src/gossip.rs
+++ b/crates/filbertstack-entry/src/gossip.rs
@@ -58,7 +58,8 @@
 
 pub use encoding::EntryFacts;
 
-/// The time that the far end may take to answer. A message that is overtaken by the next few is not needed.
+/// The time that the far end may take to answer. A later answer is not needed, because the next rounds have
+/// replaced it by then.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The maximum number of entries in a caller's list. A fleet of the usual size fits as a whole; at 340
@@ -148,7 +149,7 @@
             if stopped.load(Ordering::Relaxed) {
                 return;
             }
-            let alone = self.tick();
+            let alone = self.run_round();
             if alone || round % settings.compare == 0 {
                 self.contact_seed(round);
             }
@@ -157,25 +158,25 @@
     }
 
     /// Runs one round. Returns whether no other entry is known.
-    fn tick(self: &Arc<Self>) -> bool {
+    fn run_round(self: &Arc<Self>) -> bool {
         let now = self.now();
         let mut gossip = self.lock();
-        let sends = gossip.tick(now);
+        let outgoing = gossip.tick(now);
         let alone = gossip.view().is_empty();
         self.apply_changes(&mut gossip);
         drop(gossip);
-        for send in sends {
-            self.send(send);
+        for message in outgoing {
+            self.send(message);
         }
         alone
     }
 
     /// Sends a message on its own thread, so that a frozen far end does not delay the rounds.
-    fn send(self: &Arc<Self>, send: Outgoing) {
-        let Some(addr) = self.addr_of(&send.to) else {
+    fn send(self: &Arc<Self>, outgoing: Outgoing) {
+        let Some(addr) = self.addr_of(&outgoing.to) else {
             return;
         };
-        self.start_exchange(addr, send.message);
+        self.start_exchange(addr, outgoing.message);
     }
 
     fn start_exchange(self: &Arc<Self>, addr: SocketAddr, message: Message) {
@@ -274,7 +275,7 @@
         if known.is_some_and(|row| row.kind == RowKind::Entry) {
             return false;
         }
-        let row = unless_unchanged(known, self.target_row(announce, member));
+        let row = row_to_announce(known, self.target_row(announce, member));
         gossip.announce(Announcement { row }, now);
         self.apply_changes(&mut gossip);
         true
@@ -303,8 +304,8 @@
     pub fn entries_for_target(&self, member: &InstanceName) -> Vec<SocketAddr> {
         let gossip = self.lock();
         let region = gossip.row(member).map_or(&self.region, |row| &row.region);
-        let homes = gossip::homes(member, region, gossip.rows());
-        let rows = homes.iter().filter_map(|name| gossip.row(name));
+        let names = gossip::homes(member, region, gossip.rows());
+        let rows = names.iter().filter_map(|name| gossip.row(name));
         let facts = rows.filter_map(EntryFacts::of);
         facts.map(|facts| facts.links).collect()
     }
@@ -384,7 +385,7 @@
 ///
 /// Agents number every announcement. If the gossip took each number, every target would cause a change that
 /// spreads to every entry once a second, and real changes would be delayed behind these.
-fn unless_unchanged(known: Option<&Row>, announced: Row) -> Row {
+fn row_to_announce(known: Option<&Row>, announced: Row) -> Row {
     let unchanged = known.filter(|known| {
         let renumbered = Row {
             version: known.version,
--- a/crates/filbertstack-entry/src/lead.rs
+++ b/crates/filbertstack-entry/src/lead.rs
@@ -77,27 +77,28 @@
         let mut rounds = Rounds::new();
         while !self.stopped.load(Ordering::Relaxed) {
             thread::sleep(TICK);
-            let Some(term) = self.voter.leads() else {
+            let Some(term) = self.voter.leading_term() else {
                 begun_term = None;
                 self.spread.resign();
                 continue;
             };
             if begun_term != Some(term) {
-                if !self.begin(term) {
+                if !self.begin_term(term) {
                     continue;
                 }
                 begun_term = Some(term);
                 rounds = Rounds::new();
             }
             if rounds.is_due(self.views.get().position(), self.members.sweep()) {
-                self.register();
-                self.order(term, &mut rounds);
+                self.register_instances();
+                self.commit_orders(term, &mut rounds);
             }
             self.spread.tend(term, &self.views.get());
         }
     }
 
-    fn begin(&self, term: u64) -> bool {
+    /// Commits the start of the term. Returns whether that succeeded.
+    fn begin_term(&self, term: u64) -> bool {
         let leader = self.voter.voter_info().name;
         let lead = Body::Lead(Lead { term, leader });
         match self.ledger.propose(lead, PROPOSE_TIMEOUT) {
@@ -113,7 +114,7 @@
     }
 
     /// Registers new instances and changed labels, so that selectors can be checked against them.
-    fn register(&self) {
+    fn register_instances(&self) {
         let live = self.members.live();
         let state = self.control.read();
         let instances: Vec<Instance> = live
@@ -135,9 +136,9 @@
     }
 
     /// Decides the placement and commits orders for the targets whose orders change.
-    fn order(&self, term: u64, rounds: &mut Rounds) {
+    fn commit_orders(&self, term: u64, rounds: &mut Rounds) {
         let live = self.members.live();
-        let now = CLOCK_START + rounds.began.elapsed().into();
+        let now = CLOCK_START + rounds.start.elapsed().into();
         let view = self.views.get();
         let state = self.control.read();
         let fleet = rounds
@@ -147,11 +148,11 @@
         let wants = placement::wants(view.declared(), weight_sizes(&state));
         let decision =
             placement::decide(&fleet, &wants, &current_orders(&view), &rounds.faults, now);
-        let none = Vec::new();
+        let no_holds = Vec::new();
         let targets: Vec<Desired> = decision
             .changed
             .iter()
-            .map(|name| to_desired(&state, name, decision.orders.get(name).unwrap_or(&none)))
+            .map(|name| to_desired(&state, name, decision.orders.get(name).unwrap_or(&no_holds)))
             .collect();
         drop(state);
         if targets.is_empty() {
@@ -168,7 +169,7 @@
 
 /// The state that a leader keeps between placement rounds; each term starts with a new one.
 struct Rounds {
-    began: Instant,
+    start: Instant,
     /// The view's position and the targets' change count at the last round.
     last_seen: Option<(Position, u64)>,
     last_round: Instant,
@@ -196,7 +197,7 @@
 
     fn new() -> Self {
         Self {
-            began: Instant::now(),
+            start: Instant::now(),
             last_seen: None,
             last_round: Instant::now(),
             tracker: FleetTracker::default(),
--- a/crates/filbertstack-entry/src/lease.rs
+++ b/crates/filbertstack-entry/src/lease.rs
@@ -52,7 +52,7 @@
 /// The time at which the clock starts. It is above zero so that times before the start can be expressed.
 const CLOCK_START: Millis = Millis::secs(3600);
 
-/// The number of revisions whose times of acceptance are kept.
+/// The number of revisions whose times of first use are kept.
 const MAX_REVISIONS: usize = 256;
 
 struct State {
@@ -63,7 +63,7 @@
     /// The term that this entry leads and in which it has applied all commands of earlier terms.
     caught_up: Option<u64>,
     /// The time at which this entry first used each of the last revisions.
-    accepted: BTreeMap<u64, Millis>,
+    first_used: BTreeMap<u64, Millis>,
 }
 
 /// The configuration lease of this entry, and the leases that it grants.
@@ -99,7 +99,7 @@
             granter: Granter::new(CLOCK_START),
             term: None,
             caught_up: None,
-            accepted: BTreeMap::new(),
+            first_used: BTreeMap::new(),
         };
         let (start, state) = (Instant::now(), Mutex::new(state));
         Self {
@@ -150,7 +150,11 @@
     /// A leader can hold its quorum lease earlier. After a restart of all voters it would then grant leases
     /// on the empty routing table that it starts with, and callers would get "no rule" for accepted rules.
     fn catch_up(&self) {
-        let Some((voter, term)) = self.voter.as_ref().and_then(|v| Some((v, v.leads()?))) else {
+        let Some((voter, term)) = self
+            .voter
+            .as_ref()
+            .and_then(|v| Some((v, v.leading_term()?)))
+        else {
             return;
         };
         if self.lock().caught_up != Some(term) && voter.read_barrier(ASK_TIMEOUT).is_ok() {
@@ -161,16 +165,16 @@
     /// Returns the next request for a lease, with the revision of the routing table in use.
     fn next_request(&self) -> LeaseAsk {
         let (now, revision) = (self.now(), self.traffic.table().revision());
-        let leads = self.voter.as_ref().and_then(|voter| voter.leads());
+        let term = self.voter.as_ref().and_then(|voter| voter.leading_term());
         let mut state = self.lock();
-        if leads.is_some() && leads != state.term {
-            // Leases of the previous leader may still be valid, so the granter starts anew.
+        if term.is_some() && term != state.term {
+            // A new granter takes into account that leases of the previous leader may still be valid.
             state.granter = Granter::new(now);
         }
-        state.term = leads;
-        state.accepted.entry(revision).or_insert(now);
-        while state.accepted.len() > MAX_REVISIONS {
-            state.accepted.pop_first();
+        state.term = term;
+        state.first_used.entry(revision).or_insert(now);
+        while state.first_used.len() > MAX_REVISIONS {
+            state.first_used.pop_first();
         }
         state.granter.ask(revision, now)
     }
@@ -248,14 +252,14 @@
         }
         let now = self.now();
         let state = self.lock();
-        let first_use = state.accepted.range(revision..).next();
-        let Some((_, accepted)) = first_use else {
+        let first_use = state.first_used.range(revision..).next();
+        let Some((_, first_used)) = first_use else {
             return Ok(InForce {
                 everywhere: false,
                 waiting: vec![self.name.to_string()],
             });
         };
-        Ok(match state.granter.in_force(revision, *accepted, now) {
+        Ok(match state.granter.in_force(revision, *first_used, now) {
             Force::InForce => InForce {
                 everywhere: true,
                 waiting: Vec::new(),
@@ -280,7 +284,7 @@
         let table_current = self.traffic.table().revision() >= self.views.get().revision();
         voter.has_quorum_lease()
             && caught_up.is_some()
-            && caught_up == voter.leads()
+            && caught_up == voter.leading_term()
             && table_current
     }
 
--- a/crates/filbertstack-entry/src/members.rs
+++ b/crates/filbertstack-entry/src/members.rs
@@ -90,8 +90,9 @@
 
     /// Returns whether the target holds every chunk of `version`.
     pub fn holds(&self, version: Digest) -> bool {
-        let whole = |held: &HeldVersion| held.version == version && held.stage >= Stage::Verified;
-        self.held.iter().any(whole)
+        let complete =
+            |held: &HeldVersion| held.version == version && held.stage >= Stage::Verified;
+        self.held.iter().any(complete)
     }
 
     /// Returns the version of `deployment` from which the target serves.
@@ -129,7 +130,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Table {
+struct TargetTable {
     rows: BTreeMap<InstanceName, KnownTarget>,
     /// The number of changes so far.
     changes: u64,
@@ -138,7 +139,7 @@
 /// The targets that the gossip knows, and those that left a short time ago.
 #[derive(Debug, Default)]
 pub struct Members {
-    table: Mutex<Table>,
+    table: Mutex<TargetTable>,
 }
 
 impl Members {
@@ -209,7 +210,7 @@
         table.changes
     }
 
-    fn lock(&self) -> MutexGuard<'_, Table> {
+    fn lock(&self) -> MutexGuard<'_, TargetTable> {
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -179,16 +179,16 @@
     /// entry has stopped listing it. After that it refuses new requests.
     pub fn stop(self) -> bool {
         let inner = &self.inner;
-        let until = Instant::now() + Duration::from(inner.settings.stop_timeout);
+        let deadline = Instant::now() + Duration::from(inner.settings.stop_timeout);
         let departure = inner.membership.announce_leaving();
-        while !departure.is_over(inner.membership.now()) && Instant::now() < until {
+        while !departure.is_over(inner.membership.now()) && Instant::now() < deadline {
             thread::sleep(STOP_POLL);
         }
         inner.leaving.store(true, Ordering::SeqCst);
-        while inner.active_requests.load(Ordering::SeqCst) > 0 && Instant::now() < until {
+        while inner.active_requests.load(Ordering::SeqCst) > 0 && Instant::now() < deadline {
             thread::sleep(STOP_POLL);
         }
-        let passed_on = self.guard.await_answers(until);
+        let passed_on = self.guard.await_answers(deadline);
         let requests = inner.active_requests.load(Ordering::SeqCst);
         if requests > 0 || !passed_on {
             warn!("stop timeout expired; requests in progress are aborted", kv: { requests, passed_on });
@@ -324,10 +324,10 @@
                 shared_by = entries;
             }
             let view = self.views.get();
-            let now: (Position, u64) = (view.position(), self.members.sweep());
-            if applied != Some(now) {
+            let current: (Position, u64) = (view.position(), self.members.sweep());
+            if applied != Some(current) {
                 self.traffic.update(&view, &self.members.live());
-                applied = Some(now);
+                applied = Some(current);
             }
             thread::sleep(REFRESH_INTERVAL);
         }
@@ -437,7 +437,7 @@
         let leads = self
             .voter
             .as_ref()
-            .is_some_and(|voter| voter.leads().is_some());
+            .is_some_and(|voter| voter.leading_term().is_some());
         metrics.control.leader.set(i64::from(leads));
     }
 
--- a/crates/filbertstack-entry/src/question.rs
+++ b/crates/filbertstack-entry/src/question.rs
@@ -49,7 +49,7 @@
     /// The revision that the entry uses.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// The lowest revision that the holders of leases from this entry use.
+    /// The lowest revision that this entry and the holders of its leases use.
     #[prost(uint64, tag = "4")]
     pub lowest: u64,
 }
--- a/crates/filbertstack-entry/src/voter.rs
+++ b/crates/filbertstack-entry/src/voter.rs
@@ -138,7 +138,7 @@
 
     /// Returns this voter's address for links.
     pub fn addr(&self) -> SocketAddr {
-        self.sender.own
+        self.sender.own_addr
     }
 
     /// Returns the replica's status.
@@ -147,7 +147,7 @@
     }
 
     /// Returns the term that this voter leads, or `None` if it does not lead.
-    pub fn leads(&self) -> Option<u64> {
+    pub fn leading_term(&self) -> Option<u64> {
         let status = self.replica.status();
         (status.node.role == RoleName::Leader && status.failed.is_none())
             .then_some(status.node.term)
@@ -169,7 +169,7 @@
         let addr = leader
             .and_then(|leader| self.sender.addr_of(leader))
             .ok_or(WireError::Lost)?;
-        if addr == self.sender.own {
+        if addr == self.sender.own_addr {
             return Err(WireError::Lost);
         }
         self.sender.dialer.ask(addr, Role::Peer, ask, timeout)
@@ -232,7 +232,7 @@
             .and_then(|leader| self.sender.addr_of(leader));
         VoterInfo {
             name: self.name.clone(),
-            address: self.sender.own.to_string(),
+            address: self.sender.own_addr.to_string(),
             node: status.id.0,
             cluster: status.cluster.map_or(0, |cluster| cluster.0),
             leader: leader.map(|addr| addr.to_string()).unwrap_or_default(),
@@ -276,9 +276,9 @@
                 && membership.learners.is_empty()
                 && membership.voters.len() == self.listed.len();
             if status.cluster.is_none() {
-                self.form();
-            } else if self.leads().is_some() {
-                self.repair(membership);
+                self.form_group();
+            } else if self.leading_term().is_some() {
+                self.repair_membership(membership);
             }
             self.pause(if settled {
                 IDLE_CHECK_INTERVAL
@@ -295,20 +295,23 @@
         }
     }
 
-    fn form(&self) {
+    fn form_group(&self) {
         let announced = self.announcements();
         if Formation::decide(&self.name, &self.listed, &announced) != Formation::Create {
             return;
         }
-        let wanted = u32::try_from(self.listed.len()).unwrap_or(1);
+        let group_size = u32::try_from(self.listed.len()).unwrap_or(1);
         let deadline = Instant::now() + CHANGE_TIMEOUT;
-        match self.replica.create(self.member(), wanted, None, deadline) {
+        match self
+            .replica
+            .create(self.member(), group_size, None, deadline)
+        {
             Ok(()) => info!("created the group of voters"),
             Err(error) => warn!("could not create the group of voters: {error}"),
         }
     }
 
-    fn repair(&self, membership: &Membership) {
+    fn repair_membership(&self, membership: &Membership) {
         let announced = self.announcements();
         let change = Formation::next(membership, &self.listed, &announced)
             .or_else(|| replacement(membership, &self.listed, &announced));
@@ -332,7 +335,7 @@
         Member {
             node: self.replica.status().id.0,
             name: self.name.clone(),
-            address: self.sender.own.to_string(),
+            address: self.sender.own_addr.to_string(),
         }
     }
 
@@ -340,7 +343,7 @@
         let others = self
             .listed_addrs
             .iter()
-            .filter(|addr| **addr != self.sender.own);
+            .filter(|addr| **addr != self.sender.own_addr);
         others
             .filter_map(|addr| self.announcement_of(*addr))
             .collect()
@@ -424,16 +427,16 @@
 /// Sends the log's messages, with a queue and a thread for each peer.
 struct PeerSender {
     dialer: Arc<Dialer>,
-    own: SocketAddr,
+    own_addr: SocketAddr,
     addrs: Mutex<HashMap<NodeId, SocketAddr>>,
     queues: Mutex<HashMap<SocketAddr, SyncSender<LogMessage>>>,
 }
 
 impl PeerSender {
-    fn new(dialer: Arc<Dialer>, own: SocketAddr) -> Self {
+    fn new(dialer: Arc<Dialer>, own_addr: SocketAddr) -> Self {
         Self {
             dialer,
-            own,
+            own_addr,
             addrs: Mutex::default(),
             queues: Mutex::default(),
         }
@@ -451,8 +454,8 @@
         let mut queues = lock(&self.queues);
         let queue = queues.entry(addr).or_insert_with(|| {
             let (sender, receiver) = sync_channel(QUEUE_LEN);
-            let (dialer, own) = (self.dialer.clone(), self.own);
-            thread::spawn(move || send_queued(&dialer, own, addr, &receiver));
+            let (dialer, own_addr) = (self.dialer.clone(), self.own_addr);
+            thread::spawn(move || send_queued(&dialer, own_addr, addr, &receiver));
             sender
         });
         // A full queue drops the message; the log sends unacknowledged entries again.
@@ -460,10 +463,15 @@
     }
 }
 
-fn send_queued(dialer: &Dialer, own: SocketAddr, to: SocketAddr, queue: &Receiver<LogMessage>) {
+fn send_queued(
+    dialer: &Dialer,
+    own_addr: SocketAddr,
+    to: SocketAddr,
+    queue: &Receiver<LogMessage>,
+) {
     while let Ok(message) = queue.recv() {
         let envelope = Envelope {
-            from: own.to_string(),
+            from: own_addr.to_string(),
             message: message.to_bytes().into(),
         };
         let ask = Ask::Log(Payload {
