--- a/crates/filbertstack-entry/src/ledger.rs
+++ b/crates/filbertstack-entry/src/ledger.rs
@@ -25,7 +25,7 @@
 /// The pause between two rounds over the voters. An election takes a second or two.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// The reason why a proposal has no known outcome.
+/// The reason why a proposal returned no outcome.
 #[derive(Debug, Error)]
 pub enum ProposeError {
     /// The proposal certainly did not and will not take effect.
--- a/crates/filbertstack-entry/src/members.rs
+++ b/crates/filbertstack-entry/src/members.rs
@@ -199,7 +199,7 @@
         lost.map(|known| known.member.clone()).collect()
     }
 
-    /// Removes targets that have been gone for [`LOST_RETENTION`], and returns the number of changes so far.
+    /// Removes targets that have been gone for `LOST_RETENTION`, and returns the number of changes so far.
     /// Two calls return the same number if nothing changed that placement or routing depends on.
     pub fn sweep(&self) -> u64 {
         let mut table = self.lock();
