--- a/crates/filbertstack-entry/src/answer.rs
+++ b/crates/filbertstack-entry/src/answer.rs
@@ -11,15 +11,15 @@
 use filbertstack_wire::messages::Header;
 use tiny_http::Request;
 
-use crate::claims::Kept;
-use crate::claims::MAX_KEPT;
+use crate::claims::MAX_STORED_ANSWER;
+use crate::claims::StoredAnswer;
 use crate::http;
 use crate::http::Field;
 use crate::http::OUTCOME;
 use crate::http::SERVED_BY;
 use crate::http::Streamed;
 use crate::http::VERSION;
-use crate::table::Place;
+use crate::table::Endpoint;
 
 /// How much of an answer that is no stream is kept back, in bytes.
 const MAX_BACK: usize = 256 << 10;
@@ -70,7 +70,7 @@
     }
 
     /// Takes the head of the target's answer.
-    pub fn head(&mut self, head: &Head, place: &Place) {
+    pub fn head(&mut self, head: &Head, place: &Endpoint) {
         self.reset();
         self.status = u16::try_from(head.status).unwrap_or(502);
         self.fields = vec![
@@ -169,8 +169,8 @@
     }
 
     /// The answer as it is kept for a resend, if it is small enough.
-    pub fn kept(&self) -> Option<Kept> {
-        (self.size <= MAX_KEPT).then(|| Kept {
+    pub fn kept(&self) -> Option<StoredAnswer> {
+        (self.size <= MAX_STORED_ANSWER).then(|| StoredAnswer {
             media: self.media.clone(),
             body: self.body.clone(),
             version: self.version.clone(),
--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -27,11 +27,11 @@
 use filbertstack_wire::messages::Header;
 use tiny_http::Request;
 
+use crate::claims::ClaimRequest;
 use crate::claims::Claims;
 use crate::claims::Granted;
 use crate::claims::MAX_KEY;
 use crate::claims::NotGranted;
-use crate::claims::Wanted;
 use crate::guard::Gone;
 use crate::guard::Guard;
 use crate::http;
@@ -43,8 +43,8 @@
 use crate::run::End;
 use crate::run::Run;
 use crate::settings::Callers;
-use crate::table::Asked;
-use crate::table::Chosen;
+use crate::table::RequestInfo;
+use crate::table::RouteMatch;
 use crate::table::SharedTable;
 use crate::traffic::Traffic;
 
@@ -80,7 +80,7 @@
 /// A request that has been read and routed.
 pub(crate) struct Job {
     pub(crate) org: OrgName,
-    pub(crate) chosen: Chosen,
+    pub(crate) chosen: RouteMatch,
     pub(crate) table: SharedTable,
     pub(crate) need: Criteria,
     pub(crate) dispatch: Dispatch,
@@ -139,7 +139,7 @@
         let prompt = is_model.then(|| Prompt::read(&body)).transpose();
         let prompt = prompt.map_err(|error| Refusal::not_run(400, error.to_string()))?;
         let method = request.method().as_str().to_owned();
-        let asked = Asked {
+        let asked = RequestInfo {
             labels: request_labels(&org, prompt.as_ref(), &method),
             path,
             model: prompt.as_ref().map(|prompt| &prompt.model),
@@ -188,7 +188,7 @@
             method, path, body, ..
         } = &job.dispatch;
         let whole = [method.as_bytes(), b" ", path.as_bytes(), b"\n", body].concat();
-        let wanted = Wanted {
+        let wanted = ClaimRequest {
             org: &job.org,
             key,
             digest: Digest::of(&whole),
@@ -298,7 +298,7 @@
     asked.map_or(rule, |asked| rule.min(Millis(asked)))
 }
 
-fn need_of(chosen: &Chosen, prompt: Option<Prompt>) -> Criteria {
+fn need_of(chosen: &RouteMatch, prompt: Option<Prompt>) -> Criteria {
     let (cost, prefix) = match prompt {
         Some(prompt) if chosen.kind == GroupKind::Engines => (prompt.cost, prompt.prefix),
         _ => (Cost::CALL, Vec::new()),
--- a/crates/filbertstack-entry/src/links.rs
+++ b/crates/filbertstack-entry/src/links.rs
@@ -28,14 +28,14 @@
 use crate::lease::Leases;
 use crate::ledger::Ledger;
 use crate::ledger::ProposeError;
-use crate::machine::Control;
+use crate::machine::SharedState;
 use crate::members::Member;
 use crate::members::Members;
 use crate::question::Asked;
 use crate::question::Envelope;
 use crate::question::Question;
 use crate::spread::Spread;
-use crate::view::Reached;
+use crate::view::Position;
 use crate::view::View;
 use crate::view::Views;
 use crate::view::update_since;
@@ -52,7 +52,7 @@
     /// The voter, if this entry is one.
     pub voter: Option<Arc<Voter>>,
     /// The control state, if this entry is a voter.
-    pub control: Control,
+    pub control: SharedState,
     /// What this entry follows.
     pub views: Arc<Views>,
     /// The targets.
@@ -137,7 +137,7 @@
 
     fn term(&self) -> TermReport {
         match &self.voter {
-            Some(voter) => voter.word(),
+            Some(voter) => voter.term_report(),
             None => TermReport {
                 term: self.views.get().term(),
                 ..TermReport::default()
@@ -146,7 +146,7 @@
     }
 
     fn announce(&self, announce: &Announce, responder: Responder) {
-        let Some(member) = Member::of(announce) else {
+        let Some(member) = Member::from_announce(announce) else {
             return responder.refuse("the announcement does not read: run the same release", 0);
         };
         if !self.membership.announce(announce, &member) {
@@ -183,7 +183,7 @@
                 .collect(),
             entries: self
                 .membership
-                .homes(&member.name)
+                .entries_for_target(&member.name)
                 .iter()
                 .map(ToString::to_string)
                 .collect(),
@@ -211,7 +211,7 @@
         let Some(voter) = &self.voter else {
             return responder.refuse("not a voter: ask one", 0);
         };
-        let reached = Reached {
+        let reached = Position {
             revision: watch.since,
             sequence: watch.sequence,
         };
@@ -228,8 +228,8 @@
             .ok()
             .and_then(|question| question.asked);
         match (asked, &self.voter) {
-            (Some(Asked::Standing(_)), Some(voter)) => {
-                let _ = responder.finish(payload(voter.standing().encode_to_vec()));
+            (Some(Asked::VoterInfo(_)), Some(voter)) => {
+                let _ = responder.finish(payload(voter.voter_info().encode_to_vec()));
             }
             (Some(Asked::Lease(request)), Some(_)) => match self.leases.grant(&request) {
                 Ok(reply) => drop(responder.finish(payload(reply.encode_to_vec()))),
@@ -239,7 +239,7 @@
                 Ok(reply) => drop(responder.finish(payload(reply.encode_to_vec()))),
                 Err(text) => responder.refuse(&text, 500),
             },
-            (Some(Asked::Standing(_)), None) => responder.refuse("not a voter", 0),
+            (Some(Asked::VoterInfo(_)), None) => responder.refuse("not a voter", 0),
             _ => responder.refuse("a question of a later release: upgrade this end", 0),
         }
     }
--- a/crates/filbertstack-entry/src/run.rs
+++ b/crates/filbertstack-entry/src/run.rs
@@ -33,7 +33,7 @@
 use crate::http;
 use crate::http::Refusal;
 use crate::race::Race;
-use crate::table::Place;
+use crate::table::Endpoint;
 use crate::traffic::Ticket;
 use crate::traffic::Turn;
 
@@ -93,7 +93,7 @@
     key: AttemptKey,
     number: u64,
     target: TargetKey,
-    place: Place,
+    place: Endpoint,
     span: Span,
     _sending: Attempt,
 }
@@ -191,8 +191,8 @@
         let table = self.calls.traffic.table();
         let group = self.job.chosen.group;
         let place = table
-            .place(group, target)
-            .or_else(|| self.job.table.place(group, target));
+            .endpoint(group, target)
+            .or_else(|| self.job.table.endpoint(group, target));
         let Some(place) = place.cloned() else {
             let outcome = Outcome::NotRun(NotRun::Absent);
             return self.failed(key, outcome, "the target left before the request was sent");
