--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -58,7 +58,7 @@
 const OWN_HEADERS: [&str; 2] = ["authorization", TIMEOUT_HEADER];
 
 /// Answers callers' requests.
-pub struct Calls {
+pub struct RequestHandler {
     /// Who may call.
     pub callers: Callers,
     /// The requests in progress.
@@ -89,7 +89,7 @@
     pub(crate) gone: Gone,
 }
 
-impl Calls {
+impl RequestHandler {
     /// Whose key the request bears.
     ///
     /// # Errors
--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -26,7 +26,7 @@
 use tiny_http::Request;
 use tiny_http::Server;
 
-use crate::call::Calls;
+use crate::call::RequestHandler;
 use crate::claims::Claims;
 use crate::follow::Follow;
 use crate::gossip::Membership;
@@ -104,7 +104,7 @@
 struct Inner {
     settings: Settings,
     telemetry: Arc<Telemetry>,
-    calls: Calls,
+    calls: RequestHandler,
     operators: Operators,
     views: Arc<Views>,
     members: Arc<Members>,
@@ -236,7 +236,7 @@
             traffic.clone(),
             views.clone(),
         ));
-        let calls = Calls {
+        let calls = RequestHandler {
             callers: settings.callers.clone(),
             traffic: traffic.clone(),
             claims: Claims::new(ledger.clone(), rng.next_u64()),
--- a/crates/filbertstack-entry/src/run.rs
+++ b/crates/filbertstack-entry/src/run.rs
@@ -26,8 +26,8 @@
 
 use crate::answer::Answer;
 use crate::attempt::Attempt;
-use crate::call::Calls;
 use crate::call::Job;
+use crate::call::RequestHandler;
 use crate::call::refusal_of;
 use crate::claims::Granted;
 use crate::http;
@@ -100,7 +100,7 @@
 
 /// One admitted request, until its end.
 pub(crate) struct Run<'a> {
-    calls: &'a Calls,
+    calls: &'a RequestHandler,
     job: &'a Job,
     ticket: Ticket,
     live: Vec<Live>,
@@ -119,7 +119,7 @@
 
 impl<'a> Run<'a> {
     pub(crate) fn new(
-        calls: &'a Calls,
+        calls: &'a RequestHandler,
         job: &'a Job,
         ticket: Ticket,
         request: Request,
