--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -95,7 +95,7 @@
     /// # Errors
     /// A 401 if it bears none that is known.
     pub fn authenticate(&self, request: &Request) -> Result<OrgName, Refusal> {
-        let secret = bearer(request);
+        let secret = bearer_token(request);
         let org = secret.and_then(|secret| self.callers.find(secret));
         let text = "no known key: send 'Authorization: Bearer KEY' with your organisation's key";
         org.cloned().ok_or_else(|| Refusal::not_run(401, text))
@@ -275,7 +275,7 @@
 }
 
 /// The secret that a request bears.
-pub fn bearer(request: &Request) -> Option<&str> {
+pub fn bearer_token(request: &Request) -> Option<&str> {
     http::field(request, "authorization")?
         .strip_prefix("Bearer ")
         .map(str::trim)
--- a/crates/filbertstack-entry/src/operators.rs
+++ b/crates/filbertstack-entry/src/operators.rs
@@ -31,7 +31,7 @@
 use tiny_http::Method;
 use tiny_http::Request;
 
-use crate::call::bearer;
+use crate::call::bearer_token;
 use crate::fleet::CLOCK_START;
 use crate::fleet::Watcher;
 use crate::guard::Guard;
@@ -184,7 +184,7 @@
     }
 
     fn authenticate(&self, request: &Request) -> Result<OrgName, Refusal> {
-        let secret = bearer(request);
+        let secret = bearer_token(request);
         let operator = secret.and_then(|secret| self.operators.find(secret));
         let text = "no known operator's key: send 'Authorization: Bearer KEY' with yours";
         operator.cloned().ok_or_else(|| Refusal::not_run(401, text))
