--- a/crates/filbertstack-entry/src/links.rs
+++ b/crates/filbertstack-entry/src/links.rs
@@ -69,16 +69,16 @@
 
 /// Hands calls to [`Links`] once there is one: links may come while the entry still starts.
 #[derive(Clone, Default)]
-pub struct LateLinks(Arc<std::sync::OnceLock<Arc<Links>>>);
+pub struct DeferredHandler(Arc<std::sync::OnceLock<Arc<Links>>>);
 
-impl LateLinks {
+impl DeferredHandler {
     /// Takes calls from here on.
     pub fn set(&self, links: Arc<Links>) {
         let _ = self.0.set(links);
     }
 }
 
-impl Handler for LateLinks {
+impl Handler for DeferredHandler {
     fn handle(&self, remote: &Remote, ask: Ask, responder: Responder) {
         match self.0.get() {
             Some(links) => links.take(remote, ask, responder),
--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -38,7 +38,7 @@
 use crate::lead::Leader;
 use crate::lease::Leases;
 use crate::ledger::Ledger;
-use crate::links::LateLinks;
+use crate::links::DeferredHandler;
 use crate::links::Links;
 use crate::machine::Control;
 use crate::machine::ControlMachine;
@@ -127,7 +127,7 @@
         settings.links = links_socket.local_addr()?;
         settings.listen = http_socket.local_addr()?;
         let name = settings.name.to_string();
-        let late = LateLinks::default();
+        let late = DeferredHandler::default();
         let handler = Arc::new(late.clone());
         let dialer = Arc::new(Dialer::new(&name, settings.keys.clone(), handler.clone()));
         let listener = Listener::start(links_socket, &name, settings.keys.clone(), handler)?;
