--- a/crates/filbertstack-entry/src/links.rs
+++ b/crates/filbertstack-entry/src/links.rs
@@ -48,7 +48,7 @@
 const MAX_HOLD: u64 = 10_000;
 
 /// What the calls need.
-pub struct Links {
+pub struct LinkHandler {
     /// The voter, if this entry is one.
     pub voter: Option<Arc<Voter>>,
     /// The control state, if this entry is a voter.
@@ -67,13 +67,13 @@
     pub leases: Arc<Leases>,
 }
 
-/// Hands calls to [`Links`] once there is one: links may come while the entry still starts.
+/// Hands calls to [`LinkHandler`] once there is one: links may come while the entry still starts.
 #[derive(Clone, Default)]
-pub struct DeferredHandler(Arc<std::sync::OnceLock<Arc<Links>>>);
+pub struct DeferredHandler(Arc<std::sync::OnceLock<Arc<LinkHandler>>>);
 
 impl DeferredHandler {
     /// Takes calls from here on.
-    pub fn set(&self, links: Arc<Links>) {
+    pub fn set(&self, links: Arc<LinkHandler>) {
         let _ = self.0.set(links);
     }
 }
@@ -87,7 +87,7 @@
     }
 }
 
-impl Links {
+impl LinkHandler {
     fn take(self: &Arc<Self>, remote: &Remote, ask: Ask, responder: Responder) {
         match (remote.role, ask) {
             (Role::Agent, Ask::Announce(announce)) => self.announce(&announce, responder),
--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -39,7 +39,7 @@
 use crate::lease::Leases;
 use crate::ledger::Ledger;
 use crate::links::DeferredHandler;
-use crate::links::Links;
+use crate::links::LinkHandler;
 use crate::machine::Control;
 use crate::machine::ControlMachine;
 use crate::members::Members;
@@ -271,8 +271,8 @@
         }
     }
 
-    fn links(&self, control: &Control, spread: Arc<Spread>) -> Links {
-        Links {
+    fn links(&self, control: &Control, spread: Arc<Spread>) -> LinkHandler {
+        LinkHandler {
             spread,
             voter: self.voter.clone(),
             control: control.clone(),
