--- a/crates/filbertstack-entry/src/answer.rs
+++ b/crates/filbertstack-entry/src/answer.rs
@@ -14,7 +14,7 @@
 use crate::claims::Kept;
 use crate::claims::MAX_KEPT;
 use crate::http;
-use crate::http::Field;
+use crate::http::HeaderField;
 use crate::http::OUTCOME;
 use crate::http::SERVED_BY;
 use crate::http::Streamed;
@@ -44,7 +44,7 @@
 pub struct Answer {
     way: Way,
     status: u16,
-    fields: Vec<Field>,
+    fields: Vec<HeaderField>,
     media: String,
     version: String,
     body: Vec<u8>,
@@ -74,18 +74,18 @@
         self.reset();
         self.status = u16::try_from(head.status).unwrap_or(502);
         self.fields = vec![
-            Field::new(OUTCOME, "ran"),
-            Field::new(SERVED_BY, place.name.as_str()),
+            HeaderField::new(OUTCOME, "ran"),
+            HeaderField::new(SERVED_BY, place.name.as_str()),
         ];
         if let Some(version) = place.version {
             self.version = version.to_string();
-            self.fields.push(Field::new(VERSION, &self.version));
+            self.fields.push(HeaderField::new(VERSION, &self.version));
         }
         for Header { name, value } in &head.headers {
             if name.eq_ignore_ascii_case("content-type") {
                 self.media.clone_from(value);
             }
-            self.fields.push(Field::new(name, value));
+            self.fields.push(HeaderField::new(name, value));
         }
     }
 
--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -35,7 +35,7 @@
 use crate::guard::Gone;
 use crate::guard::Guard;
 use crate::http;
-use crate::http::Field;
+use crate::http::HeaderField;
 use crate::http::OUTCOME;
 use crate::http::Refusal;
 use crate::lease::Leases;
@@ -264,12 +264,12 @@
         return http::refuse(request, &Refusal::unknown(409, text));
     };
     let mut fields = vec![
-        Field::new("content-type", &kept.media),
-        Field::new(OUTCOME, "ran"),
-        Field::new("idempotent-replayed", "true"),
+        HeaderField::new("content-type", &kept.media),
+        HeaderField::new(OUTCOME, "ran"),
+        HeaderField::new("idempotent-replayed", "true"),
     ];
     if !kept.version.is_empty() {
-        fields.push(Field::new(http::VERSION, &kept.version));
+        fields.push(HeaderField::new(http::VERSION, &kept.version));
     }
     http::respond(request, status, &fields, &kept.body)
 }
--- a/crates/filbertstack-entry/src/http.rs
+++ b/crates/filbertstack-entry/src/http.rs
@@ -29,14 +29,14 @@
 
 /// A header of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Field {
+pub struct HeaderField {
     /// Its name.
     pub name: String,
     /// Its value, without line ends.
     pub value: String,
 }
 
-impl Field {
+impl HeaderField {
     /// A header; line ends are taken out of the value.
     pub fn new(name: &str, value: &str) -> Self {
         let value = value.chars().filter(|c| !c.is_control()).collect();
@@ -136,7 +136,12 @@
 ///
 /// # Errors
 /// If the caller has left.
-pub fn respond(request: Request, status: u16, fields: &[Field], body: &[u8]) -> io::Result<()> {
+pub fn respond(
+    request: Request,
+    status: u16,
+    fields: &[HeaderField],
+    body: &[u8],
+) -> io::Result<()> {
     let head_only = *request.method() == tiny_http::Method::Head;
     let mut writer = request.into_writer();
     write_head(&mut writer, status, fields)?;
@@ -166,7 +171,7 @@
     respond(
         request,
         status,
-        &[Field::new("content-type", "application/json")],
+        &[HeaderField::new("content-type", "application/json")],
         &body,
     )
 }
@@ -182,11 +187,11 @@
         Outcome::Unknown => "unknown",
     };
     let mut fields = vec![
-        Field::new("content-type", "application/json"),
-        Field::new(OUTCOME, outcome),
+        HeaderField::new("content-type", "application/json"),
+        HeaderField::new(OUTCOME, outcome),
     ];
     if let Some(after) = refusal.after {
-        fields.push(Field::new("retry-after", &after.to_string()));
+        fields.push(HeaderField::new("retry-after", &after.to_string()));
     }
     let body = json!({ "error": { "message": refusal.text, "type": kind } });
     respond(
@@ -197,9 +202,9 @@
     )
 }
 
-fn write_head(writer: &mut impl Write, status: u16, fields: &[Field]) -> io::Result<()> {
+fn write_head(writer: &mut impl Write, status: u16, fields: &[HeaderField]) -> io::Result<()> {
     write!(writer, "HTTP/1.1 {status} {}\r\n", reason(status))?;
-    for Field { name, value } in fields {
+    for HeaderField { name, value } in fields {
         write!(writer, "{name}: {value}\r\n")?;
     }
     writer.write_all(b"connection: close\r\n")
@@ -218,7 +223,7 @@
     ///
     /// # Errors
     /// If the caller has left.
-    pub fn start(request: Request, status: u16, fields: &[Field]) -> io::Result<Self> {
+    pub fn start(request: Request, status: u16, fields: &[HeaderField]) -> io::Result<Self> {
         let mut writer = request.into_writer();
         write_head(&mut writer, status, fields)?;
         writer.write_all(b"transfer-encoding: chunked\r\n\r\n")?;
--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -33,7 +33,7 @@
 use crate::guard;
 use crate::guard::Guard;
 use crate::http;
-use crate::http::Field;
+use crate::http::HeaderField;
 use crate::http::Refusal;
 use crate::lead::Leader;
 use crate::lease::Leases;
@@ -413,7 +413,10 @@
     fn metrics(&self, request: Request) -> std::io::Result<()> {
         self.measure();
         let text = self.telemetry.metrics.render();
-        let fields = [Field::new("content-type", "text/plain; version=0.0.4")];
+        let fields = [HeaderField::new(
+            "content-type",
+            "text/plain; version=0.0.4",
+        )];
         http::respond(request, 200, &fields, text.as_bytes())
     }
 
