--- a/crates/filbertstack-entry/src/http.rs
+++ b/crates/filbertstack-entry/src/http.rs
@@ -156,7 +156,7 @@
 ///
 /// # Errors
 /// If the guard has left.
-pub fn greet(request: Request) -> io::Result<()> {
+pub fn answer_hello(request: Request) -> io::Result<()> {
     let mut writer = request.into_writer();
     writer.write_all(HELLO_ANSWER)?;
     writer.flush()
--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -360,7 +360,7 @@
 
     fn take(self: Arc<Self>, request: Request, guard: Arc<Guard>) {
         if request.url() == guard::HELLO {
-            let _ = http::greet(request);
+            let _ = http::answer_hello(request);
             return;
         }
         let builder = thread::Builder::new()
