--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -129,7 +129,7 @@
     fn read(&self, request: &mut Request, guard: &Guard, arrived: Instant) -> Result<Job, Refusal> {
         let org = self.authenticate(request)?;
         self.leases.check().map_err(|expired| {
-            Refusal::not_run(503, expired.to_string()).after_ms(expired.retry.0)
+            Refusal::not_run(503, expired.to_string()).retry_after_ms(expired.retry.0)
         })?;
         let gone = guard.gone(request.remote_addr());
         let body = http::read_body(request, guard, self.max_body)?;
@@ -251,7 +251,7 @@
         admission::Reason::OrgQueue | admission::Reason::Queue => 429,
         _ => 503,
     };
-    Refusal::not_run(status, refusal.reason.to_string()).after_ms(refusal.retry_after.0)
+    Refusal::not_run(status, refusal.reason.to_string()).retry_after_ms(refusal.retry_after.0)
 }
 
 fn answer_not_granted(request: Request, not_granted: NotGranted) -> std::io::Result<()> {
--- a/crates/filbertstack-entry/src/claims.rs
+++ b/crates/filbertstack-entry/src/claims.rs
@@ -130,7 +130,7 @@
         let Some(Reply::Claimed(claimed)) = outcome.reply else {
             let text = "the key was not claimed: a voter runs another release";
             return Err(NotGranted::Refused(
-                Refusal::not_run(503, text).after_ms(1000),
+                Refusal::not_run(503, text).retry_after_ms(1000),
             ));
         };
         self.decided(wanted, claimed.decision)
@@ -155,7 +155,7 @@
             }
         }
         let refusal = Refusal::not_run(503, format!("the key can't be claimed now: {error}"));
-        Err(NotGranted::Refused(refusal.after_ms(1000)))
+        Err(NotGranted::Refused(refusal.retry_after_ms(1000)))
     }
 
     fn decided(
@@ -176,7 +176,7 @@
             Some(Decision::InProgress(until)) => {
                 let left = until.saturating_sub(unix_millis()).clamp(1000, 5000);
                 let text = "the first request with this key is in progress: ask again later";
-                Refusal::unknown(409, text).after_ms(left)
+                Refusal::unknown(409, text).retry_after_ms(left)
             }
             Some(Decision::Unknown(_)) => Refusal::unknown(
                 409,
@@ -192,13 +192,14 @@
                 "the key is older than what is kept: whether it ran is not known any more",
             ),
             Some(Decision::Refused(reason)) if reason.fault() == Fault::Expired => {
-                Refusal::not_run(503, reason.to_string()).after_ms(1000)
+                Refusal::not_run(503, reason.to_string()).retry_after_ms(1000)
             }
             Some(Decision::Refused(reason)) => Refusal::not_run(400, reason.to_string()),
             Some(Decision::Full(after)) => {
-                Refusal::not_run(503, "no room for another key now: come back").after_ms(after)
+                Refusal::not_run(503, "no room for another key now: come back")
+                    .retry_after_ms(after)
             }
-            None => Refusal::not_run(503, "a voter runs another release").after_ms(1000),
+            None => Refusal::not_run(503, "a voter runs another release").retry_after_ms(1000),
         };
         Err(NotGranted::Refused(refusal))
     }
--- a/crates/filbertstack-entry/src/http.rs
+++ b/crates/filbertstack-entry/src/http.rs
@@ -102,7 +102,7 @@
 
     /// The same with a time to come back, in milliseconds, rounded up to seconds.
     #[must_use]
-    pub fn after_ms(mut self, after: u64) -> Self {
+    pub fn retry_after_ms(mut self, after: u64) -> Self {
         self.after = Some(after.div_ceil(1000).max(1));
         self
     }
--- a/crates/filbertstack-entry/src/operators.rs
+++ b/crates/filbertstack-entry/src/operators.rs
@@ -250,7 +250,7 @@
                 Err(error) => Err(error.to_string()),
             }
         });
-        let force = force.map_err(|text| Refusal::not_run(503, text).after_ms(1000))?;
+        let force = force.map_err(|text| Refusal::not_run(503, text).retry_after_ms(1000))?;
         Ok((
             200,
             json!({ "everywhere": force.everywhere, "waiting": force.waiting }),
@@ -267,7 +267,7 @@
         let told = self
             .dialer
             .ask(member.addr, Role::Agent, ask, DRAIN_TIMEOUT);
-        told.map_err(|error| Refusal::not_run(503, error.to_string()).after_ms(1000))?;
+        told.map_err(|error| Refusal::not_run(503, error.to_string()).retry_after_ms(1000))?;
         Ok((200, json!({ "leaving": member.name })))
     }
 
@@ -275,7 +275,7 @@
         match self.ledger.propose(body, PROPOSE_TIMEOUT) {
             Ok(outcome) => Ok(outcome_json(outcome)),
             Err(ProposeError::NotRun(text)) => {
-                Err(Refusal::not_run(503, format!("not run: {text}")).after_ms(1000))
+                Err(Refusal::not_run(503, format!("not run: {text}")).retry_after_ms(1000))
             }
             Err(ProposeError::Unknown(text)) => {
                 let text = format!("{text}: send it again under the same request id");
--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -514,5 +514,5 @@
         503,
         "this entry is leaving: ask GET /v1/entries for another",
     )
-    .after_ms(1000)
+    .retry_after_ms(1000)
 }
