--- a/crates/filbertstack-entry/src/lead.rs
+++ b/crates/filbertstack-entry/src/lead.rs
@@ -92,7 +92,7 @@
                 self.register();
                 self.order(term, &mut round);
             }
-            self.spread.tend(term, &self.views.get());
+            self.spread.update(term, &self.views.get());
         }
     }
 
--- a/crates/filbertstack-entry/src/spread.rs
+++ b/crates/filbertstack-entry/src/spread.rs
@@ -94,7 +94,7 @@
     ///
     /// Copies that were ordered before this entry began to lead may have grants out; those
     /// ordered later have none.
-    pub fn tend(&self, term: u64, view: &View) {
+    pub fn update(&self, term: u64, view: &View) {
         let now = self.now();
         let live = self.members.live();
         let wanted = wanted(view);
