--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -320,7 +320,7 @@
         while !self.stopped.load(Ordering::Relaxed) {
             let entries = self.membership.live_entries();
             if sharers != entries {
-                self.traffic.share(entries);
+                self.traffic.set_entries(entries);
                 sharers = entries;
             }
             let view = self.views.get();
--- a/crates/filbertstack-entry/src/traffic.rs
+++ b/crates/filbertstack-entry/src/traffic.rs
@@ -155,7 +155,7 @@
     }
 
     /// Sets how many entries share the targets.
-    pub fn share(&self, entries: usize) {
+    pub fn set_entries(&self, entries: usize) {
         let sharers = u32::try_from(entries).unwrap_or(u32::MAX);
         self.shared.lock().flow.router_mut().set_sharers(sharers);
     }
