--- a/crates/filbertstack-entry/src/spread.rs
+++ b/crates/filbertstack-entry/src/spread.rs
@@ -1,9 +1,10 @@
-//! The leader's part in copies: who fetches from whom, and who brings a chunk in from outside.
+//! The leader's plan of copies: which target fetches from which other target, and which target imports a
+//! chunk from outside.
 //!
-//! The plan lives in the leader's memory alone. Agents that copy ask the leader for their part and
-//! tell it what landed; the question is held until their part changes, so that a copy costs the
-//! leader a few messages a target and two a chunk. A new leader builds the plan anew from what
-//! the agents ask and report; meanwhile they go on fetching from each other.
+//! The plan exists only in the leader's memory. Agents that copy a version ask the leader for their part
+//! of the plan and report the chunks that have arrived. The leader answers when the part changes, so that
+//! a copy costs it a few messages per target and two per chunk. A new leader builds the plan again from
+//! the calls and reports of the agents; meanwhile the agents go on fetching from each other.
 
 mod copy;
 
@@ -29,38 +30,38 @@
 use crate::members::Members;
 use crate::view::View;
 
-use copy::Copying;
+use copy::CopyPlan;
 
-/// The longest that a question may be held.
+/// The longest time that the answer to a call is delayed.
 const MAX_HOLD: Duration = Duration::from_secs(5);
 
-/// When an agent may come back to an entry that does not lead, in milliseconds.
-const COME_BACK: u64 = 200;
+/// The time after which an agent may ask an entry again that is not the leader.
+const RETRY_AFTER_MS: u64 = 200;
 
 /// A version that targets are ordered to hold.
 #[derive(Clone, Debug)]
-struct Wanted {
+struct WantedVersion {
     chunks: u32,
     weigh: Weigh,
     targets: Vec<Arc<str>>,
 }
 
-/// A question that waits for news.
-struct Parked {
+/// A call that waits until the part of its agent changes.
+struct PendingAsk {
     ask: SpreadAsk,
-    until: Instant,
+    deadline: Instant,
     responder: Responder,
 }
 
 #[derive(Default)]
 struct State {
-    /// The term that this entry leads in.
+    /// The term in which this entry is the leader; `None` while it is not.
     term: Option<u64>,
-    copies: BTreeMap<Digest, Copying>,
-    parked: Vec<Parked>,
+    copies: BTreeMap<Digest, CopyPlan>,
+    pending: Vec<PendingAsk>,
 }
 
-/// The plan of the copies in progress, at the leader.
+/// The leader's plan of the copies in progress.
 pub struct Spread {
     members: Arc<Members>,
     start: Instant,
@@ -68,7 +69,7 @@
 }
 
 impl Spread {
-    /// A plan without copies, for targets that are among `members`.
+    /// Creates a plan without copies for the targets in `members`.
     pub fn new(members: Arc<Members>) -> Self {
         Self {
             members,
@@ -77,47 +78,47 @@
         }
     }
 
-    /// Forgets the plan: this entry leads no more.
+    /// Discards the plan and refuses pending calls, as this entry is no longer the leader.
     pub fn resign(&self) {
         let mut state = self.lock();
         if state.term.is_none() {
             return;
         }
-        let resigned = std::mem::take(&mut *state);
+        let old_state = std::mem::take(&mut *state);
         drop(state);
-        for parked in resigned.parked {
-            refuse(parked.responder);
+        for pending in old_state.pending {
+            refuse(pending.responder);
         }
     }
 
-    /// Brings the plan in line with the orders and with who is there.
+    /// Updates the plan to the orders in `view` and the live targets.
     ///
-    /// Copies that were ordered before this entry began to lead may have grants out; those
-    /// ordered later have none.
+    /// A copy that was ordered before this entry became the leader may have grants that an earlier leader
+    /// issued; one that was ordered later has none.
     pub fn update(&self, term: u64, view: &View) {
         let now = self.now();
         let live = self.members.live();
-        let wanted = wanted(view);
+        let wanted = wanted_versions(view);
         let mut state = self.lock();
-        let inherits = state.term != Some(term);
-        if inherits {
+        let is_new_term = state.term != Some(term);
+        if is_new_term {
             state.copies.clear();
             state.term = Some(term);
         }
         state.copies.retain(|root, _| wanted.contains_key(root));
         for (root, wanted) in wanted {
-            let fresh = || Copying::new(root, term, wanted.chunks, wanted.weigh);
+            let new_plan = || CopyPlan::new(root, term, wanted.chunks, wanted.weigh);
             let copy = state.copies.entry(root).or_insert_with(|| {
-                let mut copy = fresh();
-                copy.begin(inherits.then_some(now));
+                let mut copy = new_plan();
+                copy.publish(is_new_term.then_some(now));
                 copy
             });
-            copy.tend(&wanted.targets, &live, now);
+            copy.update(&wanted.targets, &live, now);
         }
-        state.release(&self.members, now);
+        state.answer_pending(&self.members, now);
     }
 
-    /// Takes an agent's reports and answers with its part, at once or when that changes.
+    /// Applies an agent's reports, and answers with its part at once or when the part changes.
     pub fn answer(&self, ask: SpreadAsk, responder: Responder) {
         let now = self.now();
         let mut state = self.lock();
@@ -125,16 +126,16 @@
             return refuse(responder);
         }
         if let Some(member) = self.members.get(&ask.name) {
-            state.report(&member, &ask, now);
+            state.apply_reports(&member, &ask, now);
         }
         let hold = Duration::from_millis(ask.hold).min(MAX_HOLD);
-        let until = Instant::now() + hold;
-        state.parked.push(Parked {
+        let deadline = Instant::now() + hold;
+        state.pending.push(PendingAsk {
             ask,
-            until,
+            deadline,
             responder,
         });
-        state.release(&self.members, now);
+        state.answer_pending(&self.members, now);
     }
 
     fn now(&self) -> Millis {
@@ -147,60 +148,60 @@
 }
 
 impl State {
-    fn report(&mut self, member: &Member, ask: &SpreadAsk, now: Millis) {
-        for said in &ask.copies {
-            let root = Digest::from_slice(&said.digest);
+    fn apply_reports(&mut self, member: &Member, ask: &SpreadAsk, now: Millis) {
+        for report in &ask.copies {
+            let root = Digest::from_slice(&report.digest);
             if let Some(copy) = root.and_then(|root| self.copies.get_mut(&root)) {
-                copy.report(member, said, now);
+                copy.apply_report(member, report, now);
             }
         }
     }
 
-    /// Gives what can be granted, and answers the questions that there is news for.
-    fn release(&mut self, members: &Members, now: Millis) {
-        for parked in &self.parked {
-            let wanting = parked.ask.copies.iter();
+    /// Issues grants, and answers the pending calls whose agents have a changed part or whose time is up.
+    fn answer_pending(&mut self, members: &Members, now: Millis) {
+        for pending in &self.pending {
+            let wanting = pending.ask.copies.iter();
             let roots = wanting.filter_map(|copy| Digest::from_slice(&copy.digest));
             for root in roots {
                 let copy = self.copies.get_mut(&root);
-                if let Some(copy) = copy.filter(|copy| copy.lacks(&parked.ask.name))
-                    && let Some(member) = members.get(&parked.ask.name)
+                if let Some(copy) = copy.filter(|copy| copy.lacks_part(&pending.ask.name))
+                    && let Some(member) = members.get(&pending.ask.name)
                 {
-                    copy.admit(&member);
+                    copy.add(&member);
                 }
             }
         }
         for copy in self.copies.values_mut() {
-            copy.grant(now);
+            copy.issue_grants(now);
         }
-        for parked in std::mem::take(&mut self.parked) {
-            let parts = self.parts(&parked.ask);
-            if parts.is_empty() && parked.until > Instant::now() {
-                self.parked.push(parked);
+        for pending in std::mem::take(&mut self.pending) {
+            let parts = self.parts(&pending.ask);
+            if parts.is_empty() && pending.deadline > Instant::now() {
+                self.pending.push(pending);
                 continue;
             }
-            // An agent that has gone away asks again when it is back.
-            let _ = parked.responder.finish(Tell::Plan(SpreadPlan { parts }));
+            // An agent whose link has ended asks again once it is connected.
+            let _ = pending.responder.finish(Tell::Plan(SpreadPlan { parts }));
         }
     }
 
-    /// The parts that differ from those that the agent has.
+    /// Returns the parts that differ from those that the agent has.
     fn parts(&self, ask: &SpreadAsk) -> Vec<SpreadPart> {
-        let copies = ask.copies.iter().filter_map(|said| {
-            let copy = self.copies.get(&Digest::from_slice(&said.digest)?)?;
-            copy.part(&ask.name, said.number)
+        let copies = ask.copies.iter().filter_map(|report| {
+            let copy = self.copies.get(&Digest::from_slice(&report.digest)?)?;
+            copy.newer_part(&ask.name, report.number)
         });
         copies.collect()
     }
 }
 
 fn refuse(responder: Responder) {
-    responder.refuse("this entry does not lead: ask the leader", COME_BACK);
+    responder.refuse("this entry does not lead: ask the leader", RETRY_AFTER_MS);
 }
 
-/// The versions that targets are ordered to hold.
-fn wanted(view: &View) -> BTreeMap<Digest, Wanted> {
-    let mut wanted: BTreeMap<Digest, Wanted> = BTreeMap::new();
+/// Returns the versions that targets are ordered to hold, without those that they drain.
+fn wanted_versions(view: &View) -> BTreeMap<Digest, WantedVersion> {
+    let mut wanted: BTreeMap<Digest, WantedVersion> = BTreeMap::new();
     for (name, order) in view.orders() {
         for hold in &order.holds {
             if hold.duty == i32::from(Duty::Drain) {
@@ -213,12 +214,12 @@
                 continue;
             };
             let deployment = view.declared().deployments.get(hold.deployment.as_str());
-            let row = wanted.entry(root).or_insert_with(|| Wanted {
+            let version = wanted.entry(root).or_insert_with(|| WantedVersion {
                 chunks: published.chunks,
                 weigh: deployment.map_or(Weigh::Time, |deployment| deployment.weigh),
                 targets: Vec::new(),
             });
-            row.targets.push(name.as_str().into());
+            version.targets.push(name.as_str().into());
         }
     }
     wanted
--- a/crates/filbertstack-entry/src/spread/copy.rs
+++ b/crates/filbertstack-entry/src/spread/copy.rs
@@ -1,4 +1,4 @@
-//! The plan of one version's copy.
+//! The plan of the copy of one version.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -30,279 +30,291 @@
 
 use crate::members::Member;
 
-/// The bits of a part's number that count within a term.
+/// The number of low bits of a part's number that count the changes within a term; the bits above are
+/// the term.
 const TERM_SHIFT: u32 = 32;
 
-/// A target's part.
+/// The part of a target in the plan.
 #[derive(Debug)]
-struct Row {
+struct Part {
     key: TargetKey,
     addr: SocketAddr,
     incarnation: u64,
     number: u64,
     grants: BTreeMap<u32, ImportFrom>,
-    /// Holders of chunks that no other upstream had.
-    extra: BTreeSet<TargetKey>,
+    /// The holders of chunks that none of the upstreams in the plan had.
+    extra_holders: BTreeSet<TargetKey>,
 }
 
-/// The plan of one version's copy.
+/// The plan of the copy of one version.
 ///
-/// The leader knows how many chunks a version has, not their digests: a chunk is named by the
-/// version and its place.
+/// The leader knows the number of chunks of a version, but not their digests. It identifies a chunk by
+/// the version and the index of the chunk.
 #[derive(Debug)]
-pub struct Copying {
+pub struct CopyPlan {
     root: Digest,
-    ids: Vec<Digest>,
-    places: BTreeMap<Digest, u32>,
+    chunk_ids: Vec<Digest>,
+    chunk_indices: BTreeMap<Digest, u32>,
     plan: Plan,
-    tokens: Tokens,
-    /// The manifest's grants, apart from the chunks': an agent without a manifest can use no grant
-    /// of a chunk, and a window full of such grants would keep the manifest out for ever.
-    manifests: Tokens,
-    rows: BTreeMap<Arc<str>, Row>,
+    chunk_tokens: Tokens,
+    /// The grants of the manifest, separate from those of the chunks. An agent without the manifest cannot
+    /// use a grant of a chunk, and a window full of such grants would block the manifest for ever.
+    manifest_tokens: Tokens,
+    parts: BTreeMap<Arc<str>, Part>,
     names: BTreeMap<TargetKey, Arc<str>>,
     wanted: BTreeSet<Arc<str>>,
-    /// The highest number of a part of a target that left: the same agent may be back, and must
-    /// not take its new part for the old one.
-    last: u64,
-    /// The target that was counted as holding everything.
-    whole: Option<TargetKey>,
+    /// The highest number of a removed part. New parts get higher numbers: the same agent may come back,
+    /// and must not mistake its new part for the old one.
+    last_number: u64,
+    /// The target that was recorded as the holder of all chunks.
+    full_holder: Option<TargetKey>,
 }
 
-impl Copying {
-    /// The plan of a copy to no target yet.
+impl CopyPlan {
+    /// Creates the plan of a copy that has no targets yet.
     pub fn new(root: Digest, term: u64, chunks: u32, weigh: Weigh) -> Self {
-        let named: Vec<_> = (0..chunks).map(|place| (id(root, place), place)).collect();
+        let indexed_ids: Vec<_> = (0..chunks)
+            .map(|index| (chunk_id(root, index), index))
+            .collect();
         Self {
             root,
-            ids: named.iter().map(|(id, _)| *id).collect(),
-            places: named
+            chunk_ids: indexed_ids.iter().map(|(id, _)| *id).collect(),
+            chunk_indices: indexed_ids
                 .into_iter()
-                .chain([(id(root, MANIFEST), MANIFEST)])
+                .chain([(chunk_id(root, MANIFEST), MANIFEST)])
                 .collect(),
             plan: Plan::new(PlanConfig::default()),
-            tokens: Tokens::new(TokenConfig::of(weigh)),
-            manifests: Tokens::new(TokenConfig::of(weigh)),
-            rows: BTreeMap::new(),
+            chunk_tokens: Tokens::new(TokenConfig::of(weigh)),
+            manifest_tokens: Tokens::new(TokenConfig::of(weigh)),
+            parts: BTreeMap::new(),
             names: BTreeMap::new(),
             wanted: BTreeSet::new(),
-            last: term << TERM_SHIFT,
-            whole: None,
+            last_number: term << TERM_SHIFT,
+            full_holder: None,
         }
     }
 
-    /// Puts the chunks up for grants; `inherited` says since when an earlier leader's may be out.
-    pub fn begin(&mut self, inherited: Option<Millis>) {
-        let ids = self.ids.iter().copied();
-        let manifest = [id(self.root, MANIFEST)];
-        if let Some(now) = inherited {
-            self.tokens.recover(ids, now);
-            self.manifests.recover(manifest, now);
+    /// Makes the chunks available for grants. `granted_since` is the time from which grants of an earlier
+    /// leader are assumed; `None` if there are none.
+    pub fn publish(&mut self, granted_since: Option<Millis>) {
+        let ids = self.chunk_ids.iter().copied();
+        let manifest = [chunk_id(self.root, MANIFEST)];
+        if let Some(now) = granted_since {
+            self.chunk_tokens.recover(ids, now);
+            self.manifest_tokens.recover(manifest, now);
         } else {
-            self.tokens.publish(ids);
-            self.manifests.publish(manifest);
+            self.chunk_tokens.publish(ids);
+            self.manifest_tokens.publish(manifest);
         }
     }
 
-    /// Takes who is to hold the version and who is there.
-    pub fn tend(&mut self, wanted: &[Arc<str>], live: &[Member], now: Millis) {
+    /// Updates the plan to the targets that are to hold the version and those that are live.
+    pub fn update(&mut self, wanted: &[Arc<str>], live: &[Member], now: Millis) {
         self.wanted = wanted.iter().cloned().collect();
-        let here: BTreeMap<&str, &Member> =
-            live.iter().map(|one| (one.name.as_str(), one)).collect();
-        let is_gone = |(name, row): (&Arc<str>, &Row)| {
-            let member = here.get(&**name);
+        let live_by_name: BTreeMap<&str, &Member> = live
+            .iter()
+            .map(|member| (member.name.as_str(), member))
+            .collect();
+        let outdated_name = |(name, part): (&Arc<str>, &Part)| {
+            let member = live_by_name.get(&**name);
             let same =
-                member.is_some_and(|m| (m.addr, m.incarnation) == (row.addr, row.incarnation));
+                member.is_some_and(|m| (m.addr, m.incarnation) == (part.addr, part.incarnation));
             (!same || !self.wanted.contains(name)).then(|| name.clone())
         };
-        let gone: Vec<_> = self.rows.iter().filter_map(is_gone).collect();
-        for name in gone {
-            self.dismiss(&name, now);
+        let outdated: Vec<_> = self.parts.iter().filter_map(outdated_name).collect();
+        for name in outdated {
+            self.remove(&name, now);
         }
         let root = self.root;
         for member in live.iter().filter(|member| member.holds(root)) {
-            self.admit(member);
-            self.count_whole(member, now);
+            self.add(member);
+            self.count_full_holder(member, now);
         }
     }
 
-    /// A target that holds everything serves all chunks: none need be brought in again.
-    fn count_whole(&mut self, member: &Member, now: Millis) {
-        let Some(row) = self
-            .rows
+    /// Records a target that holds all chunks. It can serve all of them, so none has to be imported again.
+    fn count_full_holder(&mut self, member: &Member, now: Millis) {
+        let Some(part) = self
+            .parts
             .get(member.name.as_str())
-            .filter(|_| self.whole.is_none())
+            .filter(|_| self.full_holder.is_none())
         else {
             return;
         };
-        let key = row.key;
-        self.whole = Some(key);
-        for &id in &self.ids {
-            self.tokens.landed(id, key, now);
+        let key = part.key;
+        self.full_holder = Some(key);
+        for &id in &self.chunk_ids {
+            self.chunk_tokens.landed(id, key, now);
         }
-        self.landed(key, MANIFEST, now);
+        self.record_arrival(key, MANIFEST, now);
     }
 
-    /// Whether the target is to hold the version and has no part yet.
-    pub fn lacks(&self, name: &str) -> bool {
-        self.wanted.contains(name) && !self.rows.contains_key(name)
+    /// Returns whether the target is to hold the version and has no part yet.
+    pub fn lacks_part(&self, name: &str) -> bool {
+        self.wanted.contains(name) && !self.parts.contains_key(name)
     }
 
-    /// Gives a target a part.
-    pub fn admit(&mut self, member: &Member) {
+    /// Adds a part for a target that lacks one.
+    pub fn add(&mut self, member: &Member) {
         let name = member.name.as_str();
-        if !self.lacks(name) {
+        if !self.lacks_part(name) {
             return;
         }
-        let region = region(member);
+        let region = region_of(member);
         let Joined { key, relink } = self.plan.join(Target {
             name: member.name.clone(),
             zone: member.zone.clone(),
             region: region.clone(),
         });
-        self.tokens.join(key, &region);
-        self.manifests.join(key, &region);
+        self.chunk_tokens.join(key, &region);
+        self.manifest_tokens.join(key, &region);
         let name: Arc<str> = name.into();
         self.names.insert(key, name.clone());
-        let row = Row {
+        let part = Part {
             key,
             addr: member.addr,
             incarnation: member.incarnation,
-            number: self.last + 1,
+            number: self.last_number + 1,
             grants: BTreeMap::new(),
-            extra: BTreeSet::new(),
+            extra_holders: BTreeSet::new(),
         };
-        self.rows.insert(name, row);
-        self.touch_all(&relink);
+        self.parts.insert(name, part);
+        self.bump_numbers(&relink);
     }
 
-    fn dismiss(&mut self, name: &str, now: Millis) {
-        let Some(row) = self.rows.remove(name) else {
+    fn remove(&mut self, name: &str, now: Millis) {
+        let Some(part) = self.parts.remove(name) else {
             return;
         };
-        self.last = self.last.max(row.number);
-        self.names.remove(&row.key);
-        let orphans = self.plan.leave(row.key);
-        self.tokens.leave(row.key, now);
-        self.manifests.leave(row.key, now);
-        // Another that holds everything is counted in its place.
-        self.whole = self.whole.filter(|whole| *whole != row.key);
-        for other in self.rows.values_mut() {
-            if other.extra.remove(&row.key) {
+        self.last_number = self.last_number.max(part.number);
+        self.names.remove(&part.key);
+        let orphans = self.plan.leave(part.key);
+        self.chunk_tokens.leave(part.key, now);
+        self.manifest_tokens.leave(part.key, now);
+        // `update` can then record another target as the holder of all chunks.
+        self.full_holder = self.full_holder.filter(|holder| *holder != part.key);
+        for other in self.parts.values_mut() {
+            if other.extra_holders.remove(&part.key) {
                 other.number += 1;
             }
         }
-        self.touch_all(&orphans);
+        self.bump_numbers(&orphans);
     }
 
-    fn touch_all(&mut self, keys: &[TargetKey]) {
+    fn bump_numbers(&mut self, keys: &[TargetKey]) {
         for key in keys {
-            if let Some(row) = self.row(*key) {
-                row.number += 1;
+            if let Some(part) = self.part_mut(*key) {
+                part.number += 1;
             }
         }
     }
 
-    fn row(&mut self, key: TargetKey) -> Option<&mut Row> {
-        self.rows.get_mut(self.names.get(&key)?)
+    fn part_mut(&mut self, key: TargetKey) -> Option<&mut Part> {
+        self.parts.get_mut(self.names.get(&key)?)
     }
 
-    /// Takes what an agent says of its copy.
-    pub fn report(&mut self, member: &Member, said: &SpreadCopy, now: Millis) {
-        self.admit(member);
-        let Some(key) = self.rows.get(member.name.as_str()).map(|row| row.key) else {
+    /// Applies an agent's report of its copy.
+    pub fn apply_report(&mut self, member: &Member, report: &SpreadCopy, now: Millis) {
+        self.add(member);
+        let Some(key) = self.parts.get(member.name.as_str()).map(|part| part.key) else {
             return;
         };
-        for &place in &said.landed {
-            self.landed(key, place, now);
+        for &index in &report.landed {
+            self.record_arrival(key, index, now);
         }
-        if let Ok(held) = ChunkSet::from_bytes(self.ids.len(), &said.held) {
-            for place in held
+        if let Ok(held) = ChunkSet::from_bytes(self.chunk_ids.len(), &report.held) {
+            for index in held
                 .iter()
-                .chain((!said.held.is_empty()).then_some(MANIFEST))
+                .chain((!report.held.is_empty()).then_some(MANIFEST))
             {
-                self.landed(key, place, now);
+                self.record_arrival(key, index, now);
             }
         }
-        for &place in &said.failed {
-            self.end_grant(key, place);
-            let chunk = id(self.root, place);
-            self.tokens(place).failed(chunk, key);
+        for &index in &report.failed {
+            self.remove_grant(key, index);
+            let chunk = chunk_id(self.root, index);
+            self.tokens_of(index).failed(chunk, key);
         }
-        for &place in &said.wanted {
-            self.wanted(key, place, now);
+        for &index in &report.wanted {
+            self.request_chunk(key, index, now);
         }
     }
 
-    fn landed(&mut self, key: TargetKey, place: u32, now: Millis) {
-        self.end_grant(key, place);
-        let chunk = id(self.root, place);
-        self.tokens(place).landed(chunk, key, now);
+    fn record_arrival(&mut self, key: TargetKey, index: u32, now: Millis) {
+        self.remove_grant(key, index);
+        let chunk = chunk_id(self.root, index);
+        self.tokens_of(index).landed(chunk, key, now);
     }
 
-    fn end_grant(&mut self, key: TargetKey, place: u32) {
-        if let Some(row) = self.row(key)
-            && row.grants.remove(&place).is_some()
+    fn remove_grant(&mut self, key: TargetKey, index: u32) {
+        if let Some(part) = self.part_mut(key)
+            && part.grants.remove(&index).is_some()
         {
-            row.number += 1;
+            part.number += 1;
         }
     }
 
-    fn wanted(&mut self, key: TargetKey, place: u32, now: Millis) {
-        let chunk = id(self.root, place);
-        match self.tokens(place).ask(chunk, key, now) {
-            Answer::Granted(grant) => self.give(grant),
+    fn request_chunk(&mut self, key: TargetKey, index: u32, now: Millis) {
+        let chunk = chunk_id(self.root, index);
+        match self.tokens_of(index).ask(chunk, key, now) {
+            Answer::Granted(grant) => self.record_grant(grant),
             Answer::Ask(holder) => {
-                if let Some(row) = self.row(key)
-                    && row.extra.insert(holder)
+                if let Some(part) = self.part_mut(key)
+                    && part.extra_holders.insert(holder)
                 {
-                    row.number += 1;
+                    part.number += 1;
                 }
             }
             Answer::Wait { .. } | Answer::Unknown => {}
         }
     }
 
-    /// Gives the grants that can be out now.
-    pub fn grant(&mut self, now: Millis) {
-        let manifests = self.manifests.grant(now);
-        for grant in manifests.into_iter().chain(self.tokens.grant(now)) {
-            self.give(grant);
+    /// Issues the grants that are possible now.
+    pub fn issue_grants(&mut self, now: Millis) {
+        let manifest_grants = self.manifest_tokens.grant(now);
+        for grant in manifest_grants
+            .into_iter()
+            .chain(self.chunk_tokens.grant(now))
+        {
+            self.record_grant(grant);
         }
     }
 
-    /// The grants that those of `place` are among.
-    const fn tokens(&mut self, place: u32) -> &mut Tokens {
-        if place == MANIFEST {
-            &mut self.manifests
+    /// Returns the grants that include those of the chunk or manifest at `index`.
+    const fn tokens_of(&mut self, index: u32) -> &mut Tokens {
+        if index == MANIFEST {
+            &mut self.manifest_tokens
         } else {
-            &mut self.tokens
+            &mut self.chunk_tokens
         }
     }
 
-    fn give(&mut self, grant: Grant) {
-        let Some(&place) = self.places.get(&grant.chunk) else {
+    fn record_grant(&mut self, grant: Grant) {
+        let Some(&index) = self.chunk_indices.get(&grant.chunk) else {
             return;
         };
-        // A grant that ran out is another's now.
-        for row in self.rows.values_mut() {
-            if row.key != grant.to && row.grants.remove(&place).is_some() {
-                row.number += 1;
+        // The grant may have expired for another target; it belongs to the new one now.
+        for part in self.parts.values_mut() {
+            if part.key != grant.to && part.grants.remove(&index).is_some() {
+                part.number += 1;
             }
         }
-        if let Some(row) = self.row(grant.to) {
-            row.grants.insert(place, grant.from);
-            row.number += 1;
+        if let Some(part) = self.part_mut(grant.to) {
+            part.grants.insert(index, grant.from);
+            part.number += 1;
         }
     }
 
-    /// The part of a target; `None` if it has none or `number` is its newest.
-    pub fn part(&self, name: &str, number: u64) -> Option<SpreadPart> {
-        let row = self.rows.get(name).filter(|row| row.number != number)?;
-        let links = self.plan.upstreams(row.key);
-        let extra = row.extra.iter().filter_map(|key| self.extra(*key));
+    /// Returns the part of a target; `None` if it has none or `number` is the number of its newest part.
+    pub fn newer_part(&self, name: &str, number: u64) -> Option<SpreadPart> {
+        let part = self.parts.get(name).filter(|part| part.number != number)?;
+        let links = self.plan.upstreams(part.key);
+        let extra = part
+            .extra_holders
+            .iter()
+            .filter_map(|key| self.extra_upstream(*key));
         let upstreams = links.iter().filter_map(|link| self.upstream(link));
-        let grants = row.grants.iter().map(|(&chunk, from)| SpreadGrant {
+        let grants = part.grants.iter().map(|(&chunk, from)| SpreadGrant {
             chunk,
             peer: match from {
                 ImportFrom::Origin => String::new(),
@@ -311,15 +323,15 @@
         });
         Some(SpreadPart {
             digest: self.root.to_vec(),
-            number: row.number,
+            number: part.number,
             upstreams: upstreams.chain(extra).collect(),
             grants: grants.collect(),
         })
     }
 
     fn addr(&self, key: TargetKey) -> Option<String> {
-        let row = self.rows.get(self.names.get(&key)?)?;
-        Some(row.addr.to_string())
+        let part = self.parts.get(self.names.get(&key)?)?;
+        Some(part.addr.to_string())
     }
 
     fn upstream(&self, link: &Link) -> Option<SpreadUpstream> {
@@ -331,7 +343,7 @@
         })
     }
 
-    fn extra(&self, key: TargetKey) -> Option<SpreadUpstream> {
+    fn extra_upstream(&self, key: TargetKey) -> Option<SpreadUpstream> {
         Some(SpreadUpstream {
             addr: self.addr(key)?,
             region: true,
@@ -341,16 +353,16 @@
     }
 }
 
-fn region(member: &Member) -> RegionName {
-    let named = member.labels.get("region");
-    let named = named.and_then(|region| region.parse().ok());
-    // Without a label every target counts as of one region, where copies are cheap.
-    named.unwrap_or_else(|| "region".parse().expect("a valid name"))
+fn region_of(member: &Member) -> RegionName {
+    let label = member.labels.get("region");
+    let label = label.and_then(|region| region.parse().ok());
+    // Targets without the label count as one region, within which copies are cheap.
+    label.unwrap_or_else(|| "region".parse().expect("a valid name"))
 }
 
-/// Names a chunk by its version and place.
-fn id(root: Digest, place: u32) -> Digest {
+/// Returns the identifier of a chunk, derived from its version and index.
+fn chunk_id(root: Digest, index: u32) -> Digest {
     let mut bytes = root.to_vec();
-    bytes.extend(place.to_le_bytes());
+    bytes.extend(index.to_le_bytes());
     Digest::of(&bytes)
 }
