--- a/crates/filbertstack-entry/src/links.rs
+++ b/crates/filbertstack-entry/src/links.rs
@@ -1,4 +1,4 @@
-//! The calls that arrive on an entry's links, from entries and agents.
+//! Handles the calls that arrive on an entry's links, from entries and agents.
 
 use std::sync::Arc;
 use std::thread;
@@ -41,59 +41,60 @@
 use crate::view::update_since;
 use crate::voter::Voter;
 
-/// How long a proposal that another entry passes on may take.
+/// The longest time that a proposal forwarded by another entry may take.
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The longest a question for updates may be held.
-const MAX_HOLD: u64 = 10_000;
+/// The longest time, in milliseconds, that a watch call waits for an update.
+const MAX_WATCH_WAIT_MS: u64 = 10_000;
 
-/// What the calls need.
+/// Handles the calls of entries and agents.
 pub struct LinkHandler {
     /// The voter, if this entry is one.
     pub voter: Option<Arc<Voter>>,
     /// The control state, if this entry is a voter.
     pub control: Control,
-    /// What this entry follows.
+    /// The control state that this entry follows.
     pub views: Arc<Views>,
     /// The targets.
     pub members: Arc<Members>,
-    /// Which entries and targets there are.
+    /// The known entries and targets, spread by gossip.
     pub membership: Arc<Membership>,
-    /// Whom to ask.
+    /// The voters and the leader.
     pub ledger: Arc<Ledger>,
-    /// The plan of copies, while this entry leads.
+    /// The plan of the copies while this entry is the leader.
     pub spread: Arc<Spread>,
-    /// Config leases.
+    /// The configuration leases.
     pub leases: Arc<Leases>,
 }
 
-/// Hands calls to [`LinkHandler`] once there is one: links may come while the entry still starts.
+/// Forwards calls to a [`LinkHandler`] once it is set. Links can be accepted while the entry is starting;
+/// until the handler is set, calls are refused.
 #[derive(Clone, Default)]
 pub struct DeferredHandler(Arc<std::sync::OnceLock<Arc<LinkHandler>>>);
 
 impl DeferredHandler {
-    /// Takes calls from here on.
-    pub fn set(&self, links: Arc<LinkHandler>) {
-        let _ = self.0.set(links);
+    /// Sets the handler of the calls that arrive from now on.
+    pub fn set(&self, handler: Arc<LinkHandler>) {
+        let _ = self.0.set(handler);
     }
 }
 
 impl Handler for DeferredHandler {
     fn handle(&self, remote: &Remote, ask: Ask, responder: Responder) {
         match self.0.get() {
-            Some(links) => links.take(remote, ask, responder),
+            Some(handler) => handler.handle(remote, ask, responder),
             None => responder.refuse("the entry is starting: come back", 500),
         }
     }
 }
 
 impl LinkHandler {
-    fn take(self: &Arc<Self>, remote: &Remote, ask: Ask, responder: Responder) {
+    fn handle(self: &Arc<Self>, remote: &Remote, ask: Ask, responder: Responder) {
         match (remote.role, ask) {
             (Role::Agent, Ask::Announce(announce)) => self.announce(&announce, responder),
             (Role::Agent, Ask::Spread(ask)) => self.spread.answer(ask, responder),
             (_, Ask::Term(_)) => {
-                let _ = responder.finish(Tell::Term(self.term()));
+                let _ = responder.finish(Tell::Term(self.term_report()));
             }
             (Role::Peer, Ask::Log(Payload { body })) => {
                 if let (Some(voter), Ok(envelope)) = (&self.voter, Envelope::decode(body)) {
@@ -104,38 +105,38 @@
                 self.membership.receive(remote, &body, responder);
             }
             (Role::Peer, Ask::Propose(Payload { body })) => {
-                self.apart(responder, move |links, responder| {
-                    links.propose(&body, responder);
+                self.spawn_call(responder, move |handler, responder| {
+                    handler.propose(&body, responder);
                 });
             }
             (Role::Peer, Ask::Watch(watch)) => {
-                self.apart(responder, move |links, responder| {
-                    links.watch(&watch, responder);
+                self.spawn_call(responder, move |handler, responder| {
+                    handler.watch(&watch, responder);
                 });
             }
             (Role::Peer, Ask::Query(Payload { body })) => {
-                self.apart(responder, move |links, responder| {
-                    links.query(body, responder);
+                self.spawn_call(responder, move |handler, responder| {
+                    handler.query(body, responder);
                 });
             }
             _ => responder.refuse("this call is not served in this role", 0),
         }
     }
 
-    /// Runs what may block on a thread of its own.
-    fn apart(
+    /// Runs a call that may block on a thread of its own.
+    fn spawn_call(
         self: &Arc<Self>,
         responder: Responder,
-        body: impl FnOnce(&Self, Responder) + Send + 'static,
+        call: impl FnOnce(&Self, Responder) + Send + 'static,
     ) {
-        let links = self.clone();
+        let handler = self.clone();
         let builder = thread::Builder::new()
             .name("link-call".into())
             .stack_size(STACK);
-        let _ = builder.spawn(move || body(&links, responder));
+        let _ = builder.spawn(move || call(&handler, responder));
     }
 
-    fn term(&self) -> TermReport {
+    fn term_report(&self) -> TermReport {
         match &self.voter {
             Some(voter) => voter.word(),
             None => TermReport {
@@ -215,9 +216,9 @@
             revision: watch.since,
             sequence: watch.sequence,
         };
-        let hold = Duration::from_millis(watch.wait.min(MAX_HOLD));
+        let max_wait = Duration::from_millis(watch.wait.min(MAX_WATCH_WAIT_MS));
         let term = self.views.get().term();
-        self.views.wait_beyond(reached, term, hold);
+        self.views.wait_beyond(reached, term, max_wait);
         let mut update = update_since(&self.control.read(), reached);
         update.voters = voter.voters().iter().map(ToString::to_string).collect();
         let _ = responder.finish(payload(update.encode_to_vec()));
