--- a/crates/filbertstack-entry/src/answer.rs
+++ b/crates/filbertstack-entry/src/answer.rs
@@ -1,8 +1,8 @@
-//! An answer on its way to the caller: kept back while it is small, streamed otherwise.
+//! Delivery of an answer to the caller: small answers are buffered, others are streamed.
 //!
-//! A short answer goes out once it is whole, so that it can still be replaced by another
-//! attempt's. A stream of events goes out piece by piece, and its end only once it is known to be
-//! whole.
+//! A small answer is sent once it is complete, so that the answer of another attempt can still
+//! replace it. An event stream is sent as its parts arrive; its end is sent only once the answer is
+//! known to be complete.
 
 use std::io;
 
@@ -15,37 +15,37 @@
 use crate::claims::MAX_KEPT;
 use crate::http;
 use crate::http::HeaderField;
-use crate::http::OUTCOME;
-use crate::http::SERVED_BY;
-use crate::http::Streamed;
-use crate::http::VERSION;
+use crate::http::OUTCOME_HEADER;
+use crate::http::StreamedAnswer;
+use crate::http::TARGET_HEADER;
+use crate::http::VERSION_HEADER;
 use crate::table::Place;
 
-/// How much of an answer that is no stream is kept back, in bytes.
-const MAX_BACK: usize = 256 << 10;
+/// The largest answer, in bytes, that is buffered whole if it is not an event stream.
+const MAX_BUFFERED: usize = 256 << 10;
 
-/// The bytes of a generated token, about.
-const TOKEN_BYTES: usize = 4;
+/// The approximate size of a generated token, in bytes.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// What begins each event of a stream.
-const EVENT: &[u8] = b"data:";
+/// The prefix of the line that begins an event in a stream.
+const EVENT_PREFIX: &[u8] = b"data:";
 
-/// Where the bytes go.
-enum Way {
-    /// Nothing has gone out.
-    Back(Request),
-    /// The head has gone out.
-    Out(Streamed),
-    /// The caller is gone.
-    Lost,
+/// The state of the delivery to the caller.
+enum Output {
+    /// Nothing has been sent.
+    Buffered(Request),
+    /// The head has been sent.
+    Streaming(StreamedAnswer),
+    /// The caller has left.
+    CallerLeft,
 }
 
-/// An answer on its way to the caller.
+/// An answer that is buffered or streamed to the caller.
 pub struct Answer {
-    way: Way,
+    output: Output,
     status: u16,
     fields: Vec<HeaderField>,
-    media: String,
+    content_type: String,
     version: String,
     body: Vec<u8>,
     size: usize,
@@ -54,13 +54,13 @@
 }
 
 impl Answer {
-    /// The answer to `request`, empty yet.
+    /// Creates an empty answer to `request`.
     pub fn new(request: Request) -> Self {
         Self {
-            way: Way::Back(request),
+            output: Output::Buffered(request),
             status: 0,
             fields: Vec::new(),
-            media: String::new(),
+            content_type: String::new(),
             version: String::new(),
             body: Vec::new(),
             size: 0,
@@ -69,65 +69,67 @@
         }
     }
 
-    /// Takes the head of the target's answer.
-    pub fn head(&mut self, head: &Head, place: &Place) {
+    /// Starts the answer with the head that the target sent.
+    pub fn set_head(&mut self, head: &Head, place: &Place) {
         self.reset();
         self.status = u16::try_from(head.status).unwrap_or(502);
         self.fields = vec![
-            HeaderField::new(OUTCOME, "ran"),
-            HeaderField::new(SERVED_BY, place.name.as_str()),
+            HeaderField::new(OUTCOME_HEADER, "ran"),
+            HeaderField::new(TARGET_HEADER, place.name.as_str()),
         ];
         if let Some(version) = place.version {
             self.version = version.to_string();
-            self.fields.push(HeaderField::new(VERSION, &self.version));
+            self.fields
+                .push(HeaderField::new(VERSION_HEADER, &self.version));
         }
         for Header { name, value } in &head.headers {
             if name.eq_ignore_ascii_case("content-type") {
-                self.media.clone_from(value);
+                self.content_type.clone_from(value);
             }
             self.fields.push(HeaderField::new(name, value));
         }
     }
 
-    /// Takes the next bytes of the body.
+    /// Appends bytes to the body, and sends them if the answer is streamed.
     ///
     /// # Errors
-    /// If the caller has left.
-    pub fn piece(&mut self, piece: &[u8]) -> io::Result<()> {
-        self.hasher.update(piece);
-        self.size += piece.len();
-        self.events += count_events(piece);
-        if self.body.len() <= MAX_BACK {
-            self.body.extend_from_slice(piece);
+    /// Returns an error if the caller has left.
+    pub fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.hasher.update(bytes);
+        self.size += bytes.len();
+        self.events += count_events(bytes);
+        if self.body.len() <= MAX_BUFFERED {
+            self.body.extend_from_slice(bytes);
         }
-        let is_stream = self.media.starts_with("text/event-stream");
-        if piece.is_empty() {
+        let is_stream = self.content_type.starts_with("text/event-stream");
+        if bytes.is_empty() {
             return Ok(());
         }
-        if let Way::Out(streamed) = &mut self.way {
-            return streamed.write(piece);
+        if let Output::Streaming(streamed) = &mut self.output {
+            return streamed.write(bytes);
         }
-        if is_stream || self.size > MAX_BACK {
-            return self.go_out();
+        if is_stream || self.size > MAX_BUFFERED {
+            return self.start_stream();
         }
         Ok(())
     }
 
-    fn go_out(&mut self) -> io::Result<()> {
-        let Way::Back(request) = std::mem::replace(&mut self.way, Way::Lost) else {
+    fn start_stream(&mut self) -> io::Result<()> {
+        let Output::Buffered(request) = std::mem::replace(&mut self.output, Output::CallerLeft)
+        else {
             return Ok(());
         };
-        let mut streamed = Streamed::start(request, self.status, &self.fields)?;
+        let mut streamed = StreamedAnswer::start(request, self.status, &self.fields)?;
         streamed.write(&self.body)?;
-        self.way = Way::Out(streamed);
+        self.output = Output::Streaming(streamed);
         Ok(())
     }
 
-    /// Forgets an attempt's answer of which nothing has gone out.
+    /// Discards the answer of an attempt of which nothing has been sent.
     pub fn reset(&mut self) {
         self.status = 0;
         self.fields.clear();
-        self.media.clear();
+        self.content_type.clear();
         self.version.clear();
         self.body.clear();
         self.size = 0;
@@ -135,64 +137,67 @@
         self.hasher = blake3::Hasher::new();
     }
 
-    /// Whether the caller has seen a part of it.
+    /// Returns whether a part of the answer has been sent, or the caller has left.
     pub const fn has_begun(&self) -> bool {
-        !matches!(self.way, Way::Back(_))
+        !matches!(self.output, Output::Buffered(_))
     }
 
-    /// The request, if the caller has seen nothing.
+    /// Returns the request if nothing of the answer has been sent.
     pub fn into_request(self) -> Option<Request> {
-        match self.way {
-            Way::Back(request) => Some(request),
-            Way::Out(_) | Way::Lost => None,
+        match self.output {
+            Output::Buffered(request) => Some(request),
+            Output::Streaming(_) | Output::CallerLeft => None,
         }
     }
 
-    /// The HTTP status.
+    /// Returns the HTTP status.
     pub const fn status(&self) -> u16 {
         self.status
     }
 
-    /// The digest of the whole body.
+    /// Returns the digest of the body.
     pub fn digest(&self) -> Digest {
         Digest::from_slice(self.hasher.finalize().as_bytes()).unwrap_or_else(|| Digest::of(&[]))
     }
 
-    /// The tokens generated, about: one an event, or by the body's size.
+    /// Returns the approximate number of generated tokens: one per event, or by the size of the body if
+    /// it has no events.
     pub fn tokens(&self) -> u32 {
-        let by_size = u32::try_from(self.size / TOKEN_BYTES).unwrap_or(u32::MAX);
+        let estimate = u32::try_from(self.size / BYTES_PER_TOKEN).unwrap_or(u32::MAX);
         if self.events > 0 {
             self.events
         } else {
-            by_size
+            estimate
         }
     }
 
-    /// The answer as it is kept for a resend, if it is small enough.
+    /// Returns the answer in the form that is stored for a resend of the request, if it is small enough.
     pub fn kept(&self) -> Option<Kept> {
         (self.size <= MAX_KEPT).then(|| Kept {
-            media: self.media.clone(),
+            media: self.content_type.clone(),
             body: self.body.clone(),
             version: self.version.clone(),
         })
     }
 
-    /// Sends the end.
+    /// Sends a buffered answer, or the end of a streamed one.
     ///
     /// # Errors
-    /// If the caller has left.
+    /// Returns an error if the caller has left.
     pub fn finish(self) -> io::Result<()> {
-        match self.way {
-            Way::Back(request) => http::respond(request, self.status, &self.fields, &self.body),
-            Way::Out(streamed) => streamed.finish(),
-            Way::Lost => Ok(()),
+        match self.output {
+            Output::Buffered(request) => {
+                http::respond(request, self.status, &self.fields, &self.body)
+            }
+            Output::Streaming(streamed) => streamed.finish(),
+            Output::CallerLeft => Ok(()),
         }
     }
 }
 
-fn count_events(piece: &[u8]) -> u32 {
-    let events = piece
+fn count_events(bytes: &[u8]) -> u32 {
+    let events = bytes
         .split(|byte| *byte == b'\n')
-        .filter(|line| line.starts_with(EVENT));
+        .filter(|line| line.starts_with(EVENT_PREFIX));
     u32::try_from(events.count()).unwrap_or(u32::MAX)
 }
--- a/crates/filbertstack-entry/src/attempt.rs
+++ b/crates/filbertstack-entry/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to a target.
+//! An attempt: one dispatch of a request to a target, on a thread of its own.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -20,73 +20,73 @@
 use filbertstack_wire::messages::Dispatch;
 
 use crate::table::Place;
-use crate::traffic::Turn;
+use crate::traffic::RequestEvent;
 
-/// How often an attempt looks whether it was withdrawn while no frame comes.
-const LOOK: Duration = Duration::from_millis(100);
+/// The interval at which an attempt checks whether it was cancelled while no frame arrives.
+const CANCEL_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// An attempt in progress; dropped, it is withdrawn, and the target is told to stop.
+/// An attempt in progress. Dropping it cancels the attempt, and the target is told to stop.
 #[derive(Debug)]
 pub struct Attempt {
-    withdrawn: Arc<AtomicBool>,
+    cancelled: Arc<AtomicBool>,
 }
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        self.withdrawn.store(true, Ordering::Relaxed);
+        self.cancelled.store(true, Ordering::Relaxed);
     }
 }
 
 impl Attempt {
-    /// Sends `dispatch` to `place`; what comes of it goes to `turns`.
+    /// Sends `dispatch` to `place`. The parts of the answer, or the failure, are sent to `events`.
     pub fn start(
         dialer: Arc<Dialer>,
         place: &Place,
         key: AttemptKey,
         dispatch: Dispatch,
         deadline: Instant,
-        turns: &Sender<Turn>,
+        events: &Sender<RequestEvent>,
     ) -> Self {
-        let withdrawn = Arc::new(AtomicBool::new(false));
-        let sending = Sending {
+        let cancelled = Arc::new(AtomicBool::new(false));
+        let worker = AttemptWorker {
             dialer,
             addr: place.addr,
             key,
             deadline,
-            withdrawn: withdrawn.clone(),
-            turns: turns.clone(),
+            cancelled: cancelled.clone(),
+            events: events.clone(),
         };
         let builder = thread::Builder::new()
             .name("attempt".into())
             .stack_size(STACK);
-        if builder.spawn(move || sending.run(dispatch)).is_err() {
+        if builder.spawn(move || worker.run(dispatch)).is_err() {
             let text = "this entry has no room for another thread".into();
             let outcome = Outcome::NotRun(NotRun::Full);
-            let _ = turns.send(Turn::Failed {
+            let _ = events.send(RequestEvent::Failed {
                 attempt: key,
                 outcome,
                 text,
             });
         }
-        Self { withdrawn }
+        Self { cancelled }
     }
 }
 
-struct Sending {
+struct AttemptWorker {
     dialer: Arc<Dialer>,
     addr: std::net::SocketAddr,
     key: AttemptKey,
     deadline: Instant,
-    withdrawn: Arc<AtomicBool>,
-    turns: Sender<Turn>,
+    cancelled: Arc<AtomicBool>,
+    events: Sender<RequestEvent>,
 }
 
-impl Sending {
+impl AttemptWorker {
     fn run(&self, dispatch: Dispatch) {
         if let Err(error) = self.send(dispatch) {
             let outcome = outcome_of(&error);
             let (attempt, text) = (self.key, error.to_string());
-            let _ = self.turns.send(Turn::Failed {
+            let _ = self.events.send(RequestEvent::Failed {
                 attempt,
                 outcome,
                 text,
@@ -98,23 +98,23 @@
         let link = self.dialer.link(self.addr, Role::Agent)?;
         let mut replies = link.call(Ask::Dispatch(dispatch))?;
         loop {
-            if self.withdrawn.load(Ordering::Relaxed) {
+            if self.cancelled.load(Ordering::Relaxed) {
                 return Ok(());
             }
-            let look = (Instant::now() + LOOK).min(self.deadline);
-            let tell = match replies.next(look) {
-                Ok(Some(tell)) => tell,
+            let poll_until = (Instant::now() + CANCEL_POLL_INTERVAL).min(self.deadline);
+            let reply = match replies.next(poll_until) {
+                Ok(Some(reply)) => reply,
                 Ok(None) => return Ok(()),
                 Err(WireError::Timeout) if Instant::now() < self.deadline => continue,
                 Err(error) => return Err(error),
             };
-            let last = replies.is_done();
-            let turn = Turn::Part {
+            let is_last = replies.is_done();
+            let event = RequestEvent::Part {
                 attempt: self.key,
-                tell,
-                last,
+                reply,
+                is_last,
             };
-            if self.turns.send(turn).is_err() || last {
+            if self.events.send(event).is_err() || is_last {
                 return Ok(());
             }
         }
--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -1,4 +1,4 @@
-//! One caller's request, from its arrival to the end of its answer.
+//! The handling of a caller's request, from its arrival to the end of its answer.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -32,53 +32,55 @@
 use crate::claims::MAX_KEY;
 use crate::claims::NotGranted;
 use crate::claims::Wanted;
-use crate::guard::Gone;
+use crate::guard::CallerLeft;
 use crate::guard::Guard;
 use crate::http;
 use crate::http::HeaderField;
-use crate::http::OUTCOME;
+use crate::http::OUTCOME_HEADER;
 use crate::http::Refusal;
 use crate::lease::Leases;
 use crate::prompt::Prompt;
-use crate::run::End;
-use crate::run::Run;
+use crate::run::ActiveRequest;
+use crate::run::RequestEnd;
 use crate::settings::Callers;
 use crate::table::Asked;
 use crate::table::Chosen;
 use crate::table::SharedTable;
 use crate::traffic::Traffic;
 
-/// The paths of the model API.
+/// The prefix of the paths of the model API.
 const MODEL_PATHS: &str = "/v1/";
 
-/// The header by which a caller allows less time than the rule, in milliseconds.
+/// The request header with a timeout in milliseconds. It can only shorten the timeout of the rule.
 const TIMEOUT_HEADER: &str = "x-filbertstack-timeout-ms";
 
-/// Headers that end at the entry: the caller's key is no business of a target.
-const OWN_HEADERS: [&str; 2] = ["authorization", TIMEOUT_HEADER];
+/// Request headers that are not forwarded: a target must not see the caller's key, and the timeout is
+/// sent to it in the dispatch.
+const ENTRY_HEADERS: [&str; 2] = ["authorization", TIMEOUT_HEADER];
 
-/// Answers callers' requests.
+/// Handles callers' requests.
 pub struct RequestHandler {
-    /// Who may call.
+    /// The callers' keys.
     pub callers: Callers,
     /// The requests in progress.
     pub traffic: Traffic,
-    /// Claims of idempotency keys.
+    /// The claims of idempotency keys.
     pub claims: Claims,
-    /// Links to agents.
+    /// The links to agents.
     pub dialer: Arc<Dialer>,
-    /// This entry's config lease.
+    /// This entry's configuration lease.
     pub leases: Arc<Leases>,
-    /// Metrics and traces.
+    /// The metrics and traces.
     pub telemetry: Arc<Telemetry>,
-    /// The largest body, in bytes.
+    /// The largest body of a request, in bytes.
     pub max_body: usize,
-    /// Numbers attempts; begins at a random number, so that no two processes share one.
+    /// The number of the next attempt. It begins at a random number, so that no two processes use the
+    /// same numbers.
     pub attempts: AtomicU64,
 }
 
-/// A request that has been read and routed.
-pub(crate) struct Job {
+/// A request that has been read and matched to a rule.
+pub(crate) struct RoutedRequest {
     pub(crate) org: OrgName,
     pub(crate) chosen: Chosen,
     pub(crate) table: SharedTable,
@@ -86,14 +88,14 @@
     pub(crate) dispatch: Dispatch,
     pub(crate) deadline: Instant,
     pub(crate) timeout: Millis,
-    pub(crate) gone: Gone,
+    pub(crate) caller_left: CallerLeft,
 }
 
 impl RequestHandler {
-    /// Whose key the request bears.
+    /// Returns the organisation whose key the request carries.
     ///
     /// # Errors
-    /// A 401 if it bears none that is known.
+    /// Returns a 401 refusal if the request carries no known key.
     pub fn authenticate(&self, request: &Request) -> Result<OrgName, Refusal> {
         let secret = bearer_token(request);
         let org = secret.and_then(|secret| self.callers.find(secret));
@@ -101,17 +103,17 @@
         org.cloned().ok_or_else(|| Refusal::not_run(401, text))
     }
 
-    /// Answers one request.
+    /// Answers a request.
     pub fn answer(&self, mut request: Request, guard: &Guard) {
         let arrived = Instant::now();
         let parent = Parent::parse(
-            http::field(&request, "traceparent"),
-            http::field(&request, "tracestate"),
+            http::header_value(&request, "traceparent"),
+            http::header_value(&request, "tracestate"),
         );
         let span = self.telemetry.tracer().span(Hop::EntryRequest, &parent);
-        let outcome = self.read(&mut request, guard, arrived);
+        let outcome = self.read_and_route(&mut request, guard, arrived);
         let outcome = match outcome {
-            Ok(job) => self.serve(request, &job, &span),
+            Ok(routed) => self.serve(request, &routed, &span),
             Err(refusal) => {
                 span.fail(&refusal.text);
                 let outcome = refusal.outcome.name();
@@ -126,17 +128,22 @@
         metrics.duration.record(outcome, arrived.elapsed());
     }
 
-    fn read(&self, request: &mut Request, guard: &Guard, arrived: Instant) -> Result<Job, Refusal> {
+    fn read_and_route(
+        &self,
+        request: &mut Request,
+        guard: &Guard,
+        arrived: Instant,
+    ) -> Result<RoutedRequest, Refusal> {
         let org = self.authenticate(request)?;
         self.leases.check().map_err(|expired| {
             Refusal::not_run(503, expired.to_string()).retry_after_ms(expired.retry.0)
         })?;
-        let gone = guard.gone(request.remote_addr());
+        let caller_left = guard.caller_left(request.remote_addr());
         let body = http::read_body(request, guard, self.max_body)?;
         let target = request.url().to_owned();
         let path = target.split('?').next().unwrap_or_default();
         let is_model = path.starts_with(MODEL_PATHS);
-        let prompt = is_model.then(|| Prompt::read(&body)).transpose();
+        let prompt = is_model.then(|| Prompt::parse(&body)).transpose();
         let prompt = prompt.map_err(|error| Refusal::not_run(400, error.to_string()))?;
         let method = request.method().as_str().to_owned();
         let asked = Asked {
@@ -147,19 +154,19 @@
         let table = self.traffic.table();
         let chosen = table.find(&asked);
         let chosen = chosen.map_err(|error| Refusal::not_run(404, error.to_string()))?;
-        let timeout = timeout_of(request, chosen.timeout);
+        let timeout = effective_timeout(request, chosen.timeout);
         let need = need_of(&chosen, prompt);
         let dispatch = Dispatch {
             method,
             path: target,
-            headers: passed_headers(request),
+            headers: forwarded_headers(request),
             body: Bytes::from(body),
             organisation: org.to_string(),
             priority: priority_number(chosen.priority),
             ..Dispatch::default()
         };
         let deadline = arrived + Duration::from(timeout);
-        Ok(Job {
+        Ok(RoutedRequest {
             org,
             chosen,
             table,
@@ -167,16 +174,20 @@
             dispatch,
             deadline,
             timeout,
-            gone,
+            caller_left,
         })
     }
 
-    /// Claims the key of a request that must not run twice.
-    fn claim(&self, request: &Request, job: &Job) -> Result<Option<Granted>, NotGranted> {
-        if job.chosen.idempotent {
+    /// Claims the idempotency key of a request that must not run twice.
+    fn claim(
+        &self,
+        request: &Request,
+        routed: &RoutedRequest,
+    ) -> Result<Option<Granted>, NotGranted> {
+        if routed.chosen.idempotent {
             return Ok(None);
         }
-        let key = http::field(request, "idempotency-key").unwrap_or_default();
+        let key = http::header_value(request, "idempotency-key").unwrap_or_default();
         if key.is_empty() || key.len() > MAX_KEY {
             let text = format!(
                 "this request must not run twice: send an Idempotency-Key of 1 to {MAX_KEY} \
@@ -186,43 +197,43 @@
         }
         let Dispatch {
             method, path, body, ..
-        } = &job.dispatch;
-        let whole = [method.as_bytes(), b" ", path.as_bytes(), b"\n", body].concat();
+        } = &routed.dispatch;
+        let hashed = [method.as_bytes(), b" ", path.as_bytes(), b"\n", body].concat();
         let wanted = Wanted {
-            org: &job.org,
+            org: &routed.org,
             key,
-            digest: Digest::of(&whole),
+            digest: Digest::of(&hashed),
             attempt: self.next_attempt(),
-            timeout: job.timeout,
+            timeout: routed.timeout,
         };
         self.claims.claim(&wanted).map(Some)
     }
 
-    /// Claims, admits and sends a request; returns how it ended.
-    fn serve(&self, request: Request, job: &Job, span: &Span) -> &'static str {
-        span.text(trace::Field::Organisation, job.org.as_str());
-        span.text(trace::Field::Rule, job.chosen.rule.as_str());
-        let claiming = self
+    /// Claims, admits and dispatches a request, and returns its outcome.
+    fn serve(&self, request: Request, routed: &RoutedRequest, span: &Span) -> &'static str {
+        span.text(trace::Field::Organisation, routed.org.as_str());
+        span.text(trace::Field::Rule, routed.chosen.rule.as_str());
+        let claim_span = self
             .telemetry
             .tracer()
             .span(Hop::EntryClaim, &span.parent());
-        let claimed = self.claim(&request, job);
-        drop(claiming);
+        let claimed = self.claim(&request, routed);
+        drop(claim_span);
         let claim = match claimed {
             Ok(claim) => claim,
-            Err(not_granted) => return self.answer_known(request, not_granted),
+            Err(not_granted) => return self.answer_unclaimed(request, not_granted),
         };
-        let left = job.deadline.saturating_duration_since(Instant::now());
+        let remaining = routed.deadline.saturating_duration_since(Instant::now());
         let offer = Offer {
-            group: job.chosen.group,
-            org: job.org.clone(),
-            priority: job.chosen.priority,
-            deadline: self.traffic.now() + left.into(),
-            need: job.need.clone(),
+            group: routed.chosen.group,
+            org: routed.org.clone(),
+            priority: routed.chosen.priority,
+            deadline: self.traffic.now() + remaining.into(),
+            need: routed.need.clone(),
         };
         let end = match self.traffic.offer(offer) {
-            Ok(ticket) => Run::new(self, job, ticket, request, span).follow(),
-            Err(refusal) => End::Refused {
+            Ok(ticket) => ActiveRequest::new(self, routed, ticket, request, span).run(),
+            Err(refusal) => RequestEnd::Refused {
                 request,
                 refusal: refusal_of(&refusal),
             },
@@ -230,8 +241,8 @@
         end.conclude(claim)
     }
 
-    /// Answers a request whose key was not granted.
-    fn answer_known(&self, request: Request, not_granted: NotGranted) -> &'static str {
+    /// Answers a request whose idempotency key was not granted, and counts it.
+    fn answer_unclaimed(&self, request: Request, not_granted: NotGranted) -> &'static str {
         let outcome = match &not_granted {
             NotGranted::Ran { .. } => "ran",
             NotGranted::Refused(refusal) => refusal.outcome.name(),
@@ -265,25 +276,25 @@
     };
     let mut fields = vec![
         HeaderField::new("content-type", &kept.media),
-        HeaderField::new(OUTCOME, "ran"),
+        HeaderField::new(OUTCOME_HEADER, "ran"),
         HeaderField::new("idempotent-replayed", "true"),
     ];
     if !kept.version.is_empty() {
-        fields.push(HeaderField::new(http::VERSION, &kept.version));
+        fields.push(HeaderField::new(http::VERSION_HEADER, &kept.version));
     }
     http::respond(request, status, &fields, &kept.body)
 }
 
-/// The secret that a request bears.
+/// Returns the bearer token of a request.
 pub fn bearer_token(request: &Request) -> Option<&str> {
-    http::field(request, "authorization")?
+    http::header_value(request, "authorization")?
         .strip_prefix("Bearer ")
         .map(str::trim)
 }
 
 fn request_labels(org: &OrgName, prompt: Option<&Prompt>, method: &str) -> Labels {
     let mut labels = Labels::default();
-    // Names and methods are checked before, so these can't fail.
+    // These cannot fail: names and methods have been checked before.
     let _ = labels.set("organisation", org.as_str());
     let _ = labels.set("method", method);
     if let Some(prompt) = prompt {
@@ -292,9 +303,9 @@
     labels
 }
 
-/// The rule's timeout, or less if the caller allows less.
-fn timeout_of(request: &Request, rule: Millis) -> Millis {
-    let asked = http::field(request, TIMEOUT_HEADER).and_then(|text| text.parse().ok());
+/// Returns the timeout of the rule, or that of the caller if it is shorter.
+fn effective_timeout(request: &Request, rule: Millis) -> Millis {
+    let asked = http::header_value(request, TIMEOUT_HEADER).and_then(|text| text.parse().ok());
     asked.map_or(rule, |asked| rule.min(Millis(asked)))
 }
 
@@ -319,12 +330,12 @@
     }
 }
 
-fn passed_headers(request: &Request) -> Vec<Header> {
+fn forwarded_headers(request: &Request) -> Vec<Header> {
     let headers = request.headers().iter().map(|header| Header {
         name: header.field.as_str().as_str().to_ascii_lowercase(),
         value: header.value.as_str().into(),
     });
     headers
-        .filter(|header| !OWN_HEADERS.contains(&header.name.as_str()))
+        .filter(|header| !ENTRY_HEADERS.contains(&header.name.as_str()))
         .collect()
 }
--- a/crates/filbertstack-entry/src/guard.rs
+++ b/crates/filbertstack-entry/src/guard.rs
@@ -1,10 +1,11 @@
-//! The guard before the HTTP library: bounds what a connection may cost before it is a request.
+//! The guard in front of the HTTP library: limits the resources of connections and detects callers that
+//! leave.
 //!
-//! `tiny_http` reads a request's head without a limit of size or time, and does not notice that a
-//! caller has left until it writes. The guard accepts the callers' connections, reads the head
-//! within [`HEAD_TIMEOUT`] and [`MAX_HEAD`], and passes the connection on to the library on
-//! loopback. While a request is in progress it watches the caller's side, so that work for a
-//! caller who has left can be cancelled.
+//! `tiny_http` reads the head of a request without a limit of size or time, and does not notice that a
+//! caller has remaining deadline it writes. The guard accepts the callers' connections, reads the head within
+//! [`HEAD_TIMEOUT`] and [`MAX_HEAD`], and forwards the connection to the library over loopback. While a
+//! request is in progress the guard reads from the caller, so that work for a caller that has remaining can
+//! be cancelled.
 
 mod head;
 
@@ -31,33 +32,34 @@
 pub use head::HEAD_TIMEOUT;
 use head::HeadError;
 pub use head::MAX_HEAD;
-use head::closing;
 use head::read_head;
+use head::with_close_header;
 
-/// How long a sent byte may wait for the caller to take it, and a body for its next byte.
+/// The longest time that a write to the caller may block.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The path on which the library answers the guard itself.
+/// The path on which the entry answers a request of the guard itself.
 pub const HELLO: &str = "/.guard";
 
-/// The whole answer on that path.
+/// The complete answer on that path.
 pub const HELLO_ANSWER: &[u8] = b"HTTP/1.1 204 No Content\r\ncontent-length: 0\r\n\r\n";
 
-/// How long the library may take to answer the guard.
+/// The longest time that the library may take to answer the guard.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a caller that was answered may go on sending before the connection is closed.
-const LINGER: Duration = Duration::from_millis(200);
+/// The longest time to wait for the next bytes of a caller that has been answered, before the connection
+/// is closed.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
 
-const STACK: usize = 128 << 10;
-const BUFFER: usize = 16 << 10;
+const STACK_BYTES: usize = 128 << 10;
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// The sign that a request's caller has left.
+/// A flag that is set once the caller of a request has left.
 #[derive(Clone, Debug, Default)]
-pub struct Gone(Arc<AtomicBool>);
+pub struct CallerLeft(Arc<AtomicBool>);
 
-impl Gone {
-    /// Whether the caller has left.
+impl CallerLeft {
+    /// Returns whether the caller has left.
     pub fn is_set(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
@@ -67,18 +69,18 @@
     }
 }
 
-/// How often bodies in arrival are checked against their deadline.
-const BODY_TICK: Duration = Duration::from_millis(500);
+/// The interval at which bodies in arrival are checked against their deadlines.
+const BODY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One connection that is being served.
+/// A connection that is being served.
 #[derive(Debug)]
-struct Served {
-    gone: Gone,
-    inner: TcpStream,
-    body_until: Option<Instant>,
+struct Connection {
+    caller_left: CallerLeft,
+    library: TcpStream,
+    body_deadline: Option<Instant>,
 }
 
-/// Bounds the arrival of a request's body for as long as it lives.
+/// Limits the arrival time of a request's body until it is dropped.
 #[derive(Debug)]
 pub struct BodyTimer<'a> {
     shared: &'a Shared,
@@ -89,7 +91,7 @@
     fn drop(&mut self) {
         let mut served = lock(&self.shared.served);
         if let Some(served) = self.port.and_then(|port| served.get_mut(&port)) {
-            served.body_until = None;
+            served.body_deadline = None;
         }
     }
 }
@@ -103,74 +105,76 @@
 
 #[derive(Debug)]
 struct Shared {
-    inner: SocketAddr,
+    library: SocketAddr,
     max_body: usize,
     max_connections: usize,
     connections: AtomicUsize,
     stopped: AtomicBool,
-    opening: Mutex<()>,
-    /// By the guard's own port on loopback, which the library sees as the caller's.
-    served: Mutex<HashMap<u16, Served>>,
+    open_lock: Mutex<()>,
+    /// The connections by the guard's own port on loopback, which the library sees as the caller's port.
+    served: Mutex<HashMap<u16, Connection>>,
     answered: Condvar,
 }
 
 impl Guard {
-    /// Accepts on `socket` and passes requests to `inner`.
+    /// Starts to accept connections on `socket` and to forward requests to `library`.
     ///
     /// # Errors
-    /// If the socket has no address or the thread can't be started.
+    /// Returns an error if the socket has no address or a thread cannot be started.
     pub fn start(
         socket: TcpListener,
-        inner: SocketAddr,
+        library: SocketAddr,
         max_body: usize,
         max_connections: usize,
     ) -> std::io::Result<Self> {
         let addr = socket.local_addr()?;
         let shared = Arc::new(Shared {
-            inner,
+            library,
             max_body,
             max_connections,
             connections: AtomicUsize::new(0),
             stopped: AtomicBool::new(false),
-            opening: Mutex::default(),
+            open_lock: Mutex::default(),
             served: Mutex::default(),
             answered: Condvar::new(),
         });
-        let accepting = shared.clone();
+        let acceptor = shared.clone();
         let builder = thread::Builder::new()
             .name("guard-accept".into())
-            .stack_size(STACK);
-        builder.spawn(move || accepting.accept(&socket))?;
-        let watching = shared.clone();
+            .stack_size(STACK_BYTES);
+        builder.spawn(move || acceptor.accept(&socket))?;
+        let body_watcher = shared.clone();
         let builder = thread::Builder::new()
             .name("guard-bodies".into())
-            .stack_size(STACK);
-        builder.spawn(move || watching.watch_bodies())?;
+            .stack_size(STACK_BYTES);
+        builder.spawn(move || body_watcher.watch_bodies())?;
         Ok(Self { addr, shared })
     }
 
-    /// Where callers connect.
+    /// Returns the address to which callers connect.
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// The sign for the request that the library received from `remote`.
-    pub fn gone(&self, remote: Option<&SocketAddr>) -> Gone {
+    /// Returns the flag for the request that the library received from `remote`.
+    pub fn caller_left(&self, remote: Option<&SocketAddr>) -> CallerLeft {
         let served = lock(&self.shared.served);
         let found = remote.and_then(|addr| served.get(&addr.port()));
-        found.map(|served| served.gone.clone()).unwrap_or_default()
+        found
+            .map(|served| served.caller_left.clone())
+            .unwrap_or_default()
     }
 
     /// Ends the body of the request from `remote` early if it has not arrived within `timeout`.
     ///
-    /// The library reads a body without a limit of time, so a caller that sends a byte now and
-    /// then would hold a thread for good. The reader sees the body end short instead, and can
-    /// still answer.
-    pub fn time_body(&self, remote: Option<&SocketAddr>, timeout: Duration) -> BodyTimer<'_> {
+    /// The library reads a body without a limit of time, so a caller that sends a byte now and then
+    /// would occupy a thread for ever. With the limit, the reader sees the body end early and can still
+    /// answer.
+    pub fn limit_body_time(&self, remote: Option<&SocketAddr>, timeout: Duration) -> BodyTimer<'_> {
         let port = remote.map(SocketAddr::port);
         let mut served = lock(&self.shared.served);
         if let Some(served) = port.and_then(|port| served.get_mut(&port)) {
-            served.body_until = Some(Instant::now() + timeout);
+            served.body_deadline = Some(Instant::now() + timeout);
         }
         BodyTimer {
             shared: &self.shared,
@@ -178,36 +182,36 @@
         }
     }
 
-    /// Ends the body of the request from `remote` where it is.
+    /// Ends the body of the request from `remote` at its current position.
     ///
-    /// The library reads what is left of a body before it lets a request be answered. A caller
-    /// that announces a large body and does not send it would never see that it is refused.
+    /// The library reads the rest of a body before it lets a request be answered. A caller that declares
+    /// a large body and does not send it would never receive the refusal.
     pub fn end_body(&self, remote: Option<&SocketAddr>) {
         let served = lock(&self.shared.served);
         if let Some(served) = remote.and_then(|addr| served.get(&addr.port())) {
-            let _ = served.inner.shutdown(Shutdown::Write);
+            let _ = served.library.shutdown(Shutdown::Write);
         }
     }
 
-    /// Waits until every request that came has its whole answer passed on, until `until` at most, and
-    /// says whether it is so.
+    /// Waits until the answers of all requests have been forwarded completely, or until `deadline`, and
+    /// returns whether they have been.
     ///
-    /// The library is done with an answer once it has written it to the guard. A caller that reads
-    /// slowly has yet to take a part of it then, which the end of the process would cut off.
-    pub fn await_answers(&self, until: Instant) -> bool {
+    /// The library has finished an answer once it has written it to the guard. A caller that reads slowly
+    /// has not received all of it by then, and the end of the process would cut off the rest.
+    pub fn await_answers(&self, deadline: Instant) -> bool {
         let mut served = lock(&self.shared.served);
         while !served.is_empty() {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            let waited = self.shared.answered.wait_timeout(served, left);
+            let waited = self.shared.answered.wait_timeout(served, remaining);
             served = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         true
     }
 
-    /// The connections open now.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.shared.connections.load(Ordering::Relaxed)
     }
@@ -216,7 +220,7 @@
 impl Drop for Guard {
     fn drop(&mut self) {
         self.shared.stopped.store(true, Ordering::Relaxed);
-        // Wakes the accepting thread, which then sees that it is to stop.
+        // Wakes the accepting thread, which then sees that it must stop.
         let _ = TcpStream::connect_timeout(&self.addr, Duration::from_millis(200));
     }
 }
@@ -229,7 +233,7 @@
             }
             match connection {
                 Ok(connection) => self.admit(connection),
-                // Out of descriptors, most likely: a pause lets some close.
+                // The process is probably out of file descriptors; a pause lets some close.
                 Err(_) => thread::sleep(Duration::from_millis(20)),
             }
         }
@@ -237,12 +241,12 @@
 
     fn watch_bodies(&self) {
         while !self.stopped.load(Ordering::Relaxed) {
-            thread::sleep(BODY_TICK);
+            thread::sleep(BODY_CHECK_INTERVAL);
             let now = Instant::now();
             for served in lock(&self.served).values_mut() {
-                if served.body_until.is_some_and(|until| until < now) {
-                    served.body_until = None;
-                    let _ = served.inner.shutdown(Shutdown::Write);
+                if served.body_deadline.is_some_and(|deadline| deadline < now) {
+                    served.body_deadline = None;
+                    let _ = served.library.shutdown(Shutdown::Write);
                 }
             }
         }
@@ -252,7 +256,7 @@
         let slot = Slot::take(self);
         if self.connections.load(Ordering::Relaxed) > self.max_connections {
             let _ = caller.set_write_timeout(Some(Duration::from_millis(100)));
-            answer(
+            reject(
                 &mut caller,
                 "503 Service Unavailable",
                 "too many connections: come back",
@@ -262,29 +266,29 @@
         let shared = self.clone();
         let builder = thread::Builder::new()
             .name("guard-caller".into())
-            .stack_size(STACK);
+            .stack_size(STACK_BYTES);
         let _ = builder.spawn(move || {
             let _slot = slot;
             let _ = shared.serve(caller);
         });
     }
 
-    /// Opens a connection to the library that has a thread of its own.
+    /// Opens a connection to the library that the library serves on a thread of its own.
     ///
-    /// The library takes a thread for idle until it has woken, though a connection is queued for
-    /// it already: of several connections opened at once, some wait for another one's end. One
-    /// caller would then wait for another's whole answer. Opened one at a time, each until the
-    /// library has answered on it, none shares a thread.
-    fn open_inner(&self) -> std::io::Result<TcpStream> {
-        let _one_at_a_time = lock(&self.opening);
-        let mut inner = TcpStream::connect(self.inner)?;
-        inner.set_nodelay(true)?;
-        inner.set_read_timeout(Some(HELLO_TIMEOUT))?;
-        write!(inner, "GET {HELLO} HTTP/1.1\r\nhost: guard\r\n\r\n")?;
+    /// The library counts a thread as idle until it has woken, even if a connection is already queued for
+    /// it. If several connections were opened at once, some would be queued behind another, and their
+    /// callers would wait for the whole answer of another caller. So the guard opens one connection at a
+    /// time and waits until the library has answered on it; then no two connections share a thread.
+    fn open_library(&self) -> std::io::Result<TcpStream> {
+        let _open_lock_held = lock(&self.open_lock);
+        let mut library = TcpStream::connect(self.library)?;
+        library.set_nodelay(true)?;
+        library.set_read_timeout(Some(HELLO_TIMEOUT))?;
+        write!(library, "GET {HELLO} HTTP/1.1\r\nhost: guard\r\n\r\n")?;
         let mut answer = [0; HELLO_ANSWER.len()];
-        inner.read_exact(&mut answer)?;
-        inner.set_read_timeout(None)?;
-        Ok(inner)
+        library.read_exact(&mut answer)?;
+        library.set_read_timeout(None)?;
+        Ok(library)
     }
 
     fn serve(&self, mut caller: TcpStream) -> std::io::Result<()> {
@@ -293,7 +297,7 @@
         let head = match read_head(&mut caller) {
             Ok(head) => head,
             Err(HeadError::Slow) => {
-                answer(
+                reject(
                     &mut caller,
                     "408 Request Timeout",
                     "send the head within 10 s",
@@ -302,7 +306,7 @@
             }
             Err(HeadError::Large) => {
                 let status = "431 Request Header Fields Too Large";
-                answer(
+                reject(
                     &mut caller,
                     status,
                     "a head has at most 16 KiB: send fewer headers",
@@ -311,30 +315,30 @@
             }
             Err(HeadError::Closed) => return Ok(()),
         };
-        let mut inner = self.open_inner()?;
-        let watched = Watched::new(self, &inner)?;
-        inner.write_all(&closing(&head))?;
-        let back = Back {
-            inner: inner.try_clone()?,
+        let mut library = self.open_library()?;
+        let registration = Registration::new(self, &library)?;
+        library.write_all(&with_close_header(&head))?;
+        let relay = AnswerRelay {
+            library: library.try_clone()?,
             caller: caller.try_clone()?,
         };
         let builder = thread::Builder::new()
             .name("guard-answer".into())
-            .stack_size(STACK);
-        let answering = builder.spawn(move || back.run())?;
-        // A body over the limit is answered by the handler; this bound only ends a sender that
-        // goes on regardless.
-        let budget = self.max_body.saturating_mul(2).saturating_add(MAX_HEAD);
-        pass_body(&mut caller, &mut inner, budget);
-        watched.gone.set();
-        let _ = inner.shutdown(Shutdown::Write);
-        let _ = answering.join();
+            .stack_size(STACK_BYTES);
+        let relay_thread = builder.spawn(move || relay.run())?;
+        // The handler answers a body that is over the limit. This larger limit only stops a caller that
+        // keeps sending regardless.
+        let limit = self.max_body.saturating_mul(2).saturating_add(MAX_HEAD);
+        forward_body(&mut caller, &mut library, limit);
+        registration.caller_left.set();
+        let _ = library.shutdown(Shutdown::Write);
+        let _ = relay_thread.join();
         drain(&mut caller);
         Ok(())
     }
 }
 
-/// Counts a connection for as long as it lives.
+/// Counts a connection until it is dropped.
 struct Slot(Arc<Shared>);
 
 impl Slot {
@@ -350,45 +354,49 @@
     }
 }
 
-/// Registers a connection's sign for as long as it lives.
-struct Watched<'a> {
+/// Keeps a connection in [`Shared::served`] until it is dropped.
+struct Registration<'a> {
     shared: &'a Shared,
     port: u16,
-    gone: Gone,
+    caller_left: CallerLeft,
 }
 
-impl<'a> Watched<'a> {
-    fn new(shared: &'a Shared, inner: &TcpStream) -> std::io::Result<Self> {
-        let port = inner.local_addr()?.port();
-        let gone = Gone::default();
-        let served = Served {
-            gone: gone.clone(),
-            inner: inner.try_clone()?,
-            body_until: None,
+impl<'a> Registration<'a> {
+    fn new(shared: &'a Shared, library: &TcpStream) -> std::io::Result<Self> {
+        let port = library.local_addr()?.port();
+        let caller_left = CallerLeft::default();
+        let served = Connection {
+            caller_left: caller_left.clone(),
+            library: library.try_clone()?,
+            body_deadline: None,
         };
         lock(&shared.served).insert(port, served);
-        Ok(Self { shared, port, gone })
+        Ok(Self {
+            shared,
+            port,
+            caller_left,
+        })
     }
 }
 
-impl Drop for Watched<'_> {
+impl Drop for Registration<'_> {
     fn drop(&mut self) {
         lock(&self.shared.served).remove(&self.port);
         self.shared.answered.notify_all();
     }
 }
 
-/// Passes the answer from the library to the caller.
-struct Back {
-    inner: TcpStream,
+/// Forwards the answer from the library to the caller.
+struct AnswerRelay {
+    library: TcpStream,
     caller: TcpStream,
 }
 
-impl Back {
+impl AnswerRelay {
     fn run(mut self) {
-        let mut buffer = vec![0; BUFFER];
+        let mut buffer = vec![0; BUFFER_BYTES];
         loop {
-            let n = match self.inner.read(&mut buffer) {
+            let n = match self.library.read(&mut buffer) {
                 Ok(0) | Err(_) => break,
                 Ok(n) => n,
             };
@@ -396,32 +404,32 @@
                 break;
             }
         }
-        // Ends the other direction too, which else would wait for a caller that says nothing.
+        // Also ends the other direction, which otherwise would wait for a caller that sends nothing.
         let _ = self.caller.shutdown(Shutdown::Both);
-        let _ = self.inner.shutdown(Shutdown::Both);
+        let _ = self.library.shutdown(Shutdown::Both);
     }
 }
 
-/// Passes what the caller sends until it leaves, says too much or stalls for good.
-fn pass_body(caller: &mut TcpStream, inner: &mut TcpStream, budget: usize) {
-    // Once the body is through, a caller that waits for its answer says nothing: silence is no
-    // reason to end the connection here, the handler bounds the time of a body and of an answer.
+/// Forwards what the caller sends until the connection ends or `limit` bytes have been forwarded.
+fn forward_body(caller: &mut TcpStream, library: &mut TcpStream, limit: usize) {
+    // A caller that has sent its body sends nothing while it waits for the answer, so there is no read
+    // timeout here. The handler limits the time of a body and of an answer.
     let _ = caller.set_read_timeout(None);
-    let mut left = budget;
-    let mut buffer = vec![0; BUFFER];
-    while left > 0 {
+    let mut remaining = limit;
+    let mut buffer = vec![0; BUFFER_BYTES];
+    while remaining > 0 {
         let n = match caller.read(&mut buffer) {
             Ok(0) | Err(_) => return,
-            Ok(n) => n.min(left),
+            Ok(n) => n.min(remaining),
         };
-        left -= n;
-        if inner.write_all(&buffer[..n]).is_err() {
+        remaining -= n;
+        if library.write_all(&buffer[..n]).is_err() {
             return;
         }
     }
 }
 
-fn answer(caller: &mut TcpStream, status: &str, text: &str) {
+fn reject(caller: &mut TcpStream, status: &str, text: &str) {
     let body = format!("{{\"error\":{{\"message\":\"{text}\",\"type\":\"not_run\"}}}}\n");
     let head = format!(
         "HTTP/1.1 {status}\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\
@@ -434,10 +442,10 @@
     drain(caller);
 }
 
-/// Reads what the caller still sends: closing with unread bytes would reset the connection and
-/// take the answer away from the caller before it could read it.
+/// Reads what the caller still sends. Closing the connection with unread bytes would reset it, and the
+/// caller could lose the answer before it has read it.
 fn drain(caller: &mut TcpStream) {
-    let _ = caller.set_read_timeout(Some(LINGER));
+    let _ = caller.set_read_timeout(Some(LINGER_TIMEOUT));
     let mut buffer = [0; 4096];
     for _ in 0..64 {
         match caller.read(&mut buffer) {
@@ -449,11 +457,11 @@
 
 /// Turns Nagle's algorithm off for every connection that `listener` accepts.
 ///
-/// The library does not do so, and a token's small write may then wait for the far end's delayed
-/// acknowledgement, on Linux for up to 40 ms. Accepted sockets inherit the option.
+/// The library does not do so, and the small write of a token may then wait for the delayed
+/// acknowledgement of the remote end, on Linux for up to 40 ms. Accepted sockets inherit the option.
 ///
 /// # Errors
-/// What the system says of the socket.
+/// Returns the system's error if the option cannot be set.
 pub fn set_nodelay(listener: &TcpListener) -> std::io::Result<()> {
     let socket = OwnedFd::from(listener.try_clone()?);
     TcpStream::from(socket).set_nodelay(true)
--- a/crates/filbertstack-entry/src/guard/head.rs
+++ b/crates/filbertstack-entry/src/guard/head.rs
@@ -1,4 +1,4 @@
-//! The head of a request, read within bounds of size and time.
+//! Reads the head of a request within limits of size and time.
 
 use std::io::ErrorKind;
 use std::io::Read;
@@ -6,45 +6,46 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// The largest head of a request, in bytes: what common servers allow.
+/// The largest head of a request, in bytes. Common servers allow as much.
 pub const MAX_HEAD: usize = 16 << 10;
 
-/// How long a head may take to arrive.
+/// The longest time that the head of a request may take to arrive.
 pub const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The head with word that the connection ends with the answer.
+/// Returns the head with a `connection: close` header as the first header.
 ///
-/// The library otherwise keeps the connection for a next request, and the caller, told that it is
-/// closed, would wait for an end that does not come. It goes by the first header of that name.
-pub fn closing(head: &[u8]) -> Vec<u8> {
-    const CLOSE: &[u8] = b"connection: close\r\n";
-    let line = head.windows(2).position(|window| window == b"\r\n");
-    let (line, rest) = head.split_at(line.map_or(head.len(), |at| at + 2));
-    [line, CLOSE, rest].concat()
+/// Without it, the library keeps the connection open for a next request, and the caller, which is told
+/// that the connection closes, would wait for an end that never comes. The library uses the first header
+/// of that name.
+pub fn with_close_header(head: &[u8]) -> Vec<u8> {
+    const CLOSE_HEADER: &[u8] = b"connection: close\r\n";
+    let line_end = head.windows(2).position(|window| window == b"\r\n");
+    let (request_line, headers) = head.split_at(line_end.map_or(head.len(), |at| at + 2));
+    [request_line, CLOSE_HEADER, headers].concat()
 }
 
-/// Why a head was not read.
+/// The reason that a head could not be read.
 pub enum HeadError {
-    /// It took longer than [`HEAD_TIMEOUT`].
+    /// The head took longer than [`HEAD_TIMEOUT`] to arrive.
     Slow,
-    /// It is over [`MAX_HEAD`].
+    /// The head is larger than [`MAX_HEAD`].
     Large,
-    /// The caller left.
+    /// The caller closed the connection.
     Closed,
 }
 
-/// Reads a head, and what came with it of the body.
+/// Reads a head, with any bytes of the body that arrived together with it.
 pub fn read_head(caller: &mut TcpStream) -> Result<Vec<u8>, HeadError> {
-    let until = Instant::now() + HEAD_TIMEOUT;
+    let deadline = Instant::now() + HEAD_TIMEOUT;
     let mut head = Vec::new();
     let mut buffer = [0; 2048];
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Err(HeadError::Slow);
         }
         caller
-            .set_read_timeout(Some(left))
+            .set_read_timeout(Some(remaining))
             .map_err(|_| HeadError::Closed)?;
         let n = match caller.read(&mut buffer) {
             Ok(0) => return Err(HeadError::Closed),
@@ -52,9 +53,9 @@
             Err(error) if is_timeout(&error) => return Err(HeadError::Slow),
             Err(_) => return Err(HeadError::Closed),
         };
-        let searched = head.len().saturating_sub(3);
+        let search_start = head.len().saturating_sub(3);
         head.extend_from_slice(&buffer[..n]);
-        if head[searched..]
+        if head[search_start..]
             .windows(4)
             .any(|window| window == b"\r\n\r\n")
         {
--- a/crates/filbertstack-entry/src/http.rs
+++ b/crates/filbertstack-entry/src/http.rs
@@ -1,7 +1,7 @@
 //! Answers to callers and operators, on top of the HTTP library.
 //!
-//! The library buffers a chunked body until it ends, so answers are written through its raw
-//! writer, and a stream is flushed after each piece.
+//! The library buffers a chunked body until it ends, so answers are written through its raw writer,
+//! and a stream is flushed after each write.
 
 use std::io;
 use std::io::Read;
@@ -15,29 +15,29 @@
 use crate::guard::Guard;
 use crate::guard::HELLO_ANSWER;
 
-/// How long a body may take to arrive.
+/// The longest time that the body of a request may take to arrive.
 pub const BODY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The header that says what became of a call: `not-run`, `ran` or `unknown`.
-pub const OUTCOME: &str = "x-filbertstack-outcome";
+/// The header with the outcome of a request: `not-run`, `ran` or `unknown`.
+pub const OUTCOME_HEADER: &str = "x-filbertstack-outcome";
 
-/// The header that names the version of weights that answered.
-pub const VERSION: &str = "x-filbertstack-version";
+/// The header with the version of the weights that answered.
+pub const VERSION_HEADER: &str = "x-filbertstack-version";
 
-/// The header with the instance that answered.
-pub const SERVED_BY: &str = "x-filbertstack-target";
+/// The header with the name of the target that answered.
+pub const TARGET_HEADER: &str = "x-filbertstack-target";
 
-/// A header of an answer.
+/// A header field of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderField {
-    /// Its name.
+    /// The name of the header.
     pub name: String,
-    /// Its value, without line ends.
+    /// The value, without control characters.
     pub value: String,
 }
 
 impl HeaderField {
-    /// A header; line ends are taken out of the value.
+    /// Creates a header field; control characters are removed from the value.
     pub fn new(name: &str, value: &str) -> Self {
         let value = value.chars().filter(|c| !c.is_control()).collect();
         Self {
@@ -47,17 +47,17 @@
     }
 }
 
-/// What became of a call that is not answered by a target.
+/// The outcome of a request that no target answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It certainly did not run.
+    /// The request did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// The outcome as headers and metrics name it.
+    /// Returns the name of the outcome in headers and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -71,45 +71,45 @@
 pub struct Refusal {
     /// The HTTP status.
     pub status: u16,
-    /// What became of the call.
+    /// The outcome of the request.
     pub outcome: Outcome,
-    /// The reason and its remedy.
+    /// The reason, and what the caller can do.
     pub text: String,
-    /// When to come back, in seconds.
-    pub after: Option<u64>,
+    /// The value of the Retry-After header, in seconds.
+    pub retry_after_s: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal of a call that did not run.
+    /// Creates the refusal of a request that did not run.
     pub fn not_run(status: u16, text: impl Into<String>) -> Self {
         Self {
             status,
             outcome: Outcome::NotRun,
             text: text.into(),
-            after: None,
+            retry_after_s: None,
         }
     }
 
-    /// A call whose outcome nobody knows.
+    /// Creates the answer to a request that may have run.
     pub fn unknown(status: u16, text: impl Into<String>) -> Self {
         Self {
             status,
             outcome: Outcome::Unknown,
             text: text.into(),
-            after: None,
+            retry_after_s: None,
         }
     }
 
-    /// The same with a time to come back, in milliseconds, rounded up to seconds.
+    /// Returns the refusal with a Retry-After header of `delay_ms` milliseconds, rounded up to seconds.
     #[must_use]
-    pub fn retry_after_ms(mut self, after: u64) -> Self {
-        self.after = Some(after.div_ceil(1000).max(1));
+    pub fn retry_after_ms(mut self, delay_ms: u64) -> Self {
+        self.retry_after_s = Some(delay_ms.div_ceil(1000).max(1));
         self
     }
 }
 
 /// The reason phrase of `status`.
-pub const fn reason(status: u16) -> &'static str {
+pub const fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         202 => "Accepted",
@@ -132,10 +132,10 @@
     }
 }
 
-/// Writes a whole answer.
+/// Writes a complete answer.
 ///
 /// # Errors
-/// If the caller has left.
+/// Returns an error if the caller has left.
 pub fn respond(
     request: Request,
     status: u16,
@@ -152,10 +152,10 @@
     writer.flush()
 }
 
-/// Answers the guard itself, which goes on to use the connection.
+/// Answers the guard on the path [`HELLO`](crate::guard::HELLO). The guard goes on to use the connection.
 ///
 /// # Errors
-/// If the guard has left.
+/// Returns an error if the guard has closed the connection.
 pub fn answer_hello(request: Request) -> io::Result<()> {
     let mut writer = request.into_writer();
     writer.write_all(HELLO_ANSWER)?;
@@ -165,7 +165,7 @@
 /// Writes `value` as a JSON answer.
 ///
 /// # Errors
-/// If the caller has left.
+/// Returns an error if the caller has left.
 pub fn respond_json(request: Request, status: u16, value: &impl Serialize) -> io::Result<()> {
     let body = serde_json::to_vec(value)?;
     respond(
@@ -176,10 +176,10 @@
     )
 }
 
-/// Writes `refusal`.
+/// Writes `refusal` as a JSON answer.
 ///
 /// # Errors
-/// If the caller has left.
+/// Returns an error if the caller has left.
 pub fn refuse(request: Request, refusal: &Refusal) -> io::Result<()> {
     let outcome = refusal.outcome.name();
     let kind = match refusal.outcome {
@@ -188,10 +188,10 @@
     };
     let mut fields = vec![
         HeaderField::new("content-type", "application/json"),
-        HeaderField::new(OUTCOME, outcome),
+        HeaderField::new(OUTCOME_HEADER, outcome),
     ];
-    if let Some(after) = refusal.after {
-        fields.push(HeaderField::new("retry-after", &after.to_string()));
+    if let Some(seconds) = refusal.retry_after_s {
+        fields.push(HeaderField::new("retry-after", &seconds.to_string()));
     }
     let body = json!({ "error": { "message": refusal.text, "type": kind } });
     respond(
@@ -203,26 +203,26 @@
 }
 
 fn write_head(writer: &mut impl Write, status: u16, fields: &[HeaderField]) -> io::Result<()> {
-    write!(writer, "HTTP/1.1 {status} {}\r\n", reason(status))?;
+    write!(writer, "HTTP/1.1 {status} {}\r\n", reason_phrase(status))?;
     for HeaderField { name, value } in fields {
         write!(writer, "{name}: {value}\r\n")?;
     }
     writer.write_all(b"connection: close\r\n")
 }
 
-/// An answer whose body is written piece by piece.
+/// An answer whose body is written in parts.
 ///
-/// Dropped before [`Streamed::finish`], it lacks its final chunk, so that the caller can't take
-/// what it has for the whole.
-pub struct Streamed {
+/// If it is dropped before [`StreamedAnswer::finish`], it lacks the final chunk of the chunked encoding, so
+/// that the caller cannot mistake the partial answer for the whole.
+pub struct StreamedAnswer {
     writer: Box<dyn Write + Send>,
 }
 
-impl Streamed {
+impl StreamedAnswer {
     /// Writes the head.
     ///
     /// # Errors
-    /// If the caller has left.
+    /// Returns an error if the caller has left.
     pub fn start(request: Request, status: u16, fields: &[HeaderField]) -> io::Result<Self> {
         let mut writer = request.into_writer();
         write_head(&mut writer, status, fields)?;
@@ -231,24 +231,24 @@
         Ok(Self { writer })
     }
 
-    /// Writes a piece at once.
+    /// Writes and flushes a part of the body.
     ///
     /// # Errors
-    /// If the caller has left.
-    pub fn write(&mut self, piece: &[u8]) -> io::Result<()> {
-        if piece.is_empty() {
+    /// Returns an error if the caller has left.
+    pub fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
+        if bytes.is_empty() {
             return Ok(());
         }
-        write!(self.writer, "{:x}\r\n", piece.len())?;
-        self.writer.write_all(piece)?;
+        write!(self.writer, "{:x}\r\n", bytes.len())?;
+        self.writer.write_all(bytes)?;
         self.writer.write_all(b"\r\n")?;
         self.writer.flush()
     }
 
-    /// Marks the answer as whole.
+    /// Writes the final chunk, which marks the answer as complete.
     ///
     /// # Errors
-    /// If the caller has left.
+    /// Returns an error if the caller has left.
     pub fn finish(mut self) -> io::Result<()> {
         self.writer.write_all(b"0\r\n\r\n")?;
         self.writer.flush()
@@ -258,16 +258,16 @@
 /// Reads a request's body.
 ///
 /// # Errors
-/// A [`Refusal`] if it is too large, too slow or cut short.
+/// Returns a [`Refusal`] if the body is too large, arrives too slowly or is incomplete.
 pub fn read_body(request: &mut Request, guard: &Guard, limit: usize) -> Result<Vec<u8>, Refusal> {
     let too_large =
         || Refusal::not_run(413, format!("a body has at most {limit} bytes: send less"));
-    let announced = request.body_length();
-    if announced.is_some_and(|length| length > limit) {
+    let declared_length = request.body_length();
+    if declared_length.is_some_and(|length| length > limit) {
         return Err(too_large());
     }
     let remote = request.remote_addr().copied();
-    let timer = guard.time_body(remote.as_ref(), BODY_TIMEOUT);
+    let timer = guard.limit_body_time(remote.as_ref(), BODY_TIMEOUT);
     let mut body = Vec::new();
     let read = request
         .as_reader()
@@ -277,8 +277,8 @@
     if body.len() > limit {
         return Err(too_large());
     }
-    let short = announced.is_some_and(|length| body.len() < length);
-    if read.is_err() || short {
+    let incomplete = declared_length.is_some_and(|length| body.len() < length);
+    if read.is_err() || incomplete {
         return Err(Refusal::not_run(
             408,
             "the body did not arrive whole within 20 s: send it again",
@@ -287,8 +287,8 @@
     Ok(body)
 }
 
-/// The value of the request's header `name`.
-pub fn field<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
+/// Returns the value of the request's header `name`.
+pub fn header_value<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     let found = request
         .headers()
         .iter()
--- a/crates/filbertstack-entry/src/prompt.rs
+++ b/crates/filbertstack-entry/src/prompt.rs
@@ -1,23 +1,25 @@
-//! What the choice of a target needs to know of a request's body.
+//! Reads from a request's body what routing needs: the model, the cost and the prefix of the prompt.
 
 use filbertstack_core::names::ModelName;
 use filbertstack_policy::cost::Cost;
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The bytes of a prompt that one prefix hash covers more than the last.
-const BLOCK: usize = 256;
+/// The size of a prompt block in bytes: each prefix hash covers one block more than the one before.
+const BLOCK_BYTES: usize = 256;
 
-/// How many leading blocks are hashed: a shared system prompt fits, and more tells no more.
+/// The largest number of leading blocks that are hashed. A shared system prompt fits into these; more
+/// blocks would add no information.
 const MAX_BLOCKS: usize = 16;
 
-/// The bytes of a token, about.
-const TOKEN_BYTES: usize = 4;
+/// The approximate size of a token in bytes.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// The tokens generated for a request that names no limit.
-const DEFAULT_OUTPUT: u32 = 256;
+/// The assumed number of generated tokens if a request sets no limit.
+const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 
-/// A request to a model, as far as routing reads it.
+/// The fields of a request to a model that routing reads. The text of a JSON error names this type and
+/// reaches the caller.
 #[derive(Debug, Deserialize)]
 struct Body {
     model: Option<String>,
@@ -32,43 +34,43 @@
     content: Option<Value>,
 }
 
-/// What routing needs to know of a request to a model.
+/// The properties of a request to a model that routing uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model asked for.
+    /// The requested model.
     pub model: ModelName,
-    /// What the request is expected to cost.
+    /// The expected cost of the request.
     pub cost: Cost,
-    /// Hashes of the prompt's leading blocks, each covering all before it.
+    /// The hashes of the prompt's leading blocks; each also covers all blocks before it.
     pub prefix: Vec<u64>,
 }
 
-/// Why a body is no request to a model.
+/// The reason that a body is not a valid request to a model.
 #[derive(Debug, thiserror::Error)]
 pub enum PromptError {
-    /// It is no JSON object of the right shape.
+    /// The body is not JSON, or its fields have other types.
     #[error("the body is no request to a model ({0}): send JSON as the OpenAI API has it")]
     Json(#[from] serde_json::Error),
-    /// It names no model.
+    /// The body names no model, or the name is not valid.
     #[error("the body names no model: set \"model\" to one of GET /v1/models")]
     NoModel,
 }
 
 impl Prompt {
-    /// Reads a body.
+    /// Parses the body of a request to a model.
     ///
     /// # Errors
-    /// [`PromptError`] says what to correct.
-    pub fn read(body: &[u8]) -> Result<Self, PromptError> {
+    /// Returns a [`PromptError`] whose text tells the caller what to correct.
+    pub fn parse(body: &[u8]) -> Result<Self, PromptError> {
         let body: Body = serde_json::from_slice(body)?;
         let model = body.model.as_deref().and_then(|model| model.parse().ok());
         let model = model.ok_or(PromptError::NoModel)?;
         let text = body.text();
-        let prompt = u32::try_from(text.len() / TOKEN_BYTES).unwrap_or(u32::MAX);
+        let prompt = u32::try_from(text.len() / BYTES_PER_TOKEN).unwrap_or(u32::MAX);
         let output = body
             .max_completion_tokens
             .or(body.max_tokens)
-            .unwrap_or(DEFAULT_OUTPUT);
+            .unwrap_or(DEFAULT_OUTPUT_TOKENS);
         Ok(Self {
             model,
             cost: Cost { prompt, output },
@@ -98,7 +100,7 @@
 
 fn prefix_hashes(text: &[u8]) -> Vec<u64> {
     let mut hasher = blake3::Hasher::new();
-    let blocks = text.chunks_exact(BLOCK).take(MAX_BLOCKS);
+    let blocks = text.chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS);
     blocks
         .map(|block| {
             hasher.update(block);
--- a/crates/filbertstack-entry/src/race.rs
+++ b/crates/filbertstack-entry/src/race.rs
@@ -1,11 +1,12 @@
-//! Which of a request's attempts may answer its caller.
+//! The choice of the attempt that may answer a request's caller.
 //!
-//! A hedged request has two attempts, and events cross: the order to send the second may be
-//! handled after the first has begun to answer. Taken then, its head would replace the first's,
-//! and the caller would get one answer's beginning and another's end. Once an attempt has begun
-//! to answer, nothing of any other passes, and no other is sent, until that attempt has ended.
+//! A hedged request has two attempts, and their events can interleave: the event that sends the
+//! second may be handled after the first has begun to answer. If the second were sent then, its head
+//! would replace that of the first, and the caller would get the beginning of one answer and the end
+//! of another. So once an attempt has begun to answer, no part of another attempt's answer passes and
+//! no other attempt is sent until that attempt has ended.
 
-/// The attempts of one request, by their keys.
+/// The attempts of one request by their keys, and the one that answers.
 #[derive(Clone, Debug)]
 pub struct Race<K> {
     live: Vec<K>,
@@ -13,7 +14,7 @@
 }
 
 impl<K: Copy + PartialEq> Race<K> {
-    /// A request without attempts.
+    /// Creates the state of a request without attempts.
     pub const fn new() -> Self {
         Self {
             live: Vec::new(),
@@ -21,8 +22,9 @@
         }
     }
 
-    /// Notes an attempt that is to be sent; false if it must not be, as another answers.
-    pub fn enter(&mut self, attempt: K) -> bool {
+    /// Adds an attempt that is about to be sent. Returns false if it must not be sent, because another
+    /// attempt has begun to answer.
+    pub fn add(&mut self, attempt: K) -> bool {
         if self.winner.is_some() {
             return false;
         }
@@ -30,9 +32,9 @@
         true
     }
 
-    /// Notes the head of an attempt's answer; false if it must not pass. From the first head on,
-    /// only its attempt is live.
-    pub fn head(&mut self, attempt: K) -> bool {
+    /// Records that the head of an attempt's answer has arrived. Returns false if the head must not
+    /// pass. After the first head, only its attempt is live.
+    pub fn begin_answer(&mut self, attempt: K) -> bool {
         if self.winner.is_some() || !self.live.contains(&attempt) {
             return false;
         }
@@ -41,25 +43,25 @@
         true
     }
 
-    /// Whether a piece of an attempt's body may pass.
+    /// Returns whether a part of an attempt's body may pass to the caller.
     pub fn may_pass(&self, attempt: K) -> bool {
         self.winner == Some(attempt)
     }
 
-    /// Whether an attempt is still waited for.
+    /// Returns whether an attempt is still awaited.
     pub fn is_live(&self, attempt: K) -> bool {
         self.live.contains(&attempt)
     }
 
-    /// Notes the end of an attempt; another may answer if it was the one that did.
-    pub fn leave(&mut self, attempt: K) {
+    /// Removes an attempt that has ended. If it was the one that answered, another may answer.
+    pub fn remove(&mut self, attempt: K) {
         self.live.retain(|live| *live != attempt);
         if self.winner == Some(attempt) {
             self.winner = None;
         }
     }
 
-    /// Whether no attempt is waited for.
+    /// Returns whether no attempt is awaited.
     pub fn is_empty(&self) -> bool {
         self.live.is_empty()
     }
--- a/crates/filbertstack-entry/src/run.rs
+++ b/crates/filbertstack-entry/src/run.rs
@@ -1,4 +1,4 @@
-//! One admitted request: its attempts, and the one that answers.
+//! An admitted request: its attempts, and the delivery of the answer of one of them.
 
 use std::sync::mpsc::RecvTimeoutError;
 use std::time::Duration;
@@ -26,37 +26,37 @@
 
 use crate::answer::Answer;
 use crate::attempt::Attempt;
-use crate::call::Job;
 use crate::call::RequestHandler;
+use crate::call::RoutedRequest;
 use crate::call::refusal_of;
 use crate::claims::Granted;
 use crate::http;
 use crate::http::Refusal;
 use crate::race::Race;
 use crate::table::Place;
+use crate::traffic::RequestEvent;
 use crate::traffic::Ticket;
-use crate::traffic::Turn;
 
-/// How often a waiting request looks whether its caller has left.
-const LOOK: Duration = Duration::from_millis(50);
+/// The interval at which a waiting request checks whether its caller has left.
+const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How a request ends for its caller.
-pub(crate) enum End {
-    /// It did not run.
+pub(crate) enum RequestEnd {
+    /// The request did not run.
     Refused { request: Request, refusal: Refusal },
-    /// Nobody knows whether it ran, and no byte of an answer went out.
+    /// Whether the request ran is not known, and no byte of an answer has been sent.
     Unknown { request: Request, refusal: Refusal },
-    /// An answer has begun and breaks off, or the caller has left.
+    /// The answer broke off after a part of it was sent, or the caller has left.
     Cut { ran: bool },
-    /// The answer is whole, its end not yet sent.
+    /// The answer is complete; its end has not been sent yet.
     Whole(Box<Answer>),
 }
 
-impl End {
-    /// Settles the claim, then tells the caller; returns how the request ended.
+impl RequestEnd {
+    /// Settles or releases the claim, then sends the rest of the answer, and returns the outcome.
     ///
-    /// In this order: a caller that sees the end of an answer and sends its request again gets the
-    /// same answer, not "in progress".
+    /// The claim is settled first so that a caller that sees the end of an answer and resends its
+    /// request gets the same answer instead of "in progress".
     pub(crate) fn conclude(self, claim: Option<Granted>) -> &'static str {
         match self {
             Self::Refused { request, refusal } => {
@@ -88,248 +88,257 @@
     }
 }
 
-/// An attempt in progress and where it goes.
-struct Live {
+/// An attempt in progress and its target.
+struct LiveAttempt {
     key: AttemptKey,
     number: u64,
     target: TargetKey,
     place: Place,
     span: Span,
-    _sending: Attempt,
+    _attempt: Attempt,
 }
 
-/// One admitted request, until its end.
-pub(crate) struct Run<'a> {
-    calls: &'a RequestHandler,
-    job: &'a Job,
+/// An admitted request that has not ended.
+pub(crate) struct ActiveRequest<'a> {
+    handler: &'a RequestHandler,
+    routed: &'a RoutedRequest,
     ticket: Ticket,
-    live: Vec<Live>,
+    live: Vec<LiveAttempt>,
     race: Race<AttemptKey>,
     answer: Answer,
     span: &'a Span,
     waiting: Option<Span>,
-    began: Instant,
+    started: Instant,
     sent: bool,
-    /// An attempt ended without word whether it ran.
-    unsure: bool,
-    /// A claimed request that was sent runs to its end also when its caller leaves: the caller
-    /// comes back with the same key, and then gets the answer instead of "unknown".
+    /// Whether an attempt ended without its outcome being known.
+    outcome_unknown: bool,
+    /// Whether the request has claimed an idempotency key. Once sent, such a request runs to its end
+    /// even if its caller leaves, so that the caller gets the answer instead of "unknown" when it
+    /// resends the request under the same key.
     claimed: bool,
 }
 
-impl<'a> Run<'a> {
+impl<'a> ActiveRequest<'a> {
     pub(crate) fn new(
-        calls: &'a RequestHandler,
-        job: &'a Job,
+        handler: &'a RequestHandler,
+        routed: &'a RoutedRequest,
         ticket: Ticket,
         request: Request,
         span: &'a Span,
     ) -> Self {
         let answer = Answer::new(request);
-        let tracer = calls.telemetry.tracer();
+        let tracer = handler.telemetry.tracer();
         let waiting = Some(tracer.span(Hop::EntryAdmission, &span.parent()));
-        let claimed = !job.chosen.idempotent;
+        let claimed = !routed.chosen.idempotent;
         Self {
-            calls,
-            job,
+            handler,
+            routed,
             ticket,
             live: Vec::new(),
             race: Race::new(),
             answer,
             span,
             waiting,
-            began: Instant::now(),
+            started: Instant::now(),
             sent: false,
-            unsure: false,
+            outcome_unknown: false,
             claimed,
         }
     }
 
-    pub(crate) fn follow(mut self) -> End {
+    pub(crate) fn run(mut self) -> RequestEnd {
         loop {
-            if self.job.gone.is_set() && !(self.claimed && self.sent) {
-                return End::Cut { ran: self.sent };
+            if self.routed.caller_left.is_set() && !(self.claimed && self.sent) {
+                return RequestEnd::Cut { ran: self.sent };
             }
-            let turn = match self.ticket.turns.recv_timeout(LOOK) {
-                Ok(turn) => turn,
-                Err(RecvTimeoutError::Timeout) if Instant::now() < self.job.deadline => continue,
+            let event = match self.ticket.events.recv_timeout(CALLER_POLL_INTERVAL) {
+                Ok(event) => event,
+                Err(RecvTimeoutError::Timeout) if Instant::now() < self.routed.deadline => continue,
                 Err(_) => return self.time_out(),
             };
-            let next = match turn {
-                Turn::Send { attempt, target } => self.send(attempt, target),
-                Turn::Refused(refusal) => Next::Refused(refusal),
-                Turn::Unknown => {
-                    Next::Unknown("it may have run; no time is left to try again".into())
+            let step = match event {
+                RequestEvent::Send { attempt, target } => self.send(attempt, target),
+                RequestEvent::Refused(refusal) => Step::Refused(refusal),
+                RequestEvent::Unknown => {
+                    Step::Unknown("it may have run; no time is left to try again".into())
                 }
-                Turn::Part {
+                RequestEvent::Part {
                     attempt,
-                    tell,
-                    last,
-                } => self.part(attempt, tell, last),
-                Turn::Failed {
+                    reply,
+                    is_last,
+                } => self.handle_part(attempt, reply, is_last),
+                RequestEvent::Failed {
                     attempt,
                     outcome,
                     text,
-                } => self.failed(attempt, outcome, &text),
+                } => self.handle_failure(attempt, outcome, &text),
             };
-            match next {
-                Next::Go => {}
-                Next::Refused(refusal) => return self.refuse(&refusal),
-                Next::Unknown(text) => return self.unknown(502, text),
-                Next::Cut => return End::Cut { ran: true },
-                Next::Whole => return End::Whole(Box::new(self.answer)),
+            match step {
+                Step::Continue => {}
+                Step::Refused(refusal) => return self.refuse(&refusal),
+                Step::Unknown(text) => return self.unknown(502, text),
+                Step::Cut => return RequestEnd::Cut { ran: true },
+                Step::Whole => return RequestEnd::Whole(Box::new(self.answer)),
             }
         }
     }
 
-    /// Sends the request to a target.
-    fn send(&mut self, key: AttemptKey, target: TargetKey) -> Next {
-        if !self.race.enter(key) {
-            // The flow withdrew it when the other attempt began to answer.
-            return Next::Go;
+    /// Starts an attempt at a target.
+    fn send(&mut self, key: AttemptKey, target: TargetKey) -> Step {
+        if !self.race.add(key) {
+            // The flow cancelled this attempt when another began to answer.
+            return Step::Continue;
         }
-        let table = self.calls.traffic.table();
-        let group = self.job.chosen.group;
+        let table = self.handler.traffic.table();
+        let group = self.routed.chosen.group;
         let place = table
             .place(group, target)
-            .or_else(|| self.job.table.place(group, target));
+            .or_else(|| self.routed.table.place(group, target));
         let Some(place) = place.cloned() else {
             let outcome = Outcome::NotRun(NotRun::Absent);
-            return self.failed(key, outcome, "the target left before the request was sent");
+            return self.handle_failure(
+                key,
+                outcome,
+                "the target left before the request was sent",
+            );
         };
-        let metrics = &self.calls.telemetry.metrics.entry;
+        let metrics = &self.handler.telemetry.metrics.entry;
         if self.waiting.take().is_some() {
-            metrics.wait.record(self.began.elapsed());
+            metrics.wait.record(self.started.elapsed());
         } else {
             metrics.retries.add("again", 1);
         }
         let span = self
-            .calls
+            .handler
             .telemetry
             .tracer()
             .span(Hop::EntryDispatch, &self.span.parent());
         span.text(Field::Target, place.name.as_str());
-        let number = self.calls.next_attempt();
-        let left = self.job.deadline.saturating_duration_since(Instant::now());
+        let number = self.handler.next_attempt();
+        let left = self
+            .routed
+            .deadline
+            .saturating_duration_since(Instant::now());
         let dispatch = Dispatch {
             attempt: number,
             digest: place.version.map(Digest::to_vec).unwrap_or_default(),
             timeout: Millis::from(left).0,
             trace: span.traceparent(),
-            ..self.job.dispatch.clone()
+            ..self.routed.dispatch.clone()
         };
-        let (dialer, turns) = (self.calls.dialer.clone(), &self.ticket.sender);
-        let sending = Attempt::start(dialer, &place, key, dispatch, self.job.deadline, turns);
+        let (dialer, events) = (self.handler.dialer.clone(), &self.ticket.sender);
+        let attempt = Attempt::start(dialer, &place, key, dispatch, self.routed.deadline, events);
         self.sent = true;
-        self.live.push(Live {
+        self.live.push(LiveAttempt {
             key,
             number,
             target,
             place,
             span,
-            _sending: sending,
+            _attempt: attempt,
         });
-        Next::Go
+        Step::Continue
     }
 
-    /// Takes a part of an answer, if it belongs to an attempt that may still answer.
-    fn part(&mut self, key: AttemptKey, tell: Tell, last: bool) -> Next {
+    /// Handles a part of an answer if it belongs to an attempt that may still answer.
+    fn handle_part(&mut self, key: AttemptKey, reply: Tell, is_last: bool) -> Step {
         let Some(live) = self.live.iter().find(|live| live.key == key) else {
-            return Next::Go;
+            return Step::Continue;
         };
-        match tell {
+        match reply {
             Tell::Head(head) => {
                 let version = live.place.version.map(Digest::to_vec).unwrap_or_default();
                 if head.attempt != live.number || head.digest != version {
                     let text = "the target answered another request or from another version";
-                    return self.failed(key, Outcome::Unknown, text);
+                    return self.handle_failure(key, Outcome::Unknown, text);
                 }
-                if self.is_full(&head) {
+                if self.is_engine_full(&head) {
                     let outcome = Outcome::NotRun(NotRun::Full);
-                    return self.failed(key, outcome, "the engine had no room");
+                    return self.handle_failure(key, outcome, "the engine had no room");
                 }
                 let (place, target) = (live.place.clone(), live.target);
-                self.ticket.observe_load(target, load_of(&head));
-                if self.race.head(key) {
+                self.ticket.observe_load(target, load_report(&head));
+                if self.race.begin_answer(key) {
                     self.ticket.first_token(key);
-                    let metrics = &self.calls.telemetry.metrics.entry;
-                    metrics.first_token.record(self.began.elapsed());
+                    let metrics = &self.handler.telemetry.metrics.entry;
+                    metrics.first_token.record(self.started.elapsed());
                     self.live.retain(|live| live.key == key);
-                    self.answer.head(&head, &place);
+                    self.answer.set_head(&head, &place);
                 }
-                Next::Go
+                Step::Continue
             }
             Tell::Piece(Payload { body }) if self.race.may_pass(key) => {
-                self.piece(key, &body, last)
+                self.handle_bytes(key, &body, is_last)
             }
-            Tell::Piece(_) => Next::Go,
-            _ => self.failed(key, Outcome::Unknown, "the agent told something else"),
+            Tell::Piece(_) => Step::Continue,
+            _ => self.handle_failure(key, Outcome::Unknown, "the agent told something else"),
         }
     }
 
-    /// An engine that says 429 or 503 has not begun; a plain service may mean anything by it.
-    fn is_full(&self, head: &Head) -> bool {
-        self.job.chosen.kind == Kind::Engines && matches!(head.status, 429 | 503)
+    /// Returns whether an engine had no room for the request. An engine that answers 429 or 503 has not
+    /// begun the request; a plain service may mean anything by these statuses.
+    fn is_engine_full(&self, head: &Head) -> bool {
+        self.routed.chosen.kind == Kind::Engines && matches!(head.status, 429 | 503)
     }
 
-    fn piece(&mut self, key: AttemptKey, body: &[u8], last: bool) -> Next {
-        if self.answer.piece(body).is_err() && !self.claimed {
-            return Next::Cut;
+    fn handle_bytes(&mut self, key: AttemptKey, body: &[u8], is_last: bool) -> Step {
+        if self.answer.append(body).is_err() && !self.claimed {
+            return Step::Cut;
         }
-        if !last {
-            return Next::Go;
+        if !is_last {
+            return Step::Continue;
         }
         let cost = Cost {
-            prompt: self.job.need.cost.prompt,
+            prompt: self.routed.need.cost.prompt,
             output: self.answer.tokens(),
         };
         self.ticket.finish(key, Outcome::Ran { cost });
-        Next::Whole
+        Step::Whole
     }
 
-    fn failed(&mut self, key: AttemptKey, outcome: Outcome, text: &str) -> Next {
+    fn handle_failure(&mut self, key: AttemptKey, outcome: Outcome, text: &str) -> Step {
         if let Some(live) = self.live.iter().find(|live| live.key == key) {
             live.span.fail(text);
         }
         self.live.retain(|live| live.key != key);
-        self.unsure |= outcome == Outcome::Unknown;
-        let answered = self.race.may_pass(key);
-        self.race.leave(key);
+        self.outcome_unknown |= outcome == Outcome::Unknown;
+        let was_answering = self.race.may_pass(key);
+        self.race.remove(key);
         match self.ticket.finish(key, outcome) {
-            _ if answered && self.answer.has_begun() => Next::Cut,
+            _ if was_answering && self.answer.has_begun() => Step::Cut,
             Ended::Again | Ended::Open | Ended::Late => {
-                if answered {
+                if was_answering {
                     self.answer.reset();
                 }
-                Next::Go
+                Step::Continue
             }
-            Ended::Refused(refusal) => Next::Refused(refusal),
-            Ended::Unknown | Ended::Whole => Next::Unknown(text.into()),
+            Ended::Refused(refusal) => Step::Refused(refusal),
+            Ended::Unknown | Ended::Whole => Step::Unknown(text.into()),
         }
     }
 
-    fn refuse(self, refusal: &admission::Refusal) -> End {
+    fn refuse(self, refusal: &admission::Refusal) -> RequestEnd {
         match self.answer.into_request() {
-            Some(request) => End::Refused {
+            Some(request) => RequestEnd::Refused {
                 request,
                 refusal: refusal_of(refusal),
             },
-            None => End::Cut { ran: true },
+            None => RequestEnd::Cut { ran: true },
         }
     }
 
-    fn unknown(self, status: u16, text: String) -> End {
+    fn unknown(self, status: u16, text: String) -> RequestEnd {
         match self.answer.into_request() {
-            Some(request) => End::Unknown {
+            Some(request) => RequestEnd::Unknown {
                 request,
                 refusal: Refusal::unknown(status, text),
             },
-            None => End::Cut { ran: true },
+            None => RequestEnd::Cut { ran: true },
         }
     }
 
-    fn time_out(self) -> End {
-        if self.live.is_empty() && !self.unsure {
+    fn time_out(self) -> RequestEnd {
+        if self.live.is_empty() && !self.outcome_unknown {
             let reason = admission::Reason::Deadline;
             let retry_after = Millis::secs(1);
             return self.refuse(&admission::Refusal {
@@ -343,17 +352,18 @@
     }
 }
 
-/// What a turn means for the request.
-enum Next {
-    Go,
+/// The step that follows an event of the request.
+enum Step {
+    Continue,
     Refused(admission::Refusal),
     Unknown(String),
     Cut,
     Whole,
 }
 
-/// What a target tells of its load: its agent counts what is in progress, so nothing waits there.
-fn load_of(head: &Head) -> LoadReport {
+/// Returns the load that a target reported with its answer. The agent counts the requests in progress,
+/// so none are waiting at the target.
+fn load_report(head: &Head) -> LoadReport {
     LoadReport {
         running: head.running,
         waiting: 0,
--- a/crates/filbertstack-entry/src/traffic.rs
+++ b/crates/filbertstack-entry/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The requests in progress: one [`Flow`] for the entry, and a channel to each waiting request.
+//! The requests in progress: one [`Flow`] for the entry, and a channel to the thread of each request.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -34,36 +34,36 @@
 use crate::table::SharedTable;
 use crate::view::View;
 
-/// What happens to a request, as its thread hears it.
+/// An event of a request, sent to the thread that serves it.
 #[derive(Debug)]
-pub enum Turn {
-    /// Send it to the target.
+pub enum RequestEvent {
+    /// The request is to be sent to the target.
     Send {
-        /// This sending of it.
+        /// The key of the new attempt.
         attempt: AttemptKey,
-        /// Where to.
+        /// The target.
         target: TargetKey,
     },
-    /// It is refused.
+    /// The request is refused.
     Refused(Refusal),
-    /// It may have run, and can't be tried again in time.
+    /// The request may have run, and cannot be tried again in time.
     Unknown,
-    /// A part of an attempt's answer.
+    /// A part of an attempt's answer has arrived.
     Part {
         /// The attempt.
         attempt: AttemptKey,
-        /// The part.
-        tell: Tell,
-        /// Whether it is the last.
-        last: bool,
+        /// The message with the part.
+        reply: Tell,
+        /// Whether it is the last part.
+        is_last: bool,
     },
-    /// An attempt ended without a whole answer.
+    /// An attempt ended without a complete answer.
     Failed {
         /// The attempt.
         attempt: AttemptKey,
-        /// How.
+        /// What is known of whether the request ran.
         outcome: Outcome,
-        /// Why, for the caller.
+        /// The reason, as text for the caller.
         text: String,
     },
 }
@@ -72,7 +72,7 @@
     flow: Flow,
     builder: Builder,
     table: SharedTable,
-    waiting: SecondaryMap<TicketKey, Sender<Turn>>,
+    senders: SecondaryMap<TicketKey, Sender<RequestEvent>>,
 }
 
 struct Shared {
@@ -81,7 +81,7 @@
     stopped: AtomicBool,
 }
 
-/// The requests in progress; clones share them.
+/// The requests in progress. Clones share the same state.
 #[derive(Clone)]
 pub struct Traffic {
     shared: Arc<Shared>,
@@ -95,34 +95,34 @@
     }
 }
 
-/// One request; dropped before its end, it is cancelled.
+/// A request in progress. Dropping the ticket before the request has ended cancels the request.
 #[derive(Debug)]
 pub struct Ticket {
     traffic: Traffic,
     key: TicketKey,
-    /// Passed to the threads of attempts.
-    pub sender: Sender<Turn>,
-    /// What happens to the request.
-    pub turns: Receiver<Turn>,
+    /// The sending end of `events`, for the threads of attempts.
+    pub sender: Sender<RequestEvent>,
+    /// The events of the request.
+    pub events: Receiver<RequestEvent>,
 }
 
 impl Traffic {
-    /// Traffic without targets.
+    /// Creates the state without targets, and starts the thread that polls the flow.
     pub fn new(settings: Settings) -> Self {
         let state = State {
             flow: Flow::new(settings),
             builder: Builder::default(),
             table: SharedTable::default(),
-            waiting: SecondaryMap::new(),
+            senders: SecondaryMap::new(),
         };
         let shared = Arc::new(Shared {
             start: Instant::now(),
             state: Mutex::new(state),
             stopped: AtomicBool::new(false),
         });
-        let polling = Arc::downgrade(&shared);
+        let weak = Arc::downgrade(&shared);
         thread::spawn(move || {
-            while let Some(shared) = polling.upgrade() {
+            while let Some(shared) = weak.upgrade() {
                 if shared.stopped.load(Ordering::Relaxed) {
                     return;
                 }
@@ -134,12 +134,12 @@
         Self { shared }
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Millis {
         self.shared.now()
     }
 
-    /// Follows the declarations and the targets.
+    /// Updates the routing table and the flow to the declarations in `view` and the targets in `members`.
     pub fn update(&self, view: &View, members: &[Member]) {
         let now = self.now();
         let mut state = self.shared.lock();
@@ -160,57 +160,57 @@
         self.shared.lock().flow.router_mut().set_sharers(sharers);
     }
 
-    /// The table now.
+    /// Returns the current routing table.
     pub fn table(&self) -> SharedTable {
         self.shared.lock().table.clone()
     }
 
-    /// The requests that have not ended.
+    /// Returns the number of requests that have not ended.
     pub fn open(&self) -> usize {
         self.shared.lock().flow.open()
     }
 
-    /// Takes a request in, or refuses it at once.
+    /// Admits a request, or refuses it at once.
     ///
     /// # Errors
-    /// The refusal: the request did not run and will not.
+    /// Returns the refusal; the request did not run and will not run.
     pub fn offer(&self, offer: Offer) -> Result<Ticket, Refusal> {
-        let (sender, turns) = channel();
+        let (sender, events) = channel();
         let now = self.now();
         let mut state = self.shared.lock();
         let key = state.flow.offer(now, offer)?;
-        state.waiting.insert(key, sender.clone());
+        state.senders.insert(key, sender.clone());
         drop(state);
         self.shared.poll();
         Ok(Ticket {
             traffic: self.clone(),
             key,
             sender,
-            turns,
+            events,
         })
     }
 
-    /// Ends the thread that polls.
+    /// Stops the thread that polls the flow.
     pub fn stop(&self) {
         self.shared.stopped.store(true, Ordering::Relaxed);
     }
 }
 
 impl Ticket {
-    /// Learns from what a target says of its load.
+    /// Records the load that a target reported.
     pub fn observe_load(&self, target: TargetKey, report: LoadReport) {
         let now = self.traffic.now();
         let mut state = self.traffic.shared.lock();
         state.flow.router_mut().observe_load(now, target, report);
     }
 
-    /// Notes that an attempt's answer has begun; the attempts returned are to be withdrawn.
+    /// Records that an attempt's answer has begun. Returns the attempts that are to be cancelled.
     pub fn first_token(&self, attempt: AttemptKey) -> Vec<AttemptKey> {
         let now = self.traffic.now();
         self.traffic.shared.lock().flow.first_token(now, attempt)
     }
 
-    /// Ends an attempt, and says what that means for the request.
+    /// Ends an attempt, and returns what that means for the request.
     pub fn finish(&self, attempt: AttemptKey, outcome: Outcome) -> Ended {
         let now = self.traffic.now();
         let ended = self
@@ -228,8 +228,8 @@
     fn drop(&mut self) {
         let now = self.traffic.now();
         let mut state = self.traffic.shared.lock();
-        state.waiting.remove(self.key);
-        // Nothing to cancel after the request's end.
+        state.senders.remove(self.key);
+        // This has no effect if the request has already ended.
         state.flow.cancel(now, self.key);
         drop(state);
         self.traffic.shared.poll();
@@ -245,18 +245,18 @@
         let now = self.now();
         let mut state = self.lock();
         for event in state.flow.poll(now) {
-            let (ticket, turn) = match event {
+            let (ticket, request_event) = match event {
                 Event::Send {
                     ticket,
                     attempt,
                     target,
-                } => (ticket, Turn::Send { attempt, target }),
-                Event::Refuse { ticket, refusal } => (ticket, Turn::Refused(refusal)),
-                Event::Unknown { ticket } => (ticket, Turn::Unknown),
+                } => (ticket, RequestEvent::Send { attempt, target }),
+                Event::Refuse { ticket, refusal } => (ticket, RequestEvent::Refused(refusal)),
+                Event::Unknown { ticket } => (ticket, RequestEvent::Unknown),
             };
-            if let Some(sender) = state.waiting.get(ticket) {
-                // A request whose thread is gone has cancelled itself.
-                let _ = sender.send(turn);
+            if let Some(sender) = state.senders.get(ticket) {
+                // If the thread has ended, its ticket has cancelled the request.
+                let _ = sender.send(request_event);
             }
         }
     }
--- a/crates/filbertstack-entry/tests/guard.rs
+++ b/crates/filbertstack-entry/tests/guard.rs
@@ -1,4 +1,4 @@
-//! The guard before the HTTP library, with a library that follows a script.
+//! The guard in front of the HTTP library, with a scripted library.
 
 use std::io::Read;
 use std::io::Write;
@@ -14,24 +14,24 @@
 use filbertstack_entry::guard::Guard;
 use filbertstack_entry::guard::HELLO_ANSWER;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// More than the buffers of a caller's connection hold, but not more than those of two in a row and
-/// the guard's own.
-const LONG: usize = 4 << 20;
+/// The size of the answer. It is larger than the buffers of the caller's connection, but fits into the
+/// buffers of the two connections and of the guard together.
+const ANSWER_BYTES: usize = 4 << 20;
 
-/// A library that answers one request by `body` and the end of the connection, and tells when it has
-/// written all of it.
-fn library(body: Vec<u8>, written: Sender<()>) -> SocketAddr {
+/// Starts a library that answers one request with `body`, closes the connection and reports on `written`
+/// once it has written everything.
+fn start_library(body: Vec<u8>, written: Sender<()>) -> SocketAddr {
     let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = socket.local_addr().expect("bound");
     thread::spawn(move || {
-        let (mut inner, _) = socket.accept().expect("the guard connects");
-        read_head(&mut inner);
-        inner.write_all(HELLO_ANSWER).expect("the guard reads");
-        read_head(&mut inner);
-        inner.write_all(&body).expect("the guard reads");
-        drop(inner);
+        let (mut library, _) = socket.accept().expect("the guard connects");
+        read_head(&mut library);
+        library.write_all(HELLO_ANSWER).expect("the guard reads");
+        read_head(&mut library);
+        library.write_all(&body).expect("the guard reads");
+        drop(library);
         written.send(()).expect("the test waits");
     });
     addr
@@ -46,31 +46,37 @@
     }
 }
 
-// A caller that reads slowly gets its whole answer from an entry that is stopped.
-// The library has written the last byte, so that no request is in progress any more; a part of the
-// answer still waits in the guard. A process that ended now would cut it off.
+// A caller that reads slowly gets its whole answer from an entry that is being stopped. When the library
+// has written the last byte, no request is in progress any more, but a part of the answer is still in the
+// guard. If the process ended at that point, the answer would be cut off.
 #[test]
-fn an_answer_that_the_caller_has_yet_to_take_holds_up_the_end() {
+fn await_answers_waits_until_the_caller_has_read_the_answer() {
     let (written, all_written) = channel();
-    let inner = library(vec![b'x'; LONG], written);
+    let library = start_library(vec![b'x'; ANSWER_BYTES], written);
     let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let guard = Guard::start(socket, inner, 1 << 20, 10).expect("starts");
-    assert!(guard.await_answers(Instant::now()), "nothing was asked yet");
+    let guard = Guard::start(socket, library, 1 << 20, 10).expect("starts");
+    assert!(
+        guard.await_answers(Instant::now()),
+        "no request was sent yet"
+    );
     let mut caller = TcpStream::connect(guard.addr()).expect("connects");
     let asked = caller.write_all(b"GET / HTTP/1.1\r\nhost: test\r\n\r\n");
     asked.expect("the guard reads");
-    // As soon as the caller reads a first byte, the request is counted.
+    // Once the caller has read a first byte, the request is registered.
     caller.read_exact(&mut [0]).expect("the answer begins");
-    assert!(!guard.await_answers(Instant::now()), "it is not passed on");
+    assert!(
+        !guard.await_answers(Instant::now()),
+        "the answer is not forwarded yet"
+    );
     let reading = thread::spawn(move || {
         let mut answer = Vec::new();
         caller.read_to_end(&mut answer).expect("the whole answer");
         answer.len()
     });
-    assert_eq!(reading.join().expect("reads"), LONG - 1);
-    all_written.recv_timeout(PATIENCE).expect("written");
+    assert_eq!(reading.join().expect("reads"), ANSWER_BYTES - 1);
+    all_written.recv_timeout(TIMEOUT).expect("written");
     assert!(
-        guard.await_answers(Instant::now() + PATIENCE),
-        "all is passed on"
+        guard.await_answers(Instant::now() + TIMEOUT),
+        "the whole answer is forwarded"
     );
 }
--- a/crates/filbertstack-entry/tests/race.rs
+++ b/crates/filbertstack-entry/tests/race.rs
@@ -1,48 +1,49 @@
-//! Attempts that race for one request, in every order of their events.
+//! The attempts of a hedged request, in every order of their events.
 
 use filbertstack_entry::race::Race;
 
-// The caller saw the beginning of one answer and the end of another, about once in 5,000 requests.
-// The first target is late, so the request is hedged: the order to send the second is queued.
-// Before it is handled, the first's head arrives and passes. Then the second was sent, its head
-// replaced the first's, and its pieces followed.
+// Guards against a caller that gets the beginning of one answer and the end of another, which happened
+// in about one of 5,000 requests. The first target is late, so the request is hedged and the event that
+// sends the second attempt is queued. The head of the first answer arrives and passes before that event
+// is handled. If the second attempt were sent then, its head would replace the first one's and the rest
+// of its answer would follow.
 #[test]
-fn an_attempt_that_is_sent_after_the_first_head_never_passes() {
+fn attempt_after_the_first_head_is_not_sent() {
     let mut race = Race::new();
-    assert!(race.enter('a'));
-    assert!(race.head('a'));
-    assert!(!race.enter('b'), "sent while another answers");
-    assert!(!race.head('b'));
+    assert!(race.add('a'));
+    assert!(race.begin_answer('a'));
+    assert!(!race.add('b'), "sent while another answers");
+    assert!(!race.begin_answer('b'));
     assert!(race.may_pass('a'));
     assert!(!race.may_pass('b'));
 }
 
-// The caller sees the first answer only.
-// Both attempts are sent; the first head wins, and the other's head comes a moment later.
+// Both attempts are sent. The caller gets the answer whose head arrives first; the head of the other,
+// which arrives a moment later, does not pass.
 #[test]
-fn the_second_head_does_not_pass() {
+fn second_head_does_not_pass() {
     let mut race = Race::new();
-    assert!(race.enter('a') && race.enter('b'));
-    assert!(race.head('b'));
-    assert!(!race.head('a'));
+    assert!(race.add('a') && race.add('b'));
+    assert!(race.begin_answer('b'));
+    assert!(!race.begin_answer('a'));
     assert!(!race.is_live('a'));
     assert!(race.may_pass('b') && !race.may_pass('a'));
 }
 
-// The caller gets a whole answer from the second attempt, as nothing of the first had gone out.
-// The first begins to answer and breaks off; only then may another be sent and answer.
+// The first attempt begins to answer and breaks off before any of it is sent to the caller. Only then
+// may a second attempt be sent, and the caller gets the whole answer of the second.
 #[test]
-fn another_may_answer_once_the_first_has_ended() {
+fn another_attempt_may_answer_after_the_first_ended() {
     let mut race = Race::new();
-    assert!(race.enter('a') && race.head('a'));
-    race.leave('a');
+    assert!(race.add('a') && race.begin_answer('a'));
+    race.remove('a');
     assert!(race.is_empty());
-    assert!(race.enter('b') && race.head('b') && race.may_pass('b'));
+    assert!(race.add('b') && race.begin_answer('b') && race.may_pass('b'));
 }
 
-/// Every order of the events of two attempts: pieces of one answer only pass.
+// In every order of the events of two attempts, only parts of one answer pass.
 #[test]
-fn pieces_of_two_answers_never_mix() {
+fn parts_of_two_answers_never_mix() {
     let events = [
         ('a', 0),
         ('a', 1),
@@ -69,8 +70,8 @@
             };
             let (attempt, event) = *next.expect("four of each");
             match event {
-                0 => drop(race.enter(attempt)),
-                1 => drop(race.head(attempt)),
+                0 => drop(race.add(attempt)),
+                1 => drop(race.begin_answer(attempt)),
                 _ if race.may_pass(attempt) => passed.push(attempt),
                 _ => {}
             }
