--- a/crates/filbertstack-entry/src/call.rs
+++ b/crates/filbertstack-entry/src/call.rs
@@ -305,8 +305,8 @@
 
 /// Returns the timeout of the rule, or that of the caller if it is shorter.
 fn effective_timeout(request: &Request, rule: Millis) -> Millis {
-    let asked = http::header_value(request, TIMEOUT_HEADER).and_then(|text| text.parse().ok());
-    asked.map_or(rule, |asked| rule.min(Millis(asked)))
+    let requested = http::header_value(request, TIMEOUT_HEADER).and_then(|text| text.parse().ok());
+    requested.map_or(rule, |requested| rule.min(Millis(requested)))
 }
 
 fn need_of(chosen: &Chosen, prompt: Option<Prompt>) -> Need {
--- a/crates/filbertstack-entry/src/run.rs
+++ b/crates/filbertstack-entry/src/run.rs
@@ -107,7 +107,7 @@
     race: Race<AttemptKey>,
     answer: Answer,
     span: &'a Span,
-    waiting: Option<Span>,
+    admission_span: Option<Span>,
     started: Instant,
     sent: bool,
     /// Whether an attempt ended without its outcome being known.
@@ -128,7 +128,7 @@
     ) -> Self {
         let answer = Answer::new(request);
         let tracer = handler.telemetry.tracer();
-        let waiting = Some(tracer.span(Hop::EntryAdmission, &span.parent()));
+        let admission_span = Some(tracer.span(Hop::EntryAdmission, &span.parent()));
         let claimed = !routed.chosen.idempotent;
         Self {
             handler,
@@ -138,7 +138,7 @@
             race: Race::new(),
             answer,
             span,
-            waiting,
+            admission_span,
             started: Instant::now(),
             sent: false,
             outcome_unknown: false,
@@ -203,7 +203,7 @@
             );
         };
         let metrics = &self.handler.telemetry.metrics.entry;
-        if self.waiting.take().is_some() {
+        if self.admission_span.take().is_some() {
             metrics.wait.record(self.started.elapsed());
         } else {
             metrics.retries.add("again", 1);
@@ -215,14 +215,14 @@
             .span(Hop::EntryDispatch, &self.span.parent());
         span.text(Field::Target, place.name.as_str());
         let number = self.handler.next_attempt();
-        let left = self
+        let remaining = self
             .routed
             .deadline
             .saturating_duration_since(Instant::now());
         let dispatch = Dispatch {
             attempt: number,
             digest: place.version.map(Digest::to_vec).unwrap_or_default(),
-            timeout: Millis::from(left).0,
+            timeout: Millis::from(remaining).0,
             trace: span.traceparent(),
             ..self.routed.dispatch.clone()
         };
