--- a/crates/filbertstack-entry/src/lib.rs
+++ b/crates/filbertstack-entry/src/lib.rs
@@ -6,7 +6,6 @@
 
 pub mod answer;
 pub mod attempt;
-pub mod call;
 pub mod claims;
 pub mod fleet;
 pub mod follow;
@@ -24,6 +23,7 @@
 pub mod prompt;
 pub mod question;
 pub mod race;
+pub mod request;
 mod run;
 pub mod settings;
 pub mod spread;
--- a/crates/filbertstack-entry/src/operators.rs
+++ b/crates/filbertstack-entry/src/operators.rs
@@ -31,7 +31,6 @@
 use tiny_http::Method;
 use tiny_http::Request;
 
-use crate::call::bearer_token;
 use crate::fleet::CLOCK_START;
 use crate::fleet::Watcher;
 use crate::guard::Guard;
@@ -47,6 +46,7 @@
 use crate::question::Asked;
 use crate::question::InForce;
 use crate::question::ask;
+use crate::request::bearer_token;
 use crate::settings::Callers;
 use crate::view::View;
 use crate::view::Views;
--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -26,7 +26,6 @@
 use tiny_http::Request;
 use tiny_http::Server;
 
-use crate::call::RequestHandler;
 use crate::claims::Claims;
 use crate::follow::Follow;
 use crate::gossip::Membership;
@@ -45,6 +44,7 @@
 use crate::members::Members;
 use crate::operators;
 use crate::operators::Operators;
+use crate::request::RequestHandler;
 use crate::settings::Settings;
 use crate::spread::Spread;
 use crate::traffic::Traffic;
--- a/crates/filbertstack-entry/src/run.rs
+++ b/crates/filbertstack-entry/src/run.rs
@@ -26,13 +26,13 @@
 
 use crate::answer::Answer;
 use crate::attempt::Attempt;
-use crate::call::RequestHandler;
-use crate::call::RoutedRequest;
-use crate::call::refusal_of;
 use crate::claims::Granted;
 use crate::http;
 use crate::http::Refusal;
 use crate::race::Race;
+use crate::request::RequestHandler;
+use crate::request::RoutedRequest;
+use crate::request::refusal_of;
 use crate::table::Place;
 use crate::traffic::RequestEvent;
 use crate::traffic::Ticket;
