--- a/crates/filbertstack-entry/src/guard.rs
+++ b/crates/filbertstack-entry/src/guard.rs
@@ -36,7 +36,7 @@
 use head::with_close_header;
 
 /// The longest time that a write to the caller may block.
-pub const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+pub const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The path on which the entry answers a request of the guard itself.
 pub const HELLO: &str = "/.guard";
@@ -80,7 +80,7 @@
     body_deadline: Option<Instant>,
 }
 
-/// Limits the arrival time of a request's body until it is dropped.
+/// Limits the arrival time of a request's body; dropping it removes the limit.
 #[derive(Debug)]
 pub struct BodyTimer<'a> {
     shared: &'a Shared,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Accepts callers' connections until it is dropped.
+/// Accepts callers' connections; dropping it stops that.
 #[derive(Debug)]
 pub struct Guard {
     addr: SocketAddr,
@@ -293,7 +293,7 @@
 
     fn serve(&self, mut caller: TcpStream) -> std::io::Result<()> {
         caller.set_nodelay(true)?;
-        caller.set_write_timeout(Some(IDLE_TIMEOUT))?;
+        caller.set_write_timeout(Some(WRITE_TIMEOUT))?;
         let head = match read_head(&mut caller) {
             Ok(head) => head,
             Err(HeadError::Slow) => {
@@ -338,7 +338,7 @@
     }
 }
 
-/// Counts a connection until it is dropped.
+/// Counts a connection; dropping it ends the count.
 struct Slot(Arc<Shared>);
 
 impl Slot {
@@ -354,7 +354,7 @@
     }
 }
 
-/// Keeps a connection in [`Shared::served`] until it is dropped.
+/// Registers a connection in [`Shared::served`]; dropping it removes the connection.
 struct Registration<'a> {
     shared: &'a Shared,
     port: u16,
--- a/crates/filbertstack-entry/src/http.rs
+++ b/crates/filbertstack-entry/src/http.rs
@@ -152,7 +152,8 @@
     writer.flush()
 }
 
-/// Answers the guard on the path [`HELLO`](crate::guard::HELLO). The guard goes on to use the connection.
+/// Answers a request of the guard on the path [`HELLO`](crate::guard::HELLO). The guard then uses the
+/// connection for the request of a caller.
 ///
 /// # Errors
 /// Returns an error if the guard has closed the connection.
