--- a/crates/filbertstack-entry/src/lead.rs
+++ b/crates/filbertstack-entry/src/lead.rs
@@ -93,7 +93,7 @@
                 self.register_instances();
                 self.commit_orders(term, &mut rounds);
             }
-            self.spread.tend(term, &self.views.get());
+            self.spread.update(term, &self.views.get());
         }
     }
 
--- a/crates/filbertstack-entry/src/operators.rs
+++ b/crates/filbertstack-entry/src/operators.rs
@@ -31,7 +31,7 @@
 use tiny_http::Method;
 use tiny_http::Request;
 
-use crate::call::bearer;
+use crate::request::bearer_token;
 use crate::fleet::CLOCK_START;
 use crate::fleet::FleetTracker;
 use crate::guard::Guard;
@@ -184,7 +184,7 @@
     }
 
     fn authenticate(&self, request: &Request) -> Result<OrgName, Refusal> {
-        let secret = bearer(request);
+        let secret = bearer_token(request);
         let operator = secret.and_then(|secret| self.operators.find(secret));
         let text = "no known operator's key: send 'Authorization: Bearer KEY' with yours";
         operator.cloned().ok_or_else(|| Refusal::not_run(401, text))
@@ -252,7 +252,7 @@
                 Err(error) => Err(error.to_string()),
             }
         });
-        let force = force.map_err(|text| Refusal::not_run(503, text).after_ms(1000))?;
+        let force = force.map_err(|text| Refusal::not_run(503, text).retry_after_ms(1000))?;
         Ok((
             200,
             json!({ "everywhere": force.everywhere, "waiting": force.waiting }),
@@ -269,7 +269,7 @@
         let answer = self
             .dialer
             .ask(member.addr, Role::Agent, ask, DRAIN_TIMEOUT);
-        answer.map_err(|error| Refusal::not_run(503, error.to_string()).after_ms(1000))?;
+        answer.map_err(|error| Refusal::not_run(503, error.to_string()).retry_after_ms(1000))?;
         Ok((200, json!({ "leaving": member.name })))
     }
 
@@ -277,7 +277,7 @@
         match self.ledger.propose(body, PROPOSE_TIMEOUT) {
             Ok(outcome) => Ok(outcome_json(outcome)),
             Err(ProposeError::NotRun(text)) => {
-                Err(Refusal::not_run(503, format!("not run: {text}")).after_ms(1000))
+                Err(Refusal::not_run(503, format!("not run: {text}")).retry_after_ms(1000))
             }
             Err(ProposeError::Unknown(text)) => {
                 let text = format!("{text}: send it again under the same request id");
--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -26,20 +26,20 @@
 use tiny_http::Request;
 use tiny_http::Server;
 
-use crate::call::Calls;
+use crate::request::RequestHandler;
 use crate::claims::Claims;
 use crate::follow::ControlFollower;
 use crate::gossip::Membership;
 use crate::guard;
 use crate::guard::Guard;
 use crate::http;
-use crate::http::Field;
+use crate::http::HeaderField;
 use crate::http::Refusal;
 use crate::lead::Leader;
 use crate::lease::Leases;
 use crate::ledger::Ledger;
-use crate::links::LateLinks;
-use crate::links::Links;
+use crate::links::DeferredHandler;
+use crate::links::LinkHandler;
 use crate::machine::ControlMachine;
 use crate::machine::SharedState;
 use crate::members::Members;
@@ -104,7 +104,7 @@
 struct Inner {
     settings: Settings,
     telemetry: Arc<Telemetry>,
-    calls: Calls,
+    calls: RequestHandler,
     operators: Operators,
     views: Arc<Views>,
     members: Arc<Members>,
@@ -127,7 +127,7 @@
         settings.links = links_socket.local_addr()?;
         settings.listen = http_socket.local_addr()?;
         let name = settings.name.to_string();
-        let late = LateLinks::default();
+        let late = DeferredHandler::default();
         let handler = Arc::new(late.clone());
         let dialer = Arc::new(Dialer::new(&name, settings.keys.clone(), handler.clone()));
         let listener = Listener::start(links_socket, &name, settings.keys.clone(), handler)?;
@@ -236,7 +236,7 @@
             traffic.clone(),
             views.clone(),
         ));
-        let calls = Calls {
+        let calls = RequestHandler {
             callers: settings.callers.clone(),
             traffic: traffic.clone(),
             claims: Claims::new(ledger.clone(), rng.next_u64()),
@@ -271,8 +271,8 @@
         }
     }
 
-    fn links(&self, control: &SharedState, spread: Arc<Spread>) -> Links {
-        Links {
+    fn links(&self, control: &SharedState, spread: Arc<Spread>) -> LinkHandler {
+        LinkHandler {
             spread,
             voter: self.voter.clone(),
             control: control.clone(),
@@ -320,7 +320,7 @@
         while !self.stopped.load(Ordering::Relaxed) {
             let entries = self.membership.live_entries();
             if shared_by != entries {
-                self.traffic.share(entries);
+                self.traffic.set_entries(entries);
                 shared_by = entries;
             }
             let view = self.views.get();
@@ -360,7 +360,7 @@
 
     fn dispatch(self: Arc<Self>, request: Request, guard: Arc<Guard>) {
         if request.url() == guard::HELLO {
-            let _ = http::greet(request);
+            let _ = http::answer_hello(request);
             return;
         }
         let builder = thread::Builder::new()
@@ -413,7 +413,10 @@
     fn metrics(&self, request: Request) -> std::io::Result<()> {
         self.update_gauges();
         let text = self.telemetry.metrics.render();
-        let fields = [Field::new("content-type", "text/plain; version=0.0.4")];
+        let fields = [HeaderField::new(
+            "content-type",
+            "text/plain; version=0.0.4",
+        )];
         http::respond(request, 200, &fields, text.as_bytes())
     }
 
@@ -511,5 +514,5 @@
         503,
         "this entry is leaving: ask GET /v1/entries for another",
     )
-    .after_ms(1000)
+    .retry_after_ms(1000)
 }
