--- a/crates/filbertstack-wire/src/link.rs
+++ b/crates/filbertstack-wire/src/link.rs
@@ -44,35 +44,36 @@
 use crate::stream::Replies;
 use crate::stream::Responder;
 
-/// How often an idle end sends a heartbeat.
+/// The interval at which an idle end sends a heartbeat.
 pub const HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// How long a silent far end is taken to live: three heartbeats may be lost or late.
+/// The time without a frame after which a link is closed: three heartbeats may be lost or late.
 ///
-/// In a silent partition TCP reports nothing for minutes and every call would hang until its own
-/// deadline. Every live end sends at least one frame a heartbeat, so silence means a dead path.
+/// When a network partition drops packets silently, TCP reports no error for minutes, and every call would
+/// hang until its own deadline. Every live end sends at least one frame per [`HEARTBEAT`], so silence means
+/// that the far end or the path to it has failed.
 pub const SILENCE: Duration = Duration::from_millis(3500);
 
-/// The stack of a link's threads and of handlers, in bytes.
+/// The stack size of a link's threads and of handlers, in bytes.
 pub const STACK: usize = 512 << 10;
 
-/// How many bytes are read, and about how many are written, at once.
+/// The number of bytes read at once, and the approximate number written at once.
 const BUFFER: usize = 64 << 10;
 
-/// Who is at the far end of a link.
+/// The identity of the far end of a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Remote {
-    /// The role whose key it proved.
+    /// The role whose key the far end has proved to hold.
     pub role: Role,
-    /// The instance name it gave.
+    /// The instance name that the far end has given.
     pub name: Arc<str>,
 }
 
-/// Takes the calls that arrive on a link.
+/// Handles the calls that arrive on a link.
 ///
-/// It runs on the link's reading thread and must not block: what takes time goes to a thread.
+/// It runs on the link's reading thread and must not block: slow work belongs on another thread.
 pub trait Handler: Send + Sync {
-    /// Takes one call; replies go through `responder`.
+    /// Handles one call; replies go through `responder`.
     fn handle(&self, remote: &Remote, ask: Ask, responder: Responder);
 }
 
@@ -82,86 +83,91 @@
     }
 }
 
-/// What a link's threads, calls and responders share.
+/// The state that a link's threads, calls and responders share.
 pub(crate) struct Shared {
     pub(crate) outbox: Outbox,
     socket: TcpStream,
     remote: Remote,
-    /// Whether nothing is read any more.
+    /// Whether reading has ended.
     ended: Mutex<bool>,
-    end: Condvar,
+    /// Wakes the threads that wait for `ended`.
+    end_reached: Condvar,
+    /// Where the replies to this end's calls go, by stream.
     inboxes: Mutex<HashMap<u64, Inbox>>,
     incoming: Incoming,
-    /// What the far end said of its end.
-    far_end: Mutex<Option<Ending>>,
-    next: AtomicU64,
+    /// The notice of the far end that its process ends, once received.
+    ending: Mutex<Option<Ending>>,
+    next_stream: AtomicU64,
 }
 
 impl Shared {
-    /// Whether nothing can be sent any more.
+    /// Returns whether the link accepts no more frames to send.
     pub(crate) fn is_closed(&self) -> bool {
         self.outbox.is_closed()
     }
 
-    /// Whether nothing is read any more either.
+    /// Returns whether reading has ended too.
     fn has_ended(&self) -> bool {
         *lock(&self.ended)
     }
 
-    /// Waits until nothing is read any more, until `until` at most.
-    fn await_end(&self, until: Instant) {
+    /// Waits until reading has ended, but not past `deadline`.
+    fn await_end(&self, deadline: Instant) {
         let mut ended = lock(&self.ended);
         while !*ended {
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return;
             }
-            let waited = self.end.wait_timeout(ended, left);
+            let waited = self.end_reached.wait_timeout(ended, left);
             ended = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    pub(crate) fn forget(&self, stream: u64) {
+    /// Drops all further replies to the call `stream`.
+    pub(crate) fn drop_inbox(&self, stream: u64) {
         lock(&self.inboxes).remove(&stream);
     }
 
-    pub(crate) fn finished(&self, stream: u64) {
+    /// Notes that the far end's call `stream` has ended.
+    pub(crate) fn end_incoming(&self, stream: u64) {
         self.incoming.end(stream);
     }
 
     /// Ends the sending side after a write failed.
     ///
-    /// A failed write says nothing of what the far end sent before it: a process that ends writes its
-    /// last answers and closes the connection, and the next heartbeat to it fails while they still wait
-    /// to be read. So the reader goes on; calls that were never written can get no answer and fail now.
+    /// A failed write does not show what the far end sent before it: a process that ends writes its last
+    /// answers and closes the connection, and the next heartbeat to it fails while these answers are still
+    /// unread. So the reader goes on. Calls that were never written can't be answered and fail now.
     fn stop_sending(&self, end: &End) {
         if !self.has_ended() {
             let Remote { role, name } = &self.remote;
             let cause = end.to_string();
-            info!("link sends no more", kv: { role:?, peer = name.as_ref(), cause });
+            info!("link stopped sending", kv: { role:?, peer = name.as_ref(), cause });
         }
         let waiting = self.outbox.close();
         self.fail_unsent(waiting);
-        // Their replies can't reach the far end.
+        // The replies to these calls can't reach the far end.
         self.incoming.cancel_all();
-        // Tells the far end, if it lives, that nothing more comes.
+        // Signals the end of the stream to the far end, if it still runs.
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 
-    /// Ends the sending side after all was written, which tells the far end that nothing more comes.
+    /// Ends the sending side after everything was written, and signals the end of the stream to the far end.
     fn end_writing(&self) {
         self.outbox.close();
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 
-    /// Notes that the far end ends, as soon as the connection does. Calls that cross its end were not
-    /// taken.
-    fn far_end_ends(&self, ending: Ending) {
-        *lock(&self.far_end) = Some(ending);
+    /// Stores the far end's notice that its process ends. When the connection closes, calls that the notice
+    /// does not cover count as not run.
+    fn note_ending(&self, ending: Ending) {
+        *lock(&self.ending) = Some(ending);
     }
 
-    /// Fails the calls among `frames`, none of which was written: the far end can't have run them.
-    /// Told "unknown" instead, a caller whose request must not run twice would get no second try.
+    /// Fails the calls among `frames`, none of which was written, so the far end can't have run them.
+    ///
+    /// If their outcome were reported as unknown, a request that must not run twice could not be retried.
     fn fail_unsent(&self, frames: impl IntoIterator<Item = Frame>) {
         let calls = frames.into_iter();
         let calls = calls.filter(|frame| matches!(frame.item, Some(Item::Call(_))));
@@ -171,20 +177,21 @@
         }
     }
 
+    /// Closes the connection and fails the calls in progress.
     fn close(&self, end: &End) {
         let ended = mem::replace(&mut *lock(&self.ended), true);
-        self.end.notify_all();
+        self.end_reached.notify_all();
         let waiting = self.outbox.close();
         self.fail_unsent(waiting);
         let _ = self.socket.shutdown(Shutdown::Both);
         let mut inboxes = lock(&self.inboxes);
         if !ended {
-            self.explain(end, inboxes.len());
+            self.log_end(end, inboxes.len());
         }
-        let far_end = *lock(&self.far_end);
+        let ending = *lock(&self.ending);
         for (stream, inbox) in inboxes.drain() {
-            let crossed = far_end.is_some_and(|ending| stream > ending.last);
-            inbox.fail(if crossed {
+            let unseen = ending.is_some_and(|ending| stream > ending.last);
+            inbox.fail(if unseen {
                 WireError::Unsent
             } else {
                 WireError::Lost
@@ -194,14 +201,14 @@
         self.incoming.cancel_all();
     }
 
-    /// Says why the link ended, and how many calls broke off with it.
-    fn explain(&self, end: &End, calls: usize) {
+    /// Logs why the link ended and how many calls ended with it.
+    fn log_end(&self, end: &End, calls: usize) {
         let Remote { role, name } = &self.remote;
         let cause = end.to_string();
         if calls == 0 {
             info!("link ended", kv: { role:?, peer = name.as_ref(), cause });
         } else {
-            warn!("link ended, calls broken off", kv: { role:?, peer = name.as_ref(), cause, calls });
+            warn!("link ended with calls in progress", kv: { role:?, peer = name.as_ref(), cause, calls });
         }
     }
 }
@@ -221,10 +228,10 @@
 }
 
 impl Link {
-    /// Starts the threads of `session`; calls of the far end go to `handler`.
+    /// Starts the threads of a link on `session`; the far end's calls go to `handler`.
     ///
     /// # Errors
-    /// If the socket can't be cloned or a thread can't be started.
+    /// Fails if the socket can't be cloned or a thread can't be started.
     pub fn start(session: Session, handler: Arc<dyn Handler>) -> Result<Self, WireError> {
         let Session {
             socket,
@@ -240,11 +247,11 @@
             socket: socket.try_clone()?,
             remote,
             ended: Mutex::new(false),
-            end: Condvar::new(),
+            end_reached: Condvar::new(),
             inboxes: Mutex::default(),
             incoming: Incoming::default(),
-            far_end: Mutex::default(),
-            next: AtomicU64::new(1),
+            ending: Mutex::default(),
+            next_stream: AtomicU64::new(1),
         });
         let writer = Writer {
             shared: shared.clone(),
@@ -266,55 +273,55 @@
         Ok(link)
     }
 
-    /// Who is at the far end.
+    /// Returns the identity of the far end.
     pub fn remote(&self) -> &Remote {
         &self.shared.remote
     }
 
-    /// Whether the link takes no more calls. What the far end sent before may still be read.
+    /// Returns whether the link accepts no more calls. Replies that the far end has sent may still be read.
     pub fn is_closed(&self) -> bool {
         self.shared.is_closed()
     }
 
-    /// Closes the link; calls in progress end as lost.
+    /// Closes the link; calls in progress fail with [`WireError::Lost`].
     pub fn close(&self) {
-        self.shared.close(&End::Closed);
+        self.shared.close(&End::ClosedHere);
     }
 
-    /// Takes no more calls of the far end, and refuses them as not run.
+    /// Refuses every new call of the far end as not run.
     pub(crate) fn refuse_new(&self) {
         self.shared.incoming.refuse_new();
     }
 
-    /// Waits until the far end's calls have their answers, until `until` at most; then sends nothing
-    /// more than what waits, and which calls were taken.
-    pub(crate) fn end_sending(&self, until: Instant) {
-        self.shared.incoming.await_none(until);
-        let last = self.shared.incoming.last();
+    /// Waits until the far end's calls have ended, but not past `deadline`. Then queues a notice of which
+    /// calls were accepted as the last frame.
+    pub(crate) fn end_sending(&self, deadline: Instant) {
+        self.shared.incoming.await_none(deadline);
+        let last = self.shared.incoming.last_accepted();
         let ending = Frame {
             item: Some(Item::Ending(Ending { last })),
             ..Frame::default()
         };
         if let Err(error) = self.shared.outbox.push(ending) {
-            info!("end of a link not told", kv: { error = error.to_string() });
+            info!("could not send the notice that the link ends", kv: { error = error.to_string() });
         }
         self.shared.outbox.finish();
     }
 
-    /// Waits until all is written and the far end has read it and closed the link. One that does not
-    /// is given up after [`SILENCE`].
+    /// Waits until everything is written and the far end has closed the link, then closes it here. The wait
+    /// for the far end ends after [`SILENCE`].
     pub(crate) fn await_end(&self) {
         self.shared.outbox.flush();
         self.shared.await_end(Instant::now() + SILENCE);
         self.close();
     }
 
-    /// Starts a call.
+    /// Starts a call and returns its replies.
     ///
     /// # Errors
     /// [`WireError::Unsent`] if the link is closed; [`WireError::TooLarge`].
     pub fn call(&self, ask: Ask) -> Result<Replies, WireError> {
-        let stream = self.shared.next.fetch_add(1, Ordering::Relaxed);
+        let stream = self.shared.next_stream.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = channel();
         let unread = Arc::new(AtomicUsize::new(0));
         let inbox = Inbox::new(sender, unread.clone());
@@ -340,17 +347,17 @@
         }
     }
 
-    /// Makes a call that has one reply, and waits for it.
+    /// Makes a call with a single reply and waits for the reply.
     ///
     /// # Errors
-    /// As [`Link::call`] and [`Replies::next`].
+    /// Fails as [`Link::call`] and [`Replies::next`] do.
     pub fn ask(&self, ask: Ask, timeout: Duration) -> Result<Tell, WireError> {
         let mut replies = self.call(ask)?;
         let reply = replies.next(Instant::now() + timeout)?;
         reply.ok_or(WireError::Protocol("a call without a reply"))
     }
 
-    /// Sends a call that takes no reply; it is dropped if the link is full.
+    /// Sends a one-way call, which has no reply; drops the call if the link's queue is full.
     ///
     /// # Errors
     /// [`WireError::Lost`], [`WireError::Overflow`] or [`WireError::TooLarge`].
--- a/crates/filbertstack-wire/src/link/end.rs
+++ b/crates/filbertstack-wire/src/link/end.rs
@@ -8,21 +8,21 @@
 use crate::error::WireError;
 use crate::link::SILENCE;
 
-/// Why a link ended, as its log line says it.
+/// Why a link ended or stopped sending. The text is the `cause` of the log record.
 #[derive(Debug, Error)]
 pub enum End {
     #[error("this process closed it")]
-    Closed,
+    ClosedHere,
     #[error("the far end closed it")]
-    Left,
+    ClosedRemotely,
     #[error("the far end was silent for {SILENCE:?}")]
     Silent,
     #[error("reading failed: {0}")]
     Read(io::Error),
     #[error("writing failed: {0}")]
     Write(WireError),
-    #[error("the far end sent on for {SILENCE:?} after writing failed")]
-    Unread,
+    #[error("the far end kept sending for {SILENCE:?} after writing failed")]
+    KeptSending,
     #[error("{0}")]
     Frame(WireError),
 }
--- a/crates/filbertstack-wire/src/link/incoming.rs
+++ b/crates/filbertstack-wire/src/link/incoming.rs
@@ -1,4 +1,4 @@
-//! The far end's calls in progress.
+//! Tracks the calls of the far end that are in progress.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,24 +10,25 @@
 use std::sync::atomic::Ordering;
 use std::time::Instant;
 
-/// How many calls of the far end may be in progress at once.
+/// The largest number of the far end's calls in progress at once.
 const MAX_CALLS: usize = 4096;
 
-/// Why a call is not taken.
+/// Why a call of the far end is not accepted.
 #[derive(Clone, Copy, Debug)]
-pub enum NotTaken {
-    /// Too many are in progress.
+pub enum Rejection {
+    /// Too many calls are in progress.
     Full,
-    /// This process ends.
+    /// This process is ending.
     Ending,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// The calls, each with the flag that says whether it was withdrawn.
+    /// The calls in progress, each with the flag that shows whether it was cancelled.
     calls: HashMap<u64, Arc<AtomicBool>>,
-    /// The highest number of a call that was taken.
-    last: u64,
+    /// The highest stream number of an accepted call; 0 if none was accepted.
+    last_accepted: u64,
+    /// Whether new calls are refused because this process is ending.
     ending: bool,
 }
 
@@ -39,34 +40,34 @@
 }
 
 impl Incoming {
-    /// Notes that the call `stream` begins; `cancelled` turns true when it is withdrawn.
-    pub fn begin(&self, stream: u64, cancelled: Arc<AtomicBool>) -> Result<(), NotTaken> {
+    /// Adds the call `stream`; sets `cancelled` when the call is cancelled.
+    pub fn begin(&self, stream: u64, cancelled: Arc<AtomicBool>) -> Result<(), Rejection> {
         let mut state = self.lock();
         if state.ending {
-            return Err(NotTaken::Ending);
+            return Err(Rejection::Ending);
         }
         if state.calls.len() >= MAX_CALLS {
-            return Err(NotTaken::Full);
+            return Err(Rejection::Full);
         }
         state.calls.insert(stream, cancelled);
-        state.last = state.last.max(stream);
+        state.last_accepted = state.last_accepted.max(stream);
         Ok(())
     }
 
-    /// Notes that the call `stream` has its last reply.
+    /// Removes the call `stream`, which has its last reply.
     pub fn end(&self, stream: u64) {
         self.lock().calls.remove(&stream);
         self.ended.notify_all();
     }
 
-    /// Withdraws the call `stream`.
+    /// Sets the flag of the call `stream`, which its caller cancelled.
     pub fn cancel(&self, stream: u64) {
         if let Some(flag) = self.lock().calls.get(&stream) {
             flag.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Withdraws every call.
+    /// Cancels and removes every call.
     pub fn cancel_all(&self) {
         for (_, flag) in self.lock().calls.drain() {
             flag.store(true, Ordering::Relaxed);
@@ -74,21 +75,21 @@
         self.ended.notify_all();
     }
 
-    /// The highest number of a call that was taken; 0 if none was.
-    pub fn last(&self) -> u64 {
-        self.lock().last
+    /// Returns the highest stream number of an accepted call; 0 if none was accepted.
+    pub fn last_accepted(&self) -> u64 {
+        self.lock().last_accepted
     }
 
-    /// Takes no call from here on.
+    /// Refuses every new call from now on.
     pub fn refuse_new(&self) {
         self.lock().ending = true;
     }
 
-    /// Waits until none is in progress, until `until` at most.
-    pub fn await_none(&self, until: Instant) {
+    /// Waits until no call is in progress, but not past `deadline`.
+    pub fn await_none(&self, deadline: Instant) {
         let mut state = self.lock();
         while !state.calls.is_empty() {
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return;
             }
--- a/crates/filbertstack-wire/src/link/reader.rs
+++ b/crates/filbertstack-wire/src/link/reader.rs
@@ -1,4 +1,4 @@
-//! The thread that reads a link's frames.
+//! The thread that reads the frames of a link.
 
 use std::io::ErrorKind;
 use std::io::Read;
@@ -16,7 +16,7 @@
 use crate::link::SILENCE;
 use crate::link::Shared;
 use crate::link::end::End;
-use crate::link::incoming::NotTaken;
+use crate::link::incoming::Rejection;
 use crate::link::lock;
 use crate::messages::Call;
 use crate::messages::Cause;
@@ -26,9 +26,10 @@
 use crate::messages::Reply;
 use crate::stream::Responder;
 
-/// When a far end with too many calls in progress may come back, in milliseconds: most take less.
-const FULL_AFTER: u64 = 1000;
+/// The time after which a far end with too many calls in progress may retry; most calls end sooner.
+const RETRY_MS: u64 = 1000;
 
+/// Reads the frames of a link and passes them on.
 pub struct Reader {
     pub shared: Arc<Shared>,
     pub socket: TcpStream,
@@ -38,48 +39,49 @@
 }
 
 impl Reader {
-    /// Takes what comes until the link ends.
+    /// Reads frames until the link ends.
     pub fn run(mut self) {
-        let end = self.read_all();
+        let end = self.read_frames();
         self.shared.close(&end);
     }
 
-    /// Takes what comes, and says why no more does.
-    fn read_all(&mut self) -> End {
+    /// Reads frames until the link ends and returns why it ended.
+    fn read_frames(&mut self) -> End {
         let mut buffer = vec![0; BUFFER];
         while !self.shared.has_ended() {
-            if let Err(error) = self.take_frames() {
+            if let Err(error) = self.handle_frames() {
                 return End::Frame(error);
             }
-            if self.sends_on() {
-                return End::Unread;
+            if self.keeps_sending() {
+                return End::KeptSending;
             }
             match self.socket.read(&mut buffer) {
-                Ok(0) => return End::Left,
+                Ok(0) => return End::ClosedRemotely,
                 Ok(n) => self.input.extend_from_slice(&buffer[..n]),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return error.into(),
             }
         }
-        End::Closed
+        End::ClosedHere
     }
 
-    /// Whether the far end still sends although it should know by now that this end can't. One that
-    /// keeps to the protocol hears no heartbeat and closes the link within [`SILENCE`]; one that
-    /// does not would hold this thread, and the calls that wait for it, for as long as it likes.
-    fn sends_on(&self) -> bool {
+    /// Returns whether the far end still sends long after this end stopped sending.
+    ///
+    /// A far end that follows the protocol receives no heartbeat and closes the link within [`SILENCE`].
+    /// One that does not would block this thread, and the calls that wait for replies, without a limit.
+    fn keeps_sending(&self) -> bool {
         let closed = self.shared.outbox.closed_at();
         closed.is_some_and(|at| at.elapsed() > SILENCE)
     }
 
-    fn take_frames(&mut self) -> Result<(), WireError> {
+    fn handle_frames(&mut self) -> Result<(), WireError> {
         while let Some(frame) = self.opener.open(&mut self.input)? {
-            self.take(frame);
+            self.handle(frame);
         }
         Ok(())
     }
 
-    fn take(&self, frame: Frame) {
+    fn handle(&self, frame: Frame) {
         let Frame {
             stream,
             seq,
@@ -87,25 +89,25 @@
             item,
         } = frame;
         match item {
-            Some(Item::Call(call)) => self.take_call(stream, call),
-            Some(Item::Reply(reply)) => self.take_reply(stream, seq, last, reply),
-            Some(Item::Fault(fault)) => self.take_fault(stream, fault),
+            Some(Item::Call(call)) => self.handle_call(stream, call),
+            Some(Item::Reply(reply)) => self.handle_reply(stream, seq, last, reply),
+            Some(Item::Fault(fault)) => self.handle_fault(stream, fault),
             Some(Item::Cancel(_)) => self.shared.incoming.cancel(stream),
-            Some(Item::Ending(ending)) => self.shared.far_end_ends(ending),
+            Some(Item::Ending(ending)) => self.shared.note_ending(ending),
             Some(Item::Ping(_)) | None => {}
         }
     }
 
-    fn take_call(&self, stream: u64, call: Call) {
+    fn handle_call(&self, stream: u64, call: Call) {
         let cancelled = Arc::new(AtomicBool::new(false));
         let responder = Responder::new(self.shared.clone(), stream, cancelled.clone());
         if stream != 0 {
             match self.shared.incoming.begin(stream, cancelled) {
                 Ok(()) => {}
-                Err(NotTaken::Full) => {
-                    return responder.refuse("too many calls on this link: come back", FULL_AFTER);
+                Err(Rejection::Full) => {
+                    return responder.refuse("too many calls on this link: come back", RETRY_MS);
                 }
-                Err(NotTaken::Ending) => {
+                Err(Rejection::Ending) => {
                     let text = "this process is ending: ask another";
                     return responder.refuse_as(Cause::Leaving, text, 0);
                 }
@@ -117,8 +119,8 @@
         }
     }
 
-    /// A reply to a call that is no longer waited for is dropped here: it has no inbox.
-    fn take_reply(&self, stream: u64, seq: u32, last: bool, reply: Reply) {
+    /// Passes a reply to its call; drops a reply whose call no longer has an inbox.
+    fn handle_reply(&self, stream: u64, seq: u32, last: bool, reply: Reply) {
         let mut inboxes = lock(&self.shared.inboxes);
         let Some(inbox) = inboxes.get_mut(&stream) else {
             return;
@@ -133,7 +135,7 @@
         }
     }
 
-    fn take_fault(&self, stream: u64, fault: Fault) {
+    fn handle_fault(&self, stream: u64, fault: Fault) {
         let Some(inbox) = lock(&self.shared.inboxes).remove(&stream) else {
             return;
         };
--- a/crates/filbertstack-wire/src/link/writer.rs
+++ b/crates/filbertstack-wire/src/link/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes a link's frames.
+//! The thread that writes the frames of a link.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -16,6 +16,7 @@
 use crate::messages::Frame;
 use crate::messages::Item;
 
+/// Writes the frames of a link, and heartbeats while there are none.
 pub struct Writer {
     pub shared: Arc<Shared>,
     pub socket: TcpStream,
@@ -23,7 +24,7 @@
 }
 
 impl Writer {
-    /// Writes what is sent until nothing more can be.
+    /// Writes queued frames until the queue is closed or a write fails.
     pub fn run(mut self) {
         while let Some(mut frames) = self.shared.outbox.take(BUFFER, HEARTBEAT) {
             let taken = frames.len();
@@ -39,7 +40,7 @@
         self.shared.end_writing();
     }
 
-    /// Writes `frames`. After an error, any of them may have been written.
+    /// Writes `frames`. After an error it is unknown which of them were written.
     fn write(&mut self, frames: &[Frame]) -> Result<(), WireError> {
         let mut out = BytesMut::new();
         for frame in frames {
--- a/crates/filbertstack-wire/src/listener.rs
+++ b/crates/filbertstack-wire/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts links.
+//! Accepts links from other processes.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -21,10 +21,10 @@
 use crate::link::Link;
 use crate::link::STACK;
 
-/// How many connections may be in their handshake at once.
+/// The largest number of connections in their handshake at once.
 ///
-/// A stranger who opens connections and says nothing holds a thread for the handshake's timeout;
-/// past this many, newcomers are closed at once and links that stand are not touched.
+/// A client without a key that opens connections and sends nothing holds one thread for each until the
+/// handshake's timeout. Beyond this number, new connections are closed at once; open links are not affected.
 const MAX_HANDSHAKES: usize = 64;
 
 /// Accepts links until it is dropped.
@@ -39,7 +39,8 @@
     keys: Keyring,
     handler: Arc<dyn Handler>,
     stopped: AtomicBool,
-    greeting: AtomicUsize,
+    /// The connections that are in their handshake.
+    handshakes: AtomicUsize,
     links: Mutex<Vec<Link>>,
 }
 
@@ -52,10 +53,10 @@
 }
 
 impl Listener {
-    /// Accepts links on `socket` for the instance `name`.
+    /// Starts to accept links on `socket` for the instance `name`; their calls go to `handler`.
     ///
     /// # Errors
-    /// If the socket has no address or the thread can't be started.
+    /// Fails if the socket has no address or the thread can't be started.
     pub fn start(
         socket: TcpListener,
         name: &str,
@@ -68,7 +69,7 @@
             keys,
             handler,
             stopped: AtomicBool::new(false),
-            greeting: AtomicUsize::new(0),
+            handshakes: AtomicUsize::new(0),
             links: Mutex::default(),
         });
         let accepting = state.clone();
@@ -79,21 +80,21 @@
         Ok(Self { addr, state })
     }
 
-    /// Where it listens.
+    /// Returns the address that the listener is bound to.
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 }
 
 impl Listener {
-    /// Ends the links so that what was sent on them arrives; a process that ends must.
+    /// Closes all links after everything sent on them has arrived. A process calls it before it exits.
     ///
-    /// A reply that is sent stands in its link's queue, then in this system's buffers. Ended then, the
-    /// process answers each byte that still comes (a heartbeat will do) with a reset, which throws
-    /// away what has not arrived, and the caller's stream breaks off. So new calls are refused as not
-    /// run, those in progress get up to `wait` to end, and each link ends its sending side and waits
-    /// for the far end to close. One that does not read or close holds this up for twice
-    /// [`SILENCE`](crate::link::SILENCE) at most.
+    /// A reply that was sent first waits in its link's queue, then in the buffers of the operating system.
+    /// If the process exited then, the operating system would answer each further byte from the far end, even
+    /// a heartbeat, with a reset. The reset discards the data that has not arrived, and the caller's stream
+    /// breaks off. So new calls are refused as not run, calls in progress have up to `wait` to end, and each
+    /// link shuts down its sending side and waits for the far end to close. A far end that does not read or
+    /// close delays the return by twice [`SILENCE`](crate::link::SILENCE) at most.
     pub fn finish(&self, wait: Duration) {
         self.stop_accepting();
         let links = self.state.lock().clone();
@@ -113,7 +114,7 @@
         if self.state.stopped.swap(true, Ordering::Relaxed) {
             return;
         }
-        // Wakes the accepting thread, which then sees that it is to stop.
+        // Wakes the accepting thread, which then reads the flag and returns.
         let _ = TcpStream::connect_timeout(&self.addr, Duration::from_millis(200));
     }
 }
@@ -138,31 +139,31 @@
                 return;
             }
             match connection {
-                Ok(connection) => self.greet(connection),
-                // Out of descriptors, most likely: a pause lets some close.
+                Ok(connection) => self.start_handshake(connection),
+                // The process has most likely run out of file descriptors; some may be closed meanwhile.
                 Err(_) => thread::sleep(Duration::from_millis(20)),
             }
         }
     }
 
-    fn greet(self: &Arc<Self>, connection: TcpStream) {
-        if self.greeting.fetch_add(1, Ordering::Relaxed) >= MAX_HANDSHAKES {
-            self.greeting.fetch_sub(1, Ordering::Relaxed);
+    fn start_handshake(self: &Arc<Self>, connection: TcpStream) {
+        if self.handshakes.fetch_add(1, Ordering::Relaxed) >= MAX_HANDSHAKES {
+            self.handshakes.fetch_sub(1, Ordering::Relaxed);
             return;
         }
         let state = self.clone();
         let builder = thread::Builder::new()
             .name("link-greet".into())
             .stack_size(STACK);
-        let greeted = builder.spawn(move || {
+        let spawned = builder.spawn(move || {
             let opened = state.open(connection);
-            state.greeting.fetch_sub(1, Ordering::Relaxed);
+            state.handshakes.fetch_sub(1, Ordering::Relaxed);
             if let Err(error) = opened {
-                spdlog::debug!("link refused: {error}");
+                spdlog::debug!("failed to open an incoming link: {error}");
             }
         });
-        if greeted.is_err() {
-            self.greeting.fetch_sub(1, Ordering::Relaxed);
+        if spawned.is_err() {
+            self.handshakes.fetch_sub(1, Ordering::Relaxed);
         }
     }
 
--- a/crates/filbertstack-wire/src/stream.rs
+++ b/crates/filbertstack-wire/src/stream.rs
@@ -1,4 +1,4 @@
-//! The two ends of one call: the replies as the caller takes them, and the responder.
+//! The two ends of one call: the replies that the caller reads, and the responder that sends them.
 
 use std::fmt;
 use std::sync::Arc;
@@ -23,44 +23,45 @@
 use crate::messages::Reply;
 use crate::messages::Tell;
 
-/// How many bytes of replies may wait for a reader before the call is given up.
+/// The largest number of unread bytes of replies; beyond it, the call is ended.
 ///
-/// A caller that reads too slowly would otherwise hold the answers of all of a link's calls, or
-/// this process's memory.
+/// Without this limit, a caller that reads too slowly would block the replies to all calls on the link, or
+/// exhaust this process's memory.
 pub const MAX_UNREAD: usize = 16 << 20;
 
-/// What the link's reader passes to a call.
+/// An event that the link's reading thread passes to a call.
 #[derive(Debug)]
-pub(crate) enum Arrival {
+pub(crate) enum Event {
     Reply {
         reply: Reply,
         last: bool,
         size: usize,
     },
-    Broken(WireError),
+    Failed(WireError),
 }
 
-/// The reader's end of one call in progress.
+/// The reading thread's end of one call in progress.
 #[derive(Debug)]
 pub(crate) struct Inbox {
-    sender: Sender<Arrival>,
+    sender: Sender<Event>,
     unread: Arc<AtomicUsize>,
-    next: u32,
+    /// The number of the next reply.
+    next_seq: u32,
 }
 
 impl Inbox {
-    pub(crate) fn new(sender: Sender<Arrival>, unread: Arc<AtomicUsize>) -> Self {
+    pub(crate) fn new(sender: Sender<Event>, unread: Arc<AtomicUsize>) -> Self {
         Self {
             sender,
             unread,
-            next: 0,
+            next_seq: 0,
         }
     }
 
-    /// Passes a reply on; an error ends the call.
+    /// Passes a reply to the caller; an error ends the call.
     ///
-    /// A frame that comes twice or out of turn would put another frame's bytes into the answer:
-    /// its number is not the next, so the call ends as broken and the caller sees no whole answer.
+    /// A reply that comes twice or out of order would corrupt the answer. Its number is not the next one, so
+    /// the call fails and the caller receives no complete answer.
     pub(crate) fn deliver(
         &mut self,
         seq: u32,
@@ -68,29 +69,30 @@
         reply: Reply,
         size: usize,
     ) -> Result<(), WireError> {
-        if seq != self.next {
+        if seq != self.next_seq {
             return Err(WireError::Protocol("a reply out of turn"));
         }
-        self.next += 1;
+        self.next_seq += 1;
         if self.unread.fetch_add(size, Ordering::Relaxed) + size > MAX_UNREAD {
             return Err(WireError::Overflow);
         }
-        let _ = self.sender.send(Arrival::Reply { reply, last, size });
+        let _ = self.sender.send(Event::Reply { reply, last, size });
         Ok(())
     }
 
+    /// Ends the call with `error`.
     pub(crate) fn fail(&self, error: WireError) {
-        let _ = self.sender.send(Arrival::Broken(error));
+        let _ = self.sender.send(Event::Failed(error));
     }
 }
 
 /// The replies of a call, in order.
 ///
-/// Dropped before the last reply, it cancels the call at the far end.
+/// Dropping it before the last reply cancels the call at the far end.
 pub struct Replies {
     pub(crate) link: Link,
     pub(crate) stream: u64,
-    pub(crate) receiver: Receiver<Arrival>,
+    pub(crate) receiver: Receiver<Event>,
     pub(crate) unread: Arc<AtomicUsize>,
     pub(crate) done: bool,
 }
@@ -104,22 +106,22 @@
 }
 
 impl Replies {
-    /// The next reply, or `None` after the last.
+    /// Waits for the next reply and returns it; returns `None` after the last.
     ///
     /// # Errors
-    /// [`WireError::Timeout`] past `deadline`; otherwise why the call broke off.
+    /// [`WireError::Timeout`] if no reply comes before `deadline`; otherwise the error that ended the call.
     pub fn next(&mut self, deadline: Instant) -> Result<Option<Tell>, WireError> {
         if self.done {
             return Ok(None);
         }
         let left = deadline.saturating_duration_since(Instant::now());
         match self.receiver.recv_timeout(left) {
-            Ok(Arrival::Reply { reply, last, size }) => {
+            Ok(Event::Reply { reply, last, size }) => {
                 self.unread.fetch_sub(size, Ordering::Relaxed);
                 self.done = last;
                 Ok(reply.tell)
             }
-            Ok(Arrival::Broken(error)) => {
+            Ok(Event::Failed(error)) => {
                 self.done = true;
                 Err(error)
             }
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Whether the last reply has been taken.
+    /// Returns whether the call has ended for the caller: with its last reply or with an error.
     pub const fn is_done(&self) -> bool {
         self.done
     }
@@ -136,7 +138,7 @@
 
 impl Drop for Replies {
     fn drop(&mut self) {
-        self.link.shared.forget(self.stream);
+        self.link.shared.drop_inbox(self.stream);
         if !self.done {
             let item = Some(Item::Cancel(Empty {}));
             let cancel = Frame {
@@ -149,9 +151,9 @@
     }
 }
 
-/// The handler's end of a call: sends replies, the last of them marked.
+/// The handler's end of a call, which sends the replies and marks the last one.
 ///
-/// Dropped without a last reply, it tells the caller that the outcome is unknown.
+/// Dropping it without a last reply ends the call with an unknown outcome.
 pub struct Responder {
     shared: Arc<Shared>,
     stream: u64,
@@ -170,7 +172,7 @@
 
 impl Responder {
     pub(crate) fn new(shared: Arc<Shared>, stream: u64, cancelled: Arc<AtomicBool>) -> Self {
-        // A one-way call has no stream and takes no reply.
+        // A one-way call has stream 0 and no reply.
         Self {
             shared,
             stream,
@@ -180,12 +182,12 @@
         }
     }
 
-    /// Whether the caller has left or the link is lost.
+    /// Returns whether the caller has cancelled the call or the link is closed.
     pub fn is_cancelled(&self) -> bool {
         self.cancelled.load(Ordering::Relaxed) || self.shared.is_closed()
     }
 
-    /// A flag that turns true when the caller leaves.
+    /// Returns a flag that is set when the caller cancels the call or the link ends.
     pub fn cancelled(&self) -> Arc<AtomicBool> {
         self.cancelled.clone()
     }
@@ -195,7 +197,7 @@
     /// # Errors
     /// [`WireError::Lost`] once the link is closed; [`WireError::TooLarge`].
     pub fn send(&mut self, tell: Tell) -> Result<(), WireError> {
-        self.reply(tell, false)
+        self.send_reply(tell, false)
     }
 
     /// Sends the last reply.
@@ -203,19 +205,18 @@
     /// # Errors
     /// [`WireError::Lost`] once the link is closed; [`WireError::TooLarge`].
     pub fn finish(mut self, tell: Tell) -> Result<(), WireError> {
-        self.reply(tell, true)
+        self.send_reply(tell, true)
     }
 
-    /// Refuses the call: it certainly had no effect. `after` is when to come back, in
-    /// milliseconds.
+    /// Refuses the call, which certainly had no effect. `after` is the time before a retry, in milliseconds.
     pub fn refuse(self, text: &str, after: u64) {
         self.refuse_as(Cause::Absent, text, after);
     }
 
-    /// Refuses the call for a reason that the caller can act on.
+    /// Refuses the call as [`Responder::refuse`] does, for a reason that the caller can act on.
     pub fn refuse_as(self, cause: Cause, text: &str, after: u64) {
         let (text, cause) = (text.into(), cause.into());
-        self.fault(Fault {
+        self.send_fault(Fault {
             text,
             after,
             not_run: true,
@@ -225,25 +226,25 @@
 
     /// Ends the call with an unknown outcome.
     pub fn fail(self, text: &str) {
-        self.fault(Fault {
+        self.send_fault(Fault {
             text: text.into(),
             ..Fault::default()
         });
     }
 
-    fn fault(mut self, fault: Fault) {
+    fn send_fault(mut self, fault: Fault) {
         self.done = true;
         let frame = Frame {
             stream: self.stream,
             item: Some(Item::Fault(fault)),
-            ..self.head()
+            ..self.next_frame()
         };
         if self.stream != 0 {
             let _ = self.shared.outbox.push(frame);
         }
     }
 
-    fn reply(&mut self, tell: Tell, last: bool) -> Result<(), WireError> {
+    fn send_reply(&mut self, tell: Tell, last: bool) -> Result<(), WireError> {
         if self.stream == 0 {
             return Ok(());
         }
@@ -251,7 +252,7 @@
         let frame = Frame {
             last,
             item,
-            ..self.head()
+            ..self.next_frame()
         };
         self.shared.outbox.push(frame)?;
         self.seq += 1;
@@ -259,7 +260,8 @@
         Ok(())
     }
 
-    fn head(&self) -> Frame {
+    /// Returns the frame for the next reply, without its item.
+    fn next_frame(&self) -> Frame {
         Frame {
             stream: self.stream,
             seq: self.seq,
@@ -271,7 +273,7 @@
 
 impl Drop for Responder {
     fn drop(&mut self) {
-        self.shared.finished(self.stream);
+        self.shared.end_incoming(self.stream);
         if !self.done {
             let text = "the far end dropped the call".into();
             let fault = Fault {
@@ -280,19 +282,19 @@
             };
             let frame = Frame {
                 item: Some(Item::Fault(fault)),
-                ..self.head()
+                ..self.next_frame()
             };
             let _ = self.shared.outbox.offer(frame);
         }
     }
 }
 
-/// A [`Tell::Payload`] of `body`.
+/// Returns a [`Tell::Payload`] with `body`.
 pub fn payload(body: impl Into<bytes::Bytes>) -> Tell {
     Tell::Payload(Payload { body: body.into() })
 }
 
-/// A [`Call`] that asks `ask`.
+/// Returns a [`Call`] with `ask`.
 pub const fn call(ask: crate::messages::Ask) -> Call {
     Call { ask: Some(ask) }
 }
