--- a/crates/filbertstack-wire/src/dialer.rs
+++ b/crates/filbertstack-wire/src/dialer.rs
@@ -1,4 +1,4 @@
-//! Opens links on demand and keeps them.
+//! Opens links on demand and reuses them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,30 +19,31 @@
 use crate::messages::Ask;
 use crate::messages::Tell;
 
-/// How long a connection may take: a few round trips between far regions.
+/// The longest time that a connection may take: a few round trips between distant regions.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an address that could not be reached is left alone.
+/// The time for which no connection is tried to an address that could not be reached.
 ///
-/// Without it every call to a dead instance waits for its own connection timeout; with it only one
-/// does, and the others learn at once that the call was not run.
-pub const COOL_DOWN: Duration = Duration::from_millis(500);
+/// Without the delay, every call to a dead instance would wait for its own connection timeout. With it,
+/// only one call waits and the others fail at once as not run.
+pub const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Default)]
 struct Slot {
     link: Option<Link>,
-    failed: Option<Instant>,
+    /// When the last attempt to connect failed; `None` after a success.
+    failed_at: Option<Instant>,
 }
 
-/// Where a link leads, and in which role.
-type Place = (SocketAddr, Role);
+/// The far end's address and the role in which a link is opened.
+type Endpoint = (SocketAddr, Role);
 
-/// Opens links on demand, one an address and role, and keeps them.
+/// Opens links on demand, one for each address and role, and reuses them.
 pub struct Dialer {
     name: Arc<str>,
     keys: Keyring,
     handler: Arc<dyn Handler>,
-    slots: Mutex<HashMap<Place, Arc<Mutex<Slot>>>>,
+    slots: Mutex<HashMap<Endpoint, Arc<Mutex<Slot>>>>,
 }
 
 impl std::fmt::Debug for Dialer {
@@ -54,7 +55,7 @@
 }
 
 impl Dialer {
-    /// A dialer for the instance `name`; calls of the far ends go to `handler`.
+    /// Returns a dialer for the instance `name`; the far ends' calls go to `handler`.
     pub fn new(name: &str, keys: Keyring, handler: Arc<dyn Handler>) -> Self {
         Self {
             name: name.into(),
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The link to `addr`, opened if there is none.
+    /// Returns the link to `addr`; opens one if there is none.
     ///
     /// # Errors
     /// [`WireError::Connect`] or [`WireError::Handshake`].
@@ -74,28 +75,31 @@
         if let Some(link) = slot.link.as_ref().filter(|link| !link.is_closed()) {
             return Ok(link.clone());
         }
-        if slot.failed.is_some_and(|at| at.elapsed() < COOL_DOWN) {
+        if slot
+            .failed_at
+            .is_some_and(|at| at.elapsed() < RECONNECT_DELAY)
+        {
             let source = std::io::Error::other("it could not be reached a moment ago");
             return Err(WireError::Connect { addr, source });
         }
         slot.link = None;
         match self.open(addr, role) {
             Ok(link) => {
-                slot.failed = None;
+                slot.failed_at = None;
                 slot.link = Some(link.clone());
                 Ok(link)
             }
             Err(error) => {
-                slot.failed = Some(Instant::now());
+                slot.failed_at = Some(Instant::now());
                 Err(error)
             }
         }
     }
 
-    /// Makes a call that has one reply on the link to `addr`.
+    /// Makes a call with a single reply on the link to `addr`.
     ///
     /// # Errors
-    /// As [`Dialer::link`] and [`Link::ask`].
+    /// Fails as [`Dialer::link`] and [`Link::ask`] do.
     pub fn ask(
         &self,
         addr: SocketAddr,
@@ -106,13 +110,13 @@
         self.link(addr, role)?.ask(ask, timeout)
     }
 
-    /// Closes links that lead nowhere any more, and forgets their addresses.
+    /// Closes the links to addresses that `keep` rejects, and forgets these addresses.
     pub fn retain(&self, keep: impl Fn(SocketAddr) -> bool) {
         lock(&self.slots).retain(|(addr, _), slot| {
             if keep(*addr) {
                 return true;
             }
-            // A slot that is locked is being connected, so that someone still wants it.
+            // A locked slot is being connected, so a caller still needs it.
             let Ok(slot) = slot.try_lock() else {
                 return true;
             };
@@ -135,9 +139,9 @@
             .ok_or(WireError::Handshake("this process lacks its key"))?;
         let connected = TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT);
         let socket = connected.map_err(|source| WireError::Connect { addr, source })?;
-        // No call is sent before the link stands: whatever ends it here, none has run.
-        let greeted = handshake::connect(socket, role, &self.name, key);
-        let session = greeted.map_err(|error| match error {
+        // No call is sent before the handshake ends, so an I/O error here means that none has run.
+        let session = handshake::connect(socket, role, &self.name, key);
+        let session = session.map_err(|error| match error {
             WireError::Io(source) => WireError::Connect { addr, source },
             error => error,
         })?;
--- a/crates/filbertstack-wire/src/handshake.rs
+++ b/crates/filbertstack-wire/src/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake: each end proves that it holds the role's key, without sending it.
+//! The handshake, in which each end proves that it holds the role's key without sending the key.
 
 use std::io::Read;
 use std::io::Write;
@@ -15,102 +15,103 @@
 use crate::error::WireError;
 use crate::frame::Opener;
 use crate::frame::Sealer;
-use crate::frame::same;
+use crate::frame::constant_time_eq;
 use crate::keys::Key;
 use crate::keys::Keyring;
 use crate::keys::Role;
 use crate::link::Remote;
 use crate::messages::Hello;
 
-/// How long either end waits for each step of the handshake.
+/// The longest time that either end waits for each step of the handshake.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The largest handshake message, in bytes: three short fields.
 const MAX_HELLO: usize = 512;
 
-/// A connection whose two ends have proved themselves.
+/// A connection whose two ends have authenticated each other.
 #[derive(Debug)]
 pub struct Session {
     /// The socket.
     pub socket: TcpStream,
-    /// Who is at the far end.
+    /// The identity of the far end.
     pub remote: Remote,
-    /// Seals what goes out.
+    /// Encodes and authenticates outgoing frames.
     pub sealer: Sealer,
-    /// Opens what comes in.
+    /// Verifies and decodes incoming frames.
     pub opener: Opener,
-    /// What came in behind the handshake: the first frames of the far end.
+    /// The bytes received after the handshake: the start of the far end's frames.
     pub input: BytesMut,
 }
 
-/// Opens a session as the end that connected.
+/// Runs the handshake as the end that connected.
 ///
 /// # Errors
 /// [`WireError::Handshake`] if the far end does not hold the key; I/O errors.
 pub fn connect(socket: TcpStream, role: Role, name: &str, key: &Key) -> Result<Session, WireError> {
-    let mut pipe = Pipe::new(socket)?;
-    let own = Hello::new(role, name);
-    pipe.send(&own)?;
-    let far: Hello = pipe.receive()?;
+    let mut exchange = HelloExchange::new(socket)?;
+    let own_hello = Hello::new(role, name);
+    exchange.send(&own_hello)?;
+    let remote_hello: Hello = exchange.receive()?;
     let transcript = Transcript {
         key,
-        caller: &own,
-        server: &far,
+        caller: &own_hello,
+        server: &remote_hello,
     };
-    if !same(transcript.proof(b"server").as_bytes(), &far.proof) {
+    if !constant_time_eq(transcript.proof(b"server").as_bytes(), &remote_hello.proof) {
         return Err(WireError::Handshake("it does not hold this role's key"));
     }
     let proof = transcript.proof(b"caller").as_bytes().to_vec();
-    pipe.send(&Hello {
+    exchange.send(&Hello {
         proof,
         ..Hello::default()
     })?;
     let remote = Remote {
         role,
-        name: far.name.as_str().into(),
+        name: remote_hello.name.as_str().into(),
     };
-    Ok(pipe.into_session(remote, &transcript, b"caller", b"server"))
+    Ok(exchange.into_session(remote, &transcript, b"caller", b"server"))
 }
 
-/// Opens a session as the end that was connected to.
+/// Runs the handshake as the end that accepted the connection.
 ///
 /// # Errors
-/// [`WireError::Handshake`] if the far end does not hold the key it names; I/O errors.
+/// [`WireError::Handshake`] if the far end does not hold the key of the role it names; I/O errors.
 pub fn accept(socket: TcpStream, name: &str, keys: &Keyring) -> Result<Session, WireError> {
-    let mut pipe = Pipe::new(socket)?;
-    let far: Hello = pipe.receive()?;
-    let role = Role::try_from(far.role).map_err(|_| WireError::Handshake("an unknown role"))?;
+    let mut exchange = HelloExchange::new(socket)?;
+    let remote_hello: Hello = exchange.receive()?;
+    let role =
+        Role::try_from(remote_hello.role).map_err(|_| WireError::Handshake("an unknown role"))?;
     let key = keys
         .get(role)
         .ok_or(WireError::Handshake("a role that is not served here"))?;
-    let mut own = Hello::new(role, name);
+    let mut own_hello = Hello::new(role, name);
     let proof = Transcript {
         key,
-        caller: &far,
-        server: &own,
+        caller: &remote_hello,
+        server: &own_hello,
     }
     .proof(b"server");
-    own.proof = proof.as_bytes().to_vec();
-    pipe.send(&own)?;
-    let answer: Hello = pipe.receive()?;
+    own_hello.proof = proof.as_bytes().to_vec();
+    exchange.send(&own_hello)?;
+    let answer: Hello = exchange.receive()?;
     let transcript = Transcript {
         key,
-        caller: &far,
-        server: &own,
+        caller: &remote_hello,
+        server: &own_hello,
     };
-    if !same(transcript.proof(b"caller").as_bytes(), &answer.proof) {
+    if !constant_time_eq(transcript.proof(b"caller").as_bytes(), &answer.proof) {
         return Err(WireError::Handshake(
             "it does not hold the key of the role it names",
         ));
     }
     let remote = Remote {
         role,
-        name: far.name.as_str().into(),
+        name: remote_hello.name.as_str().into(),
     };
-    Ok(pipe.into_session(remote, &transcript, b"server", b"caller"))
+    Ok(exchange.into_session(remote, &transcript, b"server", b"caller"))
 }
 
-/// What both ends have seen, which every proof and key is bound to.
+/// The values that both ends have exchanged; every proof and derived key depends on them.
 struct Transcript<'a> {
     key: &'a Key,
     caller: &'a Hello,
@@ -129,23 +130,26 @@
         ]
     }
 
+    /// Returns the proof that the end named by `label` holds the key.
     fn proof(&self, label: &[u8]) -> blake3::Hash {
         self.key.mac(&self.parts(label))
     }
 
-    fn direction(&self, label: &[u8]) -> Key {
+    /// Returns the key for the frames that the end named by `label` sends.
+    fn frame_key(&self, label: &[u8]) -> Key {
         let label = [label, b" frames"].concat();
         self.key.derive(&self.parts(&label))
     }
 }
 
-struct Pipe {
+/// Sends and receives the messages of the handshake.
+struct HelloExchange {
     socket: TcpStream,
     codec: LengthDelimitedCodec,
     input: BytesMut,
 }
 
-impl Pipe {
+impl HelloExchange {
     fn new(socket: TcpStream) -> Result<Self, WireError> {
         socket.set_nodelay(true)?;
         socket.set_read_timeout(Some(HANDSHAKE_TIMEOUT))?;
@@ -187,11 +191,11 @@
         self,
         remote: Remote,
         transcript: &Transcript<'_>,
-        own: &[u8],
-        far: &[u8],
+        own_label: &[u8],
+        remote_label: &[u8],
     ) -> Session {
-        let sealer = Sealer::new(transcript.direction(own));
-        let opener = Opener::new(transcript.direction(far));
+        let sealer = Sealer::new(transcript.frame_key(own_label));
+        let opener = Opener::new(transcript.frame_key(remote_label));
         Session {
             socket: self.socket,
             remote,
--- a/crates/filbertstack-wire/src/keys.rs
+++ b/crates/filbertstack-wire/src/keys.rs
@@ -1,39 +1,41 @@
-//! Keys of links: who holds one may speak in that role.
+//! Keys of links: a process that holds a role's key may open and accept links in that role.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// The least length of a key's text, in bytes.
-pub const MIN_KEY: usize = 16;
+/// The minimum length of a key's text, in bytes.
+pub const MIN_KEY_LEN: usize = 16;
 
-/// In which role a process opens a link.
+/// The role in which a process opens a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum Role {
-    /// An entry speaking to an entry.
+    /// An entry that connects to another entry.
     Peer = 0,
-    /// An agent, or an entry speaking to an agent.
+    /// An agent, or an entry that connects to an agent.
     Agent = 1,
 }
 
-/// A shared secret of links.
+/// A secret that the two ends of a link share.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key([u8; 32]);
 
 /// A key that is too short to be a secret.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("a key has at least {MIN_KEY} characters: make one with 'openssl rand -hex 32' or alike")]
+#[error(
+    "a key has at least {MIN_KEY_LEN} characters: make one with 'openssl rand -hex 32' or alike"
+)]
 pub struct ShortKey;
 
 impl Key {
-    /// The key made of `text`, as read from a key file.
+    /// Derives a key from `text`, the content of a key file.
     ///
     /// # Errors
-    /// [`ShortKey`] under [`MIN_KEY`] bytes.
+    /// [`ShortKey`] if the trimmed text is shorter than [`MIN_KEY_LEN`] bytes.
     pub fn of(text: &str) -> Result<Self, ShortKey> {
         let text = text.trim();
-        if text.len() < MIN_KEY {
+        if text.len() < MIN_KEY_LEN {
             return Err(ShortKey);
         }
         Ok(Self(blake3::derive_key(
@@ -42,7 +44,7 @@
         )))
     }
 
-    /// The keyed hash of `parts`, each preceded by its length.
+    /// Returns the keyed hash of `parts`, each preceded by its length.
     pub fn mac(&self, parts: &[&[u8]]) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         for part in parts {
@@ -52,7 +54,7 @@
         hasher.finalize()
     }
 
-    /// The key for one direction of one connection.
+    /// Derives the key for one direction of one connection.
     pub(crate) fn derive(&self, parts: &[&[u8]]) -> Self {
         Self(*self.mac(parts).as_bytes())
     }
@@ -64,17 +66,17 @@
     }
 }
 
-/// The keys that a process accepts, by role.
+/// The keys that a process holds, by role.
 #[derive(Clone, Debug, Default)]
 pub struct Keyring {
     /// The key between entries; an agent has none.
     pub peer: Option<Key>,
-    /// The key on links with agents.
+    /// The key of links with agents.
     pub agent: Option<Key>,
 }
 
 impl Keyring {
-    /// The key of `role`, if this process holds it.
+    /// Returns the key of `role`, if this process holds it.
     pub const fn get(&self, role: Role) -> Option<&Key> {
         match role {
             Role::Peer => self.peer.as_ref(),
--- a/crates/filbertstack-wire/src/lib.rs
+++ b/crates/filbertstack-wire/src/lib.rs
@@ -1,10 +1,10 @@
 //! Messages, framing and authenticated links between the system's own processes.
 //!
 //! A [`Link`] is one TCP connection that carries many calls both ways: a call is one request and
-//! a stream of numbered replies, the last of which is marked. [`Listener`] accepts links and hands
-//! each call to a [`Handler`]; [`Dialer`] opens links on demand and keeps them. Every frame is
-//! authenticated by a key that both ends derive from their shared [`Key`], and both ends send
-//! heartbeats, since a silent partition leaves TCP looking healthy.
+//! a stream of numbered replies, the last of which is marked. [`Listener`] accepts links and passes
+//! each call to a [`Handler`]; [`Dialer`] opens links on demand and reuses them. Every frame is
+//! authenticated by a key that both ends derive from their shared [`Key`]. Both ends send heartbeats,
+//! because TCP reports no error during a network partition that drops packets silently.
 
 pub mod dialer;
 pub mod error;
