--- a/crates/filbertstack-agent/src/settings.rs
+++ b/crates/filbertstack-agent/src/settings.rs
@@ -266,7 +266,7 @@
     }
     let text = settings::read_file(section, "agent", folder, problems);
     section.finish(problems);
-    match Key::of(&text?) {
+    match Key::from_text(&text?) {
         Ok(key) => Some(Keyring {
             peer: None,
             agent: Some(key),
--- a/crates/filbertstack-entry/src/settings.rs
+++ b/crates/filbertstack-entry/src/settings.rs
@@ -322,7 +322,7 @@
     problems: &mut Problems,
 ) -> Option<Key> {
     let text = require_file(section, key, folder, problems)?;
-    match Key::of(&text) {
+    match Key::from_text(&text) {
         Ok(key) => Some(key),
         Err(error) => {
             problems
--- a/crates/filbertstack-wire/src/keys.rs
+++ b/crates/filbertstack-wire/src/keys.rs
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     /// [`ShortKey`] if the trimmed text is shorter than [`MIN_KEY_LEN`] bytes.
-    pub fn of(text: &str) -> Result<Self, ShortKey> {
+    pub fn from_text(text: &str) -> Result<Self, ShortKey> {
         let text = text.trim();
         if text.len() < MIN_KEY_LEN {
             return Err(ShortKey);
--- a/crates/filbertstack-wire/tests/links/calls.rs
+++ b/crates/filbertstack-wire/tests/links/calls.rs
@@ -181,7 +181,7 @@
 
 #[test]
 fn forged_and_oversized_frames_do_not_open() {
-    let key = Key::of("a key of one direction").expect("long enough");
+    let key = Key::from_text("a key of one direction").expect("long enough");
     let frame = Frame {
         item: Some(Item::Ping(Empty {})),
         ..Frame::default()
--- a/crates/filbertstack-wire/tests/links/support.rs
+++ b/crates/filbertstack-wire/tests/links/support.rs
@@ -30,7 +30,7 @@
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
 pub fn keys(text: &str) -> Keyring {
-    let key = Key::of(text).expect("long enough");
+    let key = Key::from_text(text).expect("long enough");
     Keyring {
         peer: Some(key),
         agent: None,
--- a/tests/system/leaving.rs
+++ b/tests/system/leaving.rs
@@ -183,7 +183,7 @@
     let system = System::new(1);
     let mut entry = system.start_entry(0);
     system.wait_status("a leader", |status| status["leader"].is_string());
-    let key = Key::of(PEER_KEY).expect("long enough");
+    let key = Key::from_text(PEER_KEY).expect("long enough");
     let keys = Keyring {
         peer: Some(key),
         agent: None,
