--- a/crates/filbertstack-wire/tests/links/calls.rs
+++ b/crates/filbertstack-wire/tests/links/calls.rs
@@ -1,4 +1,4 @@
-//! Calls: replies in order, cancellation, keys, forged and oversized frames, silence.
+//! Tests of calls: order of replies, cancellation, keys, invalid frames, limits and heartbeats.
 
 use std::io::Read;
 use std::io::Write;
@@ -25,24 +25,24 @@
 use filbertstack_wire::messages::Item;
 use filbertstack_wire::stream::payload;
 
-use crate::support::PATIENCE;
+use crate::support::TEST_TIMEOUT;
 use crate::support::dialer;
-use crate::support::first_call;
-use crate::support::good_keys;
-use crate::support::keys;
+use crate::support::peer_keys;
 use crate::support::propose;
+use crate::support::read_call;
 use crate::support::reply;
-use crate::support::scripted;
 use crate::support::serve;
+use crate::support::shared_keys;
+use crate::support::start_scripted;
 
 #[test]
-fn replies_come_in_order_and_end() {
-    let (listener, _calls) = serve(good_keys());
-    let dialer = dialer(good_keys());
+fn replies_arrive_in_order() {
+    let (listener, _calls) = serve(shared_keys());
+    let dialer = dialer(shared_keys());
     let link = dialer.link(listener.addr(), Role::Peer).expect("connects");
     assert_eq!(link.remote().name.as_ref(), "server");
     let mut replies = link.call(propose("hello")).expect("sent");
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     for _ in 0..3 {
         assert_eq!(
             replies.next(deadline).expect("a reply"),
@@ -53,9 +53,9 @@
 }
 
 #[test]
-fn calls_on_one_link_do_not_mix() {
-    let (listener, _calls) = serve(good_keys());
-    let dialer = Arc::new(dialer(good_keys()));
+fn concurrent_calls_get_their_own_replies() {
+    let (listener, _calls) = serve(shared_keys());
+    let dialer = Arc::new(dialer(shared_keys()));
     let addr = listener.addr();
     let threads: Vec<_> = (0..16)
         .map(|n| {
@@ -63,8 +63,8 @@
             std::thread::spawn(move || {
                 for i in 0..50 {
                     let text = format!("{n}/{i}");
-                    let told = dialer.ask(addr, Role::Peer, propose(&text), PATIENCE);
-                    assert_eq!(told.expect("a reply"), payload(text));
+                    let reply = dialer.ask(addr, Role::Peer, propose(&text), TEST_TIMEOUT);
+                    assert_eq!(reply.expect("a reply"), payload(text));
                 }
             })
         })
@@ -75,15 +75,15 @@
 }
 
 #[test]
-fn a_dropped_call_is_cancelled_at_the_far_end() {
-    let (listener, calls) = serve(good_keys());
-    let dialer = dialer(good_keys());
+fn dropping_replies_cancels_the_call() {
+    let (listener, calls) = serve(shared_keys());
+    let dialer = dialer(shared_keys());
     let link = dialer.link(listener.addr(), Role::Peer).expect("connects");
     let replies = link.call(Ask::Term(Empty {})).expect("sent");
-    let (_, responder) = calls.recv_timeout(PATIENCE).expect("the call arrives");
+    let (_, responder) = calls.recv_timeout(TEST_TIMEOUT).expect("the call arrives");
     assert!(!responder.is_cancelled());
     drop(replies);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while !responder.is_cancelled() && Instant::now() < until {
         std::thread::yield_now();
     }
@@ -91,49 +91,49 @@
 }
 
 #[test]
-fn a_dropped_responder_leaves_the_outcome_unknown() {
-    let (listener, calls) = serve(good_keys());
-    let dialer = dialer(good_keys());
+fn dropping_a_responder_leaves_the_outcome_unknown() {
+    let (listener, calls) = serve(shared_keys());
+    let dialer = dialer(shared_keys());
     let link = dialer.link(listener.addr(), Role::Peer).expect("connects");
     let mut replies = link.call(Ask::Term(Empty {})).expect("sent");
-    drop(calls.recv_timeout(PATIENCE).expect("the call arrives"));
+    drop(calls.recv_timeout(TEST_TIMEOUT).expect("the call arrives"));
     let error = replies
-        .next(Instant::now() + PATIENCE)
+        .next(Instant::now() + TEST_TIMEOUT)
         .expect_err("no reply");
     assert!(!error.not_run(), "{error}");
 }
 
 #[test]
 fn a_wrong_key_opens_no_link() {
-    let (listener, _calls) = serve(good_keys());
-    let wrong = dialer(keys("another key entirely"));
+    let (listener, _calls) = serve(shared_keys());
+    let wrong = dialer(peer_keys("another key entirely"));
     let error = wrong
         .link(listener.addr(), Role::Peer)
         .expect_err("refused");
     assert!(matches!(error, WireError::Handshake(_)), "{error}");
-    let lacking = dialer(Keyring::default());
-    let error = lacking
+    let without_key = dialer(Keyring::default());
+    let error = without_key
         .link(listener.addr(), Role::Agent)
         .expect_err("no key");
     assert!(matches!(error, WireError::Handshake(_)), "{error}");
 }
 
-// The caller's request goes to another target when a process ends while it is dialled.
-// The connection is taken and closed before both ends know each other. No call was sent on it, so its
-// outcome is known: it did not run.
+// Guards against an unknown outcome of a call when a process ends while a link to it is being opened.
+// The connection is accepted and closed before the handshake ends. No call was sent on it, so the call
+// counts as not run and the caller's request can go to another target.
 #[test]
-fn a_call_on_a_link_that_did_not_open_certainly_did_not_run() {
+fn a_call_whose_link_does_not_open_is_not_run() {
     let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = socket.local_addr().expect("bound");
     std::thread::spawn(move || drop(socket.accept()));
-    let dialer = dialer(good_keys());
-    let told = dialer.ask(addr, Role::Peer, propose("hello"), PATIENCE);
-    let error = told.expect_err("nobody answers");
+    let dialer = dialer(shared_keys());
+    let reply = dialer.ask(addr, Role::Peer, propose("hello"), TEST_TIMEOUT);
+    let error = reply.expect_err("nobody answers");
     assert!(error.not_run(), "{error}");
 }
 
-/// Passes bytes between a caller and `to`; the first frame behind the handshake goes twice.
-fn replaying_proxy(to: SocketAddr) -> SocketAddr {
+/// Starts a proxy between a caller and `to` that sends the caller's first frame after the handshake twice.
+fn start_replaying_proxy(to: SocketAddr) -> SocketAddr {
     let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = socket.local_addr().expect("bound");
     std::thread::spawn(move || {
@@ -156,31 +156,31 @@
     addr
 }
 
-// The caller sees its order arrive once and the link close.
-// Someone on the path records a sealed order and sends it again on the same connection. Without a
-// number under the tag the replay would be taken as a second order.
+// Guards against a replayed call being run a second time.
+// An attacker on the path records an authenticated frame and sends it again on the same connection. The
+// tag covers the frame's number, so the link closes.
 #[test]
-fn a_replayed_frame_closes_the_link_and_changes_nothing() {
-    let (listener, calls) = serve(good_keys());
-    let proxy = replaying_proxy(listener.addr());
-    let dialer = dialer(good_keys());
+fn a_replayed_frame_closes_the_link_and_does_not_run() {
+    let (listener, calls) = serve(shared_keys());
+    let proxy = start_replaying_proxy(listener.addr());
+    let dialer = dialer(shared_keys());
     let link = dialer.link(proxy, Role::Peer).expect("connects");
     let mut replies = link.call(Ask::Term(Empty {})).expect("sent");
-    let (_, responder) = calls.recv_timeout(PATIENCE).expect("the call arrives");
+    let (_, responder) = calls.recv_timeout(TEST_TIMEOUT).expect("the call arrives");
     let error = replies
-        .next(Instant::now() + PATIENCE)
+        .next(Instant::now() + TEST_TIMEOUT)
         .expect_err("the link closes");
     assert!(matches!(error, WireError::Lost), "{error}");
     drop(responder);
     drop(listener);
     assert!(
-        calls.recv_timeout(PATIENCE).is_err(),
+        calls.recv_timeout(TEST_TIMEOUT).is_err(),
         "the replay reached the handler"
     );
 }
 
 #[test]
-fn forged_and_oversized_frames_do_not_open() {
+fn forged_and_oversized_frames_are_rejected() {
     let key = Key::from_text("a key of one direction").expect("long enough");
     let frame = Frame {
         item: Some(Item::Ping(Empty {})),
@@ -208,14 +208,14 @@
     Opener::new(key).open(&mut huge).expect_err("oversized");
 }
 
-// The caller sees its call break off instead of an answer with a piece doubled or swapped.
-// The far end sends reply 0, then 0 again (or 2); a frame for a call that nobody made comes
-// between. Without the numbers the second piece would be joined to the answer.
+// Guards against an answer with a duplicate or missing piece.
+// The far end sends reply 0, a reply to a call that was never made, and then reply 0 again or reply 2.
+// The numbers of the replies show the fault, so the call fails.
 #[test]
-fn doubled_skipped_and_foreign_replies_are_no_answer() {
+fn repeated_and_skipped_replies_fail_the_call() {
     for wrong in [0, 2] {
-        let addr = scripted(move |mut session| {
-            let (stream, _) = first_call(&mut session);
+        let addr = start_scripted(move |mut session| {
+            let (stream, _) = read_call(&mut session);
             let mut out = BytesMut::new();
             for frame in [
                 reply(stream, 0, false, "one"),
@@ -227,10 +227,10 @@
             session.socket.write_all(&out).expect("the caller reads");
             let _ = session.socket.read(&mut [0; 64]);
         });
-        let dialer = dialer(good_keys());
+        let dialer = dialer(shared_keys());
         let link = dialer.link(addr, Role::Peer).expect("connects");
         let mut replies = link.call(Ask::Term(Empty {})).expect("sent");
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         assert_eq!(
             replies.next(deadline).expect("the first"),
             Some(payload("one"))
@@ -240,17 +240,17 @@
     }
 }
 
-// The caller sees its call end as lost long before its own deadline.
-// The far end freezes behind a working TCP connection: no frame, no reset. Heartbeats are missed,
-// the link is closed, and every call on it ends as unknown.
+// Guards against calls that hang until their own deadline when the far end freezes.
+// The TCP connection stays up without a frame or a reset. Heartbeats are missing, so the link is closed
+// and every call on it ends with an unknown outcome.
 #[test]
-fn a_silent_far_end_is_found() {
+fn a_silent_far_end_closes_the_link() {
     let (release, held) = channel::<()>();
-    let addr = scripted(move |session| {
+    let addr = start_scripted(move |session| {
         let _session = session;
         let _ = held.recv();
     });
-    let dialer = dialer(good_keys());
+    let dialer = dialer(shared_keys());
     let link: Link = dialer.link(addr, Role::Peer).expect("connects");
     let mut replies = link.call(Ask::Term(Empty {})).expect("sent");
     let error = replies
@@ -261,93 +261,93 @@
     drop(release);
 }
 
-// The caller that does not read sees its call end as overflowed, and the link goes on.
-// The far end sends 30 MiB to a call whose replies nobody takes. Without the bound they would pile
-// up in this process for as long as the far end sends.
+// Guards against unread replies that exhaust the memory of the caller's process.
+// The far end sends 30 MiB of replies that the caller does not read. The call fails with an overflow, and
+// the link stays open.
 #[test]
-fn a_call_that_nobody_reads_is_given_up() {
+fn a_call_with_too_many_unread_bytes_fails() {
     let (written, all_written) = channel();
-    let addr = scripted(move |mut session| {
-        let (stream, _) = first_call(&mut session);
+    let addr = start_scripted(move |mut session| {
+        let (stream, _) = read_call(&mut session);
         let piece = "x".repeat(512 << 10);
         for seq in 0..60 {
             let mut out = BytesMut::new();
             let frame = reply(stream, seq, false, &piece);
             session.sealer.seal(&frame, &mut out).expect("fits");
-            session.socket.write_all(&out).expect("the link goes on");
+            session.socket.write_all(&out).expect("the link stays open");
         }
         written.send(()).expect("the test waits");
         let _ = session.socket.read(&mut [0; 64]);
     });
-    let dialer = dialer(good_keys());
+    let dialer = dialer(shared_keys());
     let link = dialer.link(addr, Role::Peer).expect("connects");
     let mut replies = link.call(Ask::Term(Empty {})).expect("sent");
-    all_written.recv_timeout(PATIENCE).expect("30 MiB pass");
-    let deadline = Instant::now() + PATIENCE;
+    all_written.recv_timeout(TEST_TIMEOUT).expect("30 MiB pass");
+    let deadline = Instant::now() + TEST_TIMEOUT;
     let error = loop {
         match replies.next(deadline) {
-            Ok(reply) => assert!(reply.is_some(), "the call ended as if whole"),
+            Ok(reply) => assert!(reply.is_some(), "the call ended as if complete"),
             Err(error) => break error,
         }
     };
     assert!(matches!(error, WireError::Overflow), "{error}");
 }
 
-// The caller gets the whole answer of a process that ends right after it.
-// The handler gives the last piece, and its process ends as nothing is in progress any more. The
-// pieces still wait for the socket; ended then, the caller's stream would break off.
+// Guards against a truncated answer from a process that ends right after the last reply.
+// When the handler has sent the last piece, no call is in progress and the process ends. The pieces still
+// wait to be written, and the listener must write them first.
 #[test]
-fn what_was_sent_is_written_before_the_end() {
+fn queued_replies_are_written_before_shutdown() {
     const PIECES: usize = 64;
-    let (listener, calls) = serve(good_keys());
-    let dialer = dialer(good_keys());
+    let (listener, calls) = serve(shared_keys());
+    let dialer = dialer(shared_keys());
     let link = dialer.link(listener.addr(), Role::Peer).expect("connects");
     let mut replies = link.call(Ask::Term(Empty {})).expect("sent");
-    let (_, mut responder) = calls.recv_timeout(PATIENCE).expect("the call arrives");
+    let (_, mut responder) = calls.recv_timeout(TEST_TIMEOUT).expect("the call arrives");
     for _ in 1..PIECES {
         responder
             .send(payload(vec![7; 100_000]))
-            .expect("it stands");
+            .expect("the link is open");
     }
-    responder.finish(payload("end")).expect("it stands");
-    listener.finish(PATIENCE);
+    responder.finish(payload("end")).expect("the link is open");
+    listener.finish(TEST_TIMEOUT);
     drop(listener);
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     for _ in 0..PIECES {
         assert!(replies.next(deadline).expect("a piece").is_some());
     }
     assert_eq!(replies.next(deadline).expect("the end"), None);
 }
 
-// Other callers' streams go on when one caller sends a body that a link can't carry; that one call alone
-// fails, as not run.
-// The frame is over the limit, so that the link can't send it. Ended by it, the link would break off
-// every call on it, and each repeat would end another link.
+// Guards against one oversized call that ends all other calls on its link.
+// The frame is over the limit, so the link can't send it. If the error closed the link, every call on it
+// would be lost, and each retry would close another link. Only the oversized call fails, as not run.
 #[test]
-fn a_call_that_is_too_large_breaks_no_other() {
-    let (listener, calls) = serve(good_keys());
-    let dialer = dialer(good_keys());
+fn an_oversized_call_fails_alone() {
+    let (listener, calls) = serve(shared_keys());
+    let dialer = dialer(shared_keys());
     let link = dialer.link(listener.addr(), Role::Peer).expect("connects");
     let mut other = link.call(Ask::Term(Empty {})).expect("sent");
-    let (_, mut responder) = calls.recv_timeout(PATIENCE).expect("the call arrives");
+    let (_, mut responder) = calls.recv_timeout(TEST_TIMEOUT).expect("the call arrives");
     let large = "x".repeat(MAX_BODY + (1 << 20));
     let error = link.call(propose(&large)).expect_err("too large");
     assert!(matches!(error, WireError::TooLarge { .. }), "{error}");
     assert!(error.not_run());
     let reply = responder.send(payload(large)).expect_err("too large");
     assert!(matches!(reply, WireError::TooLarge { .. }), "{reply}");
-    responder.finish(payload("the answer")).expect("it stands");
-    let deadline = Instant::now() + PATIENCE;
-    let answer = other.next(deadline).expect("the link stands");
+    responder
+        .finish(payload("the answer"))
+        .expect("the link is open");
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    let answer = other.next(deadline).expect("the link is open");
     assert_eq!(answer, Some(payload("the answer")));
 }
 
-// The largest body that callers may send passes.
 #[test]
-fn the_largest_body_passes() {
-    let (listener, _calls) = serve(good_keys());
-    let dialer = dialer(good_keys());
+fn a_body_of_the_maximum_size_is_sent() {
+    let (listener, _calls) = serve(shared_keys());
+    let dialer = dialer(shared_keys());
     let body = "x".repeat(MAX_BODY);
-    let told = dialer.ask(listener.addr(), Role::Peer, propose(&body), PATIENCE);
-    assert_eq!(told.expect("a reply"), payload(body));
+    let reply = dialer.ask(listener.addr(), Role::Peer, propose(&body), TEST_TIMEOUT);
+    assert_eq!(reply.expect("a reply"), payload(body));
 }
--- a/crates/filbertstack-wire/tests/links/main.rs
+++ b/crates/filbertstack-wire/tests/links/main.rs
@@ -1,4 +1,4 @@
-//! Links over loopback: calls, cancellation, keys, forged and oversized frames, silence, ends.
+//! Tests of links over loopback: calls, cancellation, keys, invalid frames, timeouts and shutdown.
 
 mod calls;
 mod ending;
--- a/crates/filbertstack-wire/tests/links/support.rs
+++ b/crates/filbertstack-wire/tests/links/support.rs
@@ -1,4 +1,4 @@
-//! Two ends of a link over loopback, and far ends that follow a script.
+//! Listeners and dialers over loopback, and far ends that a test controls frame by frame.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -26,10 +26,10 @@
 use filbertstack_wire::messages::Reply;
 use filbertstack_wire::stream::payload;
 
-/// How long anything may take before a test gives up; no test passes by waiting it out.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// The limit of each wait, after which a test fails. No test needs the full time to pass.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub fn keys(text: &str) -> Keyring {
+pub fn peer_keys(text: &str) -> Keyring {
     let key = Key::from_text(text).expect("long enough");
     Keyring {
         peer: Some(key),
@@ -37,20 +37,21 @@
     }
 }
 
-pub fn good_keys() -> Keyring {
-    keys("a key of the peers")
+/// Returns the keys that the listener and the far ends of the tests use.
+pub fn shared_keys() -> Keyring {
+    peer_keys("a key of the peers")
 }
 
 /// Refuses every call.
-pub struct Silent;
+pub struct RefuseAll;
 
-impl Handler for Silent {
+impl Handler for RefuseAll {
     fn handle(&self, _: &Remote, _: Ask, responder: Responder) {
         responder.refuse("nothing is served here", 0);
     }
 }
 
-/// Answers `Propose` by its own payload, thrice; passes every other call to the test.
+/// Answers `Propose` with three copies of its payload; passes every other call to the test.
 pub struct Echo {
     pub calls: Sender<(Ask, Responder)>,
 }
@@ -61,11 +62,11 @@
             Ask::Propose(Payload { body }) => {
                 responder
                     .send(payload(body.clone()))
-                    .expect("the link stands");
+                    .expect("the link is open");
                 responder
                     .send(payload(body.clone()))
-                    .expect("the link stands");
-                responder.finish(payload(body)).expect("the link stands");
+                    .expect("the link is open");
+                responder.finish(payload(body)).expect("the link is open");
             }
             ask => self.calls.send((ask, responder)).expect("the test waits"),
         }
@@ -80,7 +81,7 @@
 }
 
 pub fn dialer(keys: Keyring) -> Dialer {
-    Dialer::new("caller", keys, Arc::new(Silent))
+    Dialer::new("caller", keys, Arc::new(RefuseAll))
 }
 
 pub fn propose(text: &str) -> Ask {
@@ -89,30 +90,31 @@
     })
 }
 
-/// A far end that completes the handshake and then answers as the test says.
-pub fn scripted(script: impl FnOnce(handshake::Session) + Send + 'static) -> SocketAddr {
+/// Starts a far end that completes one handshake and then runs `script`.
+pub fn start_scripted(script: impl FnOnce(handshake::Session) + Send + 'static) -> SocketAddr {
     let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = socket.local_addr().expect("bound");
     std::thread::spawn(move || {
         let (connection, _) = socket.accept().expect("the caller connects");
-        script(handshake::accept(connection, "server", &good_keys()).expect("the same key"));
+        script(handshake::accept(connection, "server", &shared_keys()).expect("the same key"));
     });
     addr
 }
 
 pub fn reply(stream: u64, seq: u32, last: bool, text: &str) -> Frame {
-    let told = Reply {
+    let reply = Reply {
         tell: Some(payload(text.to_owned())),
     };
     Frame {
         stream,
         seq,
         last,
-        item: Some(Item::Reply(told)),
+        item: Some(Item::Reply(reply)),
     }
 }
 
-pub fn first_call(session: &mut handshake::Session) -> (u64, Call) {
+/// Reads frames up to the next call; returns the call and its stream.
+pub fn read_call(session: &mut handshake::Session) -> (u64, Call) {
     let mut buffer = [0; 4096];
     loop {
         let frame = session.opener.open(&mut session.input).expect("sealed");
