--- a/crates/filbertstack-wire/src/stream.rs
+++ b/crates/filbertstack-wire/src/stream.rs
@@ -188,7 +188,7 @@
     }
 
     /// Returns a flag that is set when the caller cancels the call or the link ends.
-    pub fn cancelled(&self) -> Arc<AtomicBool> {
+    pub fn cancel_flag(&self) -> Arc<AtomicBool> {
         self.cancelled.clone()
     }
 
