--- a/crates/filbertstack-wire/src/keys.rs
+++ b/crates/filbertstack-wire/src/keys.rs
@@ -69,7 +69,7 @@
 /// The keys that a process holds, by role.
 #[derive(Clone, Debug, Default)]
 pub struct Keyring {
-    /// The key between entries; an agent has none.
+    /// The key of links between entries; an agent has none.
     pub peer: Option<Key>,
     /// The key of links with agents.
     pub agent: Option<Key>,
--- a/crates/filbertstack-wire/src/link.rs
+++ b/crates/filbertstack-wire/src/link.rs
@@ -293,10 +293,10 @@
         self.shared.incoming.refuse_new();
     }
 
-    /// Waits until the far end's calls have ended, but not past `deadline`. Then queues a notice of which
-    /// calls were accepted as the last frame.
+    /// Waits until the far end's calls have ended, but not past `deadline`. Then queues, as the last frame,
+    /// the notice of which calls were accepted.
     pub(crate) fn end_sending(&self, deadline: Instant) {
-        self.shared.incoming.await_none(deadline);
+        self.shared.incoming.await_idle(deadline);
         let last = self.shared.incoming.last_accepted();
         let ending = Frame {
             item: Some(Item::Ending(Ending { last })),
--- a/crates/filbertstack-wire/src/link/incoming.rs
+++ b/crates/filbertstack-wire/src/link/incoming.rs
@@ -36,6 +36,7 @@
 #[derive(Debug, Default)]
 pub struct Incoming {
     state: Mutex<State>,
+    /// Wakes the threads that wait for the end of calls.
     ended: Condvar,
 }
 
@@ -86,7 +87,7 @@
     }
 
     /// Waits until no call is in progress, but not past `deadline`.
-    pub fn await_none(&self, deadline: Instant) {
+    pub fn await_idle(&self, deadline: Instant) {
         let mut state = self.lock();
         while !state.calls.is_empty() {
             let left = deadline.saturating_duration_since(Instant::now());
--- a/crates/filbertstack-wire/src/listener.rs
+++ b/crates/filbertstack-wire/src/listener.rs
@@ -140,7 +140,7 @@
             }
             match connection {
                 Ok(connection) => self.start_handshake(connection),
-                // The process has most likely run out of file descriptors; some may be closed meanwhile.
+                // The process has most likely run out of file descriptors; a pause lets some be closed.
                 Err(_) => thread::sleep(Duration::from_millis(20)),
             }
         }
--- a/crates/filbertstack-wire/src/stream.rs
+++ b/crates/filbertstack-wire/src/stream.rs
@@ -23,7 +23,7 @@
 use crate::messages::Reply;
 use crate::messages::Tell;
 
-/// The largest number of unread bytes of replies; beyond it, the call is ended.
+/// The largest number of unread bytes of replies. A call that exceeds it fails.
 ///
 /// Without this limit, a caller that reads too slowly would block the replies to all calls on the link, or
 /// exhaust this process's memory.
