--- a/crates/filbertstack-wire/src/dialer.rs
+++ b/crates/filbertstack-wire/src/dialer.rs
@@ -140,8 +140,8 @@
         let connected = TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT);
         let socket = connected.map_err(|source| WireError::Connect { addr, source })?;
         // No call is sent before the handshake ends, so an I/O error here means that none has run.
-        let session = handshake::connect(socket, role, &self.name, key);
-        let session = session.map_err(|error| match error {
+        let result = handshake::connect(socket, role, &self.name, key);
+        let session = result.map_err(|error| match error {
             WireError::Io(source) => WireError::Connect { addr, source },
             error => error,
         })?;
--- a/crates/filbertstack-wire/tests/links/calls.rs
+++ b/crates/filbertstack-wire/tests/links/calls.rs
@@ -63,8 +63,8 @@
             std::thread::spawn(move || {
                 for i in 0..50 {
                     let text = format!("{n}/{i}");
-                    let reply = dialer.ask(addr, Role::Peer, propose(&text), TEST_TIMEOUT);
-                    assert_eq!(reply.expect("a reply"), payload(text));
+                    let result = dialer.ask(addr, Role::Peer, propose(&text), TEST_TIMEOUT);
+                    assert_eq!(result.expect("a reply"), payload(text));
                 }
             })
         })
@@ -127,8 +127,8 @@
     let addr = socket.local_addr().expect("bound");
     std::thread::spawn(move || drop(socket.accept()));
     let dialer = dialer(shared_keys());
-    let reply = dialer.ask(addr, Role::Peer, propose("hello"), TEST_TIMEOUT);
-    let error = reply.expect_err("nobody answers");
+    let result = dialer.ask(addr, Role::Peer, propose("hello"), TEST_TIMEOUT);
+    let error = result.expect_err("nobody answers");
     assert!(error.not_run(), "{error}");
 }
 
@@ -348,6 +348,6 @@
     let (listener, _calls) = serve(shared_keys());
     let dialer = dialer(shared_keys());
     let body = "x".repeat(MAX_BODY);
-    let reply = dialer.ask(listener.addr(), Role::Peer, propose(&body), TEST_TIMEOUT);
-    assert_eq!(reply.expect("a reply"), payload(body));
+    let result = dialer.ask(listener.addr(), Role::Peer, propose(&body), TEST_TIMEOUT);
+    assert_eq!(result.expect("a reply"), payload(body));
 }
--- a/crates/filbertstack-wire/tests/links/ending.rs
+++ b/crates/filbertstack-wire/tests/links/ending.rs
@@ -284,7 +284,7 @@
 // Guards against a process that can't stop because one of its callers is frozen.
 // The far end neither reads nor closes the connection. Without a limit, the wait for it would never end.
 #[test]
-fn shutdown_does_not_wait_for_a_frozen_far_end() {
+fn shutdown_ends_despite_a_frozen_far_end() {
     let (listener, _calls) = serve(shared_keys());
     let session = open_session(listener.addr());
     listener.finish(Duration::ZERO);
--- a/crates/filbertstack-wire/tests/links/support.rs
+++ b/crates/filbertstack-wire/tests/links/support.rs
@@ -102,14 +102,14 @@
 }
 
 pub fn reply(stream: u64, seq: u32, last: bool, text: &str) -> Frame {
-    let reply = Reply {
+    let message = Reply {
         tell: Some(payload(text.to_owned())),
     };
     Frame {
         stream,
         seq,
         last,
-        item: Some(Item::Reply(reply)),
+        item: Some(Item::Reply(message)),
     }
 }
 
