--- a/crates/filbertstack-entry/src/answer.rs
+++ b/crates/filbertstack-entry/src/answer.rs
@@ -14,10 +14,10 @@
 use crate::claims::MAX_STORED_ANSWER;
 use crate::claims::StoredAnswer;
 use crate::http;
-use crate::http::TARGET_HEADER;
 use crate::http::HeaderField;
 use crate::http::OUTCOME_HEADER;
 use crate::http::StreamedAnswer;
+use crate::http::TARGET_HEADER;
 use crate::http::VERSION_HEADER;
 use crate::table::Endpoint;
 
--- a/crates/filbertstack-entry/src/run.rs
+++ b/crates/filbertstack-entry/src/run.rs
@@ -31,11 +31,11 @@
 use crate::http::Refusal;
 use crate::race::Race;
 use crate::request::RequestHandler;
-use crate::request::refusal_of;
 use crate::request::RoutedRequest;
+use crate::request::refusal_of;
 use crate::table::Endpoint;
-use crate::traffic::Ticket;
 use crate::traffic::RequestEvent;
+use crate::traffic::Ticket;
 
 /// The interval at which a waiting request checks whether its caller has left.
 const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(50);
