--- a/crates/filbertstack-agent/src/announce.rs
+++ b/crates/filbertstack-agent/src/announce.rs
@@ -1,4 +1,4 @@
-//! Tells entries what the target is and holds, and takes its orders from them.
+//! Announces the target and its versions to entries, and receives its orders from them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -29,53 +29,53 @@
 use filbertstack_wire::messages::Tell;
 use spdlog::debug;
 
-use crate::desk::Desk;
 use crate::gate::Gate;
-use crate::settings::Kind;
 use crate::settings::Settings;
+use crate::settings::TargetKind;
+use crate::shared::SharedState;
 
-/// How often an agent announces itself: three fit into an entry's lease.
-pub const INTERVAL: Duration = Duration::from_secs(1);
+/// The interval between two announcements: three of them fit into an entry's lease.
+pub const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often while a version is copied: orders that follow from its end come that much sooner.
-pub const COPYING: Duration = Duration::from_millis(250);
+/// The interval while a version is copied: the orders that follow its end arrive sooner.
+pub const COPYING_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long an entry may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// How long an entry or a voter may take to answer.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How many entries an agent announces to: two may die at once and it is still known.
-pub const ENTRIES: usize = 3;
+/// How many entries an agent announces to: it stays known if two of them fail at once.
+pub const MAX_ENTRIES: usize = 3;
 
-/// Tells entries what the target is and holds, and takes its orders from them.
+/// Announces the target to entries and accepts its orders from them.
 #[derive(Debug)]
 pub struct Announcer {
-    /// The settings.
+    /// The settings of the agent.
     pub settings: Arc<Settings>,
     /// Links to entries.
     pub dialer: Arc<Dialer>,
-    /// The gate, which says whether the target is leaving.
+    /// The gate, which knows whether the target is leaving.
     pub gate: Gate,
-    /// Where orders go.
-    pub desk: Arc<Desk>,
+    /// The state that receives the accepted orders.
+    pub shared: Arc<SharedState>,
     /// The highest term accepted.
     pub term: Arc<AtomicU64>,
-    /// Ends the announcer.
+    /// Stops the announcer when set.
     pub stopped: Arc<AtomicBool>,
-    /// This start of the agent.
+    /// The incarnation of this agent process.
     pub incarnation: u64,
     /// The number of the last announcement.
-    pub version: AtomicU64,
+    pub last_version: AtomicU64,
     /// The highest fencing number accepted.
-    pub accepted: Mutex<Option<Fence>>,
-    /// The entries that are told now.
-    pub told: Mutex<Vec<SocketAddr>>,
-    /// The orders last heard from each entry.
-    pub heard: Mutex<HashMap<SocketAddr, Orders>>,
-    /// The gate of orders, once a majority of the voters has told its term.
-    pub armed: Mutex<Option<Armed>>,
+    pub accepted_fence: Mutex<Option<Fence>>,
+    /// The entries that receive the announcements now.
+    pub current_entries: Mutex<Vec<SocketAddr>>,
+    /// The last orders received from each entry.
+    pub last_orders: Mutex<HashMap<SocketAddr, Orders>>,
+    /// The gate of orders, once a majority of the voters has reported its term.
+    pub order_gate: Mutex<Option<Armed>>,
 }
 
-/// A number that grows with each start of a process on one instance.
+/// Returns a number that grows with each start of a process on one instance.
 pub fn incarnation() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -84,40 +84,45 @@
 }
 
 impl Announcer {
-    /// Announces until it is stopped.
+    /// Announces until the announcer is stopped.
     pub fn run(&self) {
         let mut entries = self.settings.entries.clone();
         while !self.stopped.load(Ordering::Relaxed) {
             let announce = self.announce();
             let mut heard = Vec::new();
-            for addr in entries.iter().take(ENTRIES) {
-                heard.extend(self.tell(*addr, &announce));
+            for addr in entries.iter().take(MAX_ENTRIES) {
+                heard.extend(self.announce_to(*addr, &announce));
             }
             entries = self.next_entries(&entries, &heard);
-            lock(&self.told).clone_from(&entries);
-            let copying = self.desk.is_copying();
-            thread::sleep(if copying { COPYING } else { INTERVAL });
+            lock(&self.current_entries).clone_from(&entries);
+            let copying = self.shared.is_copying();
+            thread::sleep(if copying {
+                COPYING_INTERVAL
+            } else {
+                ANNOUNCE_INTERVAL
+            });
         }
     }
 
-    /// Announces once, at once: a target that leaves must be known to leave before its lease ends.
+    /// Sends one announcement without delay: entries must know that a target is leaving before its
+    /// lease ends.
     pub fn announce_once(&self) {
         let announce = self.announce();
-        let told = lock(&self.told).clone();
-        let entries = if told.is_empty() {
+        let current_entries = lock(&self.current_entries).clone();
+        let entries = if current_entries.is_empty() {
             &self.settings.entries
         } else {
-            &told
+            &current_entries
         };
-        for addr in entries.iter().take(ENTRIES) {
-            self.tell(*addr, &announce);
+        for addr in entries.iter().take(MAX_ENTRIES) {
+            self.announce_to(*addr, &announce);
         }
     }
 
     fn announce(&self) -> Announce {
-        // Numbered before it is read: of two made at once the later read has the greater number
-        // or the same content.
-        let version = self.version.fetch_add(1, Ordering::SeqCst) + 1;
+        // The number is taken before the state is read: of two concurrent announcements the one that
+        // read later has the higher number or the same content.
+        let version = self.last_version.fetch_add(1, Ordering::SeqCst) + 1;
         let settings = &self.settings;
         Announce {
             name: settings.name.to_string(),
@@ -126,49 +131,49 @@
             addr: settings.links.to_string(),
             labels: settings.all_labels().to_string(),
             memory: settings.memory,
-            copies: self.desk.copies(),
+            copies: self.shared.copies(),
             leaving: self.gate.is_leaving(),
-            service: settings.kind == Kind::Service,
-            fence: *lock(&self.accepted),
+            service: settings.kind == TargetKind::Service,
+            fence: *lock(&self.accepted_fence),
             slots: settings.slots,
             heard: Vec::new(),
         }
     }
 
-    fn tell(&self, addr: SocketAddr, announce: &Announce) -> Option<Orders> {
-        let last = lock(&self.heard).get(&addr).cloned();
+    fn announce_to(&self, addr: SocketAddr, announce: &Announce) -> Option<Orders> {
+        let last = lock(&self.last_orders).get(&addr).cloned();
         let heard = last.as_ref().map(Orders::digest).unwrap_or_default();
         let ask = Ask::Announce(Announce {
             heard,
             ..announce.clone()
         });
-        match self.dialer.ask(addr, Role::Agent, ask, TIMEOUT) {
+        match self.dialer.ask(addr, Role::Agent, ask, REPLY_TIMEOUT) {
             Ok(Tell::Orders(orders)) => {
                 let orders = if orders.same { last? } else { orders };
-                lock(&self.heard).insert(addr, orders.clone());
-                self.accept(&orders);
+                lock(&self.last_orders).insert(addr, orders.clone());
+                self.apply_orders(&orders);
                 Some(orders)
             }
             Ok(_) => None,
             Err(error) => {
-                debug!("announce to {addr}: {error}");
-                lock(&self.heard).remove(&addr);
+                debug!("announcement to entry {addr} failed: {error}");
+                lock(&self.last_orders).remove(&addr);
                 None
             }
         }
     }
 
-    /// Takes orders that the gate lets through.
+    /// Applies orders that the gate of orders accepts.
     ///
-    /// Entries may lag behind each other and an old leader may wake after a freeze: an older
-    /// order would bring an old version back. An agent that has just started knows no fencing
-    /// number, so it first hears the term from a majority of the voters.
-    fn accept(&self, orders: &Orders) {
+    /// Entries may lag behind each other, and a former leader may resume after a pause: an older order
+    /// would bring back an old version. An agent that has just started knows no fencing number, so it
+    /// first asks a majority of the voters for their term.
+    fn apply_orders(&self, orders: &Orders) {
         let Some(fence) = orders.fence else {
             return;
         };
-        let mut accepted = lock(&self.accepted);
-        let Some(mut armed) = self.armed(orders) else {
+        let mut accepted_fence = lock(&self.accepted_fence);
+        let Some(mut armed) = self.arm(orders) else {
             return;
         };
         let delivery = Delivery {
@@ -178,18 +183,18 @@
         };
         match armed.take(&delivery) {
             Ok(_) => {
-                *accepted = Some(fence);
+                *accepted_fence = Some(fence);
                 self.term.fetch_max(armed.term(), Ordering::Relaxed);
-                *lock(&self.armed) = Some(armed);
-                self.desk.order(orders.clone());
+                *lock(&self.order_gate) = Some(armed);
+                self.shared.set_orders(orders.clone());
             }
-            Err(refusal) => debug!("order refused: {refusal}"),
+            Err(refusal) => debug!("gate refused the orders: {refusal}"),
         }
     }
 
-    /// The gate of orders, armed by a majority of the voters if it is not yet.
-    fn armed(&self, orders: &Orders) -> Option<Armed> {
-        if let Some(armed) = &*lock(&self.armed) {
+    /// Returns the gate of orders; it is first armed by a majority of the voters.
+    fn arm(&self, orders: &Orders) -> Option<Armed> {
+        if let Some(armed) = &*lock(&self.order_gate) {
             return Some(armed.clone());
         }
         let mut newborn = Newborn::new(self.incarnation);
@@ -199,21 +204,21 @@
             };
             match newborn.hear(word) {
                 Heard::Armed(armed) => {
-                    *lock(&self.armed) = Some(armed.clone());
+                    *lock(&self.order_gate) = Some(armed.clone());
                     return Some(armed);
                 }
                 Heard::Waiting(waiting) => newborn = waiting,
             }
         }
-        debug!("no majority of the voters has told its term yet");
+        debug!("no majority of the voters has reported its term yet");
         None
     }
 
     fn ask_voter(&self, addr: SocketAddr) -> Option<VoterWord> {
-        let told = self
+        let reply = self
             .dialer
-            .ask(addr, Role::Agent, Ask::Term(Empty {}), TIMEOUT);
-        let Ok(Tell::Term(report)) = told else {
+            .ask(addr, Role::Agent, Ask::Term(Empty {}), REPLY_TIMEOUT);
+        let Ok(Tell::Term(report)) = reply else {
             return None;
         };
         let voters = report.voters.iter().map(|name| name.parse());
@@ -225,19 +230,20 @@
         })
     }
 
-    /// The entries to announce to next: those that entries name, then those of the settings.
+    /// Returns the entries for the next announcements: those that the orders name, or else those of
+    /// the settings.
     fn next_entries(&self, now: &[SocketAddr], heard: &[Orders]) -> Vec<SocketAddr> {
         let named = heard.iter().flat_map(|orders| &orders.entries);
         let mut next: Vec<SocketAddr> = named.filter_map(|addr| addr.parse().ok()).collect();
         next.dedup();
         if next.is_empty() {
-            // Nobody answered: the next of the settings take their turn.
+            // No entry answered: the next entries of the settings are tried.
             let mut entries = self.settings.entries.clone();
             let turn = now
                 .first()
                 .and_then(|addr| entries.iter().position(|e| e == addr));
             let count = entries.len();
-            entries.rotate_left(turn.map_or(0, |turn| (turn + ENTRIES) % count.max(1)));
+            entries.rotate_left(turn.map_or(0, |turn| (turn + MAX_ENTRIES) % count.max(1)));
             return entries;
         }
         next
--- a/crates/filbertstack-agent/src/gate.rs
+++ b/crates/filbertstack-agent/src/gate.rs
@@ -1,8 +1,9 @@
-//! The gate: what may reach the target, and what is in progress there.
+//! The gate admits requests to the target and counts those in progress.
 //!
-//! A request passes only while the version it was routed for is being served, and counts as in
-//! progress until its [`Pass`] is dropped. A version stops being served in two steps: first the
-//! gate closes for it, then the last pass ends; only then may the engine load another one.
+//! It admits a request only while the target serves the version that the request was routed for. The
+//! request counts as in progress until its [`Permit`] is dropped. A version stops being served in two
+//! steps: the gate closes for it, then the last permit is dropped. Only then may the engine load
+//! another version.
 
 use std::sync::Arc;
 use std::sync::Condvar;
@@ -15,23 +16,23 @@
 use filbertstack_core::Digest;
 use thiserror::Error;
 
-/// Why a request does not pass; it certainly did not run.
+/// The reason why the gate refused a request, which therefore did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Closed {
+pub enum Refusal {
     /// The target serves another version, or none.
     #[error("the target does not serve this version now: route the request again")]
     Version,
     /// The target is leaving.
     #[error("the target is leaving: route the request to another")]
     Leaving,
-    /// Every slot is taken.
+    /// Every slot is in use.
     #[error("every slot of the target is taken: route the request to another")]
     Full,
 }
 
-impl Closed {
-    /// The reason as metrics name it.
-    pub const fn name(self) -> &'static str {
+impl Refusal {
+    /// Returns the name of the reason in metrics.
+    pub const fn metric_name(self) -> &'static str {
         match self {
             Self::Version => "version",
             Self::Leaving => "leaving",
@@ -42,7 +43,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    open: Option<Digest>,
+    open_version: Option<Digest>,
     service: bool,
     leaving: bool,
     running: u32,
@@ -55,25 +56,25 @@
     changed: Condvar,
 }
 
-/// The gate of one target; clones share it.
+/// The gate of one target; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Gate {
     shared: Arc<Shared>,
 }
 
-/// One request in progress; dropped when it ends.
+/// A request in progress, which ends when the permit is dropped.
 #[derive(Debug)]
-pub struct Pass {
+pub struct Permit {
     shared: Arc<Shared>,
 }
 
 impl Gate {
-    /// A closed gate before an engine with `slots`.
+    /// Creates a closed gate for an engine with `slots`.
     pub fn engine(slots: u32) -> Self {
         Self::new(slots, false)
     }
 
-    /// An open gate before a plain service with `slots`.
+    /// Creates an open gate for a plain service with `slots`.
     pub fn service(slots: u32) -> Self {
         Self::new(slots, true)
     }
@@ -92,67 +93,67 @@
         }
     }
 
-    /// Lets a request for `version` pass; `None` is a request for a plain service.
+    /// Admits a request for `version`; `None` is a request for a plain service.
     ///
     /// # Errors
-    /// Why it does not pass.
-    pub fn pass(&self, version: Option<Digest>) -> Result<Pass, Closed> {
+    /// Returns the reason if the gate refuses the request.
+    pub fn admit(&self, version: Option<Digest>) -> Result<Permit, Refusal> {
         let mut state = self.shared.lock();
         if state.leaving {
-            return Err(Closed::Leaving);
+            return Err(Refusal::Leaving);
         }
         let served = match version {
             None => state.service,
-            Some(version) => state.open == Some(version),
+            Some(version) => state.open_version == Some(version),
         };
         if !served {
-            return Err(Closed::Version);
+            return Err(Refusal::Version);
         }
         if state.running >= self.shared.slots {
-            return Err(Closed::Full);
+            return Err(Refusal::Full);
         }
         state.running += 1;
-        Ok(Pass {
+        Ok(Permit {
             shared: self.shared.clone(),
         })
     }
 
-    /// Opens the gate for `version` alone.
+    /// Opens the gate for requests for `version` only.
     pub fn open(&self, version: Digest) {
-        self.shared.lock().open = Some(version);
+        self.shared.lock().open_version = Some(version);
     }
 
-    /// Closes the gate; what is in progress goes on.
+    /// Closes the gate for every version; requests in progress continue.
     pub fn close(&self) {
-        self.shared.lock().open = None;
+        self.shared.lock().open_version = None;
     }
 
-    /// Lets nothing new pass from here on.
+    /// Marks the target as leaving: the gate refuses every further request.
     pub fn leave(&self) {
         self.shared.lock().leaving = true;
     }
 
-    /// The version that requests may pass for.
+    /// Returns the version that the gate is open for.
     pub fn version(&self) -> Option<Digest> {
-        self.shared.lock().open
+        self.shared.lock().open_version
     }
 
-    /// Whether the target is leaving.
+    /// Returns whether the target is leaving.
     pub fn is_leaving(&self) -> bool {
         self.shared.lock().leaving
     }
 
-    /// How many requests pass at once at most.
+    /// Returns how many requests may be in progress at once.
     pub fn slots(&self) -> u32 {
         self.shared.slots
     }
 
-    /// The requests in progress.
+    /// Returns how many requests are in progress.
     pub fn running(&self) -> u32 {
         self.shared.lock().running
     }
 
-    /// Waits until nothing is in progress; false if something still is after `timeout`.
+    /// Waits until no request is in progress; returns false if some still are after `timeout`.
     pub fn wait_idle(&self, timeout: Duration) -> bool {
         let until = Instant::now() + timeout;
         let mut state = self.shared.lock();
@@ -174,7 +175,7 @@
     }
 }
 
-impl Drop for Pass {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.shared.lock().running -= 1;
         self.shared.changed.notify_all();
--- a/crates/filbertstack-agent/src/lib.rs
+++ b/crates/filbertstack-agent/src/lib.rs
@@ -1,21 +1,21 @@
-//! The agent beside each target: holds weights and gates every order and every request.
+//! The agent runs beside each target: it holds weights and checks every order and every request.
 //!
-//! Some engines ignore fencing numbers and some targets check nobody, so the only place where a
-//! stale order, or a request for another version, can be refused for certain is the last hop.
-//! [`Agent::start`] runs one agent; dropping the handle ends it at once, [`Agent::stop`] after the
-//! requests in progress.
+//! Some engines ignore fencing numbers, and some targets do not authenticate their callers. Therefore
+//! only the last hop can reliably refuse a stale order or a request for another version.
+//! [`Agent::start`] runs one agent. Dropping the handle ends it at once; [`Agent::stop`] ends it after
+//! the requests in progress.
 
 pub mod announce;
 pub mod copying;
-pub mod desk;
 pub mod gate;
-pub mod keeper;
 pub mod mesh;
 pub mod pacing;
 pub mod process;
+pub mod reconciler;
 pub mod scrape;
 pub mod serve;
 pub mod settings;
+pub mod shared;
 pub mod source;
 pub mod target;
 pub mod unanswered;
--- a/crates/filbertstack-agent/src/mesh.rs
+++ b/crates/filbertstack-agent/src/mesh.rs
@@ -1,9 +1,9 @@
-//! The agent's place among those that copy the same versions.
+//! The mesh of agents that copy the same versions from each other.
 //!
-//! Three threads feed the [`Copier`]: one asks the leader for this agent's part (upstreams and
-//! grants) and waits for news, one tells the leader what came of grants, and one asks the
-//! upstreams which chunks they hold. Without a leader the copy goes on between those that know
-//! each other already.
+//! Three threads feed the [`Copier`]. One requests this agent's part of the plan (upstreams and
+//! grants) from the leader by long polling, one reports the results of grants to the leader, and one
+//! asks the upstreams which chunks they hold. Without a leader the copy continues between agents
+//! that already know each other.
 
 mod copies;
 mod peers;
@@ -40,117 +40,122 @@
 use filbertstack_wire::messages::Tell;
 use spdlog::debug;
 
-use crate::desk::Desk;
-use crate::settings::DEFAULT_LINK;
+use crate::settings::DEFAULT_LINK_RATE;
+use crate::shared::SharedState;
 
 use copies::Copies;
 use peers::Peers;
 
-/// How often upstreams are asked for what they hold: about the time of a chunk of 4 MiB on a
-/// share of an instance's link.
-const HEAR: Duration = Duration::from_millis(100);
+/// The interval between two polls of the upstreams' chunks: about the time that a chunk of 4 MiB takes
+/// on a share of an instance's link.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long the leader may hold the question for this agent's part.
-const HOLD: Duration = Duration::from_secs(3);
+/// How long the leader may hold a request for this agent's part until the part changes.
+const HOLD_TIME: Duration = Duration::from_secs(3);
 
-/// How long beyond the hold the leader may take to answer.
-const GRACE: Duration = Duration::from_secs(2);
+/// How long the leader may take to answer beyond the hold time.
+const REPLY_GRACE: Duration = Duration::from_secs(2);
 
-/// The pause after the leader could not be asked.
-const PAUSE: Duration = Duration::from_millis(200);
+/// The delay after a failed request to the leader.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The copies of this agent.
+/// The copies of this agent and the threads that drive them.
 #[derive(Debug)]
 pub struct Mesh {
     name: String,
     dialer: Arc<Dialer>,
     store: Arc<Store>,
-    desk: Arc<Desk>,
+    shared: Arc<SharedState>,
     copier: Copier,
     copies: Mutex<Copies>,
     peers: Mutex<Peers>,
-    woken: Condvar,
+    changed: Condvar,
     stopped: AtomicBool,
 }
 
 impl Mesh {
-    /// Starts the threads; they end after [`Mesh::stop`].
-    pub fn start(name: &str, dialer: Arc<Dialer>, store: Arc<Store>, desk: Arc<Desk>) -> Arc<Self> {
+    /// Starts the threads; they run until [`Mesh::stop`].
+    pub fn start(
+        name: &str,
+        dialer: Arc<Dialer>,
+        store: Arc<Store>,
+        shared: Arc<SharedState>,
+    ) -> Arc<Self> {
         let (sender, events) = channel();
         let config = CopyConfig {
             pull: PullConfig::default(),
-            seed: seed(name),
-            rate: DEFAULT_LINK,
+            seed: name_seed(name),
+            rate: DEFAULT_LINK_RATE,
         };
         let mesh = Arc::new(Self {
             name: name.into(),
             dialer,
             copier: Copier::start(store.clone(), config, sender),
             store,
-            desk,
+            shared,
             copies: Mutex::default(),
             peers: Mutex::default(),
-            woken: Condvar::new(),
+            changed: Condvar::new(),
             stopped: AtomicBool::new(false),
         });
-        let asking = mesh.clone();
-        thread::spawn(move || asking.ask_on());
-        let hearing = mesh.clone();
-        thread::spawn(move || hearing.hear_on());
-        let telling = mesh.clone();
-        thread::spawn(move || telling.tell_on(&events));
+        let requester = mesh.clone();
+        thread::spawn(move || requester.run_requests());
+        let poller = mesh.clone();
+        thread::spawn(move || poller.run_polls());
+        let reporter = mesh.clone();
+        thread::spawn(move || reporter.run_reports(&events));
         mesh
     }
 
-    /// Bounds what the copies fetch, in bytes a second.
+    /// Limits the rate of all copies, in bytes per second.
     pub fn set_rate(&self, rate: u64) {
         self.copier.set_rate(rate);
     }
 
-    /// Ends the threads.
+    /// Stops the threads.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
-        self.woken.notify_all();
+        self.changed.notify_all();
     }
 
-    /// The manifest of an assigned version, once it has come.
+    /// Returns the manifest of an assigned version, once it has been received.
     pub fn manifest(&self, root: Digest, assignment: &Assignment) -> Option<Arc<Manifest>> {
         let mut copies = self.lock();
         let manifest = copies.assign(root, assignment);
         drop(copies);
-        self.woken.notify_all();
+        self.changed.notify_all();
         manifest
     }
 
-    /// Begins to copy a version, or looks again for what the store lacks of it.
-    pub fn begin(&self, manifest: &Arc<Manifest>, assignment: &Assignment) {
-        let again = self.lock().begin(manifest, assignment);
+    /// Starts the copy of a version, or requests the chunks again that the store lacks if it is in progress.
+    pub fn start_copy(&self, manifest: &Arc<Manifest>, assignment: &Assignment) {
+        let again = self.lock().add_user(manifest, assignment);
         if again {
-            let lacks = manifest.wants();
-            let lacks = lacks.filter(|want| !self.store.has(want.chunk.digest));
-            let places: Vec<u32> = lacks.map(|want| want.index).collect();
-            self.copier.lost(manifest.root(), &places);
+            let missing = manifest.wants();
+            let missing = missing.filter(|want| !self.store.has(want.chunk.digest));
+            let indices: Vec<u32> = missing.map(|want| want.index).collect();
+            self.copier.lost(manifest.root(), &indices);
         } else {
             self.copier.want(manifest.clone());
         }
-        self.woken.notify_all();
+        self.changed.notify_all();
     }
 
-    /// Ends a copy that was begun.
-    pub fn end(&self, root: Digest) {
-        if self.lock().end(root) {
+    /// Ends a copy that was started; the last user ends it in the copier.
+    pub fn end_copy(&self, root: Digest) {
+        if self.lock().remove_user(root) {
             self.copier.forget(root);
         }
     }
 
-    /// How far the copy of a version is.
+    /// Returns the progress of a version's copy.
     pub fn progress(&self, root: Digest) -> Option<Progress> {
         self.copier.progress(root)
     }
 
-    /// What last went wrong with the copy of a version; empty if nothing did.
-    pub fn trouble(&self, root: Digest) -> String {
-        self.lock().trouble(root)
+    /// Returns the last error of a version's copy; empty if there was none.
+    pub fn last_error(&self, root: Digest) -> String {
+        self.lock().last_error(root)
     }
 
     fn lock(&self) -> MutexGuard<'_, Copies> {
@@ -161,29 +166,30 @@
         self.stopped.load(Ordering::Relaxed)
     }
 
-    /// Waits until something is copied; false if the agent stops.
+    /// Waits until there is a copy and returns true, or returns false if the agent stops.
     fn wait_copies(&self) -> bool {
         let mut copies = self.lock();
         while copies.is_empty() && !self.is_stopped() {
-            let waited = self.woken.wait_timeout(copies, HOLD);
+            let waited = self.changed.wait_timeout(copies, HOLD_TIME);
             copies = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         !self.is_stopped()
     }
 
-    fn ask_on(&self) {
+    fn run_requests(&self) {
         while self.wait_copies() {
-            self.lock().keep(&self.desk.ordered());
-            let ask = self.question(HOLD);
-            if let Err(error) = self.ask(ask) {
-                debug!("the leader gave no part: {error}");
-                thread::sleep(PAUSE);
+            self.lock()
+                .retain_assigned(&self.shared.assigned_versions());
+            let ask = self.build_request(HOLD_TIME);
+            if let Err(error) = self.request_plan(ask) {
+                debug!("request for a copy plan failed: {error}");
+                thread::sleep(RETRY_DELAY);
             }
         }
     }
 
-    fn question(&self, hold: Duration) -> SpreadAsk {
-        let leader = self.desk.leader();
+    fn build_request(&self, hold: Duration) -> SpreadAsk {
+        let leader = self.shared.leader_addr();
         let hold = u64::try_from(hold.as_millis()).unwrap_or(u64::MAX);
         SpreadAsk {
             name: self.name.clone(),
@@ -192,107 +198,106 @@
         }
     }
 
-    fn ask(&self, ask: SpreadAsk) -> Result<(), WireError> {
-        let leader = self.desk.leader();
+    fn request_plan(&self, ask: SpreadAsk) -> Result<(), WireError> {
+        let leader = self.shared.leader_addr();
         let Ok(addr) = leader.parse::<SocketAddr>() else {
             return Err(WireError::Protocol("no leader is known"));
         };
-        let timeout = Duration::from_millis(ask.hold) + GRACE;
+        let timeout = Duration::from_millis(ask.hold) + REPLY_GRACE;
         let told = self
             .dialer
             .ask(addr, Role::Agent, Ask::Spread(ask), timeout);
         match told? {
             Tell::Plan(plan) => {
-                self.take(&leader, &plan);
+                self.apply_plan(&leader, &plan);
                 Ok(())
             }
             _ => Err(WireError::Protocol("no part of a plan")),
         }
     }
 
-    fn take(&self, leader: &str, plan: &SpreadPlan) {
+    fn apply_plan(&self, leader: &str, plan: &SpreadPlan) {
         let mut copies = self.lock();
         for part in &plan.parts {
-            copies.take(leader, part);
+            copies.apply_part(leader, part);
         }
         drop(copies);
-        self.use_grants();
+        self.pass_grants();
     }
 
-    /// Passes grants on to the copier that it has not got yet.
-    fn use_grants(&self) {
-        let uses = self.lock().unused(&self.store, &self.dialer);
-        for granted in uses {
-            self.copier
-                .grant(granted.root, granted.chunk, granted.sources);
+    /// Passes new grants on to the copier.
+    fn pass_grants(&self) {
+        let grants = self.lock().take_new_grants(&self.store, &self.dialer);
+        for grant in grants {
+            self.copier.grant(grant.root, grant.chunk, grant.sources);
         }
     }
 
-    /// Tells the leader what came of grants as soon as something did.
-    fn tell_on(&self, events: &Receiver<CopyEvent>) {
+    /// Reports the results of grants to the leader as they occur.
+    fn run_reports(&self, events: &Receiver<CopyEvent>) {
         while !self.is_stopped() {
-            let Ok(first) = events.recv_timeout(HOLD) else {
+            let Ok(first) = events.recv_timeout(HOLD_TIME) else {
                 continue;
             };
             let rest: Vec<CopyEvent> = events.try_iter().collect();
             let mut news = false;
             let mut copies = self.lock();
             for event in std::iter::once(first).chain(rest) {
-                news |= copies.note(&event);
+                news |= copies.record_event(&event);
             }
             drop(copies);
             if news {
-                self.tell();
+                self.report();
             }
         }
     }
 
-    fn tell(&self) {
-        let ask = self.question(Duration::ZERO);
+    fn report(&self) {
+        let ask = self.build_request(Duration::ZERO);
         let told = ask.copies.clone();
-        match self.ask(ask) {
-            Ok(()) => self.lock().told(&told),
-            Err(error) => debug!("the leader was not told: {error}"),
+        match self.request_plan(ask) {
+            Ok(()) => self.lock().mark_reported(&told),
+            Err(error) => debug!("report to the leader failed: {error}"),
         }
     }
 
-    /// Asks upstreams what they hold.
-    fn hear_on(&self) {
+    /// Polls the upstreams for their chunks and searches for manifests.
+    fn run_polls(&self) {
         while self.wait_copies() {
             let began = Instant::now();
-            self.seat_peers();
+            self.update_upstreams();
             self.find_manifests();
             let roots = self.lock().roots();
             let peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
-            peers.hear(&roots, &self.dialer, &self.copier);
+            peers.poll(&roots, &self.dialer, &self.copier);
             drop(peers);
-            self.use_grants();
-            thread::sleep(HEAR.saturating_sub(began.elapsed()));
+            self.pass_grants();
+            thread::sleep(POLL_INTERVAL.saturating_sub(began.elapsed()));
         }
     }
 
-    /// Brings the copier's upstreams in line with the parts.
-    fn seat_peers(&self) {
+    /// Sets the copier's upstreams to those of all copies.
+    fn update_upstreams(&self) {
         let upstreams = self.lock().upstreams();
         let mut peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
-        peers.seat(upstreams, &self.dialer, &self.copier);
+        peers.update(upstreams, &self.dialer, &self.copier);
     }
 
-    /// Gets manifests, from outside where the leader granted that and from upstreams otherwise.
+    /// Searches for manifests at upstreams and, where the leader granted it, at the store and the origin.
     fn find_manifests(&self) {
-        let searches = self.lock().searches();
+        let searches = self.lock().manifest_searches();
         for search in searches {
             let found = search.run(&self.dialer);
-            let news = self.lock().found(&search, found);
+            let news = self.lock().record_search(&search, found);
             if news {
-                self.tell();
+                self.report();
             }
         }
     }
 }
 
-/// A number that differs between agents (FNV-1a).
-fn seed(name: &str) -> u64 {
+/// Returns a seed for random numbers that differs between agents: the FNV-1a hash of the agent's name.
+fn name_seed(name: &str) -> u64 {
     let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     name.bytes().fold(0xcbf2_9ce4_8422_2325, mix)
 }
--- a/crates/filbertstack-agent/src/mesh/copies.rs
+++ b/crates/filbertstack-agent/src/mesh/copies.rs
@@ -1,4 +1,4 @@
-//! What this agent copies, and its parts in the leader's plan.
+//! The versions that this agent copies, and its part in the leader's copy plan.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -24,164 +24,171 @@
 use filbertstack_wire::messages::SpreadCopy;
 use filbertstack_wire::messages::SpreadPart;
 
-use crate::source::Peer;
+use crate::source::PeerSource;
 
-/// How long a grant that failed rests before the same agent tries it again.
-const REST: Duration = Duration::from_secs(1);
+/// The delay before this agent tries a failed grant again.
+const GRANT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How long upstreams may have no manifest before the leader is asked for it.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long upstreams may lack the manifest before the agent requests it from the leader.
+const MANIFEST_WAIT: Duration = Duration::from_secs(2);
 
-/// One version.
+/// The state of one version.
 #[derive(Debug, Default)]
-struct Row {
+struct CopyState {
     assignment: Assignment,
     manifest: Option<Arc<Manifest>>,
-    /// How many hold the copy open.
+    /// The number of users of the copy; it ends when the last one has ended it.
     users: usize,
-    /// Who gave the part.
+    /// The leader that sent the part.
     leader: String,
-    number: u64,
-    /// Whether that leader was told all that is held.
-    greeted: bool,
-    /// When the leader is asked for the manifest, if it has not come by then.
-    patience: Option<Instant>,
+    /// The number of the part, as the leader assigned it.
+    part_number: u64,
+    /// Whether that leader has received the full set of held chunks.
+    held_reported: bool,
+    /// When to request the manifest from the leader if it has not been received by then.
+    manifest_due: Option<Instant>,
     upstreams: Vec<(SocketAddr, RingPosition)>,
-    /// Chunks to bring in, and the agent to get them from if it is not the origin.
+    /// The granted chunks, each with the address of the agent to fetch it from; a text that is no
+    /// address means the origin.
     grants: BTreeMap<u32, String>,
-    /// Grants that the copier has.
-    used: BTreeSet<u32>,
+    /// The grants that were passed to the copier.
+    passed: BTreeSet<u32>,
     failed: BTreeSet<u32>,
-    rest: BTreeMap<u32, Instant>,
+    retry_at: BTreeMap<u32, Instant>,
     wanted: BTreeSet<u32>,
-    trouble: String,
+    last_error: String,
 }
 
-/// A grant for the copier.
+/// A grant to fetch one chunk, for the copier.
 #[derive(Debug)]
-pub struct Granted {
+pub struct ChunkGrant {
     /// The version.
     pub root: Digest,
     /// The chunk.
     pub chunk: Digest,
-    /// Where it may be got, the first to be tried first.
+    /// The sources of the chunk, in the order in which they are tried.
     pub sources: Vec<Arc<dyn AnySource>>,
 }
 
-/// The versions that this agent copies.
+/// The copies of this agent by version.
 #[derive(Debug, Default)]
 pub struct Copies {
-    rows: BTreeMap<Digest, Row>,
+    states: BTreeMap<Digest, CopyState>,
 }
 
 impl Copies {
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.states.is_empty()
     }
 
-    /// Looks for a version from here on; its manifest, if it has come.
+    /// Registers an assigned version and returns its manifest, if it has been received.
     pub fn assign(&mut self, root: Digest, assignment: &Assignment) -> Option<Arc<Manifest>> {
-        let row = self.rows.entry(root).or_default();
-        row.assignment = assignment.clone();
-        row.manifest.clone()
+        let state = self.states.entry(root).or_default();
+        state.assignment = assignment.clone();
+        state.manifest.clone()
     }
 
-    /// Begins a copy; true if it was in progress already.
-    pub fn begin(&mut self, manifest: &Arc<Manifest>, assignment: &Assignment) -> bool {
-        let row = self.rows.entry(manifest.root()).or_default();
-        row.assignment = assignment.clone();
-        row.manifest = Some(manifest.clone());
-        row.users += 1;
-        row.users > 1
+    /// Adds a user to a copy and returns true if it was already in progress.
+    pub fn add_user(&mut self, manifest: &Arc<Manifest>, assignment: &Assignment) -> bool {
+        let state = self.states.entry(manifest.root()).or_default();
+        state.assignment = assignment.clone();
+        state.manifest = Some(manifest.clone());
+        state.users += 1;
+        state.users > 1
     }
 
-    /// Ends a copy; true if nobody holds it open any more.
-    pub fn end(&mut self, root: Digest) -> bool {
-        let Some(row) = self.rows.get_mut(&root) else {
+    /// Removes a user of a copy and returns true if it was the last one.
+    pub fn remove_user(&mut self, root: Digest) -> bool {
+        let Some(state) = self.states.get_mut(&root) else {
             return false;
         };
-        row.users -= 1;
-        let over = row.users == 0;
-        if over {
-            self.rows.remove(&root);
+        state.users -= 1;
+        let is_last = state.users == 0;
+        if is_last {
+            self.states.remove(&root);
         }
-        over
+        is_last
     }
 
-    /// Forgets versions that are ordered no more before their copy began.
-    pub fn keep(&mut self, ordered: &[Digest]) {
-        self.rows
-            .retain(|root, row| row.users > 0 || ordered.contains(root));
+    /// Removes versions that are no longer ordered and whose copy has not started.
+    pub fn retain_assigned(&mut self, ordered: &[Digest]) {
+        self.states
+            .retain(|root, state| state.users > 0 || ordered.contains(root));
     }
 
     pub fn roots(&self) -> Vec<Digest> {
-        let begun = self.rows.iter().filter(|(_, row)| row.users > 0);
-        begun.map(|(root, _)| *root).collect()
+        let active = self.states.iter().filter(|(_, state)| state.users > 0);
+        active.map(|(root, _)| *root).collect()
     }
 
-    pub fn trouble(&self, root: Digest) -> String {
-        let row = self.rows.get(&root);
-        row.map(|row| row.trouble.clone()).unwrap_or_default()
+    pub fn last_error(&self, root: Digest) -> String {
+        let state = self.states.get(&root);
+        state
+            .map(|state| state.last_error.clone())
+            .unwrap_or_default()
     }
 
-    /// What to tell the leader. One that gave no part yet does not know what is held.
+    /// Returns the reports for the leader. A leader that sent no part yet gets the full set of held
+    /// chunks, because it does not know them.
     ///
-    /// Failures are told only where `waits` is false: told twice, a grant that was given anew in
-    /// between would be taken back.
+    /// Failures are included only if `waits` is false: if one were reported twice, the leader would
+    /// revoke a grant that it renewed in between.
     pub fn reports(&self, leader: &str, store: &Store, waits: bool) -> Vec<SpreadCopy> {
-        let rows = self.rows.iter();
-        let told = rows.map(|(root, row)| {
-            let stranger = row.leader != leader;
+        let states = self.states.iter();
+        let reports = states.map(|(root, state)| {
+            let is_new_leader = state.leader != leader;
             SpreadCopy {
                 digest: root.to_vec(),
-                number: if stranger { 0 } else { row.number },
-                landed: row.landed(store),
+                number: if is_new_leader { 0 } else { state.part_number },
+                landed: state.landed(store),
                 failed: if waits {
                     Vec::new()
                 } else {
-                    row.failed.iter().copied().collect()
+                    state.failed.iter().copied().collect()
                 },
-                wanted: row.wanted.iter().copied().collect(),
-                held: if stranger || !row.greeted {
-                    row.held(store)
+                wanted: state.wanted.iter().copied().collect(),
+                held: if is_new_leader || !state.held_reported {
+                    state.held(store)
                 } else {
                     Vec::new()
                 },
             }
         });
-        told.collect()
+        reports.collect()
     }
 
-    /// Takes note that the leader was told.
-    pub fn told(&mut self, told: &[SpreadCopy]) {
-        for said in told {
-            let root = Digest::from_slice(&said.digest);
-            let Some(row) = root.and_then(|root| self.rows.get_mut(&root)) else {
+    /// Records that the leader received the reports `reported`.
+    pub fn mark_reported(&mut self, reported: &[SpreadCopy]) {
+        for report in reported {
+            let root = Digest::from_slice(&report.digest);
+            let Some(state) = root.and_then(|root| self.states.get_mut(&root)) else {
                 continue;
             };
-            for place in &said.failed {
-                row.failed.remove(place);
-                row.used.remove(place);
-                row.rest.insert(*place, Instant::now() + REST);
+            for index in &report.failed {
+                state.failed.remove(index);
+                state.passed.remove(index);
+                state
+                    .retry_at
+                    .insert(*index, Instant::now() + GRANT_RETRY_DELAY);
             }
-            row.greeted |= !said.held.is_empty();
-            row.wanted.retain(|place| !said.wanted.contains(place));
+            state.held_reported |= !report.held.is_empty();
+            state.wanted.retain(|index| !report.wanted.contains(index));
         }
     }
 
-    /// Takes this agent's part in a copy.
-    pub fn take(&mut self, leader: &str, part: &SpreadPart) {
+    /// Applies this agent's part of a copy plan.
+    pub fn apply_part(&mut self, leader: &str, part: &SpreadPart) {
         let root = Digest::from_slice(&part.digest);
-        let Some(row) = root.and_then(|root| self.rows.get_mut(&root)) else {
+        let Some(state) = root.and_then(|root| self.states.get_mut(&root)) else {
             return;
         };
-        if row.leader != leader {
-            leader.clone_into(&mut row.leader);
-            row.greeted = false;
+        if state.leader != leader {
+            leader.clone_into(&mut state.leader);
+            state.held_reported = false;
         }
-        row.number = part.number;
+        state.part_number = part.number;
         let upstreams = part.upstreams.iter().filter_map(|upstream| {
-            let seat = RingPosition {
+            let position = RingPosition {
                 proximity: if upstream.region {
                     Proximity::Region
                 } else {
@@ -190,53 +197,55 @@
                 place: upstream.place,
                 places: upstream.places,
             };
-            Some((upstream.addr.parse().ok()?, seat))
+            Some((upstream.addr.parse().ok()?, position))
         });
-        row.upstreams = upstreams.collect();
+        state.upstreams = upstreams.collect();
         let grants = part.grants.iter();
-        row.grants = grants.map(|g| (g.chunk, g.peer.clone())).collect();
-        let grants = &row.grants;
-        row.used.retain(|place| grants.contains_key(place));
-        row.failed.retain(|place| grants.contains_key(place));
+        state.grants = grants.map(|g| (g.chunk, g.peer.clone())).collect();
+        let grants = &state.grants;
+        state.passed.retain(|index| grants.contains_key(index));
+        state.failed.retain(|index| grants.contains_key(index));
     }
 
-    /// The grants that the copier has not got.
-    pub fn unused(&mut self, store: &Store, dialer: &Arc<Dialer>) -> Vec<Granted> {
-        let mut unused = Vec::new();
-        for (root, row) in &mut self.rows {
-            if row.users > 0 {
-                unused.extend(row.unused(*root, store, dialer));
+    /// Returns the grants that were not passed to the copier yet, and marks them as passed.
+    pub fn take_new_grants(&mut self, store: &Store, dialer: &Arc<Dialer>) -> Vec<ChunkGrant> {
+        let mut new_grants = Vec::new();
+        for (root, state) in &mut self.states {
+            if state.users > 0 {
+                new_grants.extend(state.take_new_grants(*root, store, dialer));
             }
         }
-        unused
+        new_grants
     }
 
-    /// Takes note of what the copier says; true if the leader is to hear of it now.
-    pub fn note(&mut self, event: &CopyEvent) -> bool {
+    /// Records an event of the copier and returns true if it is to be reported to the leader at once.
+    pub fn record_event(&mut self, event: &CopyEvent) -> bool {
         match event {
             CopyEvent::Landed { granted, .. } => *granted,
             CopyEvent::GrantFailed { chunk, fault } => {
-                for row in self.rows.values_mut() {
-                    let failed = row.places(*chunk).filter(|place| row.used.contains(place));
+                for state in self.states.values_mut() {
+                    let failed = state
+                        .chunk_indices(*chunk)
+                        .filter(|index| state.passed.contains(index));
                     let failed: Vec<u32> = failed.collect();
                     if !failed.is_empty() {
-                        row.trouble = format!("no source gave chunk {chunk}: {fault:?}");
+                        state.last_error = format!("no source gave chunk {chunk}: {fault:?}");
                     }
-                    row.failed.extend(failed);
+                    state.failed.extend(failed);
                 }
                 true
             }
             CopyEvent::Escalate { chunk } => {
-                for row in self.rows.values_mut() {
-                    let wanted: Vec<u32> = row.places(*chunk).take(1).collect();
-                    row.wanted.extend(wanted);
+                for state in self.states.values_mut() {
+                    let wanted: Vec<u32> = state.chunk_indices(*chunk).take(1).collect();
+                    state.wanted.extend(wanted);
                 }
                 true
             }
             CopyEvent::StoreFailed { chunk } => {
-                for row in self.rows.values_mut() {
-                    if row.places(*chunk).next().is_some() {
-                        row.trouble = format!("the chunk store did not take chunk {chunk}");
+                for state in self.states.values_mut() {
+                    if state.chunk_indices(*chunk).next().is_some() {
+                        state.last_error = format!("the chunk store did not take chunk {chunk}");
                     }
                 }
                 false
@@ -245,73 +254,88 @@
         }
     }
 
-    /// All upstreams of all copies.
+    /// Returns the upstreams of all copies.
     pub fn upstreams(&self) -> BTreeMap<SocketAddr, RingPosition> {
-        let all = self.rows.values().flat_map(|row| row.upstreams.iter());
+        let all = self
+            .states
+            .values()
+            .flat_map(|state| state.upstreams.iter());
         all.copied().collect()
     }
 
-    /// The manifests to look for now.
-    pub fn searches(&self) -> Vec<Search> {
+    /// Returns the searches for the manifests that are missing.
+    pub fn manifest_searches(&self) -> Vec<ManifestSearch> {
         let now = Instant::now();
-        let lacks = self.rows.iter().filter(|(_, row)| row.manifest.is_none());
-        lacks
-            .map(|(root, row)| Search {
+        let missing = self
+            .states
+            .iter()
+            .filter(|(_, state)| state.manifest.is_none());
+        missing
+            .map(|(root, state)| ManifestSearch {
                 root: *root,
-                peers: row.upstreams.iter().map(|(addr, _)| *addr).collect(),
-                granted: row.grants.contains_key(&MANIFEST)
-                    && row.rest.get(&MANIFEST).is_none_or(|until| *until <= now),
-                bases: row.bases(),
+                peers: state.upstreams.iter().map(|(addr, _)| *addr).collect(),
+                granted: state.grants.contains_key(&MANIFEST)
+                    && state
+                        .retry_at
+                        .get(&MANIFEST)
+                        .is_none_or(|until| *until <= now),
+                bases: state.bases(),
             })
             .collect()
     }
 
-    /// Takes what a search found; true if the leader is to hear of it.
-    pub fn found(&mut self, search: &Search, found: Result<Manifest, String>) -> bool {
-        let Some(row) = self.rows.get_mut(&search.root) else {
+    /// Records the result of a search and returns true if it is to be reported to the leader.
+    pub fn record_search(
+        &mut self,
+        search: &ManifestSearch,
+        found: Result<Manifest, String>,
+    ) -> bool {
+        let Some(state) = self.states.get_mut(&search.root) else {
             return false;
         };
         match found {
-            Ok(manifest) => row.manifest = Some(Arc::new(manifest)),
-            Err(trouble) => {
-                row.trouble = trouble;
+            Ok(manifest) => state.manifest = Some(Arc::new(manifest)),
+            Err(last_error) => {
+                state.last_error = last_error;
                 if search.granted {
-                    row.failed.insert(MANIFEST);
+                    state.failed.insert(MANIFEST);
                 }
             }
         }
-        search.granted || row.manifest.is_some() || row.misses_manifest()
+        search.granted || state.manifest.is_some() || state.request_manifest()
     }
 }
 
-impl Row {
+impl CopyState {
     fn bases(&self) -> Vec<String> {
         let bases = [&self.assignment.store, &self.assignment.origin];
         let named = bases.into_iter().filter(|base| !base.is_empty());
         named.cloned().collect()
     }
 
-    /// Whether the leader is to be asked for the manifest now: the target that brought it in may be
-    /// gone, and nobody else would miss it.
-    fn misses_manifest(&mut self) -> bool {
+    /// Requests the manifest from the leader if it is overdue, and returns whether it did.
+    ///
+    /// The target that was to fetch the manifest may be gone, and no other agent would report that it
+    /// is missing.
+    fn request_manifest(&mut self) -> bool {
         let now = Instant::now();
-        let due = *self.patience.get_or_insert(now + PATIENCE);
-        let misses = now >= due && !self.grants.contains_key(&MANIFEST);
-        if misses {
-            self.patience = Some(now + PATIENCE);
+        let due = *self.manifest_due.get_or_insert(now + MANIFEST_WAIT);
+        let overdue = now >= due && !self.grants.contains_key(&MANIFEST);
+        if overdue {
+            self.manifest_due = Some(now + MANIFEST_WAIT);
             self.wanted.insert(MANIFEST);
         }
-        misses
+        overdue
     }
 
     fn landed(&self, store: &Store) -> Vec<u32> {
         let Some(manifest) = &self.manifest else {
             return Vec::new();
         };
-        let has = |place: &u32| {
-            *place == MANIFEST
+        let has = |index: &u32| {
+            *index == MANIFEST
                 || manifest
-                    .want(*place)
+                    .want(*index)
                     .is_some_and(|want| store.has(want.chunk.digest))
         };
         self.grants.keys().copied().filter(has).collect()
@@ -330,84 +354,89 @@
         held.to_bytes()
     }
 
-    fn places(&self, chunk: Digest) -> impl Iterator<Item = u32> {
+    fn chunk_indices(&self, chunk: Digest) -> impl Iterator<Item = u32> {
         let wants = self.manifest.iter().flat_map(|manifest| manifest.wants());
         wants
             .filter(move |want| want.chunk.digest == chunk)
             .map(|want| want.index)
     }
 
-    fn unused(&mut self, root: Digest, store: &Store, dialer: &Arc<Dialer>) -> Vec<Granted> {
+    fn take_new_grants(
+        &mut self,
+        root: Digest,
+        store: &Store,
+        dialer: &Arc<Dialer>,
+    ) -> Vec<ChunkGrant> {
         let Some(manifest) = self.manifest.clone() else {
             return Vec::new();
         };
         let now = Instant::now();
-        let mut unused = Vec::new();
-        for (&place, peer) in &self.grants {
-            let rests = self.rest.get(&place).is_some_and(|until| *until > now);
-            if rests || self.used.contains(&place) {
+        let mut new_grants = Vec::new();
+        for (&index, peer) in &self.grants {
+            let delayed = self.retry_at.get(&index).is_some_and(|until| *until > now);
+            if delayed || self.passed.contains(&index) {
                 continue;
             }
-            let Some(want) = manifest.want(place) else {
+            let Some(want) = manifest.want(index) else {
                 continue;
             };
             let chunk = want.chunk.digest;
             if store.has(chunk) {
                 continue;
             }
-            self.used.insert(place);
+            self.passed.insert(index);
             let mut sources: Vec<Arc<dyn AnySource>> = Vec::new();
             if let Ok(addr) = peer.parse() {
-                sources.push(Arc::new(Peer::new(dialer.clone(), addr)));
+                sources.push(Arc::new(PeerSource::new(dialer.clone(), addr)));
             } else {
                 for base in self.bases() {
                     sources.push(Arc::new(HttpSource::new(&base, HttpConfig::default())));
                 }
             }
-            unused.push(Granted {
+            new_grants.push(ChunkGrant {
                 root,
                 chunk,
                 sources,
             });
         }
-        unused
+        new_grants
     }
 }
 
 /// A search for a manifest.
 #[derive(Debug)]
-pub struct Search {
+pub struct ManifestSearch {
     root: Digest,
     peers: Vec<SocketAddr>,
     granted: bool,
     bases: Vec<String>,
 }
 
-impl Search {
-    /// Looks everywhere that it may.
+impl ManifestSearch {
+    /// Searches the upstreams and, if granted, the store and the origin.
     pub fn run(&self, dialer: &Arc<Dialer>) -> Result<Manifest, String> {
-        let mut trouble = String::from("no upstream has the manifest yet");
+        let mut last_error = String::from("no upstream has the manifest yet");
         for addr in &self.peers {
-            let peer = Peer::new(dialer.clone(), *addr);
+            let peer = PeerSource::new(dialer.clone(), *addr);
             let found = peer.manifest(self.root);
             if let Ok(manifest) = found.map(|bytes| Manifest::decode(self.root, &bytes)) {
                 match manifest {
                     Ok(manifest) => return Ok(manifest),
-                    Err(error) => trouble = error.to_string(),
+                    Err(error) => last_error = error.to_string(),
                 }
             }
         }
         if !self.granted {
-            return Err(trouble);
+            return Err(last_error);
         }
         let name = manifest_name(self.root);
         for base in &self.bases {
             let source = HttpSource::new(base, HttpConfig::default());
             match source.manifest(&name, self.root) {
                 Ok(manifest) => return Ok(manifest),
-                Err(error) => trouble = error.to_string(),
+                Err(error) => last_error = error.to_string(),
             }
         }
-        Err(trouble)
+        Err(last_error)
     }
 }
--- a/crates/filbertstack-agent/src/mesh/peers.rs
+++ b/crates/filbertstack-agent/src/mesh/peers.rs
@@ -1,4 +1,4 @@
-//! The upstreams that the copier has, and what they say they hold.
+//! The upstreams of the copier and the chunks that they report.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,44 +18,45 @@
 use filbertstack_wire::messages::Payload;
 use filbertstack_wire::messages::Tell;
 
-use crate::source::Peer;
+use crate::source::PeerSource;
 
-/// How long all upstreams together may take to say what they hold.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// How long one poll of all upstreams may take.
+const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The upstreams that the copier has.
+/// The upstreams that are registered with the copier.
 #[derive(Debug, Default)]
 pub struct Peers {
-    seats: BTreeMap<SocketAddr, (RingPosition, NeighbourKey)>,
+    positions: BTreeMap<SocketAddr, (RingPosition, NeighbourKey)>,
 }
 
 impl Peers {
-    /// Brings the copier's upstreams in line with `wanted`.
-    pub fn seat(
+    /// Adds and removes upstreams of the copier so that they match `wanted`.
+    pub fn update(
         &mut self,
         wanted: BTreeMap<SocketAddr, RingPosition>,
         dialer: &Arc<Dialer>,
         copier: &Copier,
     ) {
-        self.seats.retain(|addr, (seat, key)| {
-            let stays = wanted.get(addr) == Some(seat);
+        self.positions.retain(|addr, (position, key)| {
+            let stays = wanted.get(addr) == Some(position);
             if !stays {
                 copier.remove_peer(*key);
             }
             stays
         });
-        for (addr, seat) in wanted {
-            self.seats.entry(addr).or_insert_with(|| {
-                let peer = Arc::new(Peer::new(dialer.clone(), addr));
-                (seat, copier.add_peer(peer, seat))
+        for (addr, position) in wanted {
+            self.positions.entry(addr).or_insert_with(|| {
+                let peer = Arc::new(PeerSource::new(dialer.clone(), addr));
+                (position, copier.add_peer(peer, position))
             });
         }
     }
 
-    /// Asks all upstreams at once what they hold of the versions `roots`, and tells the copier.
-    pub fn hear(&self, roots: &[Digest], dialer: &Arc<Dialer>, copier: &Copier) {
+    /// Asks all upstreams in parallel which chunks of the versions `roots` they hold, and passes the
+    /// answers to the copier.
+    pub fn poll(&self, roots: &[Digest], dialer: &Arc<Dialer>, copier: &Copier) {
         let mut calls = Vec::new();
-        for (addr, (_, key)) in &self.seats {
+        for (addr, (_, key)) in &self.positions {
             let Ok(link) = dialer.link(*addr, Role::Agent) else {
                 continue;
             };
@@ -66,7 +67,7 @@
                 }
             }
         }
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + POLL_TIMEOUT;
         for (key, root, mut replies) in calls {
             let Ok(Some(Tell::Payload(Payload { body }))) = replies.next(until) else {
                 continue;
--- a/crates/filbertstack-agent/src/pacing.rs
+++ b/crates/filbertstack-agent/src/pacing.rs
@@ -1,4 +1,4 @@
-//! Lets copies of weights yield to live requests: measures these, and sets the copier's rate.
+//! Limits the rate of weight copies in favour of live requests, whose latency it measures.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -14,76 +14,76 @@
 use filbertstack_policy::spread::pace::PaceConfig;
 use filbertstack_policy::spread::pace::PaceController;
 
-use crate::desk::Desk;
 use crate::gate::Gate;
 use crate::mesh::Mesh;
+use crate::shared::SharedState;
 
-/// How often the rate is set: several first tokens of a busy target fall into it.
-const INTERVAL: Duration = Duration::from_millis(250);
+/// The interval between two settings of the rate: a busy target sends several first tokens within it.
+const RATE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The most times to a first byte that are kept of one interval.
-const MAX_TIMES: usize = 1024;
+/// The maximum number of samples that are kept per interval.
+const MAX_SAMPLES: usize = 1024;
 
-/// The times to the first byte of the requests that began to be answered of late.
+/// The times to the first byte of the requests whose answers began in the current interval.
 #[derive(Clone, Debug, Default)]
-pub struct FirstBytes {
-    times: Arc<Mutex<Vec<Millis>>>,
+pub struct FirstByteTimes {
+    samples: Arc<Mutex<Vec<Millis>>>,
 }
 
-impl FirstBytes {
-    /// Notes one.
-    pub fn note(&self, time: Duration) {
-        let mut times = self.lock();
-        if times.len() < MAX_TIMES {
-            times.push(time.into());
+impl FirstByteTimes {
+    /// Records the time to the first byte of one request.
+    pub fn record(&self, time: Duration) {
+        let mut samples = self.lock();
+        if samples.len() < MAX_SAMPLES {
+            samples.push(time.into());
         }
     }
 
-    /// The 95th percentile since this was last asked; `None` if there was none.
+    /// Returns the 95th percentile since the last call; `None` without a sample.
     fn take_p95(&self) -> Option<Millis> {
-        let mut times = std::mem::take(&mut *self.lock());
-        times.sort_unstable();
-        let at = (times.len() * 95).div_ceil(100).checked_sub(1)?;
-        times.get(at).copied()
+        let mut samples = std::mem::take(&mut *self.lock());
+        samples.sort_unstable();
+        let rank = (samples.len() * 95).div_ceil(100).checked_sub(1)?;
+        samples.get(rank).copied()
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Millis>> {
-        self.times.lock().unwrap_or_else(PoisonError::into_inner)
+        self.samples.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Sets the copier's rate until it is stopped.
+/// Sets the copier's rate from the latency of live requests.
 pub struct Pacer {
-    /// What the instance's link carries, in bytes a second.
-    pub link: u64,
-    /// What live requests see.
-    pub firsts: FirstBytes,
-    /// What is in progress.
+    /// The capacity of the instance's link, in bytes per second.
+    pub link_rate: u64,
+    /// The times to the first byte of live requests.
+    pub first_byte_times: FirstByteTimes,
+    /// The gate, which knows the number of requests in progress.
     pub gate: Gate,
-    /// Whether a copy is in progress.
-    pub desk: Arc<Desk>,
-    /// The copies.
+    /// The state that shows whether a copy is in progress.
+    pub shared: Arc<SharedState>,
+    /// The copies whose rate is set.
     pub mesh: Arc<Mesh>,
-    /// Ends the pacer.
+    /// Stops the pacer when set.
     pub stopped: Arc<AtomicBool>,
 }
 
 impl Pacer {
-    /// Runs until stopped.
+    /// Sets the rate once per interval until the pacer is stopped.
     pub fn run(&self) {
-        let mut pace = PaceController::new(PaceConfig::for_link(self.link));
-        let mut last = 0;
+        let mut pace = PaceController::new(PaceConfig::for_link(self.link_rate));
+        let mut last_rate = 0;
         while !self.stopped.load(Ordering::Relaxed) {
             let live = LiveTraffic {
                 in_flight: self.gate.running(),
-                latency: self.firsts.take_p95(),
+                latency: self.first_byte_times.take_p95(),
             };
-            let rate = pace.observe(live, self.desk.is_copying());
-            if rate != last {
+            let rate = pace.observe(live, self.shared.is_copying());
+            if rate != last_rate {
                 self.mesh.set_rate(rate);
-                last = rate;
+                last_rate = rate;
             }
-            thread::sleep(INTERVAL);
+            thread::sleep(RATE_INTERVAL);
         }
     }
 }
--- a/crates/filbertstack-agent/src/process.rs
+++ b/crates/filbertstack-agent/src/process.rs
@@ -1,4 +1,4 @@
-//! One agent, from its start to its end.
+//! Starts and stops an agent.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -23,47 +23,47 @@
 
 use crate::announce::Announcer;
 use crate::announce::incarnation;
-use crate::copying::Network;
-use crate::desk::Desk;
+use crate::copying::NetworkFetcher;
 use crate::gate::Gate;
-use crate::keeper::Keeper;
 use crate::mesh::Mesh;
-use crate::pacing::FirstBytes;
+use crate::pacing::FirstByteTimes;
 use crate::pacing::Pacer;
+use crate::reconciler::Reconciler;
 use crate::scrape::Scrape;
-use crate::serve::Calls;
-use crate::serve::UPLOADS;
-use crate::settings::Kind;
+use crate::serve::CallHandler;
+use crate::serve::MAX_UPLOADS;
 use crate::settings::Settings;
+use crate::settings::TargetKind;
+use crate::shared::SharedState;
 use crate::target::Target;
 
-/// How long calls that hold no place at the target may take when the process ends, such as pieces for
-/// other agents: a wait of a second for the upload, and the upload.
-const LAST_CALLS: Duration = Duration::from_secs(2);
+/// How long calls that occupy no slot of the target, such as uploads to other agents, may take when the
+/// process stops: one second of waiting for an upload slot, and the upload itself.
+const LAST_CALLS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why an agent did not start.
+/// An error at the start of an agent.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The data folder can't be used.
+    /// The agent can't use the data folder.
     #[error("{path}: {source}; give a folder in [agent] data that this process may write")]
     Folder {
         /// The folder.
         path: std::path::PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The address for links is taken or not this instance's.
+    /// The address for links or metrics is in use or not an address of this instance.
     #[error("{addr}: {source}; give a free address of this instance in [agent] links and metrics")]
     Bind {
         /// The address.
         addr: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The chunk store can't be opened.
+    /// The agent can't open the chunk store.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The links can't be served.
+    /// The agent can't serve links.
     #[error(transparent)]
     Wire(#[from] WireError),
 }
@@ -75,17 +75,17 @@
     settings: Arc<Settings>,
     listener: Listener,
     gate: Gate,
-    desk: Arc<Desk>,
+    shared: Arc<SharedState>,
     announcer: Arc<Announcer>,
     mesh: Arc<Mesh>,
     stopped: Arc<AtomicBool>,
 }
 
 impl Agent {
-    /// Starts an agent.
+    /// Starts an agent and its threads.
     ///
     /// # Errors
-    /// [`StartError`] names what to change.
+    /// Returns [`StartError`], which names the setting to change.
     pub fn start(mut settings: Settings, telemetry: Arc<Telemetry>) -> Result<Self, StartError> {
         let addr = settings.links;
         let bind = |source| StartError::Bind { addr, source };
@@ -94,38 +94,43 @@
         let store = Arc::new(open_store(&settings)?);
         let settings = Arc::new(settings);
         let gate = match settings.kind {
-            Kind::Engine => Gate::engine(settings.slots),
-            Kind::Service => Gate::service(settings.slots),
+            TargetKind::Engine => Gate::engine(settings.slots),
+            TargetKind::Service => Gate::service(settings.slots),
         };
         let target = Target::new(&settings.url);
-        let desk = Arc::new(Desk::new());
+        let shared = Arc::new(SharedState::new());
         let term = Arc::new(AtomicU64::new(0));
-        let scrape = start_scrape(&settings, &telemetry, &gate, &desk)?;
-        let firsts = FirstBytes::default();
-        let calls = Arc::new(Calls {
+        let scrape = start_scrape(&settings, &telemetry, &gate, &shared)?;
+        let first_byte_times = FirstByteTimes::default();
+        let call_handler = Arc::new(CallHandler {
             gate: gate.clone(),
             target: target.clone(),
             store: store.clone(),
-            uploads: Uploads::new(UPLOADS),
-            desk: desk.clone(),
+            uploads: Uploads::new(MAX_UPLOADS),
+            shared: shared.clone(),
             term: term.clone(),
             telemetry,
-            firsts: firsts.clone(),
+            first_byte_times: first_byte_times.clone(),
         });
         let name = settings.name.as_str();
-        let dialer = Arc::new(Dialer::new(name, settings.keys.clone(), calls.clone()));
-        let listener = Listener::start(socket, name, settings.keys.clone(), calls)?;
-        let mesh = Mesh::start(name, dialer.clone(), store.clone(), desk.clone());
-        let network = Network { mesh: mesh.clone() };
+        let dialer = Arc::new(Dialer::new(
+            name,
+            settings.keys.clone(),
+            call_handler.clone(),
+        ));
+        let listener = Listener::start(socket, name, settings.keys.clone(), call_handler)?;
+        let mesh = Mesh::start(name, dialer.clone(), store.clone(), shared.clone());
+        let network = NetworkFetcher { mesh: mesh.clone() };
         let files = settings.data.join("files");
-        let keeper = Keeper::new(desk.clone(), gate.clone(), target, store, files, network);
-        thread::spawn(move || keeper.run());
+        let reconciler =
+            Reconciler::new(shared.clone(), gate.clone(), target, store, files, network);
+        thread::spawn(move || reconciler.run());
         let stopped = Arc::new(AtomicBool::new(false));
         let pacer = Pacer {
-            link: settings.link,
-            firsts,
+            link_rate: settings.link,
+            first_byte_times,
             gate: gate.clone(),
-            desk: desk.clone(),
+            shared: shared.clone(),
             mesh: mesh.clone(),
             stopped: stopped.clone(),
         };
@@ -134,15 +139,15 @@
             settings: settings.clone(),
             dialer,
             gate: gate.clone(),
-            desk: desk.clone(),
+            shared: shared.clone(),
             term,
             stopped: stopped.clone(),
             incarnation: incarnation(),
-            version: AtomicU64::new(0),
-            accepted: Mutex::default(),
-            armed: Mutex::default(),
-            heard: Mutex::default(),
-            told: Mutex::default(),
+            last_version: AtomicU64::new(0),
+            accepted_fence: Mutex::default(),
+            order_gate: Mutex::default(),
+            last_orders: Mutex::default(),
+            current_entries: Mutex::default(),
         });
         let announcing = announcer.clone();
         thread::spawn(move || announcing.run());
@@ -151,26 +156,26 @@
             settings,
             listener,
             gate,
-            desk,
+            shared,
             announcer,
             mesh,
             stopped,
         })
     }
 
-    /// Where links connect.
+    /// Returns the address that accepts links.
     pub const fn links(&self) -> SocketAddr {
         self.listener.addr()
     }
 
-    /// Takes nothing new, and returns when the requests in progress have ended and their answers are
-    /// on their way; false if some had not ended when the stop timeout ran out.
+    /// Refuses new requests and waits until those in progress have ended and their answers are being
+    /// sent. Returns false if some had not ended when the stop timeout ran out.
     pub fn stop(self) -> bool {
         self.gate.leave();
         self.announcer.announce_once();
         let idle = self.gate.wait_idle(self.settings.stop_timeout.into());
         if idle {
-            self.listener.finish(LAST_CALLS);
+            self.listener.finish(LAST_CALLS_TIMEOUT);
         } else {
             let requests = self.gate.running();
             warn!("stop timeout ran out, requests break off", kv: { requests });
@@ -183,7 +188,7 @@
 impl Drop for Agent {
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::Relaxed);
-        self.desk.stop();
+        self.shared.stop();
         self.mesh.stop();
     }
 }
@@ -192,23 +197,23 @@
     settings: &Settings,
     telemetry: &Arc<Telemetry>,
     gate: &Gate,
-    desk: &Arc<Desk>,
+    shared: &Arc<SharedState>,
 ) -> Result<Option<Scrape>, StartError> {
     let Some(addr) = settings.metrics else {
         return Ok(None);
     };
-    let (gate, desk) = (gate.clone(), desk.clone());
+    let (gate, shared) = (gate.clone(), shared.clone());
     let scrape = Scrape::start(addr, telemetry.clone(), move |telemetry| {
         let metrics = &telemetry.metrics;
         metrics.agent.in_flight.set(gate.running().into());
-        metrics.weights.copying.set(i64::from(desk.is_copying()));
+        metrics.weights.copying.set(i64::from(shared.is_copying()));
     });
     let scrape = scrape.map_err(|source| StartError::Bind { addr, source })?;
     Ok(Some(scrape))
 }
 
 fn open_store(settings: &Settings) -> Result<Store, StartError> {
-    if settings.kind == Kind::Service {
+    if settings.kind == TargetKind::Service {
         return Ok(Store::memory(0));
     }
     for folder in ["chunks", "files"] {
--- a/crates/filbertstack-agent/src/scrape.rs
+++ b/crates/filbertstack-agent/src/scrape.rs
@@ -1,4 +1,4 @@
-//! The agent's `/metrics`, for a collector on the instance or its network.
+//! The agent's `/metrics` endpoint, for a collector on the instance or its network.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -11,7 +11,7 @@
 use tiny_http::Response;
 use tiny_http::Server;
 
-/// Answers scrapes until it is dropped.
+/// An HTTP server that answers scrapes until it is dropped.
 pub struct Scrape {
     server: Arc<Server>,
 }
@@ -23,10 +23,10 @@
 }
 
 impl Scrape {
-    /// Answers at `addr`; each scrape takes what `refresh` sets anew.
+    /// Starts the server at `addr`; it calls `refresh` to update the metrics before each answer.
     ///
     /// # Errors
-    /// If the address is taken or not this instance's.
+    /// Returns an error if the address is in use or not an address of this instance.
     pub fn start(
         addr: SocketAddr,
         telemetry: Arc<Telemetry>,
--- a/crates/filbertstack-agent/src/serve.rs
+++ b/crates/filbertstack-agent/src/serve.rs
@@ -1,4 +1,4 @@
-//! The calls that arrive on the agent's links: requests for the target, chunks for peers.
+//! Handles the calls on the agent's links: requests for the target, and chunks for peers.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -32,37 +32,37 @@
 use filbertstack_wire::messages::TermReport;
 use filbertstack_wire::stream::payload;
 
-use crate::desk::Desk;
-use crate::gate::Closed;
 use crate::gate::Gate;
-use crate::pacing::FirstBytes;
-use crate::target::Answer;
+use crate::gate::Refusal;
+use crate::pacing::FirstByteTimes;
+use crate::shared::SharedState;
+use crate::target::AnswerReader;
 use crate::target::Target;
 use crate::target::TargetError;
 use crate::target::is_hop_header;
 
-/// The size of a piece of a chunk, in bytes: small enough that a request's frame never waits long
-/// behind it, large enough that its head costs nothing.
-const PIECE: usize = 256 << 10;
+/// The size of a piece of a chunk, in bytes: small enough that the frame of a request never waits long
+/// behind it, and large enough that the cost of its header is negligible.
+const PIECE_SIZE: usize = 256 << 10;
 
-/// When an entry may come back to a full or closed target, in milliseconds: about one answer.
-const COME_BACK: u64 = 200;
+/// When an entry may retry a full or closed target, in milliseconds: about the time of one answer.
+const RETRY_AFTER_MS: u64 = 200;
 
-/// How many chunks are sent at once: each asker has a few of the slots of a few agents, and more
-/// at once would all be slow together.
-pub const UPLOADS: usize = 8;
+/// How many chunks are sent in parallel. Each requester uses a few slots of a few agents; more parallel
+/// uploads would slow each other down.
+pub const MAX_UPLOADS: usize = 8;
 
-/// How many may wait for an upload; each takes a thread.
-const MAX_WAITING: usize = 64;
+/// How many requesters may wait for an upload slot; each occupies a thread.
+const MAX_WAITING_UPLOADS: usize = 64;
 
-/// How long one may wait for an upload: well under what askers wait for a piece.
-const UPLOAD_WAIT: Duration = Duration::from_secs(1);
+/// How long a requester may wait for an upload slot: well under the time that it waits for a piece.
+const MAX_UPLOAD_WAIT: Duration = Duration::from_secs(1);
 
-/// When one that got no upload may come back, in milliseconds.
-const BUSY: u64 = 100;
+/// When a requester that got no upload slot may retry, in milliseconds.
+const BUSY_RETRY_MS: u64 = 100;
 
-/// A requester of whom nothing is known: such are served in the order of arrival.
-const ANYBODY: Upload = Upload {
+/// A requester without known properties; such requesters are served in the order of arrival.
+const UNKNOWN_REQUESTER: Upload = Upload {
     chunk: 0,
     import: false,
     held: 0,
@@ -70,35 +70,35 @@
     copies: 0,
 };
 
-const READ_BUFFER: usize = 16 << 10;
+const READ_BUFFER_SIZE: usize = 16 << 10;
 
-/// Takes the calls that arrive on the agent's links.
-pub struct Calls {
-    /// What may reach the target.
+/// Handles the calls that arrive on the agent's links.
+pub struct CallHandler {
+    /// The gate of the target.
     pub gate: Gate,
     /// The target.
     pub target: Target,
-    /// Chunks for peers.
+    /// The store of the chunks that peers request.
     pub store: Arc<Store>,
-    /// Who of the peers gets the next chunk.
+    /// The upload slots, which order the waiting peers.
     pub uploads: Arc<Uploads>,
-    /// Manifests for peers.
-    pub desk: Arc<Desk>,
+    /// The state with the manifests that peers request.
+    pub shared: Arc<SharedState>,
     /// The highest term accepted.
     pub term: Arc<AtomicU64>,
     /// Metrics and traces.
     pub telemetry: Arc<Telemetry>,
-    /// How fast the target begins to answer.
-    pub firsts: FirstBytes,
+    /// The times to the first byte of the target's answers.
+    pub first_byte_times: FirstByteTimes,
 }
 
-impl Handler for Calls {
+impl Handler for CallHandler {
     fn handle(&self, _: &Remote, ask: Ask, responder: Responder) {
         match ask {
             Ask::Dispatch(dispatch) => self.dispatch(dispatch, responder),
             Ask::Chunk(Digested { digest }) => self.chunk(&digest, responder),
             Ask::Manifest(Digested { digest }) => self.manifest(&digest, responder),
-            Ask::Have(Digested { digest }) => self.have(&digest, responder),
+            Ask::Have(Digested { digest }) => self.held_chunks(&digest, responder),
             Ask::Term(_) => {
                 let term = self.term.load(Ordering::Relaxed);
                 let report = TermReport {
@@ -116,38 +116,53 @@
     }
 }
 
-impl Calls {
+impl CallHandler {
     fn dispatch(&self, dispatch: Dispatch, responder: Responder) {
         let version = Digest::from_slice(&dispatch.digest);
         if version.is_none() && !dispatch.digest.is_empty() {
             return responder.refuse("a version that is no digest: route the request again", 0);
         }
-        let pass = match self.gate.pass(version) {
-            Ok(pass) => pass,
-            Err(closed) => {
-                self.telemetry.metrics.agent.gate.add(closed.name(), 1);
-                return responder.refuse_as(cause_of(closed), &closed.to_string(), COME_BACK);
+        let permit = match self.gate.admit(version) {
+            Ok(permit) => permit,
+            Err(refusal) => {
+                self.telemetry
+                    .metrics
+                    .agent
+                    .gate
+                    .add(refusal.metric_name(), 1);
+                return responder.refuse_as(
+                    refusal_cause(refusal),
+                    &refusal.to_string(),
+                    RETRY_AFTER_MS,
+                );
             }
         };
         self.telemetry.metrics.agent.gate.add("pass", 1);
         let (target, gate) = (self.target.clone(), self.gate.clone());
         let telemetry = self.telemetry.clone();
-        let firsts = self.firsts.clone();
+        let first_byte_times = self.first_byte_times.clone();
         let builder = thread::Builder::new()
             .name("dispatch".into())
             .stack_size(STACK);
-        // A thread that can't be started drops the responder, and the entry hears "unknown";
-        // nothing ran, but saying so needs the responder, which is gone with the closure.
+        // If the thread can't be started, the responder is dropped with the closure and the outcome is
+        // unknown to the entry. Nothing ran, but there is no responder left to report that.
         let _ = builder.spawn(move || {
-            let _pass = pass;
-            let begun = Instant::now();
-            let first = || firsts.note(begun.elapsed());
-            pass_on(&target, &gate, &telemetry, dispatch, responder, first);
+            let _permit = permit;
+            let started_at = Instant::now();
+            let on_first_byte = || first_byte_times.record(started_at.elapsed());
+            forward(
+                &target,
+                &gate,
+                &telemetry,
+                dispatch,
+                responder,
+                on_first_byte,
+            );
             telemetry
                 .metrics
                 .agent
                 .call
-                .record("ended", begun.elapsed());
+                .record("ended", started_at.elapsed());
         });
     }
 
@@ -156,16 +171,16 @@
         let Some(digest) = held else {
             return responder.refuse("this agent does not hold the chunk: ask another", 0);
         };
-        if self.uploads.waiting() >= MAX_WAITING {
-            return responder.refuse("too many ask for chunks: come back", BUSY);
+        if self.uploads.waiting() >= MAX_WAITING_UPLOADS {
+            return responder.refuse("too many ask for chunks: come back", BUSY_RETRY_MS);
         }
         let (store, uploads) = (self.store.clone(), self.uploads.clone());
         let builder = thread::Builder::new()
             .name("chunk".into())
             .stack_size(STACK);
         let _ = builder.spawn(move || {
-            let Some(_slot) = uploads.enter(ANYBODY, UPLOAD_WAIT) else {
-                return responder.refuse("others were served first: come back", BUSY);
+            let Some(_slot) = uploads.enter(UNKNOWN_REQUESTER, MAX_UPLOAD_WAIT) else {
+                return responder.refuse("others were served first: come back", BUSY_RETRY_MS);
             };
             match store.get(digest) {
                 Ok(Some(bytes)) => send_pieces(&bytes, responder),
@@ -176,15 +191,15 @@
     }
 
     fn manifest(&self, digest: &[u8], responder: Responder) {
-        let manifest = Digest::from_slice(digest).and_then(|root| self.desk.manifest(root));
+        let manifest = Digest::from_slice(digest).and_then(|root| self.shared.manifest(root));
         match manifest {
             Some(manifest) => send_pieces(&manifest.encode(), responder),
             None => responder.refuse("this agent does not know the version: ask another", 0),
         }
     }
 
-    fn have(&self, digest: &[u8], responder: Responder) {
-        let manifest = Digest::from_slice(digest).and_then(|root| self.desk.manifest(root));
+    fn held_chunks(&self, digest: &[u8], responder: Responder) {
+        let manifest = Digest::from_slice(digest).and_then(|root| self.shared.manifest(root));
         let Some(manifest) = manifest else {
             return responder.refuse("this agent does not know the version: ask another", 0);
         };
@@ -198,17 +213,17 @@
     }
 }
 
-/// What an entry can do about a closed gate.
-const fn cause_of(closed: Closed) -> Cause {
-    match closed {
-        Closed::Version => Cause::Absent,
-        Closed::Leaving => Cause::Leaving,
-        Closed::Full => Cause::Full,
+/// Returns the cause that tells the entry how to handle a refusal of the gate.
+const fn refusal_cause(refusal: Refusal) -> Cause {
+    match refusal {
+        Refusal::Version => Cause::Absent,
+        Refusal::Leaving => Cause::Leaving,
+        Refusal::Full => Cause::Full,
     }
 }
 
 fn send_pieces(bytes: &bytes::Bytes, mut responder: Responder) {
-    let mut pieces = bytes.chunks(PIECE).peekable();
+    let mut pieces = bytes.chunks(PIECE_SIZE).peekable();
     while let Some(piece) = pieces.next() {
         let tell = Tell::Piece(Payload {
             body: bytes.slice_ref(piece),
@@ -223,53 +238,53 @@
     }
 }
 
-/// Passes one request to the target and its answer back, frame by frame.
-fn pass_on(
+/// Forwards one request to the target, and its answer back to the entry frame by frame.
+fn forward(
     target: &Target,
     gate: &Gate,
     telemetry: &Telemetry,
     mut dispatch: Dispatch,
     mut responder: Responder,
-    first: impl FnOnce(),
+    on_first_byte: impl FnOnce(),
 ) {
     if responder.is_cancelled() {
         return responder.refuse("the caller left before the request began", 0);
     }
     let parent = Parent::parse(Some(&dispatch.trace), None);
-    let passed = telemetry.tracer().span(Hop::AgentGate, &parent);
-    passed.text(Field::Organisation, &dispatch.organisation);
+    let gate_span = telemetry.tracer().span(Hop::AgentGate, &parent);
+    gate_span.text(Field::Organisation, &dispatch.organisation);
     let hop = if dispatch.digest.is_empty() {
         Hop::AgentService
     } else {
         Hop::AgentEngine
     };
-    let span = telemetry.tracer().span(hop, &passed.parent());
+    let span = telemetry.tracer().span(hop, &gate_span.parent());
     set_header(&mut dispatch.headers, "traceparent", span.traceparent());
     let response = match target.dispatch(&dispatch) {
         Ok(response) => response,
         Err(error @ TargetError::Unreached(_)) => {
             span.fail(&error.to_string());
-            return responder.refuse_as(Cause::Unreachable, &error.to_string(), COME_BACK);
+            return responder.refuse_as(Cause::Unreachable, &error.to_string(), RETRY_AFTER_MS);
         }
         Err(error) => {
             span.fail(&error.to_string());
             return responder.fail(&error.to_string());
         }
     };
-    first();
+    on_first_byte();
     let head = Head {
         running: gate.running(),
         slots: gate.slots(),
-        ..head_of(&response, &dispatch)
+        ..response_head(&response, &dispatch)
     };
     if responder.send(Tell::Head(head)).is_err() {
         return;
     }
-    if let Err(error) = pass_body(Answer::new(response), &mut responder) {
+    if let Err(error) = forward_body(AnswerReader::new(response), &mut responder) {
         span.fail(&error.to_string());
         return responder.fail(&error.to_string());
     }
-    // The end is a frame of its own: an answer without it is not whole.
+    // A frame of its own marks the end: an answer without it is incomplete.
     let _ = responder.finish(Tell::Piece(Payload::default()));
 }
 
@@ -281,7 +296,7 @@
     });
 }
 
-fn head_of(response: &ureq::http::Response<ureq::Body>, dispatch: &Dispatch) -> Head {
+fn response_head(response: &ureq::http::Response<ureq::Body>, dispatch: &Dispatch) -> Head {
     let headers = response.headers().iter();
     let headers = headers.filter(|(name, _)| !is_hop_header(name.as_str()));
     let headers = headers.filter_map(|(name, value)| {
@@ -300,8 +315,8 @@
     }
 }
 
-fn pass_body(mut answer: Answer, responder: &mut Responder) -> Result<(), TargetError> {
-    let mut buffer = vec![0; READ_BUFFER];
+fn forward_body(mut answer: AnswerReader, responder: &mut Responder) -> Result<(), TargetError> {
+    let mut buffer = vec![0; READ_BUFFER_SIZE];
     loop {
         let n = answer.read(&mut buffer)?;
         if n == 0 {
@@ -310,12 +325,12 @@
         let body = bytes::Bytes::copy_from_slice(&buffer[..n]);
         let sent = responder.send(Tell::Piece(Payload { body }));
         if sent.is_err() || responder.is_cancelled() {
-            return Err(TargetError::Broken(cancelled(&sent)));
+            return Err(TargetError::Broken(cancel_reason(&sent)));
         }
     }
 }
 
-fn cancelled(sent: &Result<(), WireError>) -> String {
+fn cancel_reason(sent: &Result<(), WireError>) -> String {
     match sent {
         Ok(()) => "the caller left".into(),
         Err(error) => error.to_string(),
--- a/crates/filbertstack-agent/src/settings.rs
+++ b/crates/filbertstack-agent/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an agent: read once at start, all of them checked.
+//! The settings of an agent, which are read and checked once at start.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -25,28 +25,28 @@
 use filbertstack_wire::Key;
 use filbertstack_wire::Keyring;
 
-/// How long a stop waits for requests in progress by default: the default timeout of a rule.
+/// The default time that a stop waits for requests in progress: the default timeout of a rule.
 pub const DEFAULT_STOP_TIMEOUT: Millis = Millis::secs(60);
 
-/// How many requests run at once by default: an engine's batch.
+/// The default number of requests that run at once: the size of an engine's batch.
 pub const DEFAULT_SLOTS: u32 = 32;
 
-/// How much the chunk store holds by default, in bytes.
-pub const DEFAULT_STORE: u64 = 512 << 30;
+/// The default size of the chunk store, in bytes.
+pub const DEFAULT_STORE_SIZE: u64 = 512 << 30;
 
-/// What an instance's link is taken to carry by default, in bytes a second: 10 Gbit/s.
-pub const DEFAULT_LINK: u64 = 1_250_000_000;
+/// The default capacity of an instance's link, in bytes per second: 10 Gbit/s.
+pub const DEFAULT_LINK_RATE: u64 = 1_250_000_000;
 
-/// What stands behind an agent.
+/// The kind of target behind an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum TargetKind {
     /// A model engine, which loads weights.
     Engine,
-    /// A plain service, which has none.
+    /// A plain service, which has no weights.
     Service,
 }
 
-impl FromStr for Kind {
+impl FromStr for TargetKind {
     type Err = ValueError;
 
     fn from_str(text: &str) -> Result<Self, ValueError> {
@@ -66,37 +66,37 @@
 pub struct Settings {
     /// The target's instance name.
     pub name: InstanceName,
-    /// Its availability zone.
+    /// The target's availability zone.
     pub zone: ZoneName,
-    /// Its region.
+    /// The target's region.
     pub region: RegionName,
-    /// Where links connect.
+    /// The address that accepts links.
     pub links: SocketAddr,
-    /// Where `/metrics` is; nowhere without it.
+    /// The address of `/metrics`, which is not served without it.
     pub metrics: Option<SocketAddr>,
-    /// Links of entries to announce to at first.
+    /// The link addresses of the entries that receive the first announcements.
     pub entries: Vec<SocketAddr>,
-    /// Further labels.
+    /// The target's further labels.
     pub labels: Labels,
-    /// The folder of chunks and of the files that the engine loads.
+    /// The folder of the chunks and of the files that the engine loads.
     pub data: PathBuf,
-    /// How much the chunk store holds, in bytes.
+    /// The size of the chunk store, in bytes.
     pub store: u64,
     /// The target's memory for weights, in bytes.
     pub memory: u64,
-    /// What the instance's link carries, in bytes a second.
+    /// The capacity of the instance's link, in bytes per second.
     pub link: u64,
     /// How long a stop waits for requests in progress.
     pub stop_timeout: Millis,
-    /// What the target is.
-    pub kind: Kind,
-    /// Where its HTTP API is, as `http://IP:port`.
+    /// The kind of target.
+    pub kind: TargetKind,
+    /// The URL of the target's HTTP API, as `http://IP:port`.
     pub url: String,
-    /// How many requests it runs at once.
+    /// How many requests the target runs at once.
     pub slots: u32,
-    /// The keys of links.
+    /// The keys that authenticate links.
     pub keys: Keyring,
-    /// Logs, metrics and traces.
+    /// The settings of logs, metrics and traces.
     pub telemetry: TelemetrySettings,
 }
 
@@ -104,16 +104,16 @@
     /// Reads and checks the file at `path`.
     ///
     /// # Errors
-    /// Every problem of the file at once.
+    /// Returns every problem of the file.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let document = settings::read_document(path)?;
         Ok(Self::from_document(document)?)
     }
 
-    /// Checks `document`; relative paths are relative to its file's folder.
+    /// Checks `document`. Relative paths start at the folder of its file.
     ///
     /// # Errors
-    /// Every problem at once.
+    /// Returns every problem of the document.
     pub fn from_document(mut document: Document) -> Result<Self, Problems> {
         let mut problems = Problems::default();
         let folder = settings::folder(&document);
@@ -131,10 +131,10 @@
         }
     }
 
-    /// Every label of the target: those given, its availability zone, region and name.
+    /// Returns every label of the target: those of the settings, its availability zone, region and name.
     pub fn all_labels(&self) -> Labels {
         let mut labels = self.labels.clone();
-        // Names are checked, so these can't fail.
+        // The names were checked, so they are valid as label values.
         let _ = labels.set("zone", self.zone.as_str());
         let _ = labels.set("region", self.region.as_str());
         let _ = labels.set("instance", self.name.as_str());
@@ -158,7 +158,7 @@
 }
 
 struct TargetSection {
-    kind: Kind,
+    kind: TargetKind,
     url: String,
     slots: u32,
 }
@@ -224,9 +224,9 @@
         entries,
         labels: labels.unwrap_or_default(),
         data: folder.join(data?),
-        store: store.unwrap_or(DEFAULT_STORE),
+        store: store.unwrap_or(DEFAULT_STORE_SIZE),
         memory: memory.unwrap_or(0),
-        link: link.unwrap_or(DEFAULT_LINK),
+        link: link.unwrap_or(DEFAULT_LINK_RATE),
         stop_timeout: stop_timeout.unwrap_or(DEFAULT_STOP_TIMEOUT),
     })
 }
--- a/crates/filbertstack-agent/src/source.rs
+++ b/crates/filbertstack-agent/src/source.rs
@@ -1,4 +1,4 @@
-//! Chunks and manifests from other agents, over links.
+//! Fetches chunks and manifests from other agents over links.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,25 +22,25 @@
 use filbertstack_wire::messages::Tell;
 use thiserror::Error;
 
-/// How long a peer may take for its next piece.
+/// How long a peer may take to send the next piece.
 ///
-/// A piece is 256 KiB; at 64 KiB/s, the least that helps a copy, it takes 4 s.
+/// A piece has 256 KiB. At 64 KiB/s, the lowest rate that helps a copy, it takes 4 s.
 pub const PIECE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Another agent as a source of chunks.
 #[derive(Clone, Debug)]
-pub struct Peer {
+pub struct PeerSource {
     dialer: Arc<Dialer>,
     addr: SocketAddr,
 }
 
-/// What goes wrong with a peer.
+/// An error of a fetch from a peer.
 #[derive(Debug, Error)]
 #[error("peer {addr}: {error}")]
 pub struct PeerError {
     /// The peer.
     pub addr: SocketAddr,
-    /// What the link says.
+    /// The error of the link.
     pub error: WireError,
 }
 
@@ -58,34 +58,34 @@
     }
 }
 
-impl Peer {
-    /// The agent whose links lead to `addr`.
+impl PeerSource {
+    /// Creates a source for the agent that accepts links at `addr`.
     pub const fn new(dialer: Arc<Dialer>, addr: SocketAddr) -> Self {
         Self { dialer, addr }
     }
 
-    /// Where it is.
+    /// Returns the address of the peer.
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// The encoded manifest of `version`.
+    /// Returns the encoded manifest of `version`.
     ///
     /// # Errors
-    /// If the peer does not have it or can't be reached.
+    /// Returns [`PeerError`] if the peer does not have it or can't be reached.
     pub fn manifest(&self, version: Digest) -> Result<Bytes, PeerError> {
-        self.gather(Ask::Manifest(Digested {
+        self.receive(Ask::Manifest(Digested {
             digest: version.to_vec(),
         }))
     }
 
-    fn gather(&self, ask: Ask) -> Result<Bytes, PeerError> {
+    fn receive(&self, ask: Ask) -> Result<Bytes, PeerError> {
         let addr = self.addr;
-        self.gather_pieces(ask)
+        self.receive_pieces(ask)
             .map_err(|error| PeerError { addr, error })
     }
 
-    fn gather_pieces(&self, ask: Ask) -> Result<Bytes, WireError> {
+    fn receive_pieces(&self, ask: Ask) -> Result<Bytes, WireError> {
         let link = self.dialer.link(self.addr, Role::Agent)?;
         let mut replies = link.call(ask)?;
         let mut bytes = BytesMut::new();
@@ -99,11 +99,11 @@
     }
 }
 
-impl Source for Peer {
+impl Source for PeerSource {
     type Error = PeerError;
 
     fn fetch(&self, want: &Want) -> Result<Bytes, PeerError> {
-        self.gather(Ask::Chunk(Digested {
+        self.receive(Ask::Chunk(Digested {
             digest: want.chunk.digest.to_vec(),
         }))
     }
--- a/crates/filbertstack-agent/src/target.rs
+++ b/crates/filbertstack-agent/src/target.rs
@@ -1,4 +1,4 @@
-//! The target's own HTTP API: orders to an engine, and requests passed on.
+//! A client of the target's HTTP API, for orders to an engine and for forwarded requests.
 
 use std::io::Read;
 use std::path::Path;
@@ -16,13 +16,13 @@
 use ureq::http::Request;
 use ureq::http::Response;
 
-/// How long an order or a question to the target may take.
+/// How long an order to the target or a query of its state may take.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a connection to the target may take: it is on the same instance.
+/// How long a connection to the target, which runs on the same instance, may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Headers of one hop, which no hop passes on.
+/// The hop-by-hop headers, which are not forwarded.
 const HOP_HEADERS: [&str; 9] = [
     "connection",
     "content-length",
@@ -35,18 +35,18 @@
     "upgrade",
 ];
 
-/// Whether a header belongs to one hop only.
+/// Returns whether a header is hop-by-hop.
 pub fn is_hop_header(name: &str) -> bool {
     HOP_HEADERS.iter().any(|hop| name.eq_ignore_ascii_case(hop))
 }
 
-/// What went wrong between the agent and its target.
+/// An error of a call to the target.
 #[derive(Debug, Error)]
 pub enum TargetError {
-    /// Nothing was sent.
+    /// No byte of the request was sent.
     #[error("the target can't be reached ({0}): check that it runs at the url in [target]")]
     Unreached(String),
-    /// Something was sent, and no whole answer came.
+    /// The request was sent at least in part, and no complete answer was received.
     #[error("the target broke off ({0}); the outcome is unknown")]
     Broken(String),
     /// The engine refused an order.
@@ -54,43 +54,43 @@
     Refused(u16),
 }
 
-/// How far an engine is with its weights.
+/// The state of the weights in an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// It has none.
+    /// The engine has no weights.
     #[default]
     Empty,
-    /// It reads some.
+    /// The engine loads weights.
     Loading,
-    /// It answers from them.
+    /// The engine serves its weights.
     Serving,
-    /// It could not load them.
+    /// The engine failed to load weights.
     Failed,
 }
 
-/// What an engine reports of itself.
+/// The state that an engine reports.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Report {
-    /// How far it is.
+    /// The state of the weights.
     pub state: Phase,
-    /// The version as the order named it.
+    /// The version, as the order named it.
     pub digest: Option<String>,
-    /// Why the last load failed.
+    /// The reason why the last load failed.
     pub reason: Option<String>,
 }
 
-/// The target's HTTP API.
+/// A client of the target's HTTP API.
 #[derive(Clone, Debug)]
 pub struct Target {
     url: String,
-    agent: Agent,
+    client: Agent,
 }
 
 impl Target {
-    /// The target at `url`.
+    /// Creates a client for the target at `url`.
     pub fn new(url: &str) -> Self {
-        let agent = Agent::config_builder()
+        let client = Agent::config_builder()
             .http_status_as_error(false)
             .max_redirects(0)
             .timeout_connect(Some(CONNECT_TIMEOUT))
@@ -98,14 +98,15 @@
             .new_agent();
         Self {
             url: url.into(),
-            agent,
+            client,
         }
     }
 
     /// Orders the engine to load the files below `dir` as `version` of `model`.
     ///
     /// # Errors
-    /// If the engine can't be reached or refuses; after [`TargetError::Broken`] it may load.
+    /// Returns [`TargetError`] if the engine can't be reached or refuses. After [`TargetError::Broken`] the
+    /// engine may still load the version.
     pub fn load(
         &self,
         model: &str,
@@ -113,7 +114,7 @@
         dir: &Path,
         fence: Fence,
     ) -> Result<(), TargetError> {
-        let number = fence_number(fence);
+        let number = encode_fence(fence);
         let order = json!({
             "model": model, "digest": version.to_string(), "dir": dir, "fence": number,
         });
@@ -123,41 +124,41 @@
     /// Orders the engine to drop its weights.
     ///
     /// # Errors
-    /// If the engine can't be reached or refuses.
+    /// Returns [`TargetError`] if the engine can't be reached or refuses.
     pub fn unload(&self, fence: Fence) -> Result<(), TargetError> {
-        self.order("/admin/unload", &json!({ "fence": fence_number(fence) }))
+        self.order("/admin/unload", &json!({ "fence": encode_fence(fence) }))
     }
 
     fn order(&self, path: &str, order: &serde_json::Value) -> Result<(), TargetError> {
-        let call = self.agent.post(format!("{}{path}", self.url));
+        let call = self.client.post(format!("{}{path}", self.url));
         let call = call.config().timeout_global(Some(ORDER_TIMEOUT)).build();
         let call = call.header("content-type", "application/json");
         let response = call
             .send(order.to_string().as_bytes())
-            .map_err(|error| sending_error(&error))?;
+            .map_err(|error| classify_error(&error))?;
         match response.status().as_u16() {
             200..300 => Ok(()),
             status => Err(TargetError::Refused(status)),
         }
     }
 
-    /// Asks the engine what it serves.
+    /// Returns the state that the engine reports.
     ///
     /// # Errors
-    /// If the engine can't be reached or its answer does not read.
+    /// Returns [`TargetError`] if the engine can't be reached or its answer can't be parsed.
     pub fn report(&self) -> Result<Report, TargetError> {
-        let call = self.agent.get(format!("{}/admin/state", self.url));
+        let call = self.client.get(format!("{}/admin/state", self.url));
         let call = call.config().timeout_global(Some(ORDER_TIMEOUT)).build();
-        let mut response = call.call().map_err(|error| unreached(&error))?;
+        let mut response = call.call().map_err(|error| unreached_error(&error))?;
         let text = response.body_mut().read_to_string();
         let text = text.map_err(|error| TargetError::Broken(error.to_string()))?;
         serde_json::from_str(&text).map_err(|error| TargetError::Broken(error.to_string()))
     }
 
-    /// Passes a request on, and returns the head of the answer with its body unread.
+    /// Forwards a request and returns the answer, whose body has not been read.
     ///
     /// # Errors
-    /// [`TargetError::Unreached`] only if the request certainly did not reach the target.
+    /// Returns [`TargetError::Unreached`] only if the request certainly did not reach the target.
     pub fn dispatch(&self, dispatch: &Dispatch) -> Result<Response<Body>, TargetError> {
         let mut builder = Request::builder()
             .method(dispatch.method.as_str())
@@ -171,27 +172,28 @@
         let request = request.map_err(|error| TargetError::Unreached(error.to_string()))?;
         let timeout = Duration::from_millis(dispatch.timeout.max(1));
         let request = self
-            .agent
+            .client
             .configure_request(request)
             .timeout_global(Some(timeout))
             .build();
-        self.agent
+        self.client
             .run(request)
-            .map_err(|error| sending_error(&error))
+            .map_err(|error| classify_error(&error))
     }
 }
 
-/// The engine's fencing number is one integer: the term above the sequence.
-fn fence_number(fence: Fence) -> u64 {
+/// Encodes the fencing number as the one integer that engines take: the term in the upper half, the
+/// sequence in the lower.
+fn encode_fence(fence: Fence) -> u64 {
     (fence.term << 32) | (fence.sequence & u64::from(u32::MAX))
 }
 
-fn unreached(error: &ureq::Error) -> TargetError {
+fn unreached_error(error: &ureq::Error) -> TargetError {
     TargetError::Unreached(error.to_string())
 }
 
-/// Only what fails before a byte is sent is certain not to have run.
-fn sending_error(error: &ureq::Error) -> TargetError {
+/// Classifies a failed call: only one that failed before a byte was sent certainly did not run.
+fn classify_error(error: &ureq::Error) -> TargetError {
     let text = error.to_string();
     let refused = |kind| matches!(kind, std::io::ErrorKind::ConnectionRefused);
     match error {
@@ -204,48 +206,48 @@
     }
 }
 
-/// The bytes of a streamed answer, and whether its end was marked.
-pub struct Answer {
+/// Reads a streamed answer and checks that its end is marked.
+pub struct AnswerReader {
     reader: ureq::BodyReader<'static>,
-    events: bool,
+    is_event_stream: bool,
     tail: Vec<u8>,
 }
 
-/// What ends a stream of events.
-const DONE: &[u8] = b"data: [DONE]";
+/// The mark at the end of a stream of events.
+const END_MARK: &[u8] = b"data: [DONE]";
 
-impl Answer {
-    /// The body of `response`.
+impl AnswerReader {
+    /// Creates a reader of the body of `response`.
     pub fn new(response: Response<Body>) -> Self {
         let kind = response.headers().get("content-type");
         let kind = kind.and_then(|kind| kind.to_str().ok()).unwrap_or_default();
-        let events = kind.starts_with("text/event-stream");
+        let is_event_stream = kind.starts_with("text/event-stream");
         Self {
             reader: response.into_body().into_reader(),
-            events,
+            is_event_stream,
             tail: Vec::new(),
         }
     }
 
-    /// Reads the next bytes; zero at the end of a whole answer.
+    /// Reads the next bytes; returns zero at the end of a complete answer.
     ///
     /// # Errors
-    /// [`TargetError::Broken`] if the answer was cut.
+    /// Returns [`TargetError::Broken`] if the answer was cut off.
     pub fn read(&mut self, buffer: &mut [u8]) -> Result<usize, TargetError> {
         let read = self.reader.read(buffer);
         let n = read.map_err(|error| TargetError::Broken(error.to_string()))?;
-        if n == 0 && self.events && !self.is_marked() {
+        if n == 0 && self.is_event_stream && !self.has_end_mark() {
             return Err(TargetError::Broken(
                 "its stream of events has no end mark".into(),
             ));
         }
         self.tail.extend_from_slice(&buffer[..n]);
-        let surplus = self.tail.len().saturating_sub(DONE.len() + 4);
+        let surplus = self.tail.len().saturating_sub(END_MARK.len() + 4);
         self.tail.drain(..surplus);
         Ok(n)
     }
 
-    fn is_marked(&self) -> bool {
-        self.tail.trim_ascii_end().ends_with(DONE)
+    fn has_end_mark(&self) -> bool {
+        self.tail.trim_ascii_end().ends_with(END_MARK)
     }
 }
--- a/crates/filbertstack-agent/src/unanswered.rs
+++ b/crates/filbertstack-agent/src/unanswered.rs
@@ -1,4 +1,4 @@
-//! Orders that the engine left without an answer.
+//! Orders to which the engine gave no answer.
 
 use std::time::Instant;
 
@@ -6,41 +6,42 @@
 use filbertstack_core::Millis;
 use filbertstack_policy::rollout::MAX_CALL_DELAY;
 
-/// What an engine is told.
+/// An order to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// To load a version.
+    /// Load a version.
     Load(Digest),
-    /// To drop what it has.
+    /// Drop the loaded weights.
     Unload,
 }
 
-/// The orders that the engine left without an answer and may yet carry out.
+/// The orders that got no answer and that the engine may still carry out.
 ///
-/// An engine that ignores fencing numbers carries such an order out whatever came after it. Its agent
-/// lets requests pass for the later order's version, which then are answered from another. So no other
-/// order is given while one may be carried out; the same one may, as it changes nothing.
+/// An engine that ignores fencing numbers may carry out such an order after a later one. The agent
+/// would then admit requests for the version of the later order while the engine answers them from
+/// the earlier one. Therefore no different order is sent while an unanswered one may still be carried
+/// out. The same order may be repeated, because it changes nothing.
 #[derive(Debug, Default)]
-pub struct Unanswered {
+pub struct UnansweredOrders {
     sent: Vec<(Order, Instant)>,
 }
 
-impl Unanswered {
-    /// Notes an order that got no answer.
-    pub fn note(&mut self, order: Order, now: Instant) {
+impl UnansweredOrders {
+    /// Records an order that got no answer.
+    pub fn record(&mut self, order: Order, now: Instant) {
         self.sent
-            .retain(|(known, sent)| *known != order && may_come(*sent, now));
+            .retain(|(known, sent)| *known != order && may_still_run(*sent, now));
         self.sent.push((order, now));
     }
 
-    /// Whether `order` may be given.
+    /// Returns whether `order` may be sent now.
     pub fn allows(&self, order: Order, now: Instant) -> bool {
         let mut others = self.sent.iter().filter(|(known, _)| *known != order);
-        !others.any(|(_, sent)| may_come(*sent, now))
+        !others.any(|(_, sent)| may_still_run(*sent, now))
     }
 }
 
-/// Whether an order without an answer, sent then, may yet be carried out.
-fn may_come(sent: Instant, now: Instant) -> bool {
+/// Returns whether an unanswered order sent at `sent` may still be carried out.
+fn may_still_run(sent: Instant, now: Instant) -> bool {
     Millis::from(now.saturating_duration_since(sent)) < MAX_CALL_DELAY
 }
--- a/crates/filbertstack-agent/tests/keeper.rs
+++ b/crates/filbertstack-agent/tests/reconciler.rs
@@ -1,4 +1,4 @@
-//! The keeper of an engine, with an engine that follows a script.
+//! Tests of the reconciler with a simulated engine.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,13 +10,13 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use filbertstack_agent::copying::Copying;
-use filbertstack_agent::copying::Network;
-use filbertstack_agent::desk::Desk;
+use filbertstack_agent::copying::CopyHandle;
+use filbertstack_agent::copying::NetworkFetcher;
 use filbertstack_agent::gate::Gate;
-use filbertstack_agent::keeper::Fetcher;
-use filbertstack_agent::keeper::Keeper;
 use filbertstack_agent::mesh::Mesh;
+use filbertstack_agent::reconciler::Fetcher;
+use filbertstack_agent::reconciler::Reconciler;
+use filbertstack_agent::shared::SharedState;
 use filbertstack_agent::target::Target;
 use filbertstack_core::Digest;
 use filbertstack_weights::Manifest;
@@ -37,70 +37,70 @@
 use tiny_http::Response;
 use tiny_http::Server;
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long after it was sent the engine may carry out an order that it left without an answer.
-const LATEST: Duration = Duration::from_secs(12);
+/// The longest delay after which the engine carries out an order that it left unanswered.
+const MAX_ORDER_DELAY: Duration = Duration::from_secs(12);
 
 /// An engine that ignores fencing numbers.
 #[derive(Default)]
-struct Engine {
-    serves: Option<String>,
-    /// How many orders to load are yet to be left without an answer, and carried out late: at the worst
-    /// moment, once the engine has told that it serves another version, or else at the latest.
+struct SimulatedEngine {
+    served_version: Option<String>,
+    /// How many more load orders the engine leaves unanswered and carries out late: right after it
+    /// reported that it serves another version, which is the worst moment, or else after [`MAX_ORDER_DELAY`].
     late_loads: u32,
-    late: Option<(String, Instant)>,
+    late_order: Option<(String, Instant)>,
 }
 
-impl Engine {
+impl SimulatedEngine {
     fn report(&mut self) -> Value {
-        let overdue = |(_, sent): &(String, Instant)| sent.elapsed() >= LATEST;
-        if self.late.as_ref().is_some_and(overdue) {
-            self.carry_out();
+        let overdue = |(_, sent): &(String, Instant)| sent.elapsed() >= MAX_ORDER_DELAY;
+        if self.late_order.as_ref().is_some_and(overdue) {
+            self.apply_late_order();
         }
-        let state = match &self.serves {
+        let state = match &self.served_version {
             Some(digest) => json!({ "state": "serving", "digest": digest }),
             None => json!({ "state": "empty" }),
         };
-        if self.serves.is_some() {
-            self.carry_out();
+        if self.served_version.is_some() {
+            self.apply_late_order();
         }
         state
     }
 
-    fn carry_out(&mut self) {
-        if let Some((digest, _)) = self.late.take() {
-            self.serves = Some(digest);
+    fn apply_late_order(&mut self) {
+        if let Some((digest, _)) = self.late_order.take() {
+            self.served_version = Some(digest);
         }
     }
 
-    /// Whether the order is answered.
+    /// Takes a load order and returns whether the engine answers it.
     fn load(&mut self, digest: String) -> bool {
         if self.late_loads > 0 {
             self.late_loads -= 1;
-            self.late = Some((digest, Instant::now()));
+            self.late_order = Some((digest, Instant::now()));
             return false;
         }
-        self.serves = Some(digest);
+        self.served_version = Some(digest);
         true
     }
 }
 
 #[derive(Clone, Default)]
-struct Script(Arc<Mutex<Engine>>);
+struct EngineServer(Arc<Mutex<SimulatedEngine>>);
 
-impl Script {
-    fn lock(&self) -> MutexGuard<'_, Engine> {
+impl EngineServer {
+    fn lock(&self) -> MutexGuard<'_, SimulatedEngine> {
         self.0.lock().expect("not poisoned")
     }
 
     fn start(&self) -> SocketAddr {
         let server = Server::http("127.0.0.1:0").expect("a free port");
         let addr = server.server_addr().to_ip().expect("an address");
-        let script = self.clone();
+        let engine_server = self.clone();
         thread::spawn(move || {
             for request in server.incoming_requests() {
-                script.answer(request);
+                engine_server.answer(request);
             }
         });
         addr
@@ -118,7 +118,7 @@
             return;
         }
         if request.url() != "/admin/load" {
-            self.lock().serves = None;
+            self.lock().served_version = None;
             let _ = request.respond(Response::empty(202));
             return;
         }
@@ -127,25 +127,25 @@
         if self.lock().load(digest) {
             let _ = request.respond(Response::empty(202));
         } else {
-            // The connection is closed without an answer.
+            // The engine closes the connection without an answer.
             drop(request.into_writer());
         }
     }
 }
 
-/// Knows every manifest, and the store holds every chunk.
-struct Known {
+/// A fetcher that has every manifest; the store holds every chunk.
+struct LocalFetcher {
     manifests: BTreeMap<Vec<u8>, Arc<Manifest>>,
-    network: Network,
+    network: NetworkFetcher,
 }
 
-impl Fetcher for Known {
+impl Fetcher for LocalFetcher {
     fn manifest(&self, assignment: &Assignment) -> Result<Option<Arc<Manifest>>, String> {
         Ok(self.manifests.get(&assignment.digest[..]).cloned())
     }
 
-    fn copy(&self, manifest: &Arc<Manifest>, assignment: &Assignment) -> Copying {
-        self.network.copy(manifest, assignment)
+    fn start_copy(&self, manifest: &Arc<Manifest>, assignment: &Assignment) -> CopyHandle {
+        self.network.start_copy(manifest, assignment)
     }
 }
 
@@ -158,7 +158,7 @@
     Arc::new(manifest)
 }
 
-fn serve(desk: &Desk, version: Digest, sequence: u64) {
+fn assign_version(shared: &SharedState, version: Digest, sequence: u64) {
     let assignment = Assignment {
         deployment: "draft".into(),
         model: "draft-model".into(),
@@ -166,58 +166,62 @@
         duty: Duty::Serve.into(),
         ..Assignment::default()
     };
-    desk.order(Orders {
+    shared.set_orders(Orders {
         fence: Some(Fence { term: 1, sequence }),
         serve: vec![assignment],
         ..Orders::default()
     });
 }
 
-// Callers of version B get answers of version A.
-// An engine that ignores fencing numbers leaves the order to load A without an answer. B is declared in
-// its place, ordered and served; then the engine carries A's order out. Requests pass for B until the
-// agent asks the engine again what it serves.
+// Guards against answers of version A to callers of version B: an engine that ignores fencing numbers
+// leaves the order to load A unanswered, B is declared in its place, loaded and served, and then the
+// engine carries out the order for A. The gate would admit requests for B until the next check of the
+// engine's state.
 #[test]
-fn no_version_is_served_while_another_may_yet_be_loaded() {
+fn no_version_is_served_while_another_load_is_unanswered() {
     let dir = tempfile::tempdir().expect("a folder");
     let store = Arc::new(Store::memory(1 << 20));
     let first = publish(&dir.path().join("a"), "weights of A", &store);
     let second = publish(&dir.path().join("b"), "weights of B", &store);
-    let script = Script::default();
-    script.lock().late_loads = 1;
-    let target = Target::new(&format!("http://{}", script.start()));
-    let (desk, gate) = (Arc::new(Desk::new()), Gate::engine(4));
+    let engine_server = EngineServer::default();
+    engine_server.lock().late_loads = 1;
+    let target = Target::new(&format!("http://{}", engine_server.start()));
+    let (shared, gate) = (Arc::new(SharedState::new()), Gate::engine(4));
     let refuse = |_: &Remote, _: Ask, responder: Responder| responder.refuse("a test", 0);
     let dialer = Arc::new(Dialer::new("agent", Keyring::default(), Arc::new(refuse)));
-    let mesh = Mesh::start("agent", dialer, store.clone(), desk.clone());
+    let mesh = Mesh::start("agent", dialer, store.clone(), shared.clone());
     let all = [&first, &second].map(|one| (one.root().to_vec(), one.clone()));
-    let known = Known {
+    let fetcher = LocalFetcher {
         manifests: BTreeMap::from(all),
-        network: Network { mesh: mesh.clone() },
+        network: NetworkFetcher { mesh: mesh.clone() },
     };
     let files = dir.path().join("files");
-    let keeper = Keeper::new(desk.clone(), gate.clone(), target, store, files, known);
-    let keeping = thread::spawn(move || keeper.run());
-    serve(&desk, first.root(), 1);
-    let until = Instant::now() + PATIENCE;
-    while script.lock().late.is_none() {
+    let reconciler = Reconciler::new(shared.clone(), gate.clone(), target, store, files, fetcher);
+    let reconciler_thread = thread::spawn(move || reconciler.run());
+    assign_version(&shared, first.root(), 1);
+    let until = Instant::now() + TEST_TIMEOUT;
+    while engine_server.lock().late_order.is_none() {
         assert!(Instant::now() < until, "A is not ordered");
         thread::sleep(Duration::from_millis(10));
     }
-    serve(&desk, second.root(), 2);
+    assign_version(&shared, second.root(), 2);
     let wanted = second.root().to_string();
-    let mut served = 0;
-    // Long enough that the keeper asks the engine again and a late order shows.
-    while served < 20 {
+    let mut admitted = 0;
+    // Long enough for the reconciler to check the engine again and for the late order to take effect.
+    while admitted < 20 {
         assert!(Instant::now() < until, "B is not served");
         thread::sleep(Duration::from_millis(10));
-        let engine = script.lock();
-        if gate.pass(Some(second.root())).is_ok() {
-            assert_eq!(engine.serves.as_ref(), Some(&wanted), "passes for B");
-            served += 1;
+        let engine = engine_server.lock();
+        if gate.admit(Some(second.root())).is_ok() {
+            assert_eq!(
+                engine.served_version.as_ref(),
+                Some(&wanted),
+                "passes for B"
+            );
+            admitted += 1;
         }
     }
-    desk.stop();
+    shared.stop();
     mesh.stop();
-    keeping.join().expect("ends");
+    reconciler_thread.join().expect("ends");
 }
--- a/crates/filbertstack-agent/tests/target.rs
+++ b/crates/filbertstack-agent/tests/target.rs
@@ -1,4 +1,4 @@
-//! What an agent makes of its engine's answers, or of none.
+//! Tests of how the agent classifies an engine's answers, and missing answers.
 
 use std::io::Read as _;
 use std::net::TcpListener;
@@ -10,13 +10,14 @@
 use filbertstack_core::Digest;
 use filbertstack_wire::messages::Fence;
 
-fn load(url: &str) -> Result<(), TargetError> {
+fn send_load(url: &str) -> Result<(), TargetError> {
     let version = Digest::of(b"version");
     Target::new(url).load("m", version, Path::new("weights"), Fence::default())
 }
 
-// An engine takes an order to load and its connection ends before the answer. It may load; told that
-// the engine can't be reached, the operator would look for an engine that is down.
+// Guards against a wrong report of a lost answer: the engine receives a load order and the connection
+// ends before the answer. The engine may load the version; if the error said that the engine can't be
+// reached, the operator would look for an engine that is down.
 #[test]
 fn an_order_without_an_answer_has_an_unknown_outcome() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -25,12 +26,12 @@
         let (mut stream, _) = listener.accept().unwrap();
         stream.read(&mut [0; 16]).unwrap()
     });
-    let outcome = load(&url);
+    let outcome = send_load(&url);
     assert!(
         matches!(outcome, Err(TargetError::Broken(_))),
         "{outcome:?}"
     );
-    assert!(engine.join().unwrap() > 0, "the order was sent");
+    assert!(engine.join().unwrap() > 0, "the engine received the order");
 }
 
 #[test]
@@ -38,7 +39,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let url = format!("http://{}", listener.local_addr().unwrap());
     drop(listener);
-    let outcome = load(&url);
+    let outcome = send_load(&url);
     assert!(
         matches!(outcome, Err(TargetError::Unreached(_))),
         "{outcome:?}"
