--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -8,7 +8,7 @@
 
 use filbertstack_core::Millis;
 use filbertstack_core::serving::Repeat;
-use filbertstack_platform::request::Onward;
+use filbertstack_platform::request::ForwardHeaders;
 use filbertstack_platform::request::ReplyHead;
 use filbertstack_platform::request::send_on;
 use filbertstack_platform::request::strip;
@@ -342,7 +342,7 @@
     }
     tries.sent += 1;
     log_sent(requests, call, chosen, tries);
-    let onward = Onward {
+    let onward = ForwardHeaders {
         left,
         instance: &chosen.id,
         organisation: call.organisation.as_deref(),
@@ -448,7 +448,7 @@
     (call.route.goal * SILENT_GOALS).max(MIN_SILENCE)
 }
 
-fn build_request(call: &Call, onward: &Onward<'_>) -> Request<Full<bytes::Bytes>> {
+fn build_request(call: &Call, onward: &ForwardHeaders<'_>) -> Request<Full<bytes::Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.target.clone();
