--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -10,7 +10,7 @@
 use filbertstack_core::serving::Repeat;
 use filbertstack_platform::request::ForwardHeaders;
 use filbertstack_platform::request::ReplyHead;
-use filbertstack_platform::request::send_on;
+use filbertstack_platform::request::set_forward_headers;
 use filbertstack_platform::request::strip;
 use filbertstack_policy::dispatch::AttemptEnd;
 use filbertstack_policy::dispatch::ChooseError;
@@ -453,7 +453,7 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.target.clone();
     *request.headers_mut() = call.headers.clone();
-    send_on(request.headers_mut(), onward);
+    set_forward_headers(request.headers_mut(), onward);
     request
 }
 
