--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -11,7 +11,7 @@
 use filbertstack_platform::request::ForwardHeaders;
 use filbertstack_platform::request::ReplyHead;
 use filbertstack_platform::request::set_forward_headers;
-use filbertstack_platform::request::strip;
+use filbertstack_platform::request::strip_hop_headers;
 use filbertstack_policy::dispatch::AttemptEnd;
 use filbertstack_policy::dispatch::ChooseError;
 use filbertstack_policy::dispatch::TargetId;
@@ -503,7 +503,7 @@
     tries: Tries,
 ) -> Response<AnswerBody> {
     let (mut head, body) = response.into_parts();
-    strip(&mut head.headers);
+    strip_hop_headers(&mut head.headers);
     let resumable = call.route.repeat == Repeat::Resumable && head.status.is_success();
     let relay = Relay::new(call.clone(), body, guard, tries, resumable);
     Response::from_parts(head, AnswerBody::Relayed(Box::new(relay)))
