--- a/crates/filbertstack-gateway/src/request/mod.rs
+++ b/crates/filbertstack-gateway/src/request/mod.rs
@@ -22,7 +22,7 @@
 use filbertstack_core::serving::Repeat;
 use filbertstack_core::serving::Route;
 use filbertstack_platform::request::CallHead;
-use filbertstack_platform::request::own_answer;
+use filbertstack_platform::request::set_answer_headers;
 use filbertstack_policy::dispatch::Dispatcher;
 use filbertstack_policy::recovery::Recovery;
 use filbertstack_policy::repeats::Allowance;
@@ -354,7 +354,7 @@
                 let body = AnswerBody::whole(Full::new(refusal.body()));
                 let mut response = Response::new(body);
                 *response.status_mut() = refusal.status;
-                own_answer(
+                set_answer_headers(
                     response.headers_mut(),
                     attempt.as_ref(),
                     refusal.retry_after,
