--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -8,7 +8,7 @@
 use filbertstack_platform::directory::MOST_ADDRESSES;
 use filbertstack_platform::directory::Place;
 use filbertstack_platform::directory::answer;
-use filbertstack_platform::directory::asks_ready;
+use filbertstack_platform::directory::is_readiness_check;
 use filbertstack_platform::directory::read;
 use filbertstack_policy::subset::hash;
 use http::Request;
@@ -81,7 +81,7 @@
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let (method, uri) = (request.method(), request.uri());
         let empty = Bytes::from_static(b"{}");
-        if asks_ready(method, uri.path()) {
+        if is_readiness_check(method, uri.path()) {
             let status = if self.is_ready() {
                 StatusCode::OK
             } else {
