--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use filbertstack_platform::directory::MOST_ADDRESSES;
+use filbertstack_platform::directory::MAX_ADDRESSES;
 use filbertstack_platform::directory::Place;
 use filbertstack_platform::directory::answer;
 use filbertstack_platform::directory::is_readiness_check;
@@ -66,7 +66,7 @@
             .filter_map(|e| decode_addr(&e.front))
             .collect();
         addrs.sort_by_key(|addr| hash(&format!("{own} {addr}")));
-        addrs.truncate(MOST_ADDRESSES);
+        addrs.truncate(MAX_ADDRESSES);
         // A node that knows no entry names itself.
         if addrs.is_empty() && !*self.leaving.borrow() {
             addrs.extend(self.node.settings.listen.front);
