--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use filbertstack_platform::directory::CallerLocation;
 use filbertstack_platform::directory::MAX_ADDRESSES;
-use filbertstack_platform::directory::Place;
 use filbertstack_platform::directory::answer;
 use filbertstack_platform::directory::is_readiness_check;
 use filbertstack_platform::directory::read;
@@ -51,7 +51,7 @@
     /// Returns the addresses of the entries for a caller: those of its zone if there are enough, or
     /// else all. Each node returns them in a different order, so that callers that use the first address
     /// spread over the entries.
-    fn addrs(&self, place: &Place) -> Vec<SocketAddr> {
+    fn addrs(&self, place: &CallerLocation) -> Vec<SocketAddr> {
         let rows = self.node.registry.present();
         let entries = rows.iter().filter_map(|(_, kind, _)| match &**kind {
             Kind::Entry(entry) if !entry.leaving => Some(entry),
