--- a/crates/filbertstack-gateway/src/agent/engine.rs
+++ b/crates/filbertstack-gateway/src/agent/engine.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use filbertstack_platform::engine::EngineReport;
 use filbertstack_platform::engine::Holding;
-use filbertstack_platform::engine::Outgoing;
+use filbertstack_platform::engine::OutgoingCall;
 use filbertstack_platform::engine::ask_report;
 use filbertstack_platform::engine::read_report;
 use spdlog::info;
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// [`CallFailure`].
-    pub async fn call(&self, outgoing: Outgoing) -> Result<Bytes, CallFailure> {
+    pub async fn call(&self, outgoing: OutgoingCall) -> Result<Bytes, CallFailure> {
         let mut idle = self.idle.lock().await;
         let work = async {
             if let Some(usable) = idle.take().filter(Connection::is_ready) {
@@ -131,7 +131,7 @@
         &self,
         idle: &mut Option<Connection>,
         mut connection: Connection,
-        outgoing: Outgoing,
+        outgoing: OutgoingCall,
     ) -> Result<Bytes, CallFailure> {
         let answer = exchange(&mut connection, self.addr, outgoing, MAX_ANSWER).await;
         // A status is a complete answer; after any other failure the connection is dropped.
--- a/crates/filbertstack-gateway/src/agent/session.rs
+++ b/crates/filbertstack-gateway/src/agent/session.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use filbertstack_platform::engine::EngineReport;
 use filbertstack_platform::engine::Holding;
-use filbertstack_platform::engine::Outgoing;
+use filbertstack_platform::engine::OutgoingCall;
 use filbertstack_platform::engine::PieceList;
 use filbertstack_platform::engine::Running;
 use filbertstack_platform::engine::ask_report;
@@ -173,7 +173,7 @@
         }
     }
 
-    async fn call(&mut self, outgoing: Outgoing) -> Result<Bytes, SessionError> {
+    async fn call(&mut self, outgoing: OutgoingCall) -> Result<Bytes, SessionError> {
         self.check_open().await?;
         Ok(timed_exchange(&mut self.connection, self.addr, outgoing).await?)
     }
@@ -219,7 +219,7 @@
 async fn timed_exchange(
     connection: &mut Connection,
     addr: SocketAddr,
-    outgoing: Outgoing,
+    outgoing: OutgoingCall,
 ) -> Result<Bytes, CallFailure> {
     timeout(
         CALL_TIMEOUT,
--- a/crates/filbertstack-gateway/src/client.rs
+++ b/crates/filbertstack-gateway/src/client.rs
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use filbertstack_platform::engine::Outgoing;
+use filbertstack_platform::engine::OutgoingCall;
 
 use crate::link::set_socket_options;
 
@@ -131,7 +131,7 @@
 /// [`CallFailure`] if there is no answer with a status of success within `max_wait`.
 pub async fn call(
     addr: SocketAddr,
-    outgoing: Outgoing,
+    outgoing: OutgoingCall,
     max_body: usize,
     max_wait: Duration,
 ) -> Result<Bytes, CallFailure> {
@@ -152,7 +152,7 @@
 pub async fn exchange(
     connection: &mut Connection,
     addr: SocketAddr,
-    outgoing: Outgoing,
+    outgoing: OutgoingCall,
     max_body: usize,
 ) -> Result<Bytes, CallFailure> {
     let mut request = Request::new(Full::new(outgoing.body));
