--- a/crates/filbertstack-gateway/src/agent/orders.rs
+++ b/crates/filbertstack-gateway/src/agent/orders.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use filbertstack_core::Millis;
+use filbertstack_platform::engine::DrainMode;
 use filbertstack_platform::engine::Holding;
-use filbertstack_platform::engine::Running;
 use filbertstack_policy::rollout::MAX_CALL_DELAY;
 use spdlog::info;
 use spdlog::warn;
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// The reason why the engine may not have accepted the order.
-pub async fn send(agent: &Agent, verified: Verified, running: Running) -> Result<(), String> {
+pub async fn send(agent: &Agent, verified: Verified, running: DrainMode) -> Result<(), String> {
     let progress = verified.progress();
     let weights = verified.weights().clone();
     let earlier = agent
--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use filbertstack_core::Millis;
+use filbertstack_platform::engine::DrainMode;
 use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
-use filbertstack_platform::engine::Running;
 use filbertstack_policy::rollout::DrainStep;
 use filbertstack_policy::rollout::LoadTiming;
 use filbertstack_policy::rollout::Staged;
@@ -236,7 +236,7 @@
 
 /// Waits until the order to load should be sent, and returns what becomes of the running requests then. An
 /// engine that serves nothing gets no requests.
-async fn drain_engine(agent: &Agent, wanted: &Holding) -> Running {
+async fn drain_engine(agent: &Agent, wanted: &Holding) -> DrainMode {
     let began = agent.node.clock.now();
     while agent.engine.holding().is_some() {
         let spent = agent.node.clock.now().since(began);
@@ -246,10 +246,10 @@
         match drain_step(spent, work, may_break) {
             DrainStep::Await => sleep(DRAIN_INTERVAL).await,
             DrainStep::Finish => break,
-            DrainStep::BreakOff => return Running::BreakOff,
+            DrainStep::BreakOff => return DrainMode::BreakOff,
         }
     }
-    Running::Finish
+    DrainMode::Finish
 }
 
 /// Orders the engine to serve the version, and waits until it does. Staged pieces may have become corrupt
@@ -270,12 +270,12 @@
         return false;
     }
     info!("engine ordered to load", kv: {
-        version = wanted.version, breaks_off = running == Running::BreakOff,
+        version = wanted.version, breaks_off = running == DrainMode::BreakOff,
         born = progress.born, sequence = progress.sequence
     });
     let outcome = match running {
-        Running::Finish => "finishes",
-        Running::BreakOff => "breaks off",
+        DrainMode::Finish => "finishes",
+        DrainMode::BreakOff => "breaks off",
     };
     agent.metrics.agent.orders.add(outcome, 1);
     orders::check_loaded(agent, wanted, progress.born).await;
--- a/crates/filbertstack-gateway/src/agent/session.rs
+++ b/crates/filbertstack-gateway/src/agent/session.rs
@@ -8,11 +8,11 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
+use filbertstack_platform::engine::DrainMode;
 use filbertstack_platform::engine::EngineReport;
 use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::OutgoingCall;
 use filbertstack_platform::engine::PieceList;
-use filbertstack_platform::engine::Running;
 use filbertstack_platform::engine::ask_report;
 use filbertstack_platform::engine::order_start;
 use filbertstack_platform::engine::read_report;
@@ -200,7 +200,7 @@
 
     /// Orders the engine to load the verified pieces. The order is sent once: on a new connection it could
     /// reach another start of the engine.
-    pub async fn order(mut self, running: Running) -> Outcome {
+    pub async fn order(mut self, running: DrainMode) -> Outcome {
         if let Err(error) = self.session.check_open().await {
             return Outcome::NotSent(error);
         }
