--- a/crates/filbertstack-gateway/src/request/mod.rs
+++ b/crates/filbertstack-gateway/src/request/mod.rs
@@ -235,14 +235,14 @@
         let in_flight = InFlight::new(&self.in_flight);
         let waited = !self.node.declared.is_loaded();
         if waited {
-            waiting::wait_declared(self, arrived_at, head.patience).await?;
+            waiting::wait_declared(self, arrived_at, head.timeout).await?;
         }
         let catalogue = self.node.declared.catalogue();
         let (parts, body) = request.into_parts();
         let route = find_route(&catalogue, &parts.headers, &parts.uri)?;
         let organisation = find_organisation(&catalogue, &route, &head)?;
         let service = self.draw_service(&route);
-        let timeout = head.patience.unwrap_or(NO_TIMEOUT).min(route.timeout);
+        let timeout = head.timeout.unwrap_or(NO_TIMEOUT).min(route.timeout);
         let deadline = arrived_at + timeout;
         if self.ends_before(deadline) {
             return Err(Refusal::busy("this entry is leaving", RETRY_ELSEWHERE));
