--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -306,7 +306,7 @@
 ) -> Outcome {
     tries.targets.push(chosen.id.clone());
     let resume_after = resume.and_then(|resume| resume.after);
-    let resume_after = resume_after.or(call.head.resumes);
+    let resume_after = resume_after.or(call.head.last_event);
     let last_bytes_at = resume.map_or(call.arrived_at, |resume| resume.last_bytes_at);
     let mut guard = AttemptGuard {
         requests: requests.clone(),
--- a/crates/filbertstack-gateway/src/request/relay.rs
+++ b/crates/filbertstack-gateway/src/request/relay.rs
@@ -121,7 +121,7 @@
             ))
         });
         Self {
-            events: resumable.then(|| EventBuffer::after(call.head.resumes)),
+            events: resumable.then(|| EventBuffer::after(call.head.last_event)),
             requests,
             source: Source::Target(body, guard),
             tries,
