--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -464,7 +464,7 @@
     let head = ReplyHead::read(response.headers(), call.head.attempt.as_ref());
     guard.idle_limit = head.idle;
     guard.closes_connection = head.closes;
-    if head.ours && (head.not_run || status == StatusCode::MISDIRECTED_REQUEST) {
+    if head.answers_attempt && (head.not_run || status == StatusCode::MISDIRECTED_REQUEST) {
         let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
         let span = if misdirected {
             MISDIRECTED_EXCLUSION
@@ -477,10 +477,10 @@
     }
     // An answer without the target's seal, to another request, or with an encoding that was not asked for
     // is not an answer to this request.
-    if !head.ours || !head.sealed || head.encoded {
+    if !head.answers_attempt || !head.sealed || head.encoded {
         info!("answer rejected", kv: {
             request = call.head.id(), target = guard.id.to_string(), status = status.as_u16(),
-            ours = head.ours, sealed = head.sealed, encoded = head.encoded
+            ours = head.answers_attempt, sealed = head.sealed, encoded = head.encoded
         });
         guard.fail();
         return Outcome::Unknown;
