--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -343,7 +343,7 @@
     tries.sent += 1;
     log_sent(requests, call, chosen, tries);
     let onward = ForwardHeaders {
-        left,
+        time_left: left,
         instance: &chosen.id,
         organisation: call.organisation.as_deref(),
         version: chosen.version,
