--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use filbertstack_platform::directory::CallerLocation;
 use filbertstack_platform::directory::MAX_ADDRESSES;
-use filbertstack_platform::directory::answer;
+use filbertstack_platform::directory::address_list;
 use filbertstack_platform::directory::is_readiness_check;
 use filbertstack_platform::directory::read;
 use filbertstack_policy::subset::hash;
@@ -97,7 +97,7 @@
             return json_response(StatusCode::SERVICE_UNAVAILABLE, empty);
         }
         let keep = CACHE_TIME.min(self.node.settings.bounds.keep);
-        json_response(StatusCode::OK, answer(&addrs, keep))
+        json_response(StatusCode::OK, address_list(&addrs, keep))
     }
 
     fn head_limit(&self) -> usize {
