--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -9,7 +9,7 @@
 use filbertstack_platform::directory::MAX_ADDRESSES;
 use filbertstack_platform::directory::address_list;
 use filbertstack_platform::directory::is_readiness_check;
-use filbertstack_platform::directory::read;
+use filbertstack_platform::directory::read_query;
 use filbertstack_policy::subset::hash;
 use http::Request;
 use http::Response;
@@ -89,7 +89,7 @@
             };
             return json_response(status, empty);
         }
-        let Some(place) = read(method, uri.path(), uri.query().unwrap_or_default()) else {
+        let Some(place) = read_query(method, uri.path(), uri.query().unwrap_or_default()) else {
             return json_response(StatusCode::NOT_FOUND, empty);
         };
         let addrs = self.addrs(&place);
