--- a/crates/filbertstack-gateway/src/control/api.rs
+++ b/crates/filbertstack-gateway/src/control/api.rs
@@ -20,7 +20,7 @@
 use filbertstack_platform::control::JSON;
 use filbertstack_platform::control::failure;
 use filbertstack_platform::control::heartbeat_answer;
-use filbertstack_platform::control::read;
+use filbertstack_platform::control::read_call;
 use http::Request;
 use http::Response;
 use http::StatusCode;
@@ -66,7 +66,7 @@
             body.map_err(|_| CallFailure(StatusCode::REQUEST_TIMEOUT, "the body is late".into()))?;
         let body = body.map_err(|e| CallFailure(StatusCode::BAD_REQUEST, e.to_string()))?;
         let body = body.to_bytes();
-        match read(&head.method, head.uri.path(), &body)? {
+        match read_call(&head.method, head.uri.path(), &body)? {
             ControlCall::PutDocument => self.put_document(body).await,
             ControlCall::ReadDocument => self.read_document().await,
             ControlCall::NameWeights { model, version } => self.name_weights(&model, version).await,
