--- a/crates/filbertstack-gateway/src/control/api.rs
+++ b/crates/filbertstack-gateway/src/control/api.rs
@@ -18,7 +18,7 @@
 use filbertstack_platform::control::ControlCall;
 use filbertstack_platform::control::Heartbeat;
 use filbertstack_platform::control::JSON;
-use filbertstack_platform::control::failure;
+use filbertstack_platform::control::error_body;
 use filbertstack_platform::control::heartbeat_answer;
 use filbertstack_platform::control::read_call;
 use http::Request;
@@ -204,7 +204,7 @@
                     method = method.as_str(), path = path, status = status.as_u16(),
                     error = why.clone()
                 });
-                json_response(status, failure(&why))
+                json_response(status, error_body(&why))
             }
         }
     }
