--- a/crates/filbertstack-gateway/src/control/api.rs
+++ b/crates/filbertstack-gateway/src/control/api.rs
@@ -14,10 +14,10 @@
 use filbertstack_control::document::Weights;
 use filbertstack_core::serving::Catalogue;
 use filbertstack_platform::catalogue;
+use filbertstack_platform::control::CONTENT_TYPE_JSON;
 use filbertstack_platform::control::CallError;
 use filbertstack_platform::control::ControlCall;
 use filbertstack_platform::control::Heartbeat;
-use filbertstack_platform::control::JSON;
 use filbertstack_platform::control::error_body;
 use filbertstack_platform::control::heartbeat_answer;
 use filbertstack_platform::control::read_call;
@@ -222,7 +222,7 @@
 pub fn json_response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(Full::new(body)));
     *response.status_mut() = status;
-    let json = header::HeaderValue::from_static(JSON);
+    let json = header::HeaderValue::from_static(CONTENT_TYPE_JSON);
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     response
 }
