--- a/crates/filbertstack-gateway/src/agent/engine.rs
+++ b/crates/filbertstack-gateway/src/agent/engine.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use filbertstack_platform::engine::EngineReport;
-use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::OutgoingCall;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_platform::engine::ask_report;
 use filbertstack_platform::engine::read_report;
 use spdlog::info;
@@ -34,7 +34,7 @@
     loading: Cell<bool>,
     /// The served version that may contain pieces of another one, and the start of the engine at which it was
     /// loaded.
-    mixed: RefCell<Option<(Holding, u64)>>,
+    mixed: RefCell<Option<(WeightsVersion, u64)>>,
     changes: watch::Sender<u64>,
 }
 
@@ -62,7 +62,7 @@
     }
 
     /// Returns the weights that the engine serves.
-    pub fn holding(&self) -> Option<Holding> {
+    pub fn holding(&self) -> Option<WeightsVersion> {
         self.report.borrow().as_ref()?.holding.clone()
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Records that the engine started at `born` may have loaded `weights` with pieces of another version.
-    pub fn set_mixed(&self, weights: Holding, born: u64) {
+    pub fn set_mixed(&self, weights: WeightsVersion, born: u64) {
         *self.mixed.borrow_mut() = Some((weights, born));
     }
 
--- a/crates/filbertstack-gateway/src/agent/gather.rs
+++ b/crates/filbertstack-gateway/src/agent/gather.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_platform::engine::read_staged;
 use filbertstack_platform::engine::stage_piece;
 use futures_util::StreamExt as _;
@@ -45,7 +45,7 @@
 
 /// Fetches the pieces of `weights` and stages them at the engine. Returns when all are staged. If the future
 /// is dropped, fetching stops and the staged pieces remain.
-pub async fn gather(agent: Rc<Agent>, weights: Holding) {
+pub async fn gather(agent: Rc<Agent>, weights: WeightsVersion) {
     let began = Instant::now();
     let fetch = Fetch::new(
         agent.node.clone(),
--- a/crates/filbertstack-gateway/src/agent/mod.rs
+++ b/crates/filbertstack-gateway/src/agent/mod.rs
@@ -16,7 +16,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use filbertstack_platform::engine::Holding;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_telemetry::Metrics;
 use spdlog::info;
 use thiserror::Error;
@@ -78,7 +78,7 @@
 
     /// Returns whether the engine holds a piece of `weights`, as far as the agent knows. An engine holds all
     /// pieces of the version that it serves from its start until another version is staged.
-    fn engine_holds(&self, weights: &Holding, number: u32) -> bool {
+    fn engine_holds(&self, weights: &WeightsVersion, number: u32) -> bool {
         match self.stage.weights() {
             Some(staged) => staged == *weights && self.stage.has(number),
             None => self.engine.holding().as_ref() == Some(weights),
@@ -86,7 +86,7 @@
     }
 
     /// Returns the version of which the engine holds all pieces.
-    fn complete_version(&self) -> Option<Holding> {
+    fn complete_version(&self) -> Option<WeightsVersion> {
         match self.stage.weights() {
             Some(_) => self.stage.complete_list().map(|list| list.weights.clone()),
             None => self.engine.holding(),
@@ -95,7 +95,7 @@
 
     /// Returns the versions that the engine should be moved to: the named ones, or else the newest that any
     /// engine serves, as the weights that engines have from the start are never named.
-    fn wanted_versions(&self) -> Vec<Holding> {
+    fn wanted_versions(&self) -> Vec<WeightsVersion> {
         let declared = &self.node.declared;
         let model = match self.engine.holding() {
             Some(own) => Some(own.model),
@@ -111,7 +111,7 @@
         }
         // The origin no longer has older versions.
         let latest = versions.len().saturating_sub(LATEST_VERSIONS);
-        let holding = |version| Holding {
+        let holding = |version| WeightsVersion {
             model: model.clone(),
             version,
         };
--- a/crates/filbertstack-gateway/src/agent/orders.rs
+++ b/crates/filbertstack-gateway/src/agent/orders.rs
@@ -4,7 +4,7 @@
 
 use filbertstack_core::Millis;
 use filbertstack_platform::engine::DrainMode;
-use filbertstack_platform::engine::Holding;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_policy::rollout::MAX_CALL_DELAY;
 use spdlog::info;
 use spdlog::warn;
@@ -92,7 +92,7 @@
 /// carried out a write that an earlier process left without an answer, after the pieces were read back and
 /// before it began the order. It then serves pieces of two versions, and gets no requests until it serves
 /// another version or restarts.
-pub async fn check_loaded(agent: &Agent, weights: &Holding, born: u64) {
+pub async fn check_loaded(agent: &Agent, weights: &WeightsVersion, born: u64) {
     let Some(list) = agent.stage.list(weights) else {
         return;
     };
--- a/crates/filbertstack-gateway/src/agent/peers.rs
+++ b/crates/filbertstack-gateway/src/agent/peers.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use filbertstack_platform::engine::Holding;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_platform::engine::read_staged;
 use tokio::sync::Semaphore;
 
@@ -52,7 +52,7 @@
     }
 
     /// Reads a piece from the engine. The node that asked checks it against its digest.
-    async fn read_piece(&self, weights: &Holding, number: u32) -> Option<Bytes> {
+    async fn read_piece(&self, weights: &WeightsVersion, number: u32) -> Option<Bytes> {
         if !self.agent.engine_holds(weights, number) {
             return None;
         }
--- a/crates/filbertstack-gateway/src/agent/rollout.rs
+++ b/crates/filbertstack-gateway/src/agent/rollout.rs
@@ -6,8 +6,8 @@
 
 use filbertstack_core::Millis;
 use filbertstack_platform::engine::DrainMode;
-use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_policy::rollout::DrainStep;
 use filbertstack_policy::rollout::LoadTiming;
 use filbertstack_policy::rollout::Staged;
@@ -91,14 +91,14 @@
 }
 
 /// Returns the versions that the engine should be moved to and does not serve, in order.
-fn needed(agent: &Agent, served: u64) -> Vec<Holding> {
+fn needed(agent: &Agent, served: u64) -> Vec<WeightsVersion> {
     let wanted = agent.wanted_versions().into_iter();
     wanted.filter(|weights| weights.version > served).collect()
 }
 
 /// `Gathering` is the version whose pieces are being fetched, and the task that fetches them.
 #[derive(Default)]
-struct Gathering(Option<(Holding, JoinHandle<()>)>);
+struct Gathering(Option<(WeightsVersion, JoinHandle<()>)>);
 
 impl Gathering {
     fn is_idle(&self) -> bool {
@@ -106,7 +106,7 @@
     }
 
     /// Starts to fetch the chosen version, and stops fetching one that is no longer chosen.
-    fn update(&mut self, agent: &Rc<Agent>, needed: &[Holding]) {
+    fn update(&mut self, agent: &Rc<Agent>, needed: &[WeightsVersion]) {
         let versions: Vec<u64> = needed.iter().map(|weights| weights.version).collect();
         let at_entries = |version: u64| {
             let weights = needed.iter().find(|weights| weights.version == version);
@@ -144,7 +144,7 @@
 /// Returns whether the agent should order the engine to load the staged version now. An order without an
 /// outcome is sent again: the answer to any copy makes the engine refuse the others. An order that only an
 /// earlier process may have sent waits for its turn, as long as the version is needed.
-fn is_due(agent: &Agent, list: &PieceList, needed: &[Holding]) -> bool {
+fn is_due(agent: &Agent, list: &PieceList, needed: &[WeightsVersion]) -> bool {
     let Some(report) = agent.engine.report() else {
         return false;
     };
@@ -159,7 +159,7 @@
     if pending.is_some_and(|order| order.send_count > 0 || !needed.contains(&list.weights)) {
         return true;
     }
-    let newer = |weights: &&Holding| weights.version > list.weights.version;
+    let newer = |weights: &&WeightsVersion| weights.version > list.weights.version;
     let haste = match needed.iter().find(newer) {
         Some(newer) if may_arrive_soon(agent, newer) => LoadTiming::Latest,
         _ => LoadTiming::Even,
@@ -169,7 +169,7 @@
 
 /// Returns whether a version will be at the entries soon: it is there already, or was named so recently that
 /// it may still arrive.
-fn may_arrive_soon(agent: &Agent, weights: &Holding) -> bool {
+fn may_arrive_soon(agent: &Agent, weights: &WeightsVersion) -> bool {
     let now = agent.node.clock.now();
     let named = agent.node.declared.weight_versions(&weights.model);
     let named = named.iter().find(|named| named.version == weights.version);
@@ -192,7 +192,7 @@
 }
 
 /// Returns how long it is until the turn of this engine; zero for an engine that serves nothing.
-fn time_to_order(agent: &Agent, wanted: &Holding, haste: LoadTiming) -> Millis {
+fn time_to_order(agent: &Agent, wanted: &WeightsVersion, haste: LoadTiming) -> Millis {
     let Some(served) = agent.engine.holding() else {
         return Millis::ZERO;
     };
@@ -236,7 +236,7 @@
 
 /// Waits until the order to load should be sent, and returns what becomes of the running requests then. An
 /// engine that serves nothing gets no requests.
-async fn drain_engine(agent: &Agent, wanted: &Holding) -> DrainMode {
+async fn drain_engine(agent: &Agent, wanted: &WeightsVersion) -> DrainMode {
     let began = agent.node.clock.now();
     while agent.engine.holding().is_some() {
         let spent = agent.node.clock.now().since(began);
--- a/crates/filbertstack-gateway/src/agent/session.rs
+++ b/crates/filbertstack-gateway/src/agent/session.rs
@@ -10,9 +10,9 @@
 use bytes::Bytes;
 use filbertstack_platform::engine::DrainMode;
 use filbertstack_platform::engine::EngineReport;
-use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::OutgoingCall;
 use filbertstack_platform::engine::PieceList;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_platform::engine::ask_report;
 use filbertstack_platform::engine::order_start;
 use filbertstack_platform::engine::read_report;
@@ -194,7 +194,7 @@
     }
 
     /// Returns the version of the pieces.
-    pub fn weights(&self) -> &Holding {
+    pub fn weights(&self) -> &WeightsVersion {
         &self.list.weights
     }
 
--- a/crates/filbertstack-gateway/src/agent/stage.rs
+++ b/crates/filbertstack-gateway/src/agent/stage.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 
 use filbertstack_core::Millis;
-use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_policy::rollout::MAX_CALL_DELAY;
 use slotmap::SlotMap;
 use slotmap::new_key_type;
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingOrder {
     /// The version to load.
-    pub weights: Holding,
+    pub weights: WeightsVersion,
     /// The engine's progress when the order was made. The engine refuses the order once it has begun another
     /// one.
     pub progress: Progress,
@@ -55,7 +55,7 @@
 /// version was read back, it would overwrite one of that version's pieces before the engine loads them.
 #[derive(Debug)]
 struct PendingPut {
-    weights: Holding,
+    weights: WeightsVersion,
     /// The start of the engine that the write was sent to. It is sent on the connection that carries the
     /// reports, which ends with that start.
     born: u64,
@@ -96,13 +96,13 @@
     }
 
     /// Returns the version that is being staged or was staged last.
-    pub fn weights(&self) -> Option<Holding> {
+    pub fn weights(&self) -> Option<WeightsVersion> {
         let staged = self.staged.borrow();
         staged.as_ref().map(|staged| staged.list.weights.clone())
     }
 
     /// Returns the list of the pieces of `weights`, if it is known.
-    pub fn list(&self, weights: &Holding) -> Option<Rc<PieceList>> {
+    pub fn list(&self, weights: &WeightsVersion) -> Option<Rc<PieceList>> {
         let staged = self.staged.borrow();
         let found = staged.as_ref().map(|staged| &staged.list);
         found.filter(|list| list.weights == *weights).cloned()
@@ -120,7 +120,7 @@
 
     /// Records that a piece of `weights` is being written to the engine started at `born`. Writes to earlier
     /// starts, and those too old to be carried out, are removed.
-    pub fn begin_put(&self, weights: &Holding, born: u64, now: Millis) -> PutKey {
+    pub fn begin_put(&self, weights: &WeightsVersion, born: u64, now: Millis) -> PutKey {
         let put = PendingPut {
             weights: weights.clone(),
             born,
@@ -138,7 +138,7 @@
 
     /// Returns whether the engine started at `born` may still carry out a write of another version than
     /// `weights`.
-    pub fn may_be_overwritten(&self, weights: &Holding, born: u64, now: Millis) -> bool {
+    pub fn may_be_overwritten(&self, weights: &WeightsVersion, born: u64, now: Millis) -> bool {
         let puts = self.puts.borrow();
         let mut others = puts.values().filter(|put| put.weights != *weights);
         others.any(|put| put.may_run(born, now))
--- a/crates/filbertstack-gateway/src/weights/cache.rs
+++ b/crates/filbertstack-gateway/src/weights/cache.rs
@@ -7,7 +7,7 @@
 
 use filbertstack_control::document::Weights;
 use filbertstack_core::Millis;
-use filbertstack_platform::engine::Holding;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_policy::pieces;
 use filbertstack_policy::pieces::Yields;
 use spdlog::info;
@@ -87,7 +87,7 @@
     }
 
     /// Returns the latest versions that some engine does not serve yet.
-    fn needed(&self) -> Vec<Holding> {
+    fn needed(&self) -> Vec<WeightsVersion> {
         let agents = weights::agents(&self.node);
         let mut needed = Vec::new();
         for (model, named) in self.node.declared.all_weight_versions() {
@@ -97,7 +97,7 @@
                     row.is_empty() || (row == &*model && version < named.version)
                 };
                 if agents.iter().any(|(_, row)| lacks(&row.model, row.version)) {
-                    needed.push(Holding {
+                    needed.push(WeightsVersion {
                         model: model.clone(),
                         version: named.version,
                     });
@@ -163,7 +163,7 @@
     }
 
     /// Returns how long ago a version was named; the maximum for one that never was.
-    fn age(&self, weights: &Holding) -> Millis {
+    fn age(&self, weights: &WeightsVersion) -> Millis {
         let named = self.node.declared.weight_versions(&weights.model);
         let named = named.iter().find(|named| named.version == weights.version);
         let now = self.node.clock.now();
@@ -187,7 +187,7 @@
 
     /// Returns the piece set of `weights`, and creates it if the version may be asked for. The cache keeps
     /// the newest two: no engine may be moved to an older version, and the origin keeps no more.
-    fn piece_set(&self, weights: &Holding) -> Option<Rc<PieceSet>> {
+    fn piece_set(&self, weights: &WeightsVersion) -> Option<Rc<PieceSet>> {
         let existing = self.find(weights);
         if existing.is_some() || !self.is_known(weights) {
             return existing;
@@ -203,14 +203,14 @@
         Some(set)
     }
 
-    fn find(&self, weights: &Holding) -> Option<Rc<PieceSet>> {
+    fn find(&self, weights: &WeightsVersion) -> Option<Rc<PieceSet>> {
         let sets = self.sets.borrow();
         let mut found = sets.iter().filter(|set| set.weights() == weights);
         found.next().cloned()
     }
 
     /// Returns the oldest version of the model that the cache keeps once it keeps `weights`.
-    fn oldest_kept(&self, weights: &Holding) -> u64 {
+    fn oldest_kept(&self, weights: &WeightsVersion) -> u64 {
         let sets = self.sets.borrow();
         let same = sets.iter().filter(|s| s.weights().model == weights.model);
         let mut versions: Vec<u64> = same.map(|set| set.version()).collect();
@@ -221,7 +221,7 @@
 
     /// Returns whether a version was named or is served by an engine, so that no node can fill the memory
     /// with others.
-    fn is_known(&self, weights: &Holding) -> bool {
+    fn is_known(&self, weights: &WeightsVersion) -> bool {
         let declared = &self.node.declared;
         let named = declared.weight_versions(&weights.model);
         let agents = weights::agents(&self.node);
--- a/crates/filbertstack-gateway/src/weights/fetch.rs
+++ b/crates/filbertstack-gateway/src/weights/fetch.rs
@@ -13,8 +13,8 @@
 
 use bytes::Bytes;
 use filbertstack_core::Millis;
-use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_platform::engine::ask_piece;
 use filbertstack_policy::pieces::OwnerMap;
 use filbertstack_policy::pieces::Window;
@@ -77,7 +77,7 @@
 pub struct Fetch {
     node: Rc<Node>,
     own: Arc<str>,
-    weights: Holding,
+    weights: WeightsVersion,
     /// Nodes that did not answer in time, and when.
     slow: RefCell<BTreeMap<Arc<str>, Instant>>,
     layout: RefCell<Option<(Rc<OwnerMap>, Instant)>>,
@@ -120,7 +120,7 @@
 impl Fetch {
     /// Creates a fetch of `weights` for the node with the id `own`, with at most `limit` pieces downloaded
     /// from other nodes at once.
-    pub fn new(node: Rc<Node>, own: &str, weights: Holding, limit: u32) -> Self {
+    pub fn new(node: Rc<Node>, own: &str, weights: WeightsVersion, limit: u32) -> Self {
         Self {
             node,
             own: own.into(),
@@ -136,7 +136,7 @@
     }
 
     /// Returns the version that is fetched.
-    pub fn weights(&self) -> &Holding {
+    pub fn weights(&self) -> &WeightsVersion {
         &self.weights
     }
 
--- a/crates/filbertstack-gateway/src/weights/mod.rs
+++ b/crates/filbertstack-gateway/src/weights/mod.rs
@@ -14,8 +14,8 @@
 
 use filbertstack_control::document::List;
 use filbertstack_control::document::Weights;
-use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_policy::pieces::OwnerMap;
 use filbertstack_policy::pieces::Peer;
 use sha2::Digest as _;
@@ -79,7 +79,7 @@
 }
 
 /// Returns whether the entries together hold all pieces of a version.
-pub fn is_at_entries(node: &Node, weights: &Holding) -> bool {
+pub fn is_at_entries(node: &Node, weights: &WeightsVersion) -> bool {
     let wire = to_wire(weights);
     let entries = entries(node);
     let holds = |row: &EntryRow| row.holds.contains(&wire);
@@ -87,7 +87,7 @@
 }
 
 /// Returns the layout that says which nodes the node `own` asks for the pieces of `weights`.
-fn layout(node: &Node, own: &str, weights: &Holding, pieces: u32) -> OwnerMap {
+fn layout(node: &Node, own: &str, weights: &WeightsVersion, pieces: u32) -> OwnerMap {
     let peer = |id: Arc<str>, zone: &str| Peer {
         id,
         zone: zone.into(),
@@ -113,7 +113,7 @@
 }
 
 /// Converts a version to its form on links.
-pub fn to_wire(weights: &Holding) -> Weights {
+pub fn to_wire(weights: &WeightsVersion) -> Weights {
     Weights {
         model: weights.model.to_string(),
         version: weights.version,
@@ -121,8 +121,8 @@
 }
 
 /// Converts a version from its form on links.
-pub fn from_wire(weights: &Weights) -> Holding {
-    Holding {
+pub fn from_wire(weights: &Weights) -> WeightsVersion {
+    WeightsVersion {
         model: weights.model.as_str().into(),
         version: weights.version,
     }
--- a/crates/filbertstack-gateway/src/weights/piece_set.rs
+++ b/crates/filbertstack-gateway/src/weights/piece_set.rs
@@ -9,8 +9,8 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
+use filbertstack_platform::engine::WeightsVersion;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
@@ -42,7 +42,7 @@
 }
 
 impl PieceSet {
-    fn new(node: Rc<Node>, own: &str, weights: Holding) -> Self {
+    fn new(node: Rc<Node>, own: &str, weights: WeightsVersion) -> Self {
         Self {
             fetch: Fetch::new(node, own, weights, MAX_DOWNLOADS),
             list: watch::channel(None).0,
@@ -57,7 +57,7 @@
 
     /// Creates the set of the entry with the id `own`, and starts to fetch the list and then the pieces that
     /// the entry owns.
-    pub fn begin(node: Rc<Node>, own: &str, weights: Holding) -> Rc<Self> {
+    pub fn begin(node: Rc<Node>, own: &str, weights: WeightsVersion) -> Rc<Self> {
         let created = Rc::new(Self::new(node, own, weights));
         let set = created.clone();
         created.tasks.borrow_mut().spawn_local(async move {
@@ -69,7 +69,7 @@
     }
 
     /// Returns the version of the pieces, with its model.
-    pub fn weights(&self) -> &Holding {
+    pub fn weights(&self) -> &WeightsVersion {
         self.fetch.weights()
     }
 
