--- a/crates/filbertstack-agent/src/announce.rs
+++ b/crates/filbertstack-agent/src/announce.rs
@@ -89,11 +89,11 @@
         let mut entries = self.settings.entries.clone();
         while !self.stopped.load(Ordering::Relaxed) {
             let announce = self.announce();
-            let mut heard = Vec::new();
+            let mut received = Vec::new();
             for addr in entries.iter().take(MAX_ENTRIES) {
-                heard.extend(self.announce_to(*addr, &announce));
+                received.extend(self.announce_to(*addr, &announce));
             }
-            entries = self.next_entries(&entries, &heard);
+            entries = self.next_entries(&entries, &received);
             lock(&self.current_entries).clone_from(&entries);
             let copying = self.shared.is_copying();
             thread::sleep(if copying {
@@ -232,18 +232,18 @@
 
     /// Returns the entries for the next announcements: those that the orders name, or else those of
     /// the settings.
-    fn next_entries(&self, now: &[SocketAddr], heard: &[Orders]) -> Vec<SocketAddr> {
-        let named = heard.iter().flat_map(|orders| &orders.entries);
+    fn next_entries(&self, current: &[SocketAddr], received: &[Orders]) -> Vec<SocketAddr> {
+        let named = received.iter().flat_map(|orders| &orders.entries);
         let mut next: Vec<SocketAddr> = named.filter_map(|addr| addr.parse().ok()).collect();
         next.dedup();
         if next.is_empty() {
             // No entry answered: the next entries of the settings are tried.
             let mut entries = self.settings.entries.clone();
-            let turn = now
+            let index = current
                 .first()
                 .and_then(|addr| entries.iter().position(|e| e == addr));
             let count = entries.len();
-            entries.rotate_left(turn.map_or(0, |turn| (turn + MAX_ENTRIES) % count.max(1)));
+            entries.rotate_left(index.map_or(0, |index| (index + MAX_ENTRIES) % count.max(1)));
             return entries;
         }
         next
--- a/crates/filbertstack-agent/src/gate.rs
+++ b/crates/filbertstack-agent/src/gate.rs
@@ -155,10 +155,10 @@
 
     /// Waits until no request is in progress; returns false if some still are after `timeout`.
     pub fn wait_idle(&self, timeout: Duration) -> bool {
-        let until = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let mut state = self.shared.lock();
         while state.running > 0 {
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return false;
             }
--- a/crates/filbertstack-agent/src/mesh.rs
+++ b/crates/filbertstack-agent/src/mesh.rs
@@ -129,8 +129,8 @@
 
     /// Starts the copy of a version, or requests the chunks again that the store lacks if it is in progress.
     pub fn start_copy(&self, manifest: &Arc<Manifest>, assignment: &Assignment) {
-        let again = self.lock().add_user(manifest, assignment);
-        if again {
+        let in_progress = self.lock().add_user(manifest, assignment);
+        if in_progress {
             let missing = manifest.wants();
             let missing = missing.filter(|want| !self.store.has(want.chunk.digest));
             let indices: Vec<u32> = missing.map(|want| want.index).collect();
@@ -204,10 +204,10 @@
             return Err(WireError::Protocol("no leader is known"));
         };
         let timeout = Duration::from_millis(ask.hold) + REPLY_GRACE;
-        let told = self
+        let reply = self
             .dialer
             .ask(addr, Role::Agent, Ask::Spread(ask), timeout);
-        match told? {
+        match reply? {
             Tell::Plan(plan) => {
                 self.apply_plan(&leader, &plan);
                 Ok(())
@@ -240,13 +240,13 @@
                 continue;
             };
             let rest: Vec<CopyEvent> = events.try_iter().collect();
-            let mut news = false;
+            let mut has_news = false;
             let mut copies = self.lock();
             for event in std::iter::once(first).chain(rest) {
-                news |= copies.record_event(&event);
+                has_news |= copies.record_event(&event);
             }
             drop(copies);
-            if news {
+            if has_news {
                 self.report();
             }
         }
@@ -254,9 +254,9 @@
 
     fn report(&self) {
         let ask = self.build_request(Duration::ZERO);
-        let told = ask.copies.clone();
+        let reported = ask.copies.clone();
         match self.request_plan(ask) {
-            Ok(()) => self.lock().mark_reported(&told),
+            Ok(()) => self.lock().mark_reported(&reported),
             Err(error) => debug!("report to the leader failed: {error}"),
         }
     }
@@ -264,7 +264,7 @@
     /// Polls the upstreams for their chunks and searches for manifests.
     fn run_polls(&self) {
         while self.wait_copies() {
-            let began = Instant::now();
+            let started_at = Instant::now();
             self.update_upstreams();
             self.find_manifests();
             let roots = self.lock().roots();
@@ -272,7 +272,7 @@
             peers.poll(&roots, &self.dialer, &self.copier);
             drop(peers);
             self.pass_grants();
-            thread::sleep(POLL_INTERVAL.saturating_sub(began.elapsed()));
+            thread::sleep(POLL_INTERVAL.saturating_sub(started_at.elapsed()));
         }
     }
 
@@ -288,8 +288,8 @@
         let searches = self.lock().manifest_searches();
         for search in searches {
             let found = search.run(&self.dialer);
-            let news = self.lock().record_search(&search, found);
-            if news {
+            let has_news = self.lock().record_search(&search, found);
+            if has_news {
                 self.report();
             }
         }
--- a/crates/filbertstack-agent/src/mesh/peers.rs
+++ b/crates/filbertstack-agent/src/mesh/peers.rs
@@ -67,9 +67,9 @@
                 }
             }
         }
-        let until = Instant::now() + POLL_TIMEOUT;
+        let deadline = Instant::now() + POLL_TIMEOUT;
         for (key, root, mut replies) in calls {
-            let Ok(Some(Tell::Payload(Payload { body }))) = replies.next(until) else {
+            let Ok(Some(Tell::Payload(Payload { body }))) = replies.next(deadline) else {
                 continue;
             };
             let Some(total) = copier.progress(root).map(|progress| progress.total) else {
--- a/crates/filbertstack-agent/src/reconciler.rs
+++ b/crates/filbertstack-agent/src/reconciler.rs
@@ -100,7 +100,7 @@
     gate: Gate,
     target: Target,
     store: Arc<Store>,
-    dir: PathBuf,
+    files_dir: PathBuf,
     fetcher: F,
     tracked: BTreeMap<Digest, TrackedVersion>,
     unanswered: UnansweredOrders,
@@ -108,13 +108,13 @@
 }
 
 impl<F: Fetcher> Reconciler<F> {
-    /// Creates a reconciler without versions; it writes the engine's files below `dir`.
+    /// Creates a reconciler without versions; it writes the engine's files below `files_dir`.
     pub fn new(
         shared: Arc<SharedState>,
         gate: Gate,
         target: Target,
         store: Arc<Store>,
-        dir: PathBuf,
+        files_dir: PathBuf,
         fetcher: F,
     ) -> Self {
         let tracked = BTreeMap::new();
@@ -125,7 +125,7 @@
             gate,
             target,
             store,
-            dir,
+            files_dir,
             fetcher,
             tracked,
             unanswered,
@@ -146,9 +146,9 @@
     fn reconcile(&mut self, orders: &Orders) {
         self.apply_orders(orders);
         let fence = orders.fence.unwrap_or_default();
-        let versions: Vec<Digest> = self.tracked.keys().copied().collect();
-        for version in versions {
-            self.advance(version, fence);
+        let roots: Vec<Digest> = self.tracked.keys().copied().collect();
+        for root in roots {
+            self.advance(root, fence);
         }
         self.tracked
             .retain(|_, tracked| tracked.stage.is_some() || !tracked.assignment.digest.is_empty());
@@ -178,32 +178,32 @@
         }
     }
 
-    fn advance(&mut self, version: Digest, fence: Fence) {
-        let Some(mut tracked) = self.tracked.remove(&version) else {
+    fn advance(&mut self, root: Digest, fence: Fence) {
+        let Some(mut tracked) = self.tracked.remove(&root) else {
             return;
         };
         let duty = tracked.duty();
         tracked.stage = match tracked.stage.take() {
             None => self.start_fetch(&mut tracked),
-            Some(LocalStage::Fetching(copy, copying)) => {
-                self.poll_copy(&mut tracked, copy, copying)
+            Some(LocalStage::Fetching(version, copying)) => {
+                self.poll_copy(&mut tracked, version, copying)
             }
-            Some(LocalStage::Verified(copy)) => self.load(&mut tracked, copy, fence),
-            Some(LocalStage::Loading(copy, since)) => {
-                Some(self.poll_load(&mut tracked, copy, since))
+            Some(LocalStage::Verified(version)) => self.load(&mut tracked, version, fence),
+            Some(LocalStage::Loading(version, started_at)) => {
+                Some(self.poll_load(&mut tracked, version, started_at))
             }
-            Some(LocalStage::Serving(copy)) if duty == Some(Duty::Serve) => {
-                Some(self.check_engine(&mut tracked, copy))
+            Some(LocalStage::Serving(version)) if duty == Some(Duty::Serve) => {
+                Some(self.check_engine(&mut tracked, version))
             }
-            Some(LocalStage::Serving(copy)) => {
+            Some(LocalStage::Serving(version)) => {
                 // The gate admits no new request; requests in progress finish on this version.
                 self.gate.close();
-                info!("draining version {version:?}");
-                Some(LocalStage::Draining(copy))
+                info!("draining version {root:?}");
+                Some(LocalStage::Draining(version))
             }
-            Some(LocalStage::Draining(copy)) => self.finish_drain(copy, duty, fence),
+            Some(LocalStage::Draining(version)) => self.finish_drain(version, duty, fence),
         };
-        self.tracked.insert(version, tracked);
+        self.tracked.insert(root, tracked);
     }
 
     fn start_fetch(&self, tracked: &mut TrackedVersion) -> Option<LocalStage> {
@@ -278,7 +278,7 @@
             tracked.last_error = "an earlier order may yet be carried out: it is waited for".into();
             return Some(LocalStage::Verified(version));
         }
-        let dir = match version.write_to(&self.dir) {
+        let dir = match version.write_to(&self.files_dir) {
             Ok(dir) => dir,
             Err(error) => {
                 tracked.record_failure(error.to_string());
@@ -304,7 +304,7 @@
         &self,
         tracked: &mut TrackedVersion,
         version: Version<Loading>,
-        since: Instant,
+        started_at: Instant,
     ) -> LocalStage {
         let report = match self.target.report() {
             Ok(report) => report,
@@ -314,7 +314,9 @@
             }
         };
         match report.state {
-            Phase::Loading if since.elapsed() < LOAD_TIMEOUT => LocalStage::Loading(version, since),
+            Phase::Loading if started_at.elapsed() < LOAD_TIMEOUT => {
+                LocalStage::Loading(version, started_at)
+            }
             Phase::Serving => self.start_serving(tracked, version, &report),
             _ => {
                 let reason = report
@@ -361,10 +363,10 @@
         }
         self.last_check = Instant::now();
         let report = self.target.report();
-        let serves = |report: &Report| {
+        let is_serving = |report: &Report| {
             report.state == Phase::Serving && reported_version(report) == Some(version.root())
         };
-        if report.as_ref().is_ok_and(serves) {
+        if report.as_ref().is_ok_and(is_serving) {
             return LocalStage::Serving(version);
         }
         self.gate.close();
@@ -386,7 +388,7 @@
             self.record_unanswered(Order::Unload, &error);
             warn!("engine did not confirm the unload: {error}");
         }
-        let _ = std::fs::remove_dir_all(self.dir.join(version.root().to_string()));
+        let _ = std::fs::remove_dir_all(self.files_dir.join(version.root().to_string()));
         // A version that is still assigned stays verified, so that a rollback copies nothing.
         duty.map(|_| LocalStage::Verified(version.lose()))
     }
@@ -437,8 +439,8 @@
             "step failed for deployment {}: {error}",
             self.assignment.deployment
         );
-        let wait = MIN_RETRY_DELAY * 2_u32.saturating_pow(self.failures.min(16));
-        self.retry_at = Instant::now() + wait.min(MAX_RETRY_DELAY);
+        let delay = MIN_RETRY_DELAY * 2_u32.saturating_pow(self.failures.min(16));
+        self.retry_at = Instant::now() + delay.min(MAX_RETRY_DELAY);
         self.failures += 1;
         self.last_error = error;
     }
--- a/crates/filbertstack-agent/tests/reconciler.rs
+++ b/crates/filbertstack-agent/tests/reconciler.rs
@@ -201,7 +201,10 @@
     assign_version(&shared, first.root(), 1);
     let until = Instant::now() + TEST_TIMEOUT;
     while engine_server.lock().late_order.is_none() {
-        assert!(Instant::now() < until, "A is not ordered");
+        assert!(
+            Instant::now() < until,
+            "the load of A was not ordered in time"
+        );
         thread::sleep(Duration::from_millis(10));
     }
     assign_version(&shared, second.root(), 2);
@@ -209,14 +212,14 @@
     let mut admitted = 0;
     // Long enough for the reconciler to check the engine again and for the late order to take effect.
     while admitted < 20 {
-        assert!(Instant::now() < until, "B is not served");
+        assert!(Instant::now() < until, "B was not served in time");
         thread::sleep(Duration::from_millis(10));
         let engine = engine_server.lock();
         if gate.admit(Some(second.root())).is_ok() {
             assert_eq!(
                 engine.served_version.as_ref(),
                 Some(&wanted),
-                "passes for B"
+                "the engine serves B when the gate admits a request for B"
             );
             admitted += 1;
         }
