--- a/crates/filbertstack-gateway/src/agent/gather.rs
+++ b/crates/filbertstack-gateway/src/agent/gather.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use filbertstack_platform::engine::PieceList;
 use filbertstack_platform::engine::WeightsVersion;
-use filbertstack_platform::engine::read_staged;
+use filbertstack_platform::engine::ask_staged;
 use filbertstack_platform::engine::stage_piece;
 use futures_util::StreamExt as _;
 use futures_util::stream;
@@ -89,7 +89,7 @@
 
 /// Returns whether a staged piece matches the list.
 async fn is_staged(agent: &Agent, list: &PieceList, number: u32) -> bool {
-    let staged = agent.engine.call(read_staged(&list.weights.model, number));
+    let staged = agent.engine.call(ask_staged(&list.weights.model, number));
     let staged = staged.await;
     staged.is_ok_and(|bytes| weights::matches_bytes(list, number, &bytes))
 }
--- a/crates/filbertstack-gateway/src/agent/peers.rs
+++ b/crates/filbertstack-gateway/src/agent/peers.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use filbertstack_platform::engine::WeightsVersion;
-use filbertstack_platform::engine::read_staged;
+use filbertstack_platform::engine::ask_staged;
 use tokio::sync::Semaphore;
 
 use crate::agent::Agent;
@@ -56,7 +56,7 @@
         if !self.agent.engine_holds(weights, number) {
             return None;
         }
-        let staged = self.agent.engine.call(read_staged(&weights.model, number));
+        let staged = self.agent.engine.call(ask_staged(&weights.model, number));
         staged.await.ok()
     }
 
--- a/crates/filbertstack-gateway/src/agent/session.rs
+++ b/crates/filbertstack-gateway/src/agent/session.rs
@@ -14,9 +14,9 @@
 use filbertstack_platform::engine::PieceList;
 use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_platform::engine::ask_report;
+use filbertstack_platform::engine::ask_staged;
 use filbertstack_platform::engine::order_start;
 use filbertstack_platform::engine::read_report;
-use filbertstack_platform::engine::read_staged;
 use http::StatusCode;
 use thiserror::Error;
 use tokio::time::timeout;
@@ -166,7 +166,7 @@
         model: &str,
         number: u32,
     ) -> Result<Option<PieceDigest>, SessionError> {
-        match self.call(read_staged(model, number)).await {
+        match self.call(ask_staged(model, number)).await {
             Ok(bytes) => Ok(Some(weights::digest(&bytes))),
             Err(SessionError::Call(CallFailure::Status(StatusCode::NOT_FOUND))) => Ok(None),
             Err(error) => Err(error),
