--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -463,7 +463,7 @@
     guard.status = status.as_u16();
     let head = ReplyHead::read(response.headers(), call.head.attempt.as_ref());
     guard.idle_limit = head.idle;
-    guard.closes_connection = head.closes;
+    guard.closes_connection = head.closes_connection;
     if head.answers_attempt && (head.not_run || status == StatusCode::MISDIRECTED_REQUEST) {
         let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
         let span = if misdirected {
