--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -462,7 +462,7 @@
     let status = response.status();
     guard.status = status.as_u16();
     let head = ReplyHead::read(response.headers(), call.head.attempt.as_ref());
-    guard.idle_limit = head.idle;
+    guard.idle_limit = head.idle_timeout;
     guard.closes_connection = head.closes_connection;
     if head.answers_attempt && (head.not_run || status == StatusCode::MISDIRECTED_REQUEST) {
         let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
