--- a/crates/filbertstack-gateway/src/client.rs
+++ b/crates/filbertstack-gateway/src/client.rs
@@ -157,7 +157,7 @@
 ) -> Result<Bytes, CallFailure> {
     let mut request = Request::new(Full::new(outgoing.body));
     *request.method_mut() = outgoing.method;
-    *request.uri_mut() = outgoing.target.parse().unwrap_or_default();
+    *request.uri_mut() = outgoing.path.parse().unwrap_or_default();
     let host = http::HeaderValue::from_str(&addr.to_string());
     if let Ok(host) = host {
         request.headers_mut().insert(http::header::HOST, host);
