--- a/crates/filbertstack-gateway/src/agent/engine.rs
+++ b/crates/filbertstack-gateway/src/agent/engine.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use filbertstack_platform::engine::EngineReport;
-use filbertstack_platform::engine::Holding;
-use filbertstack_platform::engine::Outgoing;
+use filbertstack_platform::engine::OutgoingCall;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_platform::engine::ask_report;
 use filbertstack_platform::engine::read_report;
 use spdlog::info;
@@ -34,7 +34,7 @@
     loading: Cell<bool>,
     /// The served version that may contain pieces of another one, and the start of the engine at which it was
     /// loaded.
-    mixed: RefCell<Option<(Holding, u64)>>,
+    mixed: RefCell<Option<(WeightsVersion, u64)>>,
     changes: watch::Sender<u64>,
 }
 
@@ -62,7 +62,7 @@
     }
 
     /// Returns the weights that the engine serves.
-    pub fn holding(&self) -> Option<Holding> {
+    pub fn holding(&self) -> Option<WeightsVersion> {
         self.report.borrow().as_ref()?.holding.clone()
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Records that the engine started at `born` may have loaded `weights` with pieces of another version.
-    pub fn set_mixed(&self, weights: Holding, born: u64) {
+    pub fn set_mixed(&self, weights: WeightsVersion, born: u64) {
         *self.mixed.borrow_mut() = Some((weights, born));
     }
 
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// [`CallFailure`].
-    pub async fn call(&self, outgoing: Outgoing) -> Result<Bytes, CallFailure> {
+    pub async fn call(&self, outgoing: OutgoingCall) -> Result<Bytes, CallFailure> {
         let mut idle = self.idle.lock().await;
         let work = async {
             if let Some(usable) = idle.take().filter(Connection::is_ready) {
@@ -131,7 +131,7 @@
         &self,
         idle: &mut Option<Connection>,
         mut connection: Connection,
-        outgoing: Outgoing,
+        outgoing: OutgoingCall,
     ) -> Result<Bytes, CallFailure> {
         let answer = exchange(&mut connection, self.addr, outgoing, MAX_ANSWER).await;
         // A status is a complete answer; after any other failure the connection is dropped.
--- a/crates/filbertstack-gateway/src/agent/gather.rs
+++ b/crates/filbertstack-gateway/src/agent/gather.rs
@@ -5,9 +5,9 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use filbertstack_platform::engine::Holding;
 use filbertstack_platform::engine::PieceList;
-use filbertstack_platform::engine::read_staged;
+use filbertstack_platform::engine::WeightsVersion;
+use filbertstack_platform::engine::ask_staged;
 use filbertstack_platform::engine::stage_piece;
 use futures_util::StreamExt as _;
 use futures_util::stream;
@@ -45,7 +45,7 @@
 
 /// Fetches the pieces of `weights` and stages them at the engine. Returns when all are staged. If the future
 /// is dropped, fetching stops and the staged pieces remain.
-pub async fn gather(agent: Rc<Agent>, weights: Holding) {
+pub async fn gather(agent: Rc<Agent>, weights: WeightsVersion) {
     let began = Instant::now();
     let fetch = Fetch::new(
         agent.node.clone(),
@@ -89,7 +89,7 @@
 
 /// Returns whether a staged piece matches the list.
 async fn is_staged(agent: &Agent, list: &PieceList, number: u32) -> bool {
-    let staged = agent.engine.call(read_staged(&list.weights.model, number));
+    let staged = agent.engine.call(ask_staged(&list.weights.model, number));
     let staged = staged.await;
     staged.is_ok_and(|bytes| weights::matches_bytes(list, number, &bytes))
 }
--- a/crates/filbertstack-gateway/src/agent/orders.rs
+++ b/crates/filbertstack-gateway/src/agent/orders.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use filbertstack_core::Millis;
-use filbertstack_platform::engine::Holding;
-use filbertstack_platform::engine::Running;
+use filbertstack_platform::engine::DrainMode;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_policy::rollout::MAX_CALL_DELAY;
 use spdlog::info;
 use spdlog::warn;
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// The reason why the engine may not have accepted the order.
-pub async fn send(agent: &Agent, verified: Verified, running: Running) -> Result<(), String> {
+pub async fn send(agent: &Agent, verified: Verified, running: DrainMode) -> Result<(), String> {
     let progress = verified.progress();
     let weights = verified.weights().clone();
     let earlier = agent
@@ -92,7 +92,7 @@
 /// carried out a write that an earlier process left without an answer, after the pieces were read back and
 /// before it began the order. It then serves pieces of two versions, and gets no requests until it serves
 /// another version or restarts.
-pub async fn check_loaded(agent: &Agent, weights: &Holding, born: u64) {
+pub async fn check_loaded(agent: &Agent, weights: &WeightsVersion, born: u64) {
     let Some(list) = agent.stage.list(weights) else {
         return;
     };
--- a/crates/filbertstack-gateway/src/agent/session.rs
+++ b/crates/filbertstack-gateway/src/agent/session.rs
@@ -8,15 +8,15 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
+use filbertstack_platform::engine::DrainMode;
 use filbertstack_platform::engine::EngineReport;
-use filbertstack_platform::engine::Holding;
-use filbertstack_platform::engine::Outgoing;
+use filbertstack_platform::engine::OutgoingCall;
 use filbertstack_platform::engine::PieceList;
-use filbertstack_platform::engine::Running;
+use filbertstack_platform::engine::WeightsVersion;
 use filbertstack_platform::engine::ask_report;
+use filbertstack_platform::engine::ask_staged;
 use filbertstack_platform::engine::order_start;
 use filbertstack_platform::engine::read_report;
-use filbertstack_platform::engine::read_staged;
 use http::StatusCode;
 use thiserror::Error;
 use tokio::time::timeout;
@@ -166,14 +166,14 @@
         model: &str,
         number: u32,
     ) -> Result<Option<PieceDigest>, SessionError> {
-        match self.call(read_staged(model, number)).await {
+        match self.call(ask_staged(model, number)).await {
             Ok(bytes) => Ok(Some(weights::digest(&bytes))),
             Err(SessionError::Call(CallFailure::Status(StatusCode::NOT_FOUND))) => Ok(None),
             Err(error) => Err(error),
         }
     }
 
-    async fn call(&mut self, outgoing: Outgoing) -> Result<Bytes, SessionError> {
+    async fn call(&mut self, outgoing: OutgoingCall) -> Result<Bytes, SessionError> {
         self.check_open().await?;
         Ok(timed_exchange(&mut self.connection, self.addr, outgoing).await?)
     }
@@ -194,13 +194,13 @@
     }
 
     /// Returns the version of the pieces.
-    pub fn weights(&self) -> &Holding {
+    pub fn weights(&self) -> &WeightsVersion {
         &self.list.weights
     }
 
     /// Orders the engine to load the verified pieces. The order is sent once: on a new connection it could
     /// reach another start of the engine.
-    pub async fn order(mut self, running: Running) -> Outcome {
+    pub async fn order(mut self, running: DrainMode) -> Outcome {
         if let Err(error) = self.session.check_open().await {
             return Outcome::NotSent(error);
         }
@@ -219,7 +219,7 @@
 async fn timed_exchange(
     connection: &mut Connection,
     addr: SocketAddr,
-    outgoing: Outgoing,
+    outgoing: OutgoingCall,
 ) -> Result<Bytes, CallFailure> {
     timeout(
         CALL_TIMEOUT,
--- a/crates/filbertstack-gateway/src/control/api.rs
+++ b/crates/filbertstack-gateway/src/control/api.rs
@@ -14,13 +14,13 @@
 use filbertstack_control::document::Weights;
 use filbertstack_core::serving::Catalogue;
 use filbertstack_platform::catalogue;
+use filbertstack_platform::control::CONTENT_TYPE_JSON;
 use filbertstack_platform::control::CallError;
 use filbertstack_platform::control::ControlCall;
 use filbertstack_platform::control::Heartbeat;
-use filbertstack_platform::control::JSON;
-use filbertstack_platform::control::failure;
+use filbertstack_platform::control::error_body;
 use filbertstack_platform::control::heartbeat_answer;
-use filbertstack_platform::control::read;
+use filbertstack_platform::control::read_call;
 use http::Request;
 use http::Response;
 use http::StatusCode;
@@ -66,7 +66,7 @@
             body.map_err(|_| CallFailure(StatusCode::REQUEST_TIMEOUT, "the body is late".into()))?;
         let body = body.map_err(|e| CallFailure(StatusCode::BAD_REQUEST, e.to_string()))?;
         let body = body.to_bytes();
-        match read(&head.method, head.uri.path(), &body)? {
+        match read_call(&head.method, head.uri.path(), &body)? {
             ControlCall::PutDocument => self.put_document(body).await,
             ControlCall::ReadDocument => self.read_document().await,
             ControlCall::NameWeights { model, version } => self.name_weights(&model, version).await,
@@ -204,7 +204,7 @@
                     method = method.as_str(), path = path, status = status.as_u16(),
                     error = why.clone()
                 });
-                json_response(status, failure(&why))
+                json_response(status, error_body(&why))
             }
         }
     }
@@ -222,7 +222,7 @@
 pub fn json_response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(Full::new(body)));
     *response.status_mut() = status;
-    let json = header::HeaderValue::from_static(JSON);
+    let json = header::HeaderValue::from_static(CONTENT_TYPE_JSON);
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     response
 }
--- a/crates/filbertstack-gateway/src/entry/directory.rs
+++ b/crates/filbertstack-gateway/src/entry/directory.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use filbertstack_platform::directory::MOST_ADDRESSES;
-use filbertstack_platform::directory::Place;
-use filbertstack_platform::directory::answer;
-use filbertstack_platform::directory::asks_ready;
-use filbertstack_platform::directory::read;
+use filbertstack_platform::directory::CallerLocation;
+use filbertstack_platform::directory::MAX_ADDRESSES;
+use filbertstack_platform::directory::address_list;
+use filbertstack_platform::directory::is_readiness_check;
+use filbertstack_platform::directory::read_query;
 use filbertstack_policy::subset::hash;
 use http::Request;
 use http::Response;
@@ -51,7 +51,7 @@
     /// Returns the addresses of the entries for a caller: those of its zone if there are enough, or
     /// else all. Each node returns them in a different order, so that callers that use the first address
     /// spread over the entries.
-    fn addrs(&self, place: &Place) -> Vec<SocketAddr> {
+    fn addrs(&self, place: &CallerLocation) -> Vec<SocketAddr> {
         let rows = self.node.registry.present();
         let entries = rows.iter().filter_map(|(_, kind, _)| match &**kind {
             Kind::Entry(entry) if !entry.leaving => Some(entry),
@@ -66,7 +66,7 @@
             .filter_map(|e| decode_addr(&e.front))
             .collect();
         addrs.sort_by_key(|addr| hash(&format!("{own} {addr}")));
-        addrs.truncate(MOST_ADDRESSES);
+        addrs.truncate(MAX_ADDRESSES);
         // A node that knows no entry names itself.
         if addrs.is_empty() && !*self.leaving.borrow() {
             addrs.extend(self.node.settings.listen.front);
@@ -81,7 +81,7 @@
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let (method, uri) = (request.method(), request.uri());
         let empty = Bytes::from_static(b"{}");
-        if asks_ready(method, uri.path()) {
+        if is_readiness_check(method, uri.path()) {
             let status = if self.is_ready() {
                 StatusCode::OK
             } else {
@@ -89,7 +89,7 @@
             };
             return json_response(status, empty);
         }
-        let Some(place) = read(method, uri.path(), uri.query().unwrap_or_default()) else {
+        let Some(place) = read_query(method, uri.path(), uri.query().unwrap_or_default()) else {
             return json_response(StatusCode::NOT_FOUND, empty);
         };
         let addrs = self.addrs(&place);
@@ -97,7 +97,7 @@
             return json_response(StatusCode::SERVICE_UNAVAILABLE, empty);
         }
         let keep = CACHE_TIME.min(self.node.settings.bounds.keep);
-        json_response(StatusCode::OK, answer(&addrs, keep))
+        json_response(StatusCode::OK, address_list(&addrs, keep))
     }
 
     fn head_limit(&self) -> usize {
--- a/crates/filbertstack-gateway/src/request/attempt.rs
+++ b/crates/filbertstack-gateway/src/request/attempt.rs
@@ -8,10 +8,10 @@
 
 use filbertstack_core::Millis;
 use filbertstack_core::serving::Repeat;
-use filbertstack_platform::request::Onward;
+use filbertstack_platform::request::ForwardHeaders;
 use filbertstack_platform::request::ReplyHead;
-use filbertstack_platform::request::send_on;
-use filbertstack_platform::request::strip;
+use filbertstack_platform::request::set_forward_headers;
+use filbertstack_platform::request::strip_hop_headers;
 use filbertstack_policy::dispatch::AttemptEnd;
 use filbertstack_policy::dispatch::ChooseError;
 use filbertstack_policy::dispatch::TargetId;
@@ -306,7 +306,7 @@
 ) -> Outcome {
     tries.targets.push(chosen.id.clone());
     let resume_after = resume.and_then(|resume| resume.after);
-    let resume_after = resume_after.or(call.head.resumes);
+    let resume_after = resume_after.or(call.head.last_event);
     let last_bytes_at = resume.map_or(call.arrived_at, |resume| resume.last_bytes_at);
     let mut guard = AttemptGuard {
         requests: requests.clone(),
@@ -342,8 +342,8 @@
     }
     tries.sent += 1;
     log_sent(requests, call, chosen, tries);
-    let onward = Onward {
-        left,
+    let onward = ForwardHeaders {
+        time_left: left,
         instance: &chosen.id,
         organisation: call.organisation.as_deref(),
         version: chosen.version,
@@ -448,12 +448,12 @@
     (call.route.goal * SILENT_GOALS).max(MIN_SILENCE)
 }
 
-fn build_request(call: &Call, onward: &Onward<'_>) -> Request<Full<bytes::Bytes>> {
+fn build_request(call: &Call, onward: &ForwardHeaders<'_>) -> Request<Full<bytes::Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.target.clone();
     *request.headers_mut() = call.headers.clone();
-    send_on(request.headers_mut(), onward);
+    set_forward_headers(request.headers_mut(), onward);
     request
 }
 
@@ -462,9 +462,9 @@
     let status = response.status();
     guard.status = status.as_u16();
     let head = ReplyHead::read(response.headers(), call.head.attempt.as_ref());
-    guard.idle_limit = head.idle;
-    guard.closes_connection = head.closes;
-    if head.ours && (head.not_run || status == StatusCode::MISDIRECTED_REQUEST) {
+    guard.idle_limit = head.idle_timeout;
+    guard.closes_connection = head.closes_connection;
+    if head.answers_attempt && (head.not_run || status == StatusCode::MISDIRECTED_REQUEST) {
         let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
         let span = if misdirected {
             MISDIRECTED_EXCLUSION
@@ -477,10 +477,10 @@
     }
     // An answer without the target's seal, to another request, or with an encoding that was not asked for
     // is not an answer to this request.
-    if !head.ours || !head.sealed || head.encoded {
+    if !head.answers_attempt || !head.sealed || head.encoded {
         info!("answer rejected", kv: {
             request = call.head.id(), target = guard.id.to_string(), status = status.as_u16(),
-            ours = head.ours, sealed = head.sealed, encoded = head.encoded
+            ours = head.answers_attempt, sealed = head.sealed, encoded = head.encoded
         });
         guard.fail();
         return Outcome::Unknown;
@@ -503,7 +503,7 @@
     tries: Tries,
 ) -> Response<AnswerBody> {
     let (mut head, body) = response.into_parts();
-    strip(&mut head.headers);
+    strip_hop_headers(&mut head.headers);
     let resumable = call.route.repeat == Repeat::Resumable && head.status.is_success();
     let relay = Relay::new(call.clone(), body, guard, tries, resumable);
     Response::from_parts(head, AnswerBody::Relayed(Box::new(relay)))
