--- a/crates/filbertstack-agent/src/source.rs
+++ b/crates/filbertstack-agent/src/source.rs
@@ -12,7 +12,7 @@
 use filbertstack_weights::Source;
 use filbertstack_weights::fetch::Fault;
 use filbertstack_weights::fetch::SourceError;
-use filbertstack_weights::manifest::Want;
+use filbertstack_weights::manifest::ChunkLocation;
 use filbertstack_wire::Dialer;
 use filbertstack_wire::Role;
 use filbertstack_wire::WireError;
@@ -102,7 +102,7 @@
 impl Source for Peer {
     type Error = PeerError;
 
-    fn fetch(&self, want: &Want) -> Result<Bytes, PeerError> {
+    fn fetch(&self, want: &ChunkLocation) -> Result<Bytes, PeerError> {
         self.gather(Ask::Chunk(Digested {
             digest: want.chunk.digest.to_vec(),
         }))
--- a/crates/filbertstack-weights/src/copy/catalogue.rs
+++ b/crates/filbertstack-weights/src/copy/catalogue.rs
@@ -7,7 +7,7 @@
 use filbertstack_policy::spread::chunks::ChunkIndex;
 
 use crate::manifest::Manifest;
-use crate::manifest::Want;
+use crate::manifest::ChunkLocation;
 
 /// A version and the indices of its chunks, in the manifest's order.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
     versions: HashMap<Digest, Entry>,
     indices: HashMap<Digest, ChunkIndex>,
     /// The wants of each index, one for each version that has the chunk.
-    wants: Vec<Vec<Want>>,
+    wants: Vec<Vec<ChunkLocation>>,
     free: Vec<ChunkIndex>,
 }
 
@@ -46,7 +46,7 @@
         Some(self.versions.entry(root).or_insert(entry))
     }
 
-    fn index(&mut self, want: Want) -> ChunkIndex {
+    fn index(&mut self, want: ChunkLocation) -> ChunkIndex {
         let digest = want.chunk.digest;
         if let Some(&index) = self.indices.get(&digest) {
             self.wants[index as usize].push(want);
@@ -99,7 +99,7 @@
     }
 
     /// What to fetch for an index, of the version `root` if it has the chunk.
-    pub(super) fn want(&self, index: ChunkIndex, root: Option<Digest>) -> Option<&Want> {
+    pub(super) fn want(&self, index: ChunkIndex, root: Option<Digest>) -> Option<&ChunkLocation> {
         let wants = self.wants.get(index as usize)?;
         let own = wants.iter().find(|want| Some(want.version) == root);
         own.or(wants.first())
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -22,7 +22,7 @@
 use crate::fetch::AnySource;
 use crate::fetch::FetchError;
 use crate::manifest::Manifest;
-use crate::manifest::Want;
+use crate::manifest::ChunkLocation;
 use crate::store::Store;
 
 /// One fetch to make.
@@ -31,7 +31,7 @@
     /// Names it in [`Core::done`].
     pub flight: TransferKey,
     /// What to fetch.
-    pub want: Want,
+    pub want: ChunkLocation,
     /// From where.
     pub source: Arc<dyn AnySource>,
     index: ChunkIndex,
--- a/crates/filbertstack-weights/src/fetch.rs
+++ b/crates/filbertstack-weights/src/fetch.rs
@@ -10,7 +10,7 @@
 
 use filbertstack_core::Digest;
 
-use crate::manifest::Want;
+use crate::manifest::ChunkLocation;
 use crate::store::Put;
 use crate::store::Store;
 use crate::store::StoreError;
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// What the source's kind of link reports.
-    fn fetch(&self, want: &Want) -> Result<Bytes, Self::Error>;
+    fn fetch(&self, want: &ChunkLocation) -> Result<Bytes, Self::Error>;
 }
 
 /// A fetch that brought no chunk into the store.
@@ -81,7 +81,7 @@
 /// Why the chunk is not in the store.
 pub fn fetch_into<S: Source + ?Sized>(
     source: &S,
-    want: &Want,
+    want: &ChunkLocation,
     store: &Store,
 ) -> Result<Put, FetchError> {
     if store.has(want.chunk.digest) {
@@ -104,11 +104,11 @@
     ///
     /// # Errors
     /// Why the chunk is not in the store.
-    fn fetch_into(&self, want: &Want, store: &Store) -> Result<Put, FetchError>;
+    fn fetch_into(&self, want: &ChunkLocation, store: &Store) -> Result<Put, FetchError>;
 }
 
 impl<S: Source> AnySource for S {
-    fn fetch_into(&self, want: &Want, store: &Store) -> Result<Put, FetchError> {
+    fn fetch_into(&self, want: &ChunkLocation, store: &Store) -> Result<Put, FetchError> {
         fetch_into(self, want, store)
     }
 }
--- a/crates/filbertstack-weights/src/fetch/http.rs
+++ b/crates/filbertstack-weights/src/fetch/http.rs
@@ -26,7 +26,7 @@
 use crate::manifest::MAX_MANIFEST;
 use crate::manifest::Manifest;
 use crate::manifest::ManifestError;
-use crate::manifest::Want;
+use crate::manifest::ChunkLocation;
 
 /// The header by which a server may say which version a file belongs to.
 const VERSION: HeaderName = HeaderName::from_static("x-weights-version");
@@ -256,7 +256,7 @@
 impl Source for HttpSource {
     type Error = HttpError;
 
-    fn fetch(&self, want: &Want) -> Result<Bytes, HttpError> {
+    fn fetch(&self, want: &ChunkLocation) -> Result<Bytes, HttpError> {
         let url = format!("{}/{}", self.base, want.file.name);
         let range = format!("bytes={}-{}", want.offset, want.last());
         let mut response = self.call(&url, Some(&range))?;
@@ -303,7 +303,7 @@
     })
 }
 
-fn check_version(url: &str, response: &Response<Body>, want: &Want) -> Result<(), HttpError> {
+fn check_version(url: &str, response: &Response<Body>, want: &ChunkLocation) -> Result<(), HttpError> {
     let version = text(response, &VERSION);
     if version.is_none_or(|version| version == want.version.to_string()) {
         return Ok(());
@@ -311,14 +311,14 @@
     Err(stale(url, want))
 }
 
-fn stale(url: &str, want: &Want) -> HttpError {
+fn stale(url: &str, want: &ChunkLocation) -> HttpError {
     HttpError::Stale {
         url: url.to_owned(),
         wanted: want.version,
     }
 }
 
-fn check_range(url: &str, response: &Response<Body>, want: &Want) -> Result<(), HttpError> {
+fn check_range(url: &str, response: &Response<Body>, want: &ChunkLocation) -> Result<(), HttpError> {
     let got = text(response, &header::CONTENT_RANGE).unwrap_or("no range");
     let range = format!("bytes {}-{}/", want.offset, want.last());
     let Some(total) = got.strip_prefix(&range) else {
--- a/crates/filbertstack-weights/src/manifest.rs
+++ b/crates/filbertstack-weights/src/manifest.rs
@@ -134,7 +134,7 @@
 
 /// One chunk to fetch, and where its bytes lie in the version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Want {
+pub struct ChunkLocation {
     /// The version's root digest.
     pub version: Digest,
     /// The chunk's place in the manifest.
@@ -147,7 +147,7 @@
     pub offset: u64,
 }
 
-impl Want {
+impl ChunkLocation {
     /// The range of the chunk in its file, for bytes held in memory.
     pub fn range(&self) -> Range<usize> {
         let start = usize::try_from(self.offset).unwrap_or(usize::MAX);
@@ -302,10 +302,10 @@
     }
 
     /// What to fetch for the chunk at `index`; `None` past the last.
-    pub fn want(&self, index: u32) -> Option<Want> {
+    pub fn want(&self, index: u32) -> Option<ChunkLocation> {
         let at = index as usize;
         let place = *self.places.get(at)?;
-        Some(Want {
+        Some(ChunkLocation {
             version: self.root,
             index,
             chunk: self.chunks[at],
@@ -315,7 +315,7 @@
     }
 
     /// What to fetch for each chunk, in order.
-    pub fn wants(&self) -> impl Iterator<Item = Want> {
+    pub fn wants(&self) -> impl Iterator<Item = ChunkLocation> {
         (0..).map_while(|index| self.want(index))
     }
 }
--- a/crates/filbertstack-weights/tests/http.rs
+++ b/crates/filbertstack-weights/tests/http.rs
@@ -12,7 +12,7 @@
 use filbertstack_weights::fetch::HttpConfig;
 use filbertstack_weights::fetch::HttpSource;
 use filbertstack_weights::fetch::fetch_into;
-use filbertstack_weights::manifest::Want;
+use filbertstack_weights::manifest::ChunkLocation;
 
 use support::Sample;
 use support::origin::Answer;
@@ -32,7 +32,7 @@
 };
 
 /// The third chunk of the second file: neither the first nor the last range of it.
-fn want(sample: &Sample) -> Want {
+fn want(sample: &Sample) -> ChunkLocation {
     sample.manifest.want(7).unwrap()
 }
 
--- a/crates/filbertstack-weights/tests/support/peer.rs
+++ b/crates/filbertstack-weights/tests/support/peer.rs
@@ -10,7 +10,7 @@
 use filbertstack_weights::Store;
 use filbertstack_weights::fetch::Fault;
 use filbertstack_weights::fetch::SourceError;
-use filbertstack_weights::manifest::Want;
+use filbertstack_weights::manifest::ChunkLocation;
 
 /// How the peer answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,7 +63,7 @@
 impl Source for MemoryPeer {
     type Error = PeerError;
 
-    fn fetch(&self, want: &Want) -> Result<Bytes, PeerError> {
+    fn fetch(&self, want: &ChunkLocation) -> Result<Bytes, PeerError> {
         self.asked.lock().unwrap().push(want.index);
         let chunk = self.chunks[want.index as usize].clone();
         match *self.mood.lock().unwrap() {
@@ -87,7 +87,7 @@
 impl Source for StorePeer {
     type Error = PeerError;
 
-    fn fetch(&self, want: &Want) -> Result<Bytes, PeerError> {
+    fn fetch(&self, want: &ChunkLocation) -> Result<Bytes, PeerError> {
         let held = self.0.get(want.chunk.digest);
         held.ok().flatten().ok_or(PeerError(Fault::Missing))
     }
