--- a/crates/filbertstack-agent/src/mesh.rs
+++ b/crates/filbertstack-agent/src/mesh.rs
@@ -126,7 +126,7 @@
     pub fn begin(&self, manifest: &Arc<Manifest>, assignment: &Assignment) {
         let again = self.lock().begin(manifest, assignment);
         if again {
-            let lacks = manifest.wants();
+            let lacks = manifest.locations();
             let lacks = lacks.filter(|want| !self.store.has(want.chunk.digest));
             let places: Vec<u32> = lacks.map(|want| want.index).collect();
             self.copier.lost(manifest.root(), &places);
--- a/crates/filbertstack-agent/src/mesh/copies.rs
+++ b/crates/filbertstack-agent/src/mesh/copies.rs
@@ -311,7 +311,7 @@
         let has = |place: &u32| {
             *place == MANIFEST
                 || manifest
-                    .want(*place)
+                    .location(*place)
                     .is_some_and(|want| store.has(want.chunk.digest))
         };
         self.grants.keys().copied().filter(has).collect()
@@ -322,7 +322,7 @@
             return Vec::new();
         };
         let mut held = ChunkSet::new(manifest.chunks().len());
-        for want in manifest.wants() {
+        for want in manifest.locations() {
             if store.has(want.chunk.digest) {
                 held.insert(want.index);
             }
@@ -331,7 +331,7 @@
     }
 
     fn places(&self, chunk: Digest) -> impl Iterator<Item = u32> {
-        let wants = self.manifest.iter().flat_map(|manifest| manifest.wants());
+        let wants = self.manifest.iter().flat_map(|manifest| manifest.locations());
         wants
             .filter(move |want| want.chunk.digest == chunk)
             .map(|want| want.index)
@@ -348,7 +348,7 @@
             if rests || self.used.contains(&place) {
                 continue;
             }
-            let Some(want) = manifest.want(place) else {
+            let Some(want) = manifest.location(place) else {
                 continue;
             };
             let chunk = want.chunk.digest;
--- a/crates/filbertstack-weights/src/copy/catalogue.rs
+++ b/crates/filbertstack-weights/src/copy/catalogue.rs
@@ -35,7 +35,7 @@
         if self.versions.contains_key(&root) {
             return None;
         }
-        let wants: Vec<_> = manifest.wants().collect();
+        let wants: Vec<_> = manifest.locations().collect();
         let indices = wants.into_iter().map(|want| self.index(want)).collect();
         let missing = manifest.chunks().len();
         let entry = Entry {
--- a/crates/filbertstack-weights/src/lib.rs
+++ b/crates/filbertstack-weights/src/lib.rs
@@ -17,7 +17,7 @@
 //! let manifest = Arc::new(Manifest::of_dir(dir.path(), 4).unwrap());
 //! let store = Arc::new(Store::memory(1 << 20));
 //! let fetching = Version::declare(manifest.clone(), store.clone()).unwrap().fetch();
-//! for want in manifest.wants() {
+//! for want in manifest.locations() {
 //!     let bytes = &b"weights"[want.range()];
 //!     store.put(want.chunk.digest, bytes.to_vec().into()).unwrap();
 //! }
--- a/crates/filbertstack-weights/src/manifest.rs
+++ b/crates/filbertstack-weights/src/manifest.rs
@@ -302,7 +302,7 @@
     }
 
     /// What to fetch for the chunk at `index`; `None` past the last.
-    pub fn want(&self, index: u32) -> Option<ChunkLocation> {
+    pub fn location(&self, index: u32) -> Option<ChunkLocation> {
         let at = index as usize;
         let place = *self.places.get(at)?;
         Some(ChunkLocation {
@@ -315,8 +315,8 @@
     }
 
     /// What to fetch for each chunk, in order.
-    pub fn wants(&self) -> impl Iterator<Item = ChunkLocation> {
-        (0..).map_while(|index| self.want(index))
+    pub fn locations(&self) -> impl Iterator<Item = ChunkLocation> {
+        (0..).map_while(|index| self.location(index))
     }
 }
 
--- a/crates/filbertstack-weights/src/version.rs
+++ b/crates/filbertstack-weights/src/version.rs
@@ -151,7 +151,7 @@
     pub fn missing(&self) -> Vec<u32> {
         let held = &self.held;
         let lacks = |chunk: Digest| !held.store.has(chunk);
-        let wants = held.manifest.wants();
+        let wants = held.manifest.locations();
         wants
             .filter(|want| lacks(want.chunk.digest))
             .map(|want| want.index)
@@ -185,7 +185,7 @@
 
 fn unreadable(held: &Held) -> Vec<u32> {
     let reads = |digest| matches!(held.store.get(digest), Ok(Some(_)));
-    let wants = held.manifest.wants();
+    let wants = held.manifest.locations();
     wants
         .filter(|want| !reads(want.chunk.digest))
         .map(|want| want.index)
@@ -225,7 +225,7 @@
 
     /// Whether the files below `whole` are the version's.
     fn is_written(&self, whole: &Path) -> bool {
-        let mut wants = self.held.manifest.wants().peekable();
+        let mut wants = self.held.manifest.locations().peekable();
         let mut files = self.held.manifest.files().iter();
         files.all(|file| {
             let Ok(mut written) = File::open(whole.join(&*file.name)) else {
@@ -244,7 +244,7 @@
         if part.exists() {
             fs::remove_dir_all(part).map_err(|error| write_error(part, error))?;
         }
-        let mut wants = self.held.manifest.wants().peekable();
+        let mut wants = self.held.manifest.locations().peekable();
         for file in self.held.manifest.files() {
             let path = part.join(&*file.name);
             let failed = |error| write_error(&path, error);
--- a/crates/filbertstack-weights/tests/http.rs
+++ b/crates/filbertstack-weights/tests/http.rs
@@ -33,7 +33,7 @@
 
 /// The third chunk of the second file: neither the first nor the last range of it.
 fn want(sample: &Sample) -> ChunkLocation {
-    sample.manifest.want(7).unwrap()
+    sample.manifest.location(7).unwrap()
 }
 
 fn fetch(config: HttpConfig, answer: Answer) -> (Result<(), FetchError>, Store) {
@@ -85,7 +85,7 @@
     let manifest = Manifest::of_dir(dir.path(), 4096).unwrap();
     let origin = Origin::start(vec![7; 4096], Answer::Drip);
     let source = HttpSource::new(&origin.base(), PATIENT);
-    let want = manifest.want(0).unwrap();
+    let want = manifest.location(0).unwrap();
     let error = fetch_into(&source, &want, &Store::memory(10_000)).unwrap_err();
     assert_eq!(error.fault(), Some(Fault::Stalled), "{error}");
 }
--- a/crates/filbertstack-weights/tests/store.rs
+++ b/crates/filbertstack-weights/tests/store.rs
@@ -18,7 +18,7 @@
 use support::sample;
 
 fn fill(store: &Store, sample: &Sample) {
-    for (want, bytes) in sample.manifest.wants().zip(&sample.bytes) {
+    for (want, bytes) in sample.manifest.locations().zip(&sample.bytes) {
         store.put(want.chunk.digest, bytes.clone()).unwrap();
     }
 }
@@ -94,9 +94,9 @@
     fill(&store, &one);
     let refused = store.pin(&two.manifest).unwrap_err();
     assert!(matches!(refused, StoreError::Full { .. }), "{refused}");
-    let own = two.manifest.want(12).unwrap().chunk;
+    let own = two.manifest.location(12).unwrap().chunk;
     store.put(own.digest, two.bytes[12].clone()).unwrap();
-    let next = two.manifest.want(6).unwrap().chunk;
+    let next = two.manifest.location(6).unwrap().chunk;
     store.put(next.digest, two.bytes[6].clone()).unwrap();
     assert!(
         one.manifest
@@ -139,7 +139,7 @@
     fs::write(dir.path().join("parts/77"), b"half a chunk").unwrap();
     fs::write(dir.path().join("chunks/note"), b"no digest").unwrap();
     let store = Store::open(dir.path(), 10_000).unwrap();
-    for (want, bytes) in one.manifest.wants().zip(&one.bytes) {
+    for (want, bytes) in one.manifest.locations().zip(&one.bytes) {
         assert_eq!(store.get(want.chunk.digest).unwrap().as_ref(), Some(bytes));
     }
     assert_eq!(fs::read_dir(dir.path().join("parts")).unwrap().count(), 0);
--- a/crates/filbertstack-weights/tests/version.rs
+++ b/crates/filbertstack-weights/tests/version.rs
@@ -16,7 +16,7 @@
 use support::sample;
 
 fn fill(store: &Store, sample: &Sample, count: usize) {
-    for (want, bytes) in sample.manifest.wants().zip(&sample.bytes).take(count) {
+    for (want, bytes) in sample.manifest.locations().zip(&sample.bytes).take(count) {
         store.put(want.chunk.digest, bytes.clone()).unwrap();
     }
 }
