--- a/crates/filbertstack-agent/tests/keeper.rs
+++ b/crates/filbertstack-agent/tests/keeper.rs
@@ -152,7 +152,7 @@
 fn publish(dir: &Path, text: &str, store: &Store) -> Arc<Manifest> {
     std::fs::create_dir_all(dir).expect("a folder");
     std::fs::write(dir.join("model.bin"), text).expect("written");
-    let manifest = Manifest::of_dir(dir, 4096).expect("a manifest");
+    let manifest = Manifest::from_dir(dir, 4096).expect("a manifest");
     let bytes = bytes::Bytes::copy_from_slice(text.as_bytes());
     store.put(Digest::of(&bytes), bytes).expect("stored");
     Arc::new(manifest)
--- a/crates/filbertstack-weights/src/lib.rs
+++ b/crates/filbertstack-weights/src/lib.rs
@@ -14,7 +14,7 @@
 //!
 //! let dir = tempfile::tempdir().unwrap();
 //! std::fs::write(dir.path().join("model.bin"), b"weights").unwrap();
-//! let manifest = Arc::new(Manifest::of_dir(dir.path(), 4).unwrap());
+//! let manifest = Arc::new(Manifest::from_dir(dir.path(), 4).unwrap());
 //! let store = Arc::new(Store::memory(1 << 20));
 //! let fetching = Version::declare(manifest.clone(), store.clone()).unwrap().fetch();
 //! for want in manifest.locations() {
--- a/crates/filbertstack-weights/src/manifest.rs
+++ b/crates/filbertstack-weights/src/manifest.rs
@@ -214,7 +214,7 @@
     ///
     /// # Errors
     /// What keeps the directory from being a version.
-    pub fn of_dir(dir: &Path, chunk_size: u32) -> Result<Self, ManifestError> {
+    pub fn from_dir(dir: &Path, chunk_size: u32) -> Result<Self, ManifestError> {
         if chunk_size == 0 || chunk_size > MAX_CHUNK {
             return Err(ManifestError::ChunkSize { size: chunk_size });
         }
--- a/crates/filbertstack-weights/tests/http.rs
+++ b/crates/filbertstack-weights/tests/http.rs
@@ -82,7 +82,7 @@
 fn a_dripping_origin_is_a_stall() {
     let dir = tempfile::tempdir().unwrap();
     fs::write(dir.path().join("model.bin"), vec![7; 4096]).unwrap();
-    let manifest = Manifest::of_dir(dir.path(), 4096).unwrap();
+    let manifest = Manifest::from_dir(dir.path(), 4096).unwrap();
     let origin = Origin::start(vec![7; 4096], Answer::Drip);
     let source = HttpSource::new(&origin.base(), PATIENT);
     let want = manifest.location(0).unwrap();
--- a/crates/filbertstack-weights/tests/manifest.rs
+++ b/crates/filbertstack-weights/tests/manifest.rs
@@ -43,7 +43,7 @@
     assert_eq!(Digest::of(&encoded), sample.manifest.root());
     let decoded = Manifest::decode(sample.manifest.root(), &encoded).unwrap();
     assert_eq!(decoded, *sample.manifest);
-    let again = Manifest::of_dir(sample.dir.path(), CHUNK).unwrap();
+    let again = Manifest::from_dir(sample.dir.path(), CHUNK).unwrap();
     assert_eq!(again.root(), sample.manifest.root());
 }
 
@@ -143,17 +143,17 @@
 #[test]
 fn folders_that_make_no_version_are_refused() {
     let dir = tempfile::tempdir().unwrap();
-    let empty = Manifest::of_dir(dir.path(), CHUNK).unwrap_err();
+    let empty = Manifest::from_dir(dir.path(), CHUNK).unwrap_err();
     assert!(matches!(empty, ManifestError::Empty), "{empty}");
     fs::write(dir.path().join(".cache"), b"x").unwrap();
     fs::write(dir.path().join("a"), b"x").unwrap();
     assert_eq!(
-        Manifest::of_dir(dir.path(), CHUNK).unwrap().files().len(),
+        Manifest::from_dir(dir.path(), CHUNK).unwrap().files().len(),
         1
     );
-    assert!(Manifest::of_dir(dir.path(), 0).is_err());
+    assert!(Manifest::from_dir(dir.path(), 0).is_err());
     symlink(dir.path(), dir.path().join("loop")).unwrap();
-    let looped = Manifest::of_dir(dir.path(), CHUNK).unwrap_err();
+    let looped = Manifest::from_dir(dir.path(), CHUNK).unwrap_err();
     assert!(matches!(looped, ManifestError::Kind { .. }), "{looped}");
 }
 
--- a/crates/filbertstack-weights/tests/support/mod.rs
+++ b/crates/filbertstack-weights/tests/support/mod.rs
@@ -31,7 +31,7 @@
     let own = pattern(500, seed);
     fs::write(dir.path().join("config.json"), &common).unwrap();
     fs::write(dir.path().join("layers/0.bin"), &own).unwrap();
-    let manifest = Manifest::of_dir(dir.path(), CHUNK).unwrap();
+    let manifest = Manifest::from_dir(dir.path(), CHUNK).unwrap();
     let cut = |part: &[u8]| -> Vec<Bytes> {
         let parts = part.chunks(CHUNK as usize);
         parts.map(Bytes::copy_from_slice).collect()
--- a/src/cmd/publish.rs
+++ b/src/cmd/publish.rs
@@ -25,7 +25,7 @@
         .map(parse_size)
         .transpose()?
         .unwrap_or(CHUNK_SIZE);
-    let manifest = Manifest::of_dir(&flags.dir, u32::try_from(size)?)?;
+    let manifest = Manifest::from_dir(&flags.dir, u32::try_from(size)?)?;
     let encoded = manifest.encode();
     let file = flags.dir.join(manifest_name(manifest.root()));
     let written = fs::write(&file, &encoded);
--- a/src/demo/world.rs
+++ b/src/demo/world.rs
@@ -164,7 +164,7 @@
     /// Publishes the model and returns its version.
     pub fn publish(&self) -> Result<String, DemoError> {
         let folder = self.dir.path().join("origin");
-        let manifest = Manifest::of_dir(&folder, CHUNK);
+        let manifest = Manifest::from_dir(&folder, CHUNK);
         let manifest = manifest.map_err(|error| failed("manifest", &error))?;
         let encoded = manifest.encode();
         fs::write(folder.join(manifest_name(manifest.root())), &encoded)
