--- a/crates/filbertstack-agent/src/mesh/copies.rs
+++ b/crates/filbertstack-agent/src/mesh/copies.rs
@@ -214,7 +214,7 @@
     /// Takes note of what the copier says; true if the leader is to hear of it now.
     pub fn note(&mut self, event: &CopyEvent) -> bool {
         match event {
-            CopyEvent::Landed { granted, .. } => *granted,
+            CopyEvent::ChunkStored { granted, .. } => *granted,
             CopyEvent::GrantFailed { chunk, fault } => {
                 for row in self.rows.values_mut() {
                     let failed = row.places(*chunk).filter(|place| row.used.contains(place));
--- a/crates/filbertstack-weights/src/copy.rs
+++ b/crates/filbertstack-weights/src/copy.rs
@@ -7,7 +7,7 @@
 //! What the agent does with its links:
 //!
 //! - [`Copier::want`] a manifest, then ask the upstreams for their chunks of it and pass each
-//!   answer to [`Copier::announce`]; pass on its own landed chunks from [`CopyEvent::Landed`].
+//!   answer to [`Copier::announce`]; pass on its own landed chunks from [`CopyEvent::ChunkStored`].
 //! - On [`CopyEvent::Complete`] verify the version; if chunks were damaged, [`Copier::lost`].
 //! - On [`CopyEvent::Escalate`] ask the leader; pass its grant to [`Copier::grant`].
 
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CopyEvent {
     /// A chunk has come: announce it downstream; if a grant brought it, report it to the leader.
-    Landed {
+    ChunkStored {
         /// The chunk.
         chunk: Digest,
         /// Whether it came by a grant.
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -188,7 +188,7 @@
             return Vec::new();
         }
         let granted = true;
-        vec![CopyEvent::Landed { chunk, granted }]
+        vec![CopyEvent::ChunkStored { chunk, granted }]
     }
 
     /// Takes note that chunks of a version were found damaged or gone, by their places in its
@@ -264,7 +264,7 @@
         }
         // It may have come from a peer before its grant was used: the leader is told all the same.
         let granted = self.grants.remove(&job.index).is_some();
-        let mut events = vec![CopyEvent::Landed { chunk, granted }];
+        let mut events = vec![CopyEvent::ChunkStored { chunk, granted }];
         let complete = self.catalogue.landed(job.index);
         events.extend(
             complete
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -278,7 +278,7 @@
     let chunk = sample.manifest.chunks()[4].digest;
     let events = core.grant(sample.manifest.root(), chunk, vec![origin.clone()]);
     let granted = true;
-    assert_eq!(events, [CopyEvent::Landed { chunk, granted }]);
+    assert_eq!(events, [CopyEvent::ChunkStored { chunk, granted }]);
     drive(&mut core, &store);
     assert_eq!(origin.count(), 0);
 }
@@ -370,7 +370,7 @@
                 continue;
             };
             match event {
-                CopyEvent::Landed { chunk, granted } => {
+                CopyEvent::ChunkStored { chunk, granted } => {
                     if granted {
                         tokens.completed(chunk, keys[up], Millis::ZERO);
                         send(tokens.grant(Millis::ZERO));
