--- a/crates/filbertstack-agent/src/mesh/copies.rs
+++ b/crates/filbertstack-agent/src/mesh/copies.rs
@@ -241,7 +241,7 @@
                 }
                 false
             }
-            CopyEvent::Complete { .. } | CopyEvent::Worn { .. } => false,
+            CopyEvent::Complete { .. } | CopyEvent::UpstreamFailing { .. } => false,
         }
     }
 
--- a/crates/filbertstack-weights/src/copy.rs
+++ b/crates/filbertstack-weights/src/copy.rs
@@ -56,7 +56,7 @@
         fault: Fault,
     },
     /// An upstream failed so often that another is wanted from the leader.
-    Worn {
+    UpstreamFailing {
         /// The upstream.
         peer: NeighbourKey,
     },
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -306,7 +306,7 @@
     fn worn_out(&mut self) -> Vec<CopyEvent> {
         let worn = self.pull.failing();
         let new = worn.iter().filter(|key| !self.worn.contains(key));
-        let events = new.map(|&peer| CopyEvent::Worn { peer }).collect();
+        let events = new.map(|&peer| CopyEvent::UpstreamFailing { peer }).collect();
         self.worn = worn;
         events
     }
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -134,7 +134,7 @@
     let events = drive(&mut core, &store);
     let worn = events
         .iter()
-        .filter(|event| matches!(event, CopyEvent::Worn { .. }));
+        .filter(|event| matches!(event, CopyEvent::UpstreamFailing { .. }));
     assert_eq!(worn.count(), 1);
     // Its rests grow, so that two minutes hold few requests; the leader is asked meanwhile.
     assert!(bad.count() < 15, "asked {} times", bad.count());
