--- a/crates/filbertstack-agent/src/process.rs
+++ b/crates/filbertstack-agent/src/process.rs
@@ -13,7 +13,7 @@
 
 use filbertstack_telemetry::Telemetry;
 use filbertstack_weights::Store;
-use filbertstack_weights::copy::Uploads;
+use filbertstack_weights::copy::UploadSlots;
 use filbertstack_weights::store::StoreError;
 use filbertstack_wire::Dialer;
 use filbertstack_wire::Listener;
@@ -106,7 +106,7 @@
             gate: gate.clone(),
             target: target.clone(),
             store: store.clone(),
-            uploads: Uploads::new(UPLOADS),
+            uploads: UploadSlots::new(UPLOADS),
             desk: desk.clone(),
             term: term.clone(),
             telemetry,
--- a/crates/filbertstack-agent/src/serve.rs
+++ b/crates/filbertstack-agent/src/serve.rs
@@ -15,7 +15,7 @@
 use filbertstack_telemetry::traces::Hop;
 use filbertstack_telemetry::traces::Parent;
 use filbertstack_weights::Store;
-use filbertstack_weights::copy::Uploads;
+use filbertstack_weights::copy::UploadSlots;
 use filbertstack_wire::Handler;
 use filbertstack_wire::Remote;
 use filbertstack_wire::Responder;
@@ -81,7 +81,7 @@
     /// Chunks for peers.
     pub store: Arc<Store>,
     /// Who of the peers gets the next chunk.
-    pub uploads: Arc<Uploads>,
+    pub uploads: Arc<UploadSlots>,
     /// Manifests for peers.
     pub desk: Arc<Desk>,
     /// The highest term accepted.
--- a/crates/filbertstack-weights/src/copy.rs
+++ b/crates/filbertstack-weights/src/copy.rs
@@ -26,7 +26,7 @@
 pub use pool::Copier;
 pub use pool::CopyConfig;
 pub use uploads::UploadSlot;
-pub use uploads::Uploads;
+pub use uploads::UploadSlots;
 
 /// What the agent is to know or to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/filbertstack-weights/src/copy/uploads.rs
+++ b/crates/filbertstack-weights/src/copy/uploads.rs
@@ -15,7 +15,7 @@
 
 /// The upload slots of an agent.
 #[derive(Debug)]
-pub struct Uploads {
+pub struct UploadSlots {
     state: Mutex<State>,
     wake: Condvar,
 }
@@ -29,10 +29,10 @@
 /// A slot; dropping it lets the next requester in.
 #[derive(Debug)]
 pub struct UploadSlot {
-    uploads: Arc<Uploads>,
+    uploads: Arc<UploadSlots>,
 }
 
-impl Uploads {
+impl UploadSlots {
     /// So many uploads at a time.
     pub fn new(slots: usize) -> Arc<Self> {
         let state = State {
--- a/crates/filbertstack-weights/tests/uploads.rs
+++ b/crates/filbertstack-weights/tests/uploads.rs
@@ -6,7 +6,7 @@
 
 use filbertstack_core::Millis;
 use filbertstack_policy::spread::serve::UploadRequest;
-use filbertstack_weights::copy::Uploads;
+use filbertstack_weights::copy::UploadSlots;
 
 const LONG: Duration = Duration::from_secs(30);
 
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_full_house_refuses_and_a_dropped_slot_is_free() {
-    let uploads = Uploads::new(1);
+    let uploads = UploadSlots::new(1);
     let slot = uploads.enter(ask(0), Duration::ZERO).unwrap();
     assert!(uploads.enter(ask(0), Duration::ZERO).is_none());
     drop(slot);
@@ -32,7 +32,7 @@
 // Two wait for one slot. The one with fewer chunks gets it, though the other came first.
 #[test]
 fn the_one_with_the_fewest_chunks_goes_first() {
-    let uploads = Uploads::new(1);
+    let uploads = UploadSlots::new(1);
     let slot = uploads.enter(ask(0), Duration::ZERO).unwrap();
     let (sender, served) = channel();
     let mut threads = Vec::new();
