--- a/crates/filbertstack-agent/src/serve.rs
+++ b/crates/filbertstack-agent/src/serve.rs
@@ -164,7 +164,7 @@
             .name("chunk".into())
             .stack_size(STACK);
         let _ = builder.spawn(move || {
-            let Some(_slot) = uploads.enter(ANYBODY, UPLOAD_WAIT) else {
+            let Some(_slot) = uploads.acquire(ANYBODY, UPLOAD_WAIT) else {
                 return responder.refuse("others were served first: come back", BUSY);
             };
             match store.get(digest) {
--- a/crates/filbertstack-weights/src/copy/uploads.rs
+++ b/crates/filbertstack-weights/src/copy/uploads.rs
@@ -47,7 +47,7 @@
 
     /// Waits for a slot for at most `wait`; `None` if others went first, and the requester is to
     /// be told that this instance is busy.
-    pub fn enter(self: &Arc<Self>, ask: UploadRequest, wait: Duration) -> Option<UploadSlot> {
+    pub fn acquire(self: &Arc<Self>, ask: UploadRequest, wait: Duration) -> Option<UploadSlot> {
         let end = Instant::now() + wait;
         let mut state = self.lock();
         let key = state.asks.insert(ask);
--- a/crates/filbertstack-weights/tests/uploads.rs
+++ b/crates/filbertstack-weights/tests/uploads.rs
@@ -23,23 +23,23 @@
 #[test]
 fn a_full_house_refuses_and_a_dropped_slot_is_free() {
     let uploads = UploadSlots::new(1);
-    let slot = uploads.enter(ask(0), Duration::ZERO).unwrap();
-    assert!(uploads.enter(ask(0), Duration::ZERO).is_none());
+    let slot = uploads.acquire(ask(0), Duration::ZERO).unwrap();
+    assert!(uploads.acquire(ask(0), Duration::ZERO).is_none());
     drop(slot);
-    assert!(uploads.enter(ask(0), Duration::ZERO).is_some());
+    assert!(uploads.acquire(ask(0), Duration::ZERO).is_some());
 }
 
 // Two wait for one slot. The one with fewer chunks gets it, though the other came first.
 #[test]
 fn the_one_with_the_fewest_chunks_goes_first() {
     let uploads = UploadSlots::new(1);
-    let slot = uploads.enter(ask(0), Duration::ZERO).unwrap();
+    let slot = uploads.acquire(ask(0), Duration::ZERO).unwrap();
     let (sender, served) = channel();
     let mut threads = Vec::new();
     for (before, held) in [200, 3].into_iter().enumerate() {
         let (own, sender) = (uploads.clone(), sender.clone());
         threads.push(thread::spawn(move || {
-            let slot = own.enter(ask(held), LONG).unwrap();
+            let slot = own.acquire(ask(held), LONG).unwrap();
             sender.send(held).unwrap();
             drop(slot);
         }));
