--- a/crates/filbertstack-agent/src/mesh.rs
+++ b/crates/filbertstack-agent/src/mesh.rs
@@ -131,7 +131,7 @@
             let places: Vec<u32> = lacks.map(|want| want.index).collect();
             self.copier.lost(manifest.root(), &places);
         } else {
-            self.copier.want(manifest.clone());
+            self.copier.add_version(manifest.clone());
         }
         self.woken.notify_all();
     }
--- a/crates/filbertstack-weights/src/copy.rs
+++ b/crates/filbertstack-weights/src/copy.rs
@@ -6,7 +6,7 @@
 //!
 //! What the agent does with its links:
 //!
-//! - [`Copier::want`] a manifest, then ask the upstreams for their chunks of it and pass each
+//! - [`Copier::add_version`] a manifest, then ask the upstreams for their chunks of it and pass each
 //!   answer to [`Copier::announce`]; pass on its own landed chunks from [`CopyEvent::ChunkStored`].
 //! - On [`CopyEvent::Complete`] verify the version; if chunks were damaged, [`Copier::lost`].
 //! - On [`CopyEvent::Escalate`] ask the leader; pass its grant to [`Copier::grant`].
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -77,7 +77,7 @@
 
     /// Copies a version from now on, beside those wanted already. What the store holds of it is
     /// not fetched.
-    pub fn want(&mut self, manifest: Arc<Manifest>) -> Vec<CopyEvent> {
+    pub fn add_version(&mut self, manifest: Arc<Manifest>) -> Vec<CopyEvent> {
         let chunks: Vec<_> = manifest.chunks().iter().map(|chunk| chunk.digest).collect();
         let Some(entry) = self.catalogue.add(manifest) else {
             return Vec::new();
--- a/crates/filbertstack-weights/src/copy/pool.rs
+++ b/crates/filbertstack-weights/src/copy/pool.rs
@@ -88,10 +88,10 @@
         Self { shared, threads }
     }
 
-    /// See [`Core::want`].
-    pub fn want(&self, manifest: Arc<Manifest>) {
+    /// See [`Core::add_version`].
+    pub fn add_version(&self, manifest: Arc<Manifest>) {
         let mut state = self.shared.lock();
-        let events = state.core.want(manifest);
+        let events = state.core.add_version(manifest);
         state.send(events);
         self.shared.wake.notify_all();
     }
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -86,7 +86,7 @@
     let sample = sample(1);
     let (mut core, store) = core();
     let peers = [(); 2].map(|()| Arc::new(MemoryPeer::new(&sample.bytes)));
-    core.want(sample.manifest.clone());
+    core.add_version(sample.manifest.clone());
     (0..)
         .zip(&peers)
         .for_each(|(place, peer)| join(&mut core, &sample, peer, place));
@@ -114,7 +114,7 @@
         let (mut core, store) = core();
         let bad = Arc::new(MemoryPeer::with(&sample.bytes, mood));
         let good = Arc::new(MemoryPeer::new(&sample.bytes));
-        core.want(sample.manifest.clone());
+        core.add_version(sample.manifest.clone());
         join(&mut core, &sample, &bad, 0);
         join(&mut core, &sample, &good, 1);
         let events = drive(&mut core, &store);
@@ -129,7 +129,7 @@
     let sample = sample(1);
     let (mut core, store) = core();
     let bad = Arc::new(MemoryPeer::with(&sample.bytes, Mood::Fails(Fault::Down)));
-    core.want(sample.manifest.clone());
+    core.add_version(sample.manifest.clone());
     join(&mut core, &sample, &bad, 0);
     let events = drive(&mut core, &store);
     let worn = events
@@ -152,10 +152,10 @@
     let (one, two) = (sample(1), sample(2));
     let (mut core, store) = core();
     let peers = [&one, &two].map(|sample| Arc::new(MemoryPeer::new(&sample.bytes)));
-    core.want(one.manifest.clone());
+    core.add_version(one.manifest.clone());
     join(&mut core, &one, &peers[0], 0);
     let job = core.next(Millis::ZERO).unwrap();
-    core.want(two.manifest.clone());
+    core.add_version(two.manifest.clone());
     join(&mut core, &two, &peers[1], 1);
     let result = job.source.fetch_into(&job.want, &store).map(|_| ());
     core.done(&job, result, Millis::ZERO);
@@ -176,7 +176,7 @@
     };
     let mut core = Core::new(Arc::new(Store::memory(100_000)), config, 1);
     for sample in [&one, &two] {
-        core.want(sample.manifest.clone());
+        core.add_version(sample.manifest.clone());
         for _ in 0..20 {
             let peer = Arc::new(MemoryPeer::new(&sample.bytes));
             join(&mut core, sample, &peer, 0);
@@ -198,11 +198,11 @@
     let (mut core, store) = core();
     let first = Arc::new(MemoryPeer::new(&one.bytes));
     let second = Arc::new(MemoryPeer::new(&two.bytes));
-    core.want(one.manifest.clone());
+    core.add_version(one.manifest.clone());
     join(&mut core, &one, &first, 0);
     let jobs: Vec<_> = std::iter::from_fn(|| core.next(Millis::ZERO)).collect();
     core.forget(one.manifest.root());
-    core.want(two.manifest.clone());
+    core.add_version(two.manifest.clone());
     join(&mut core, &two, &second, 1);
     for job in jobs {
         let result = job.source.fetch_into(&job.want, &store).map(|_| ());
@@ -240,7 +240,7 @@
         let (mut core, store) = core();
         let weights = Arc::new(MemoryPeer::with(&sample.bytes, mood));
         let origin = Arc::new(MemoryPeer::new(&sample.bytes));
-        core.want(sample.manifest.clone());
+        core.add_version(sample.manifest.clone());
         let sources: Vec<Arc<dyn AnySource>> = vec![weights.clone(), origin.clone()];
         let chunk = sample.manifest.chunks()[4].digest;
         core.grant(sample.manifest.root(), chunk, sources);
@@ -255,7 +255,7 @@
     let sample = sample(1);
     let (mut core, store) = core();
     let origin = Arc::new(MemoryPeer::with(&sample.bytes, Mood::Corrupt));
-    core.want(sample.manifest.clone());
+    core.add_version(sample.manifest.clone());
     let chunk = sample.manifest.chunks()[4].digest;
     core.grant(sample.manifest.root(), chunk, vec![origin.clone()]);
     let events = drive(&mut core, &store);
@@ -272,7 +272,7 @@
     let (mut core, store) = core();
     let origin = Arc::new(MemoryPeer::new(&sample.bytes));
     let peer = Arc::new(MemoryPeer::new(&sample.bytes));
-    core.want(sample.manifest.clone());
+    core.add_version(sample.manifest.clone());
     join(&mut core, &sample, &peer, 0);
     drive(&mut core, &store);
     let chunk = sample.manifest.chunks()[4].digest;
@@ -295,7 +295,7 @@
     let store = Arc::new(Store::open(dir.path(), 100_000).unwrap());
     let mut core = Core::new(store.clone(), PullConfig::default(), 1);
     let peer = Arc::new(MemoryPeer::new(&sample.bytes));
-    core.want(sample.manifest.clone());
+    core.add_version(sample.manifest.clone());
     assert_eq!(core.progress(sample.manifest.root()).unwrap().held, 10);
     join(&mut core, &sample, &peer, 0);
     let events = drive(&mut core, &store);
@@ -349,7 +349,7 @@
     let at = |key| keys.iter().position(|other| *other == key).unwrap();
     let mut downs = vec![Vec::new(); 11];
     for (down, agent) in agents.iter().enumerate() {
-        agent.copier.want(sample.manifest.clone());
+        agent.copier.add_version(sample.manifest.clone());
         for link in plan.upstreams(keys[down]) {
             let up = at(link.target);
             let source = Arc::new(StorePeer(agents[up].store.clone()));
@@ -398,7 +398,7 @@
 fn a_copier_on_threads_completes_and_ends() {
     let sample = sample(1);
     let agent = agent(1);
-    agent.copier.want(sample.manifest.clone());
+    agent.copier.add_version(sample.manifest.clone());
     let peer = Arc::new(MemoryPeer::new(&sample.bytes));
     let key = agent.copier.add_peer(peer, seat(0, 1));
     let all = ChunkSet::full(sample.bytes.len());
--- a/crates/filbertstack-weights/tests/lifecycle.rs
+++ b/crates/filbertstack-weights/tests/lifecycle.rs
@@ -196,7 +196,7 @@
         let manifest = self.samples[at].manifest.clone();
         let version = Version::declare(manifest.clone(), self.store.clone()).unwrap();
         self.slots[at] = Some(Slot::Fetching(version.fetch()));
-        self.core.want(manifest);
+        self.core.add_version(manifest);
         self.expected[at] = Phase::Fetching;
     }
 
