--- a/crates/filbertstack-agent/src/mesh.rs
+++ b/crates/filbertstack-agent/src/mesh.rs
@@ -139,7 +139,7 @@
     /// Ends a copy that was begun.
     pub fn end(&self, root: Digest) {
         if self.lock().end(root) {
-            self.copier.forget(root);
+            self.copier.remove_version(root);
         }
     }
 
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -106,7 +106,7 @@
     }
 
     /// Copies a version no more; chunks that another version wants are still fetched.
-    pub fn forget(&mut self, root: Digest) {
+    pub fn remove_version(&mut self, root: Digest) {
         let unused = self.catalogue.remove(root);
         for &index in &unused {
             self.grants.remove(&index);
--- a/crates/filbertstack-weights/src/copy/pool.rs
+++ b/crates/filbertstack-weights/src/copy/pool.rs
@@ -96,9 +96,9 @@
         self.shared.wake.notify_all();
     }
 
-    /// See [`Core::forget`].
-    pub fn forget(&self, root: Digest) {
-        self.shared.lock().core.forget(root);
+    /// See [`Core::remove_version`].
+    pub fn remove_version(&self, root: Digest) {
+        self.shared.lock().core.remove_version(root);
         self.shared.wake.notify_all();
     }
 
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -201,7 +201,7 @@
     core.add_version(one.manifest.clone());
     join(&mut core, &one, &first, 0);
     let jobs: Vec<_> = std::iter::from_fn(|| core.next(Millis::ZERO)).collect();
-    core.forget(one.manifest.root());
+    core.remove_version(one.manifest.root());
     core.add_version(two.manifest.clone());
     join(&mut core, &two, &second, 1);
     for job in jobs {
--- a/crates/filbertstack-weights/tests/lifecycle.rs
+++ b/crates/filbertstack-weights/tests/lifecycle.rs
@@ -202,7 +202,7 @@
 
     fn forget(&mut self, at: usize) {
         self.slots[at] = None;
-        self.core.forget(self.samples[at].manifest.root());
+        self.core.remove_version(self.samples[at].manifest.root());
         self.expected[at] = Phase::Absent;
     }
 
