--- a/crates/filbertstack-agent/src/mesh.rs
+++ b/crates/filbertstack-agent/src/mesh.rs
@@ -129,7 +129,7 @@
             let lacks = manifest.locations();
             let lacks = lacks.filter(|want| !self.store.has(want.chunk.digest));
             let places: Vec<u32> = lacks.map(|want| want.index).collect();
-            self.copier.lost(manifest.root(), &places);
+            self.copier.mark_missing(manifest.root(), &places);
         } else {
             self.copier.add_version(manifest.clone());
         }
--- a/crates/filbertstack-weights/src/copy.rs
+++ b/crates/filbertstack-weights/src/copy.rs
@@ -8,7 +8,7 @@
 //!
 //! - [`Copier::add_version`] a manifest, then ask the upstreams for their chunks of it and pass each
 //!   answer to [`Copier::announce`]; pass on its own landed chunks from [`CopyEvent::ChunkStored`].
-//! - On [`CopyEvent::Complete`] verify the version; if chunks were damaged, [`Copier::lost`].
+//! - On [`CopyEvent::Complete`] verify the version; if chunks were damaged, [`Copier::mark_missing`].
 //! - On [`CopyEvent::Escalate`] ask the leader; pass its grant to [`Copier::grant`].
 
 mod catalogue;
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -193,7 +193,7 @@
 
     /// Takes note that chunks of a version were found damaged or gone, by their places in its
     /// manifest.
-    pub fn lost(&mut self, root: Digest, places: &[u32]) {
+    pub fn mark_missing(&mut self, root: Digest, places: &[u32]) {
         let Some(entry) = self.catalogue.version(root) else {
             return;
         };
--- a/crates/filbertstack-weights/src/copy/pool.rs
+++ b/crates/filbertstack-weights/src/copy/pool.rs
@@ -132,9 +132,9 @@
         self.shared.wake.notify_all();
     }
 
-    /// See [`Core::lost`].
-    pub fn lost(&self, root: Digest, places: &[u32]) {
-        self.shared.lock().core.lost(root, places);
+    /// See [`Core::mark_missing`].
+    pub fn mark_missing(&self, root: Digest, places: &[u32]) {
+        self.shared.lock().core.mark_missing(root, places);
         self.shared.wake.notify_all();
     }
 
--- a/crates/filbertstack-weights/tests/lifecycle.rs
+++ b/crates/filbertstack-weights/tests/lifecycle.rs
@@ -271,7 +271,7 @@
             Err(refused) => {
                 assert!(!whole, "refused a whole version");
                 let missing = refused.version.missing();
-                self.core.lost(refused.version.root(), &missing);
+                self.core.mark_missing(refused.version.root(), &missing);
                 for at in missing.iter().map(|at| *at as usize) {
                     self.intact.remove(&chunks[at].digest);
                 }
