--- a/crates/filbertstack-agent/src/keeper.rs
+++ b/crates/filbertstack-agent/src/keeper.rs
@@ -335,7 +335,7 @@
         self.gate.close();
         let text = report.map_or_else(|error| error.to_string(), |report| format!("{report:?}"));
         kept.fail(format!("the engine serves something else: {text}"));
-        Held::Verified(version.lose())
+        Held::Verified(version.mark_unloaded())
     }
 
     fn drain(
@@ -353,7 +353,7 @@
         }
         let _ = std::fs::remove_dir_all(self.dir.join(version.root().to_string()));
         // What is still assigned stays verified, so that a rollback copies nothing.
-        duty.map(|_| Held::Verified(version.lose()))
+        duty.map(|_| Held::Verified(version.mark_unloaded()))
     }
 
     fn note_unanswered(&mut self, order: Order, error: &TargetError) {
--- a/crates/filbertstack-weights/src/version.rs
+++ b/crates/filbertstack-weights/src/version.rs
@@ -319,7 +319,7 @@
     }
 
     /// The engine reports another version or was restarted: it no longer answers from this one.
-    pub fn lose(self) -> Version<Verified> {
+    pub fn mark_unloaded(self) -> Version<Verified> {
         self.to()
     }
 
