--- a/crates/filbertstack-agent/src/mesh/copies.rs
+++ b/crates/filbertstack-agent/src/mesh/copies.rs
@@ -331,7 +331,10 @@
     }
 
     fn places(&self, chunk: Digest) -> impl Iterator<Item = u32> {
-        let wants = self.manifest.iter().flat_map(|manifest| manifest.locations());
+        let wants = self
+            .manifest
+            .iter()
+            .flat_map(|manifest| manifest.locations());
         wants
             .filter(move |want| want.chunk.digest == chunk)
             .map(|want| want.index)
--- a/crates/filbertstack-weights/src/copy/catalogue.rs
+++ b/crates/filbertstack-weights/src/copy/catalogue.rs
@@ -6,8 +6,8 @@
 use filbertstack_core::Digest;
 use filbertstack_policy::spread::chunks::ChunkIndex;
 
-use crate::manifest::Manifest;
 use crate::manifest::ChunkLocation;
+use crate::manifest::Manifest;
 
 /// A version and the indices of its chunks, in the manifest's order.
 #[derive(Debug)]
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -21,8 +21,8 @@
 use crate::copy::catalogue::Catalogue;
 use crate::fetch::AnySource;
 use crate::fetch::FetchError;
-use crate::manifest::Manifest;
 use crate::manifest::ChunkLocation;
+use crate::manifest::Manifest;
 use crate::store::Store;
 
 /// One fetch to make.
@@ -306,7 +306,9 @@
     fn worn_out(&mut self) -> Vec<CopyEvent> {
         let worn = self.pull.failing();
         let new = worn.iter().filter(|key| !self.worn.contains(key));
-        let events = new.map(|&peer| CopyEvent::UpstreamFailing { peer }).collect();
+        let events = new
+            .map(|&peer| CopyEvent::UpstreamFailing { peer })
+            .collect();
         self.worn = worn;
         events
     }
--- a/crates/filbertstack-weights/src/fetch/http.rs
+++ b/crates/filbertstack-weights/src/fetch/http.rs
@@ -23,10 +23,10 @@
 use crate::fetch::Fault;
 use crate::fetch::Source;
 use crate::fetch::SourceError;
+use crate::manifest::ChunkLocation;
 use crate::manifest::MAX_MANIFEST;
 use crate::manifest::Manifest;
 use crate::manifest::ManifestError;
-use crate::manifest::ChunkLocation;
 
 /// The header by which a server may say which version a file belongs to.
 const VERSION: HeaderName = HeaderName::from_static("x-weights-version");
@@ -303,7 +303,11 @@
     })
 }
 
-fn check_version(url: &str, response: &Response<Body>, want: &ChunkLocation) -> Result<(), HttpError> {
+fn check_version(
+    url: &str,
+    response: &Response<Body>,
+    want: &ChunkLocation,
+) -> Result<(), HttpError> {
     let version = text(response, &VERSION);
     if version.is_none_or(|version| version == want.version.to_string()) {
         return Ok(());
@@ -318,7 +322,11 @@
     }
 }
 
-fn check_range(url: &str, response: &Response<Body>, want: &ChunkLocation) -> Result<(), HttpError> {
+fn check_range(
+    url: &str,
+    response: &Response<Body>,
+    want: &ChunkLocation,
+) -> Result<(), HttpError> {
     let got = text(response, &header::CONTENT_RANGE).unwrap_or("no range");
     let range = format!("bytes {}-{}/", want.offset, want.last());
     let Some(total) = got.strip_prefix(&range) else {
--- a/crates/filbertstack-weights/tests/lifecycle.rs
+++ b/crates/filbertstack-weights/tests/lifecycle.rs
@@ -304,7 +304,9 @@
                 }
             }
             (Some(Slot::Loading(version)), Step::Fail(_)) => Some(Slot::Verified(version.fail())),
-            (Some(Slot::Serving(version)), Step::Lose(_)) => Some(Slot::Verified(version.mark_unloaded())),
+            (Some(Slot::Serving(version)), Step::Lose(_)) => {
+                Some(Slot::Verified(version.mark_unloaded()))
+            }
             (Some(Slot::Serving(version)), Step::Drain(_)) => Some(Slot::Draining(version.drain())),
             (Some(Slot::Draining(version)), Step::Drain(_)) => {
                 Some(Slot::Fetching(version.end().fetch()))
