--- a/crates/filbertstack-weights/src/copy/catalogue.rs
+++ b/crates/filbertstack-weights/src/copy/catalogue.rs
@@ -11,7 +11,7 @@
 
 /// A version and the indices of its chunks, in the manifest's order.
 #[derive(Debug)]
-pub(super) struct Entry {
+pub(super) struct WantedVersion {
     pub(super) manifest: Arc<Manifest>,
     pub(super) indices: Vec<ChunkIndex>,
     /// The places whose chunks are not held.
@@ -21,63 +21,66 @@
 /// Maps chunks to indices; a chunk of two versions has one.
 #[derive(Debug, Default)]
 pub(super) struct Catalogue {
-    versions: HashMap<Digest, Entry>,
+    versions: HashMap<Digest, WantedVersion>,
     indices: HashMap<Digest, ChunkIndex>,
     /// The wants of each index, one for each version that has the chunk.
-    wants: Vec<Vec<ChunkLocation>>,
+    locations: Vec<Vec<ChunkLocation>>,
     free: Vec<ChunkIndex>,
 }
 
 impl Catalogue {
     /// Adds a version; the indices of its chunks, or `None` if it is there already.
-    pub(super) fn add(&mut self, manifest: Arc<Manifest>) -> Option<&Entry> {
+    pub(super) fn add(&mut self, manifest: Arc<Manifest>) -> Option<&WantedVersion> {
         let root = manifest.root();
         if self.versions.contains_key(&root) {
             return None;
         }
-        let wants: Vec<_> = manifest.locations().collect();
-        let indices = wants.into_iter().map(|want| self.index(want)).collect();
+        let locations: Vec<_> = manifest.locations().collect();
+        let indices = locations
+            .into_iter()
+            .map(|location| self.assign_index(location))
+            .collect();
         let missing = manifest.chunks().len();
-        let entry = Entry {
+        let version = WantedVersion {
             manifest,
             indices,
             missing,
         };
-        Some(self.versions.entry(root).or_insert(entry))
+        Some(self.versions.entry(root).or_insert(version))
     }
 
-    fn index(&mut self, want: ChunkLocation) -> ChunkIndex {
-        let digest = want.chunk.digest;
+    fn assign_index(&mut self, location: ChunkLocation) -> ChunkIndex {
+        let digest = location.chunk.digest;
         if let Some(&index) = self.indices.get(&digest) {
-            self.wants[index as usize].push(want);
+            self.locations[index as usize].push(location);
             return index;
         }
         let index = self.free.pop().unwrap_or_else(|| {
-            self.wants.push(Vec::new());
-            ChunkIndex::try_from(self.wants.len() - 1).unwrap_or(ChunkIndex::MAX)
+            self.locations.push(Vec::new());
+            ChunkIndex::try_from(self.locations.len() - 1).unwrap_or(ChunkIndex::MAX)
         });
-        self.wants[index as usize].push(want);
+        self.locations[index as usize].push(location);
         self.indices.insert(digest, index);
         index
     }
 
     /// Removes a version; the indices that no other version has.
     pub(super) fn remove(&mut self, root: Digest) -> Vec<ChunkIndex> {
-        let Some(entry) = self.versions.remove(&root) else {
+        let Some(version) = self.versions.remove(&root) else {
             return Vec::new();
         };
         let mut unused = Vec::new();
-        for &index in &entry.indices {
-            let wants = &mut self.wants[index as usize];
-            let before = wants.len();
-            wants.retain(|want| want.version != root);
-            if wants.is_empty() && before > 0 {
+        for &index in &version.indices {
+            let locations = &mut self.locations[index as usize];
+            let before = locations.len();
+            locations.retain(|location| location.version != root);
+            if locations.is_empty() && before > 0 {
                 unused.push(index);
             }
         }
-        for chunk in entry.manifest.chunks() {
+        for chunk in version.manifest.chunks() {
             let index = self.indices.get(&chunk.digest);
-            if index.is_some_and(|&index| self.wants[index as usize].is_empty()) {
+            if index.is_some_and(|&index| self.locations[index as usize].is_empty()) {
                 self.indices.remove(&chunk.digest);
             }
         }
@@ -90,8 +93,8 @@
     }
 
     /// The bound of the indices.
-    pub(super) fn len(&self) -> usize {
-        self.wants.len()
+    pub(super) fn index_count(&self) -> usize {
+        self.locations.len()
     }
 
     pub(super) fn index_of(&self, chunk: Digest) -> Option<ChunkIndex> {
@@ -99,20 +102,26 @@
     }
 
     /// What to fetch for an index, of the version `root` if it has the chunk.
-    pub(super) fn want(&self, index: ChunkIndex, root: Option<Digest>) -> Option<&ChunkLocation> {
-        let wants = self.wants.get(index as usize)?;
-        let own = wants.iter().find(|want| Some(want.version) == root);
-        own.or(wants.first())
+    pub(super) fn location(
+        &self,
+        index: ChunkIndex,
+        root: Option<Digest>,
+    ) -> Option<&ChunkLocation> {
+        let locations = self.locations.get(index as usize)?;
+        let own = locations
+            .iter()
+            .find(|location| Some(location.version) == root);
+        own.or(locations.first())
     }
 
-    pub(super) fn version(&self, root: Digest) -> Option<&Entry> {
+    pub(super) fn version(&self, root: Digest) -> Option<&WantedVersion> {
         self.versions.get(&root)
     }
 
     /// The versions that have a chunk.
-    pub(super) fn users(&self, index: ChunkIndex) -> impl Iterator<Item = Digest> {
-        let wants = self.wants.get(index as usize).into_iter().flatten();
-        wants.map(|want| want.version)
+    pub(super) fn versions_of(&self, index: ChunkIndex) -> impl Iterator<Item = Digest> {
+        let locations = self.locations.get(index as usize).into_iter().flatten();
+        locations.map(|location| location.version)
     }
 
     pub(super) fn roots(&self) -> Vec<Digest> {
@@ -120,26 +129,30 @@
     }
 
     /// Counts what a version lacks; whether that has become nothing.
-    pub(super) fn recount(&mut self, root: Digest, held: impl Fn(ChunkIndex) -> bool) -> bool {
-        let Some(entry) = self.versions.get_mut(&root) else {
+    pub(super) fn update_missing(
+        &mut self,
+        root: Digest,
+        held: impl Fn(ChunkIndex) -> bool,
+    ) -> bool {
+        let Some(version) = self.versions.get_mut(&root) else {
             return false;
         };
-        let missing = entry.indices.iter().filter(|index| !held(**index));
-        let before = std::mem::replace(&mut entry.missing, missing.count());
-        before > 0 && entry.missing == 0
+        let missing = version.indices.iter().filter(|index| !held(**index));
+        let before = std::mem::replace(&mut version.missing, missing.count());
+        before > 0 && version.missing == 0
     }
 
     /// Takes note that a chunk came; the versions that it made complete.
-    pub(super) fn landed(&mut self, index: ChunkIndex) -> Vec<Digest> {
-        let users: Vec<_> = self.users(index).collect();
+    pub(super) fn mark_stored(&mut self, index: ChunkIndex) -> Vec<Digest> {
+        let roots: Vec<_> = self.versions_of(index).collect();
         let mut complete = Vec::new();
-        for root in users {
+        for root in roots {
             // A version that has the chunk in two places is named twice.
-            let Some(entry) = self.versions.get_mut(&root) else {
+            let Some(version) = self.versions.get_mut(&root) else {
                 continue;
             };
-            entry.missing -= 1;
-            if entry.missing == 0 {
+            version.missing -= 1;
+            if version.missing == 0 {
                 complete.push(root);
             }
         }
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -28,10 +28,10 @@
 /// One fetch to make.
 #[derive(Debug)]
 pub struct Job {
-    /// Names it in [`Core::done`].
-    pub flight: TransferKey,
+    /// Names it in [`Core::record_result`].
+    pub transfer: TransferKey,
     /// What to fetch.
-    pub want: ChunkLocation,
+    pub location: ChunkLocation,
     /// From where.
     pub source: Arc<dyn AnySource>,
     index: ChunkIndex,
@@ -54,10 +54,10 @@
     peers: HashMap<NeighbourKey, Arc<dyn AnySource>>,
     grants: HashMap<ChunkIndex, Grant>,
     /// Granted chunks whose source asked to come back later, and when.
-    later: Vec<(Millis, ChunkIndex)>,
+    postponed: Vec<(Millis, ChunkIndex)>,
     /// Indices of forgotten chunks that are still in flight.
-    leaving: Vec<ChunkIndex>,
-    worn: Vec<NeighbourKey>,
+    releasing: Vec<ChunkIndex>,
+    failing: Vec<NeighbourKey>,
 }
 
 impl Core {
@@ -69,9 +69,9 @@
             catalogue: Catalogue::default(),
             peers: HashMap::new(),
             grants: HashMap::new(),
-            later: Vec::new(),
-            leaving: Vec::new(),
-            worn: Vec::new(),
+            postponed: Vec::new(),
+            releasing: Vec::new(),
+            failing: Vec::new(),
         }
     }
 
@@ -79,11 +79,11 @@
     /// not fetched.
     pub fn add_version(&mut self, manifest: Arc<Manifest>) -> Vec<CopyEvent> {
         let chunks: Vec<_> = manifest.chunks().iter().map(|chunk| chunk.digest).collect();
-        let Some(entry) = self.catalogue.add(manifest) else {
+        let Some(version) = self.catalogue.add(manifest) else {
             return Vec::new();
         };
-        let indices = entry.indices.clone();
-        self.pull.grow(self.catalogue.len());
+        let indices = version.indices.clone();
+        self.pull.grow(self.catalogue.index_count());
         for (index, chunk) in indices.into_iter().zip(chunks) {
             self.pull.want(index);
             if self.store.has(chunk) {
@@ -94,14 +94,16 @@
         let roots = self.catalogue.roots();
         roots
             .into_iter()
-            .filter_map(|root| self.recount(root))
+            .filter_map(|root| self.update_missing(root))
             .collect()
     }
 
     /// Counts anew what a version lacks.
-    fn recount(&mut self, root: Digest) -> Option<CopyEvent> {
+    fn update_missing(&mut self, root: Digest) -> Option<CopyEvent> {
         let held = self.pull.held();
-        let complete = self.catalogue.recount(root, |index| held.contains(index));
+        let complete = self
+            .catalogue
+            .update_missing(root, |index| held.contains(index));
         complete.then_some(CopyEvent::Complete { root })
     }
 
@@ -112,25 +114,25 @@
             self.grants.remove(&index);
             self.pull.unwant(index);
         }
-        self.leaving.extend(unused);
+        self.releasing.extend(unused);
         self.reclaim();
     }
 
     /// Frees the indices of forgotten chunks once nothing is in flight for them.
     fn reclaim(&mut self) {
-        let leaving = std::mem::take(&mut self.leaving);
-        for index in leaving {
+        let releasing = std::mem::take(&mut self.releasing);
+        for index in releasing {
             if self.pull.clear(index) {
                 self.catalogue.release(index);
             } else {
-                self.leaving.push(index);
+                self.releasing.push(index);
             }
         }
     }
 
     /// Adds an upstream.
-    pub fn add_peer(&mut self, source: Arc<dyn AnySource>, seat: RingPosition) -> NeighbourKey {
-        let key = self.pull.join(seat);
+    pub fn add_peer(&mut self, source: Arc<dyn AnySource>, position: RingPosition) -> NeighbourKey {
+        let key = self.pull.join(position);
         self.peers.insert(key, source);
         key
     }
@@ -139,7 +141,7 @@
     pub fn remove_peer(&mut self, key: NeighbourKey) {
         self.pull.leave(key);
         self.peers.remove(&key);
-        self.worn.retain(|worn| *worn != key);
+        self.failing.retain(|failing| *failing != key);
         self.reclaim();
     }
 
@@ -149,20 +151,20 @@
         &mut self,
         key: NeighbourKey,
         root: Digest,
-        places: impl IntoIterator<Item = ChunkIndex>,
+        positions: impl IntoIterator<Item = ChunkIndex>,
     ) {
-        let Some(entry) = self.catalogue.version(root) else {
+        let Some(version) = self.catalogue.version(root) else {
             return;
         };
-        let places = places.into_iter();
-        let indices = places.filter_map(|at| entry.indices.get(at as usize));
+        let positions = positions.into_iter();
+        let indices = positions.filter_map(|at| version.indices.get(at as usize));
         for &index in indices {
             self.pull.announce(key, index);
         }
     }
 
     /// Takes note of the mesh clock in a peer's message.
-    pub fn hear(&mut self, clock: Millis, now: Millis) {
+    pub fn observe_clock(&mut self, clock: Millis, now: Millis) {
         self.pull.observe_clock(clock, now);
     }
 
@@ -193,26 +195,26 @@
 
     /// Takes note that chunks of a version were found damaged or gone, by their places in its
     /// manifest.
-    pub fn mark_missing(&mut self, root: Digest, places: &[u32]) {
-        let Some(entry) = self.catalogue.version(root) else {
+    pub fn mark_missing(&mut self, root: Digest, positions: &[u32]) {
+        let Some(version) = self.catalogue.version(root) else {
             return;
         };
-        let indices = places.iter().map(|at| entry.indices.get(*at as usize));
+        let indices = positions.iter().map(|at| version.indices.get(*at as usize));
         let indices: Vec<_> = indices.flatten().copied().collect();
         let mut roots = vec![root];
         for index in indices {
             self.pull.lose(index);
-            roots.extend(self.catalogue.users(index));
+            roots.extend(self.catalogue.versions_of(index));
         }
         roots.sort_unstable();
         roots.dedup();
         for root in roots {
-            self.recount(root);
+            self.update_missing(root);
         }
     }
 
     /// The next fetch to make, in flight from now on.
-    pub fn next(&mut self, now: Millis) -> Option<Job> {
+    pub fn next_job(&mut self, now: Millis) -> Option<Job> {
         loop {
             let request = self.pull.next(now)?;
             let (source, root) = match request.from {
@@ -223,11 +225,11 @@
                     (source, grant.map(|grant| grant.root))
                 }
             };
-            let want = self.catalogue.want(request.chunk, root).cloned();
-            if let (Some(source), Some(want)) = (source, want) {
+            let location = self.catalogue.location(request.chunk, root).cloned();
+            if let (Some(source), Some(location)) = (source, location) {
                 return Some(Job {
-                    flight: request.transfer,
-                    want,
+                    transfer: request.transfer,
+                    location,
                     source,
                     index: request.chunk,
                     from: request.from,
@@ -238,26 +240,26 @@
     }
 
     /// Takes what came of a fetch; what the agent is to do.
-    pub fn done(
+    pub fn record_result(
         &mut self,
         job: &Job,
         result: Result<(), FetchError>,
         now: Millis,
     ) -> Vec<CopyEvent> {
         let mut events = match result {
-            Ok(()) => self.landed(job, now),
-            Err(error) => self.failed(job, &error, now),
+            Ok(()) => self.fetch_succeeded(job, now),
+            Err(error) => self.fetch_failed(job, &error, now),
         };
         self.reclaim();
-        events.extend(self.worn_out());
+        events.extend(self.report_failing());
         events
     }
 
-    fn landed(&mut self, job: &Job, now: Millis) -> Vec<CopyEvent> {
-        let chunk = job.want.chunk.digest;
+    fn fetch_succeeded(&mut self, job: &Job, now: Millis) -> Vec<CopyEvent> {
+        let chunk = job.location.chunk.digest;
         // A fetch that was given up, or whose version was forgotten, may end all the same: the
         // index can name another chunk by then.
-        if !self.pull.completed(job.flight, now)
+        if !self.pull.completed(job.transfer, now)
             || self.catalogue.index_of(chunk) != Some(job.index)
         {
             return Vec::new();
@@ -265,7 +267,7 @@
         // It may have come from a peer before its grant was used: the leader is told all the same.
         let granted = self.grants.remove(&job.index).is_some();
         let mut events = vec![CopyEvent::ChunkStored { chunk, granted }];
-        let complete = self.catalogue.landed(job.index);
+        let complete = self.catalogue.mark_stored(job.index);
         events.extend(
             complete
                 .into_iter()
@@ -274,15 +276,15 @@
         events
     }
 
-    fn failed(&mut self, job: &Job, error: &FetchError, now: Millis) -> Vec<CopyEvent> {
-        let chunk = job.want.chunk.digest;
+    fn fetch_failed(&mut self, job: &Job, error: &FetchError, now: Millis) -> Vec<CopyEvent> {
+        let chunk = job.location.chunk.digest;
         let Some(fault) = error.fault() else {
             // The fault is this instance's own: the source is not marked.
             let after = Millis::secs(1);
-            self.pull.failed(job.flight, Fault::Busy { after }, now);
+            self.pull.failed(job.transfer, Fault::Busy { after }, now);
             return vec![CopyEvent::StoreFailed { chunk }];
         };
-        self.pull.failed(job.flight, fault, now);
+        self.pull.failed(job.transfer, fault, now);
         if job.from != Upstream::Import {
             return Vec::new();
         }
@@ -291,7 +293,7 @@
         };
         if let Fault::Busy { after } = fault {
             // A rate-limited store has the chunk all the same; the origin's link is dearer.
-            self.later.push((now + after, job.index));
+            self.postponed.push((now + after, job.index));
             return Vec::new();
         }
         grant.sources.pop_front();
@@ -303,41 +305,41 @@
         Vec::new()
     }
 
-    fn worn_out(&mut self) -> Vec<CopyEvent> {
-        let worn = self.pull.failing();
-        let new = worn.iter().filter(|key| !self.worn.contains(key));
+    fn report_failing(&mut self) -> Vec<CopyEvent> {
+        let failing = self.pull.failing();
+        let new = failing.iter().filter(|key| !self.failing.contains(key));
         let events = new
             .map(|&peer| CopyEvent::UpstreamFailing { peer })
             .collect();
-        self.worn = worn;
+        self.failing = failing;
         events
     }
 
     /// Gives up what takes too long and asks for what nobody has.
     pub fn tick(&mut self, now: Millis) -> Vec<CopyEvent> {
         self.pull.expire(now);
-        for (_, index) in self.later.extract_if(.., |(due, _)| *due <= now) {
+        for (_, index) in self.postponed.extract_if(.., |(due, _)| *due <= now) {
             self.pull.import(index);
         }
-        let mut events = self.worn_out();
+        let mut events = self.report_failing();
         let orphan = self.pull.escalate(now);
-        let want = orphan.and_then(|index| self.catalogue.want(index, None));
-        events.extend(want.map(|want| CopyEvent::Escalate {
-            chunk: want.chunk.digest,
+        let location = orphan.and_then(|index| self.catalogue.location(index, None));
+        events.extend(location.map(|location| CopyEvent::Escalate {
+            chunk: location.chunk.digest,
         }));
         events
     }
 
     /// Whether there is nothing to do until the agent says something new.
     pub fn is_idle(&self) -> bool {
-        self.pull.is_complete() && self.later.is_empty()
+        self.pull.is_complete() && self.postponed.is_empty()
     }
 
     /// The chunks of a version in the store, to announce; `None` if it is not wanted.
-    pub fn holding(&self, root: Digest) -> Option<ChunkSet> {
-        let entry = self.catalogue.version(root)?;
-        let mut set = ChunkSet::new(entry.indices.len());
-        for (at, &index) in (0..).zip(&entry.indices) {
+    pub fn held_chunks(&self, root: Digest) -> Option<ChunkSet> {
+        let version = self.catalogue.version(root)?;
+        let mut set = ChunkSet::new(version.indices.len());
+        for (at, &index) in (0..).zip(&version.indices) {
             if self.pull.held().contains(index) {
                 set.insert(at);
             }
@@ -347,7 +349,7 @@
 
     /// How far the copy of a version is; `None` if it is not wanted.
     pub fn progress(&self, root: Digest) -> Option<Progress> {
-        let set = self.holding(root)?;
+        let set = self.held_chunks(root)?;
         let (held, total) = (set.count(), set.len());
         Some(Progress { held, total })
     }
--- a/crates/filbertstack-weights/src/copy/pool.rs
+++ b/crates/filbertstack-weights/src/copy/pool.rs
@@ -82,7 +82,7 @@
         });
         let start = |_| {
             let shared = shared.clone();
-            thread::spawn(move || shared.work())
+            thread::spawn(move || shared.run_jobs())
         };
         let threads = (0..config.pull.max_transfers).map(start).collect();
         Self { shared, threads }
@@ -103,8 +103,8 @@
     }
 
     /// See [`Core::add_peer`].
-    pub fn add_peer(&self, source: Arc<dyn AnySource>, seat: RingPosition) -> NeighbourKey {
-        self.shared.lock().core.add_peer(source, seat)
+    pub fn add_peer(&self, source: Arc<dyn AnySource>, position: RingPosition) -> NeighbourKey {
+        self.shared.lock().core.add_peer(source, position)
     }
 
     /// See [`Core::remove_peer`].
@@ -118,9 +118,9 @@
         &self,
         key: NeighbourKey,
         root: Digest,
-        places: impl IntoIterator<Item = ChunkIndex>,
+        positions: impl IntoIterator<Item = ChunkIndex>,
     ) {
-        self.shared.lock().core.announce(key, root, places);
+        self.shared.lock().core.announce(key, root, positions);
         self.shared.wake.notify_all();
     }
 
@@ -133,15 +133,15 @@
     }
 
     /// See [`Core::mark_missing`].
-    pub fn mark_missing(&self, root: Digest, places: &[u32]) {
-        self.shared.lock().core.mark_missing(root, places);
+    pub fn mark_missing(&self, root: Digest, positions: &[u32]) {
+        self.shared.lock().core.mark_missing(root, positions);
         self.shared.wake.notify_all();
     }
 
     /// Takes note of the mesh clock in a peer's message.
-    pub fn hear(&self, clock: Millis) {
+    pub fn observe_clock(&self, clock: Millis) {
         let now = self.shared.now();
-        self.shared.lock().core.hear(clock, now);
+        self.shared.lock().core.observe_clock(clock, now);
     }
 
     /// Changes what may be fetched, in bytes a second.
@@ -155,9 +155,9 @@
         self.shared.lock().core.clock(now)
     }
 
-    /// See [`Core::holding`].
-    pub fn holding(&self, root: Digest) -> Option<ChunkSet> {
-        self.shared.lock().core.holding(root)
+    /// See [`Core::held_chunks`].
+    pub fn held_chunks(&self, root: Digest) -> Option<ChunkSet> {
+        self.shared.lock().core.held_chunks(root)
     }
 
     /// See [`Core::progress`].
@@ -195,20 +195,23 @@
         self.start.elapsed().into()
     }
 
-    fn work(&self) {
-        while let Some((job, wait)) = self.next() {
+    fn run_jobs(&self) {
+        while let Some((job, wait)) = self.wait_job() {
             thread::sleep(wait.into());
-            let result = job.source.fetch_into(&job.want, &self.store).map(|_| ());
+            let result = job
+                .source
+                .fetch_into(&job.location, &self.store)
+                .map(|_| ());
             let now = self.now();
             let mut state = self.lock();
-            let events = state.core.done(&job, result, now);
+            let events = state.core.record_result(&job, result, now);
             state.send(events);
             self.wake.notify_all();
         }
     }
 
     /// Waits for the next fetch and how long to hold it back; `None` at the end.
-    fn next(&self) -> Option<(Job, Millis)> {
+    fn wait_job(&self) -> Option<(Job, Millis)> {
         let mut state = self.lock();
         loop {
             if state.stop {
@@ -217,8 +220,8 @@
             let now = self.now();
             let events = state.core.tick(now);
             state.send(events);
-            if let Some(job) = state.core.next(now) {
-                let size = u64::from(job.want.chunk.size);
+            if let Some(job) = state.core.next_job(now) {
+                let size = u64::from(job.location.chunk.size);
                 let wait = state.bucket.take(size, now);
                 return Some((job, wait));
             }
--- a/crates/filbertstack-weights/src/copy/uploads.rs
+++ b/crates/filbertstack-weights/src/copy/uploads.rs
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 struct State {
     free: usize,
-    asks: Slab<UploadRequest>,
+    requests: Slab<UploadRequest>,
 }
 
 /// A slot; dropping it lets the next requester in.
@@ -37,7 +37,7 @@
     pub fn new(slots: usize) -> Arc<Self> {
         let state = State {
             free: slots,
-            asks: Slab::new(),
+            requests: Slab::new(),
         };
         Arc::new(Self {
             state: Mutex::new(state),
@@ -47,34 +47,34 @@
 
     /// Waits for a slot for at most `wait`; `None` if others went first, and the requester is to
     /// be told that this instance is busy.
-    pub fn acquire(self: &Arc<Self>, ask: UploadRequest, wait: Duration) -> Option<UploadSlot> {
+    pub fn acquire(self: &Arc<Self>, request: UploadRequest, wait: Duration) -> Option<UploadSlot> {
         let end = Instant::now() + wait;
         let mut state = self.lock();
-        let key = state.asks.insert(ask);
+        let key = state.requests.insert(request);
         loop {
-            if state.free > 0 && state.first() == Some(key) {
+            if state.free > 0 && state.first_request() == Some(key) {
                 state.free -= 1;
-                state.asks.remove(key);
+                state.requests.remove(key);
                 // With a second free slot the next one need not wait for a drop.
                 self.wake.notify_all();
                 return Some(UploadSlot {
                     uploads: self.clone(),
                 });
             }
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                state.asks.remove(key);
+            let remaining = end.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                state.requests.remove(key);
                 self.wake.notify_all();
                 return None;
             }
-            let waited = self.wake.wait_timeout(state, left);
+            let waited = self.wake.wait_timeout(state, remaining);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
     /// How many wait for a slot.
     pub fn waiting(&self) -> usize {
-        self.lock().asks.len()
+        self.lock().requests.len()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -83,9 +83,13 @@
 }
 
 impl State {
-    fn first(&self) -> Option<usize> {
-        let (keys, asks): (Vec<_>, Vec<_>) = self.asks.iter().map(|(key, ask)| (key, *ask)).unzip();
-        serve::next_upload(&asks).map(|at| keys[at])
+    fn first_request(&self) -> Option<usize> {
+        let (keys, requests): (Vec<_>, Vec<_>) = self
+            .requests
+            .iter()
+            .map(|(key, request)| (key, *request))
+            .unzip();
+        serve::next_upload(&requests).map(|at| keys[at])
     }
 }
 
--- a/crates/filbertstack-weights/src/fetch.rs
+++ b/crates/filbertstack-weights/src/fetch.rs
@@ -11,7 +11,7 @@
 use filbertstack_core::Digest;
 
 use crate::manifest::ChunkLocation;
-use crate::store::Put;
+use crate::store::PutOutcome;
 use crate::store::Store;
 use crate::store::StoreError;
 
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// What the source's kind of link reports.
-    fn fetch(&self, want: &ChunkLocation) -> Result<Bytes, Self::Error>;
+    fn fetch(&self, location: &ChunkLocation) -> Result<Bytes, Self::Error>;
 }
 
 /// A fetch that brought no chunk into the store.
@@ -81,18 +81,18 @@
 /// Why the chunk is not in the store.
 pub fn fetch_into<S: Source + ?Sized>(
     source: &S,
-    want: &ChunkLocation,
+    location: &ChunkLocation,
     store: &Store,
-) -> Result<Put, FetchError> {
-    if store.has(want.chunk.digest) {
-        return Ok(Put::Held);
+) -> Result<PutOutcome, FetchError> {
+    if store.has(location.chunk.digest) {
+        return Ok(PutOutcome::Held);
     }
-    let fetched = source.fetch(want);
+    let fetched = source.fetch(location);
     let bytes = fetched.map_err(|error| FetchError::Source {
         fault: error.fault(),
         error: Box::new(error),
     })?;
-    match store.put(want.chunk.digest, bytes) {
+    match store.put(location.chunk.digest, bytes) {
         Err(StoreError::Corrupt { digest }) => Err(FetchError::Corrupt { digest }),
         put => put.map_err(FetchError::Store),
     }
@@ -104,12 +104,17 @@
     ///
     /// # Errors
     /// Why the chunk is not in the store.
-    fn fetch_into(&self, want: &ChunkLocation, store: &Store) -> Result<Put, FetchError>;
+    fn fetch_into(&self, location: &ChunkLocation, store: &Store)
+    -> Result<PutOutcome, FetchError>;
 }
 
 impl<S: Source> AnySource for S {
-    fn fetch_into(&self, want: &ChunkLocation, store: &Store) -> Result<Put, FetchError> {
-        fetch_into(self, want, store)
+    fn fetch_into(
+        &self,
+        location: &ChunkLocation,
+        store: &Store,
+    ) -> Result<PutOutcome, FetchError> {
+        fetch_into(self, location, store)
     }
 }
 
--- a/crates/filbertstack-weights/src/fetch/http.rs
+++ b/crates/filbertstack-weights/src/fetch/http.rs
@@ -24,31 +24,31 @@
 use crate::fetch::Source;
 use crate::fetch::SourceError;
 use crate::manifest::ChunkLocation;
-use crate::manifest::MAX_MANIFEST;
+use crate::manifest::MAX_MANIFEST_SIZE;
 use crate::manifest::Manifest;
 use crate::manifest::ManifestError;
 
 /// The header by which a server may say which version a file belongs to.
-const VERSION: HeaderName = HeaderName::from_static("x-weights-version");
+const VERSION_HEADER: HeaderName = HeaderName::from_static("x-weights-version");
 
 /// The longest `Retry-After` that is believed.
-const MAX_RETRY: Millis = Millis::secs(60);
+const MAX_RETRY_AFTER: Millis = Millis::secs(60);
 
 /// The wait after a 429 or 503 that names none.
-const DEFAULT_RETRY: Millis = Millis::secs(1);
+const DEFAULT_RETRY_AFTER: Millis = Millis::secs(1);
 
 /// The bytes read at once.
-const READ: usize = 8 << 10;
+const READ_SIZE: usize = 8 << 10;
 
 /// The limits of an HTTP source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpConfig {
     /// The longest wait for a connection, for the head of an answer and for any one read.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// The span over which progress is judged.
     pub window: Duration,
     /// The fewest bytes that must come in each window.
-    pub progress: u64,
+    pub min_bytes: u64,
 }
 
 impl Default for HttpConfig {
@@ -56,9 +56,9 @@
     /// far over a sender that drips bytes to hold a slot.
     fn default() -> Self {
         Self {
-            idle: Duration::from_secs(2),
+            idle_timeout: Duration::from_secs(2),
             window: Duration::from_secs(2),
-            progress: 64 << 10,
+            min_bytes: 64 << 10,
         }
     }
 }
@@ -166,7 +166,7 @@
 impl HttpSource {
     /// The source whose files lie under `base`, such as `http://10.0.0.9:9000/draft/v3`.
     pub fn new(base: &str, config: HttpConfig) -> Self {
-        let idle = Some(config.idle);
+        let idle = Some(config.idle_timeout);
         let agent = Agent::config_builder()
             .http_status_as_error(false)
             .max_redirects(0)
@@ -189,30 +189,30 @@
     /// What the server did wrong, or that the file is no such manifest.
     pub fn manifest(&self, file: &str, root: Digest) -> Result<Manifest, HttpError> {
         let url = format!("{}/{file}", self.base);
-        let mut response = self.call(&url, None)?;
+        let mut response = self.request(&url, None)?;
         check_status(&url, &response, StatusCode::OK)?;
-        let bytes = self.read(&url, &mut response, MAX_MANIFEST as u64)?;
+        let bytes = self.read_body(&url, &mut response, MAX_MANIFEST_SIZE as u64)?;
         Ok(Manifest::decode(root, &bytes)?)
     }
 
-    fn call(&self, url: &str, range: Option<&str>) -> Result<Response<Body>, HttpError> {
+    fn request(&self, url: &str, range: Option<&str>) -> Result<Response<Body>, HttpError> {
         let mut request = self.agent.get(url);
         if let Some(range) = range {
             request = request.header(header::RANGE, range);
         }
         request
             .call()
-            .map_err(|error| self.failed(url, 0, 0, error))
+            .map_err(|error| self.transport_error(url, 0, 0, error))
     }
 
-    fn failed(&self, url: &str, got: u64, size: u64, error: ureq::Error) -> HttpError {
+    fn transport_error(&self, url: &str, got: u64, size: u64, error: ureq::Error) -> HttpError {
         let url = url.to_owned();
         match error {
             ureq::Error::Timeout(_) => HttpError::Stalled {
                 url,
                 got,
                 size,
-                window: self.config.idle,
+                window: self.config.idle_timeout,
             },
             error => HttpError::Down {
                 url,
@@ -222,7 +222,7 @@
     }
 
     /// Reads up to `limit` bytes and one more, as long as enough come in each window.
-    fn read(
+    fn read_body(
         &self,
         url: &str,
         response: &mut Response<Body>,
@@ -230,17 +230,17 @@
     ) -> Result<Vec<u8>, HttpError> {
         let mut reader = response.body_mut().as_reader().take(limit + 1);
         let mut bytes = Vec::new();
-        let mut part = [0; READ];
-        let mut window = Window::new(self.config);
+        let mut buffer = [0; READ_SIZE];
+        let mut window = ProgressWindow::new(self.config);
         loop {
             let got = bytes.len() as u64;
-            let count = match reader.read(&mut part) {
+            let count = match reader.read(&mut buffer) {
                 Ok(0) => return Ok(bytes),
                 Ok(count) => count,
-                Err(error) if is_cut(&error) => return Ok(bytes),
-                Err(error) => return Err(self.failed(url, got, limit, error.into())),
+                Err(error) if is_truncated(&error) => return Ok(bytes),
+                Err(error) => return Err(self.transport_error(url, got, limit, error.into())),
             };
-            bytes.extend_from_slice(&part[..count]);
+            bytes.extend_from_slice(&buffer[..count]);
             if window.is_stalled(count as u64) {
                 return Err(HttpError::Stalled {
                     url: url.to_owned(),
@@ -256,15 +256,15 @@
 impl Source for HttpSource {
     type Error = HttpError;
 
-    fn fetch(&self, want: &ChunkLocation) -> Result<Bytes, HttpError> {
-        let url = format!("{}/{}", self.base, want.file.name);
-        let range = format!("bytes={}-{}", want.offset, want.last());
-        let mut response = self.call(&url, Some(&range))?;
+    fn fetch(&self, location: &ChunkLocation) -> Result<Bytes, HttpError> {
+        let url = format!("{}/{}", self.base, location.file.name);
+        let range = format!("bytes={}-{}", location.offset, location.last());
+        let mut response = self.request(&url, Some(&range))?;
         check_status(&url, &response, StatusCode::PARTIAL_CONTENT)?;
-        check_version(&url, &response, want)?;
-        check_range(&url, &response, want)?;
-        let size = u64::from(want.chunk.size);
-        let bytes = self.read(&url, &mut response, size)?;
+        check_version(&url, &response, location)?;
+        check_range(&url, &response, location)?;
+        let size = u64::from(location.chunk.size);
+        let bytes = self.read_body(&url, &mut response, size)?;
         let got = bytes.len() as u64;
         if got == size {
             return Ok(bytes.into());
@@ -274,11 +274,11 @@
 }
 
 /// Whether the body ended before its announced length: the caller sees the length.
-fn is_cut(error: &io::Error) -> bool {
+fn is_truncated(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::UnexpectedEof
 }
 
-fn text<'r>(response: &'r Response<Body>, name: &HeaderName) -> Option<&'r str> {
+fn header_text<'r>(response: &'r Response<Body>, name: &HeaderName) -> Option<&'r str> {
     response.headers().get(name)?.to_str().ok()
 }
 
@@ -297,38 +297,38 @@
 }
 
 fn retry_after(response: &Response<Body>) -> Millis {
-    let secs = text(response, &header::RETRY_AFTER).and_then(|text| text.parse().ok());
-    secs.map_or(DEFAULT_RETRY, |secs: u32| {
-        Millis::secs(secs.into()).min(MAX_RETRY)
+    let secs = header_text(response, &header::RETRY_AFTER).and_then(|text| text.parse().ok());
+    secs.map_or(DEFAULT_RETRY_AFTER, |secs: u32| {
+        Millis::secs(secs.into()).min(MAX_RETRY_AFTER)
     })
 }
 
 fn check_version(
     url: &str,
     response: &Response<Body>,
-    want: &ChunkLocation,
+    location: &ChunkLocation,
 ) -> Result<(), HttpError> {
-    let version = text(response, &VERSION);
-    if version.is_none_or(|version| version == want.version.to_string()) {
+    let version = header_text(response, &VERSION_HEADER);
+    if version.is_none_or(|version| version == location.version.to_string()) {
         return Ok(());
     }
-    Err(stale(url, want))
+    Err(stale_error(url, location))
 }
 
-fn stale(url: &str, want: &ChunkLocation) -> HttpError {
+fn stale_error(url: &str, location: &ChunkLocation) -> HttpError {
     HttpError::Stale {
         url: url.to_owned(),
-        wanted: want.version,
+        wanted: location.version,
     }
 }
 
 fn check_range(
     url: &str,
     response: &Response<Body>,
-    want: &ChunkLocation,
+    location: &ChunkLocation,
 ) -> Result<(), HttpError> {
-    let got = text(response, &header::CONTENT_RANGE).unwrap_or("no range");
-    let range = format!("bytes {}-{}/", want.offset, want.last());
+    let got = header_text(response, &header::CONTENT_RANGE).unwrap_or("no range");
+    let range = format!("bytes {}-{}/", location.offset, location.last());
     let Some(total) = got.strip_prefix(&range) else {
         return Err(HttpError::Range {
             url: url.to_owned(),
@@ -337,23 +337,23 @@
         });
     };
     // The right range of a file of another size is a range of another version.
-    if total == "*" || total == want.file.size.to_string() {
+    if total == "*" || total == location.file.size.to_string() {
         return Ok(());
     }
-    Err(stale(url, want))
+    Err(stale_error(url, location))
 }
 
 /// Judges progress window by window.
 ///
 /// A sender at 1 byte/s never lets a read time out, yet holds a chunk for weeks: the symptom is a
 /// copy that stands still with all links up. A floor on each window's bytes ends it in one window.
-struct Window {
+struct ProgressWindow {
     config: HttpConfig,
     start: Instant,
     bytes: u64,
 }
 
-impl Window {
+impl ProgressWindow {
     fn new(config: HttpConfig) -> Self {
         Self {
             config,
@@ -367,7 +367,7 @@
         if self.start.elapsed() < self.config.window {
             return false;
         }
-        let stalled = self.bytes < self.config.progress;
+        let stalled = self.bytes < self.config.min_bytes;
         self.start = Instant::now();
         self.bytes = 0;
         stalled
--- a/crates/filbertstack-weights/src/manifest.rs
+++ b/crates/filbertstack-weights/src/manifest.rs
@@ -16,10 +16,10 @@
 pub use check::check_file_name;
 
 /// The chunk size of a publish that gives none, in bytes.
-pub const DEFAULT_CHUNK: u32 = 4 << 20;
+pub const DEFAULT_CHUNK_SIZE: u32 = 4 << 20;
 
 /// The largest chunk, in bytes: one transfer and one verification stay short.
-pub const MAX_CHUNK: u32 = 64 << 20;
+pub const MAX_CHUNK_SIZE: u32 = 64 << 20;
 
 /// The most chunks of a version: its bitmap stays within 8 KiB.
 pub const MAX_CHUNKS: usize = 65_536;
@@ -31,21 +31,21 @@
 pub const MAX_FILE_NAME: usize = 255;
 
 /// The largest encoded manifest, in bytes: [`MAX_CHUNKS`] entries of 42 bytes and the names fit.
-pub const MAX_MANIFEST: usize = 4 << 20;
+pub const MAX_MANIFEST_SIZE: usize = 4 << 20;
 
 /// The chunks that [`chunk_size`] aims at, at most.
-const AIM: u64 = 2_048;
+const PREFERRED_CHUNKS: u64 = 2_048;
 
 /// The format this code writes and reads.
 const FORMAT: u32 = 1;
 
-/// The chunk size for a version of `size` bytes, from [`DEFAULT_CHUNK`] to [`MAX_CHUNK`].
+/// The chunk size for a version of `size` bytes, from [`DEFAULT_CHUNK_SIZE`] to [`MAX_CHUNK_SIZE`].
 ///
 /// Each chunk costs a dozen announcements at each target, so that there should not be many; with
 /// fewer than some hundred, a target could pass on little before it has the whole.
 pub fn chunk_size(size: u64) -> u32 {
-    let mut chunk = DEFAULT_CHUNK;
-    while u64::from(chunk) * AIM < size && chunk < MAX_CHUNK {
+    let mut chunk = DEFAULT_CHUNK_SIZE;
+    while u64::from(chunk) * PREFERRED_CHUNKS < size && chunk < MAX_CHUNK_SIZE {
         chunk *= 2;
     }
     chunk
@@ -78,7 +78,7 @@
         path: Arc<str>,
     },
     /// The chunk size is out of bounds.
-    #[error("a chunk size of {size} bytes is out of bounds: use 1 to {MAX_CHUNK}")]
+    #[error("a chunk size of {size} bytes is out of bounds: use 1 to {MAX_CHUNK_SIZE}")]
     ChunkSize {
         /// The size.
         size: u32,
@@ -90,7 +90,9 @@
     #[error("the version has over {MAX_FILES} files: pack the small ones")]
     Files,
     /// The encoded manifest is too large.
-    #[error("the manifest has {size} bytes, over {MAX_MANIFEST}: publish with a larger chunk size")]
+    #[error(
+        "the manifest has {size} bytes, over {MAX_MANIFEST_SIZE}: publish with a larger chunk size"
+    )]
     Size {
         /// Its size in bytes.
         size: usize,
@@ -166,11 +168,11 @@
     root: Digest,
     files: Vec<File>,
     chunks: Vec<Chunk>,
-    places: Vec<Place>,
+    offsets: Vec<FileOffset>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Place {
+struct FileOffset {
     file: usize,
     offset: u64,
 }
@@ -215,14 +217,14 @@
     /// # Errors
     /// What keeps the directory from being a version.
     pub fn from_dir(dir: &Path, chunk_size: u32) -> Result<Self, ManifestError> {
-        if chunk_size == 0 || chunk_size > MAX_CHUNK {
+        if chunk_size == 0 || chunk_size > MAX_CHUNK_SIZE {
             return Err(ManifestError::ChunkSize { size: chunk_size });
         }
-        let files = read::list(dir)?;
+        let files = read::list_files(dir)?;
         let mut chunks = Vec::new();
         let mut listed = Vec::new();
         for (name, path) in files {
-            let size = read::chunks_of(&path, chunk_size, &mut chunks)?;
+            let size = read::read_chunks(&path, chunk_size, &mut chunks)?;
             listed.push(File { name, size });
         }
         Self::new(listed, chunks)
@@ -233,10 +235,10 @@
     /// # Errors
     /// What bounds it breaks, or that chunks and files do not fit each other.
     pub fn new(files: Vec<File>, chunks: Vec<Chunk>) -> Result<Self, ManifestError> {
-        check::files(&files)?;
-        let places = check::places(&files, &chunks)?;
-        let encoded = message(&files, &chunks).encode_to_vec();
-        if encoded.len() > MAX_MANIFEST {
+        check::check_files(&files)?;
+        let offsets = check::offsets(&files, &chunks)?;
+        let encoded = to_message(&files, &chunks).encode_to_vec();
+        if encoded.len() > MAX_MANIFEST_SIZE {
             return Err(ManifestError::Size {
                 size: encoded.len(),
             });
@@ -245,7 +247,7 @@
             root: Digest::of(&encoded),
             files,
             chunks,
-            places,
+            offsets,
         })
     }
 
@@ -254,7 +256,7 @@
     /// # Errors
     /// [`ManifestError::Digest`] for another version's bytes; else what is wrong with them.
     pub fn decode(root: Digest, bytes: &[u8]) -> Result<Self, ManifestError> {
-        if bytes.len() > MAX_MANIFEST {
+        if bytes.len() > MAX_MANIFEST_SIZE {
             return Err(ManifestError::Size { size: bytes.len() });
         }
         let got = Digest::of(bytes);
@@ -266,8 +268,8 @@
         if message.format != FORMAT {
             return Err(malformed("of another format"));
         }
-        let files = message.files.into_iter().map(file_of).collect();
-        let chunks: Option<_> = message.chunks.iter().map(chunk_of).collect();
+        let files = message.files.into_iter().map(decode_file).collect();
+        let chunks: Option<_> = message.chunks.iter().map(decode_chunk).collect();
         let manifest = Self::new(files, chunks.ok_or(malformed("a digest is cut"))?)?;
         // Two encodings of one manifest would give one version two names.
         if manifest.root != root {
@@ -278,7 +280,7 @@
 
     /// The canonical encoding, whose digest is [`Manifest::root`].
     pub fn encode(&self) -> Bytes {
-        message(&self.files, &self.chunks).encode_to_vec().into()
+        to_message(&self.files, &self.chunks).encode_to_vec().into()
     }
 
     /// The digest that names the version.
@@ -303,14 +305,14 @@
 
     /// What to fetch for the chunk at `index`; `None` past the last.
     pub fn location(&self, index: u32) -> Option<ChunkLocation> {
-        let at = index as usize;
-        let place = *self.places.get(at)?;
+        let position = index as usize;
+        let start = *self.offsets.get(position)?;
         Some(ChunkLocation {
             version: self.root,
             index,
-            chunk: self.chunks[at],
-            file: self.files[place.file].clone(),
-            offset: place.offset,
+            chunk: self.chunks[position],
+            file: self.files[start.file].clone(),
+            offset: start.offset,
         })
     }
 
@@ -320,7 +322,7 @@
     }
 }
 
-fn message(files: &[File], chunks: &[Chunk]) -> ManifestMessage {
+fn to_message(files: &[File], chunks: &[Chunk]) -> ManifestMessage {
     let file = |file: &File| FileMessage {
         name: file.name.to_string(),
         size: file.size,
@@ -336,14 +338,14 @@
     }
 }
 
-fn file_of(file: FileMessage) -> File {
+fn decode_file(file: FileMessage) -> File {
     File {
         name: file.name.into(),
         size: file.size,
     }
 }
 
-fn chunk_of(chunk: &ChunkMessage) -> Option<Chunk> {
+fn decode_chunk(chunk: &ChunkMessage) -> Option<Chunk> {
     Some(Chunk {
         digest: Digest::from_slice(&chunk.digest)?,
         size: chunk.size,
--- a/crates/filbertstack-weights/src/manifest/check.rs
+++ b/crates/filbertstack-weights/src/manifest/check.rs
@@ -2,12 +2,12 @@
 
 use super::Chunk;
 use super::File;
-use super::MAX_CHUNK;
+use super::FileOffset;
+use super::MAX_CHUNK_SIZE;
 use super::MAX_CHUNKS;
 use super::MAX_FILE_NAME;
 use super::MAX_FILES;
 use super::ManifestError;
-use super::Place;
 
 /// Checks that `name` stays below the version's folder and can stand in a URL as it is.
 ///
@@ -30,7 +30,7 @@
     !part.is_empty() && !part.starts_with('.') && part.chars().all(allowed)
 }
 
-pub(super) fn files(files: &[File]) -> Result<(), ManifestError> {
+pub(super) fn check_files(files: &[File]) -> Result<(), ManifestError> {
     if files.len() > MAX_FILES {
         return Err(ManifestError::Files);
     }
@@ -57,7 +57,7 @@
     folders.any(is_file)
 }
 
-pub(super) fn places(files: &[File], chunks: &[Chunk]) -> Result<Vec<Place>, ManifestError> {
+pub(super) fn offsets(files: &[File], chunks: &[Chunk]) -> Result<Vec<FileOffset>, ManifestError> {
     if chunks.len() > MAX_CHUNKS {
         return Err(ManifestError::Chunks);
     }
@@ -67,26 +67,26 @@
     let misfit = ManifestError::Malformed {
         what: "its chunks do not fit its files",
     };
-    let mut places = Vec::with_capacity(chunks.len());
-    let mut rest = chunks.iter();
+    let mut offsets = Vec::with_capacity(chunks.len());
+    let mut remaining = chunks.iter();
     for (at, file) in files.iter().enumerate() {
         let mut offset = 0;
         while offset < file.size {
-            let Some(chunk) = rest.next() else {
+            let Some(chunk) = remaining.next() else {
                 return Err(misfit);
             };
-            if chunk.size == 0 || chunk.size > MAX_CHUNK {
+            if chunk.size == 0 || chunk.size > MAX_CHUNK_SIZE {
                 return Err(ManifestError::ChunkSize { size: chunk.size });
             }
-            places.push(Place { file: at, offset });
+            offsets.push(FileOffset { file: at, offset });
             offset += u64::from(chunk.size);
         }
         if offset != file.size {
             return Err(misfit);
         }
     }
-    if rest.next().is_some() {
+    if remaining.next().is_some() {
         return Err(misfit);
     }
-    Ok(places)
+    Ok(offsets)
 }
--- a/crates/filbertstack-weights/src/manifest/read.rs
+++ b/crates/filbertstack-weights/src/manifest/read.rs
@@ -18,14 +18,14 @@
 /// The deepest folder below the version's, so that a loop of links ends.
 const MAX_DEPTH: usize = 16;
 
-pub(super) fn list(dir: &Path) -> Result<Vec<(Arc<str>, PathBuf)>, ManifestError> {
+pub(super) fn list_files(dir: &Path) -> Result<Vec<(Arc<str>, PathBuf)>, ManifestError> {
     let mut files = Vec::new();
-    walk(dir, "", MAX_DEPTH, &mut files)?;
+    walk_dir(dir, "", MAX_DEPTH, &mut files)?;
     files.sort();
     Ok(files)
 }
 
-fn walk(
+fn walk_dir(
     dir: &Path,
     prefix: &str,
     depth: usize,
@@ -43,7 +43,7 @@
         check_file_name(&name)?;
         let meta = fs::metadata(&path).map_err(|error| read_error(&path, error))?;
         if meta.is_dir() && depth > 0 {
-            walk(&path, &format!("{name}/"), depth - 1, files)?;
+            walk_dir(&path, &format!("{name}/"), depth - 1, files)?;
         } else if meta.is_file() {
             files.push((name.into(), path));
         } else {
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-pub(super) fn chunks_of(
+pub(super) fn read_chunks(
     path: &Path,
     size: u32,
     chunks: &mut Vec<Chunk>,
--- a/crates/filbertstack-weights/src/store.rs
+++ b/crates/filbertstack-weights/src/store.rs
@@ -4,7 +4,7 @@
 //! ([`Store::get`], [`Store::has`], [`Store::usage`]) read it.
 
 mod disk;
-mod shelf;
+mod index;
 
 use std::collections::HashMap;
 use std::io;
@@ -23,7 +23,7 @@
 use crate::manifest::Manifest;
 
 use disk::Disk;
-use shelf::Shelf;
+use index::StoreIndex;
 
 /// What keeps the store from holding or giving a chunk.
 #[derive(Debug, Error)]
@@ -38,7 +38,7 @@
     #[error(
         "chunk {digest} was damaged in the store and is dropped: fetch it again, check the disk"
     )]
-    Rotten {
+    Damaged {
         /// The chunk.
         digest: Digest,
     },
@@ -62,7 +62,7 @@
 
 /// What came of a [`Store::put`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Put {
+pub enum PutOutcome {
     /// The chunk is new.
     Stored,
     /// The chunk was held already.
@@ -83,7 +83,7 @@
     /// Chunks evicted so far.
     pub evicted: u64,
     /// Chunks found damaged so far.
-    pub rotten: u64,
+    pub damaged: u64,
 }
 
 /// Chunks by digest, in memory or on disk, up to a limit.
@@ -95,7 +95,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    shelf: Shelf,
+    index: StoreIndex,
     /// The chunks' bytes, when there is no disk.
     memory: HashMap<Digest, Bytes>,
 }
@@ -103,7 +103,7 @@
 impl Store {
     /// A store in memory that holds up to `limit` bytes.
     pub fn memory(limit: u64) -> Self {
-        Self::with(Shelf::new(limit), None)
+        Self::from_parts(StoreIndex::new(limit), None)
     }
 
     /// A store below `dir` that holds up to `limit` bytes, with what an earlier process left.
@@ -114,19 +114,19 @@
     /// [`StoreError::Disk`] if the folder cannot be made or read.
     pub fn open(dir: &Path, limit: u64) -> Result<Self, StoreError> {
         let (disk, found) = Disk::open(dir)?;
-        let mut shelf = Shelf::new(limit);
+        let mut index = StoreIndex::new(limit);
         for chunk in found {
-            shelf.add(chunk);
+            index.add(chunk);
         }
-        for digest in shelf.evict(0) {
+        for digest in index.evict(0) {
             disk.remove(digest);
         }
-        Ok(Self::with(shelf, Some(disk)))
+        Ok(Self::from_parts(index, Some(disk)))
     }
 
-    fn with(shelf: Shelf, disk: Option<Disk>) -> Self {
+    fn from_parts(index: StoreIndex, disk: Option<Disk>) -> Self {
         let memory = HashMap::new();
-        let inner = Mutex::new(Inner { shelf, memory });
+        let inner = Mutex::new(Inner { index, memory });
         Self { inner, disk }
     }
 
@@ -135,12 +135,12 @@
     /// # Errors
     /// [`StoreError::Corrupt`] for other bytes; [`StoreError::Full`] if only pinned chunks are
     /// left to evict; [`StoreError::Disk`].
-    pub fn put(&self, digest: Digest, bytes: Bytes) -> Result<Put, StoreError> {
+    pub fn put(&self, digest: Digest, bytes: Bytes) -> Result<PutOutcome, StoreError> {
         if Digest::of(&bytes) != digest {
             return Err(StoreError::Corrupt { digest });
         }
-        if self.lock().shelf.touch(digest) {
-            return Ok(Put::Held);
+        if self.lock().index.touch(digest) {
+            return Ok(PutOutcome::Held);
         }
         // The slow part runs without the lock; two puts of one chunk write the same bytes.
         if let Some(disk) = &self.disk {
@@ -153,52 +153,52 @@
         placed
     }
 
-    fn place(&self, digest: Digest, bytes: Bytes) -> Result<Put, StoreError> {
+    fn place(&self, digest: Digest, bytes: Bytes) -> Result<PutOutcome, StoreError> {
         let size = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
         let mut inner = self.lock();
-        inner.shelf.room(digest, size)?;
-        for evicted in inner.shelf.evict(u64::from(size)) {
+        inner.index.check_room(digest, size)?;
+        for evicted in inner.index.evict(u64::from(size)) {
             inner.memory.remove(&evicted);
             self.remove_file(evicted);
         }
-        inner.shelf.add(Chunk { digest, size });
+        inner.index.add(Chunk { digest, size });
         if self.disk.is_none() {
             inner.memory.insert(digest, bytes);
         }
-        Ok(Put::Stored)
+        Ok(PutOutcome::Stored)
     }
 
     /// The bytes of a chunk, verified just now; `None` if it is not held.
     ///
     /// # Errors
-    /// [`StoreError::Rotten`] if the bytes changed since they were stored: the chunk is dropped,
+    /// [`StoreError::Damaged`] if the bytes changed since they were stored: the chunk is dropped,
     /// so that a caller never gets them and the next fetch mends the store; [`StoreError::Disk`].
     pub fn get(&self, digest: Digest) -> Result<Option<Bytes>, StoreError> {
         let bytes = match &self.disk {
-            Some(disk) if self.lock().shelf.touch(digest) => disk.read(digest)?,
+            Some(disk) if self.lock().index.touch(digest) => disk.read(digest)?,
             Some(_) => None,
             None => self.get_memory(digest),
         };
         let Some(bytes) = bytes else {
-            self.lock().shelf.remove(digest);
+            self.lock().index.remove(digest);
             return Ok(None);
         };
         if Digest::of(&bytes) == digest {
             return Ok(Some(bytes));
         }
-        self.drop_rotten(digest);
-        Err(StoreError::Rotten { digest })
+        self.remove_damaged(digest);
+        Err(StoreError::Damaged { digest })
     }
 
     fn get_memory(&self, digest: Digest) -> Option<Bytes> {
         let mut inner = self.lock();
-        inner.shelf.touch(digest);
+        inner.index.touch(digest);
         inner.memory.get(&digest).cloned()
     }
 
-    fn drop_rotten(&self, digest: Digest) {
+    fn remove_damaged(&self, digest: Digest) {
         let mut inner = self.lock();
-        inner.shelf.rotten(digest);
+        inner.index.remove_damaged(digest);
         inner.memory.remove(&digest);
         self.remove_file(digest);
     }
@@ -211,12 +211,12 @@
 
     /// Whether a chunk is held, as far as known without reading it.
     pub fn has(&self, digest: Digest) -> bool {
-        self.lock().shelf.holds(digest)
+        self.lock().index.holds(digest)
     }
 
     /// How full the store is.
     pub fn usage(&self) -> Usage {
-        self.lock().shelf.usage()
+        self.lock().index.usage()
     }
 
     /// Keeps the chunks of `manifest`, those yet to come too, until the guard is dropped.
@@ -226,7 +226,7 @@
     /// would not fit.
     pub fn pin(self: &Arc<Self>, manifest: &Manifest) -> Result<Pin, StoreError> {
         let chunks: Arc<[Chunk]> = manifest.chunks().into();
-        self.lock().shelf.pin(&chunks)?;
+        self.lock().index.pin(&chunks)?;
         let store = self.clone();
         Ok(Pin { store, chunks })
     }
@@ -245,6 +245,6 @@
 
 impl Drop for Pin {
     fn drop(&mut self) {
-        self.store.lock().shelf.unpin(&self.chunks);
+        self.store.lock().index.unpin(&self.chunks);
     }
 }
--- a/crates/filbertstack-weights/src/store/disk.rs
+++ b/crates/filbertstack-weights/src/store/disk.rs
@@ -15,10 +15,10 @@
 use filbertstack_core::Digest;
 
 use crate::manifest::Chunk;
-use crate::manifest::MAX_CHUNK;
+use crate::manifest::MAX_CHUNK_SIZE;
 
-const CHUNKS: &str = "chunks";
-const PARTS: &str = "parts";
+const CHUNKS_DIR: &str = "chunks";
+const PARTS_DIR: &str = "parts";
 
 /// The chunk files below one folder.
 #[derive(Debug)]
@@ -31,14 +31,14 @@
 impl Disk {
     /// Opens the folder, drops half-written files and lists the chunks, the oldest first.
     pub(super) fn open(dir: &Path) -> io::Result<(Self, Vec<Chunk>)> {
-        let chunks = dir.join(CHUNKS);
-        let parts = dir.join(PARTS);
+        let chunks = dir.join(CHUNKS_DIR);
+        let parts = dir.join(PARTS_DIR);
         if parts.exists() {
             fs::remove_dir_all(&parts)?;
         }
         fs::create_dir_all(&parts)?;
         fs::create_dir_all(&chunks)?;
-        let found = list(&chunks)?;
+        let found = list_chunks(&chunks)?;
         let writes = AtomicU64::new(0);
         let disk = Self {
             chunks,
@@ -56,14 +56,14 @@
     pub(super) fn write(&self, digest: Digest, bytes: &[u8]) -> io::Result<()> {
         let number = self.writes.fetch_add(1, Ordering::Relaxed);
         let part = self.parts.join(number.to_string());
-        let written = write_synced(&part, bytes).and_then(|()| self.publish(&part, digest));
+        let written = write_synced(&part, bytes).and_then(|()| self.rename_part(&part, digest));
         if written.is_err() {
             let _ = fs::remove_file(&part);
         }
         written
     }
 
-    fn publish(&self, part: &Path, digest: Digest) -> io::Result<()> {
+    fn rename_part(&self, part: &Path, digest: Digest) -> io::Result<()> {
         fs::rename(part, self.path(digest))?;
         File::open(&self.chunks)?.sync_all()
     }
@@ -77,7 +77,7 @@
         };
         // A file that grew must not fill the memory; one byte more is enough to fail the digest.
         let mut bytes = Vec::new();
-        file.take(u64::from(MAX_CHUNK) + 1)
+        file.take(u64::from(MAX_CHUNK_SIZE) + 1)
             .read_to_end(&mut bytes)?;
         Ok(Some(bytes.into()))
     }
@@ -94,7 +94,7 @@
     file.sync_all()
 }
 
-fn list(dir: &Path) -> io::Result<Vec<Chunk>> {
+fn list_chunks(dir: &Path) -> io::Result<Vec<Chunk>> {
     let mut found = Vec::new();
     for entry in fs::read_dir(dir)? {
         let entry = entry?;
@@ -102,7 +102,7 @@
             continue;
         };
         let meta = entry.metadata()?;
-        if let Ok(size @ 1..=MAX_CHUNK) = u32::try_from(meta.len()) {
+        if let Ok(size @ 1..=MAX_CHUNK_SIZE) = u32::try_from(meta.len()) {
             found.push((meta.modified()?, Chunk { digest, size }));
         } else {
             fs::remove_file(entry.path())?;
--- a/crates/filbertstack-weights/src/store/shelf.rs
+++ b/crates/filbertstack-weights/src/store/index.rs
@@ -11,28 +11,28 @@
 
 /// The index of a store.
 #[derive(Debug)]
-pub(super) struct Shelf {
-    held: HashMap<Digest, Held>,
+pub(super) struct StoreIndex {
+    held: HashMap<Digest, HeldChunk>,
     /// The held chunks by their last use, the oldest first.
     order: BTreeMap<u64, Digest>,
-    pins: HashMap<Digest, Pinned>,
+    pins: HashMap<Digest, PinnedChunk>,
     clock: u64,
     usage: Usage,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HeldChunk {
     size: u32,
-    used: u64,
+    last_use: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Pinned {
+struct PinnedChunk {
     size: u32,
     count: u32,
 }
 
-impl Shelf {
+impl StoreIndex {
     pub(super) fn new(limit: u64) -> Self {
         Self {
             held: HashMap::new(),
@@ -63,8 +63,8 @@
             return false;
         };
         self.clock += 1;
-        self.order.remove(&held.used);
-        held.used = self.clock;
+        self.order.remove(&held.last_use);
+        held.last_use = self.clock;
         self.order.insert(self.clock, digest);
         true
     }
@@ -74,9 +74,9 @@
             return;
         }
         self.clock += 1;
-        let held = Held {
+        let held = HeldChunk {
             size: chunk.size,
-            used: self.clock,
+            last_use: self.clock,
         };
         self.held.insert(chunk.digest, held);
         self.order.insert(self.clock, chunk.digest);
@@ -85,26 +85,26 @@
 
     pub(super) fn remove(&mut self, digest: Digest) {
         if let Some(held) = self.held.remove(&digest) {
-            self.order.remove(&held.used);
+            self.order.remove(&held.last_use);
             self.usage.bytes -= u64::from(held.size);
         }
     }
 
-    pub(super) fn rotten(&mut self, digest: Digest) {
+    pub(super) fn remove_damaged(&mut self, digest: Digest) {
         if self.holds(digest) {
-            self.usage.rotten += 1;
+            self.usage.damaged += 1;
         }
         self.remove(digest);
     }
 
     /// Checks that a new chunk fits beside all pinned ones, for those have their room reserved.
-    pub(super) fn room(&self, digest: Digest, size: u32) -> Result<(), StoreError> {
+    pub(super) fn check_room(&self, digest: Digest, size: u32) -> Result<(), StoreError> {
         let reserved = self.pins.contains_key(&digest);
         let needed = u64::from(size);
         if reserved || self.usage.pinned + needed <= self.usage.limit {
             return Ok(());
         }
-        Err(self.full(needed))
+        Err(self.full_error(needed))
     }
 
     /// Takes out the least recently used unpinned chunks until `needed` more bytes fit.
@@ -136,13 +136,13 @@
         }
         let before = self.usage.pinned;
         self.unpin(chunks);
-        Err(self.full(before - self.usage.pinned))
+        Err(self.full_error(before - self.usage.pinned))
     }
 
     fn pin_one(&mut self, chunk: Chunk) {
         let size = chunk.size;
         let pinned = self.pins.entry(chunk.digest);
-        let pinned = pinned.or_insert(Pinned { size, count: 0 });
+        let pinned = pinned.or_insert(PinnedChunk { size, count: 0 });
         if pinned.count == 0 {
             self.usage.pinned += u64::from(size);
         }
@@ -162,7 +162,7 @@
         }
     }
 
-    fn full(&self, needed: u64) -> StoreError {
+    fn full_error(&self, needed: u64) -> StoreError {
         StoreError::Full {
             needed,
             pinned: self.usage.pinned,
--- a/crates/filbertstack-weights/src/version.rs
+++ b/crates/filbertstack-weights/src/version.rs
@@ -82,7 +82,7 @@
 
 /// A step that failed, with the version in the state it is in now.
 #[derive(Debug)]
-pub struct Refused<S> {
+pub struct FailedTransition<S> {
     /// The version.
     pub version: Version<S>,
     /// Why.
@@ -92,12 +92,12 @@
 /// A version on this instance, in state `S`; its chunks stay pinned while it exists.
 #[derive(Debug)]
 pub struct Version<S> {
-    held: Box<Held>,
+    data: Box<Data>,
     state: PhantomData<S>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct Data {
     manifest: Arc<Manifest>,
     store: Arc<Store>,
     _pin: Pin,
@@ -106,17 +106,17 @@
 impl<S> Version<S> {
     /// The digest that names it.
     pub fn root(&self) -> Digest {
-        self.held.manifest.root()
+        self.data.manifest.root()
     }
 
     /// Its manifest.
     pub fn manifest(&self) -> &Arc<Manifest> {
-        &self.held.manifest
+        &self.data.manifest
     }
 
-    fn to<T>(self) -> Version<T> {
+    fn into_state<T>(self) -> Version<T> {
         Version {
-            held: self.held,
+            data: self.data,
             state: PhantomData,
         }
     }
@@ -129,32 +129,32 @@
     /// [`StoreError::Full`] if it does not fit beside what is declared already.
     pub fn declare(manifest: Arc<Manifest>, store: Arc<Store>) -> Result<Self, StoreError> {
         let pin = store.pin(&manifest)?;
-        let held = Box::new(Held {
+        let data = Box::new(Data {
             manifest,
             store,
             _pin: pin,
         });
         Ok(Self {
-            held,
+            data,
             state: PhantomData,
         })
     }
 
     /// Begins to fetch.
     pub fn fetch(self) -> Version<Fetching> {
-        self.to()
+        self.into_state()
     }
 }
 
 impl Version<Fetching> {
     /// The places of the chunks that the store does not hold, as far as known unread.
     pub fn missing(&self) -> Vec<u32> {
-        let held = &self.held;
-        let lacks = |chunk: Digest| !held.store.has(chunk);
-        let wants = held.manifest.locations();
-        wants
-            .filter(|want| lacks(want.chunk.digest))
-            .map(|want| want.index)
+        let data = &self.data;
+        let lacks = |chunk: Digest| !data.store.has(chunk);
+        let locations = data.manifest.locations();
+        locations
+            .filter(|location| lacks(location.chunk.digest))
+            .map(|location| location.index)
             .collect()
     }
 
@@ -163,14 +163,14 @@
     /// # Errors
     /// The version still fetching, with what is missing; a damaged chunk was dropped and is
     /// missing from now on.
-    pub fn verify(self) -> Result<Version<Verified>, Refused<Fetching>> {
-        let missing = unreadable(&self.held);
+    pub fn verify(self) -> Result<Version<Verified>, FailedTransition<Fetching>> {
+        let missing = unreadable_chunks(&self.data);
         if missing.is_empty() {
-            return Ok(self.to());
+            return Ok(self.into_state());
         }
         let version = self.root();
         let error = VersionError::Missing { version, missing };
-        Err(Refused {
+        Err(FailedTransition {
             version: self,
             error,
         })
@@ -178,17 +178,17 @@
 }
 
 /// Whether the next bytes of a file are the chunk's.
-fn begins_with(file: &mut File, chunk: &Chunk) -> bool {
+fn next_chunk_matches(file: &mut File, chunk: &Chunk) -> bool {
     let mut bytes = vec![0; chunk.size as usize];
     file.read_exact(&mut bytes).is_ok() && Digest::of(&bytes) == chunk.digest
 }
 
-fn unreadable(held: &Held) -> Vec<u32> {
-    let reads = |digest| matches!(held.store.get(digest), Ok(Some(_)));
-    let wants = held.manifest.locations();
-    wants
-        .filter(|want| !reads(want.chunk.digest))
-        .map(|want| want.index)
+fn unreadable_chunks(data: &Data) -> Vec<u32> {
+    let reads = |digest| matches!(data.store.get(digest), Ok(Some(_)));
+    let locations = data.manifest.locations();
+    locations
+        .filter(|location| !reads(location.chunk.digest))
+        .map(|location| location.index)
         .collect()
 }
 
@@ -205,9 +205,9 @@
     /// [`VersionError::Missing`] if a chunk was damaged since: go back with
     /// [`Version::refetch`]; [`VersionError::Write`].
     pub fn write_to(&self, dir: &Path) -> Result<PathBuf, VersionError> {
-        let whole = dir.join(self.root().to_string());
-        if self.is_written(&whole) {
-            return Ok(whole);
+        let path = dir.join(self.root().to_string());
+        if self.is_written(&path) {
+            return Ok(path);
         }
         let part = dir.join(format!(".{}.part", self.root()));
         let written = self.write_files(&part);
@@ -215,24 +215,25 @@
             let _ = fs::remove_dir_all(&part);
         }
         written?;
-        let failed = |error| write_error(&whole, error);
-        if whole.exists() {
-            fs::remove_dir_all(&whole).map_err(failed)?;
+        let failed = |error| write_error(&path, error);
+        if path.exists() {
+            fs::remove_dir_all(&path).map_err(failed)?;
         }
-        fs::rename(&part, &whole).map_err(failed)?;
-        Ok(whole)
+        fs::rename(&part, &path).map_err(failed)?;
+        Ok(path)
     }
 
     /// Whether the files below `whole` are the version's.
-    fn is_written(&self, whole: &Path) -> bool {
-        let mut wants = self.held.manifest.locations().peekable();
-        let mut files = self.held.manifest.files().iter();
+    fn is_written(&self, path: &Path) -> bool {
+        let mut locations = self.data.manifest.locations().peekable();
+        let mut files = self.data.manifest.files().iter();
         files.all(|file| {
-            let Ok(mut written) = File::open(whole.join(&*file.name)) else {
+            let Ok(mut written) = File::open(path.join(&*file.name)) else {
                 return false;
             };
-            while let Some(want) = wants.next_if(|want| want.file.name == file.name) {
-                if !begins_with(&mut written, &want.chunk) {
+            while let Some(location) = locations.next_if(|location| location.file.name == file.name)
+            {
+                if !next_chunk_matches(&mut written, &location.chunk) {
                     return false;
                 }
             }
@@ -244,15 +245,16 @@
         if part.exists() {
             fs::remove_dir_all(part).map_err(|error| write_error(part, error))?;
         }
-        let mut wants = self.held.manifest.locations().peekable();
-        for file in self.held.manifest.files() {
+        let mut locations = self.data.manifest.locations().peekable();
+        for file in self.data.manifest.files() {
             let path = part.join(&*file.name);
             let failed = |error| write_error(&path, error);
             let folder = path.parent().unwrap_or(part);
             fs::create_dir_all(folder).map_err(failed)?;
             let mut out = File::create(&path).map_err(failed)?;
-            while let Some(want) = wants.next_if(|want| want.file.name == file.name) {
-                let bytes = self.read(want.index, want.chunk.digest)?;
+            while let Some(location) = locations.next_if(|location| location.file.name == file.name)
+            {
+                let bytes = self.read_chunk(location.index, location.chunk.digest)?;
                 out.write_all(&bytes).map_err(failed)?;
             }
             out.sync_all().map_err(failed)?;
@@ -260,26 +262,26 @@
         Ok(())
     }
 
-    fn read(&self, index: u32, digest: Digest) -> Result<bytes::Bytes, VersionError> {
+    fn read_chunk(&self, index: u32, digest: Digest) -> Result<bytes::Bytes, VersionError> {
         let missing = || VersionError::Missing {
             version: self.root(),
             missing: vec![index],
         };
-        match self.held.store.get(digest) {
+        match self.data.store.get(digest) {
             Ok(Some(bytes)) => Ok(bytes),
-            Ok(None) | Err(StoreError::Rotten { .. }) => Err(missing()),
+            Ok(None) | Err(StoreError::Damaged { .. }) => Err(missing()),
             Err(error) => Err(error.into()),
         }
     }
 
     /// Goes back to fetching, after a chunk was found damaged.
     pub fn refetch(self) -> Version<Fetching> {
-        self.to()
+        self.into_state()
     }
 
     /// Gives the engine the order to load.
     pub fn load(self) -> Version<Loading> {
-        self.to()
+        self.into_state()
     }
 }
 
@@ -293,22 +295,22 @@
     ///
     /// # Errors
     /// The version verified but not loaded, if the engine reports another digest.
-    pub fn serve(self, reported: Digest) -> Result<Version<Serving>, Refused<Verified>> {
+    pub fn serve(self, reported: Digest) -> Result<Version<Serving>, FailedTransition<Verified>> {
         let wanted = self.root();
         if reported == wanted {
-            return Ok(self.to());
+            return Ok(self.into_state());
         }
         let error = VersionError::Mismatch {
             wanted,
             got: reported,
         };
         let version = self.fail();
-        Err(Refused { version, error })
+        Err(FailedTransition { version, error })
     }
 
     /// The engine failed to load, or took too long.
     pub fn fail(self) -> Version<Verified> {
-        self.to()
+        self.into_state()
     }
 }
 
@@ -320,18 +322,18 @@
 
     /// The engine reports another version or was restarted: it no longer answers from this one.
     pub fn mark_unloaded(self) -> Version<Verified> {
-        self.to()
+        self.into_state()
     }
 
     /// Takes nothing new from here on.
     pub fn drain(self) -> Version<Draining> {
-        self.to()
+        self.into_state()
     }
 }
 
 impl Version<Draining> {
     /// The last request has ended: the engine may unload, the chunks are unpinned on drop.
     pub fn end(self) -> Version<Absent> {
-        self.to()
+        self.into_state()
     }
 }
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -28,15 +28,15 @@
 use filbertstack_weights::fetch::Fault;
 
 use support::Sample;
+use support::peer::Behaviour;
 use support::peer::MemoryPeer;
-use support::peer::Mood;
 use support::peer::StorePeer;
 use support::sample;
 
 /// No test waits this long unless it fails.
-const LONG: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn seat(place: u32, places: u32) -> RingPosition {
+fn position(place: u32, places: u32) -> RingPosition {
     let proximity = Proximity::Zone;
     RingPosition {
         proximity,
@@ -50,30 +50,30 @@
     (Core::new(store.clone(), PullConfig::default(), 1), store)
 }
 
-fn join(core: &mut Core, sample: &Sample, peer: &Arc<MemoryPeer>, place: u32) {
-    let key = core.add_peer(peer.clone(), seat(place, 2));
+fn add_peer(core: &mut Core, sample: &Sample, peer: &Arc<MemoryPeer>, place: u32) {
+    let key = core.add_peer(peer.clone(), position(place, 2));
     let all = ChunkSet::full(sample.bytes.len());
     core.announce(key, sample.manifest.root(), all.iter());
 }
 
 /// Makes the fetches one after the other, a turn each, for two minutes.
-fn drive(core: &mut Core, store: &Store) -> Vec<CopyEvent> {
+fn run_jobs(core: &mut Core, store: &Store) -> Vec<CopyEvent> {
     let turn = PullConfig::default().turn_length;
     let mut events = Vec::new();
     let mut now = Millis::ZERO;
     while now < Millis::secs(120) {
         events.extend(core.tick(now));
-        let job = core.next(now);
+        let job = core.next_job(now);
         now = now + turn;
         if let Some(job) = job {
-            let result = job.source.fetch_into(&job.want, store).map(|_| ());
-            events.extend(core.done(&job, result, now));
+            let result = job.source.fetch_into(&job.location, store).map(|_| ());
+            events.extend(core.record_result(&job, result, now));
         }
     }
     events
 }
 
-fn completes(events: &[CopyEvent], sample: &Sample) -> usize {
+fn count_complete(events: &[CopyEvent], sample: &Sample) -> usize {
     let root = sample.manifest.root();
     events
         .iter()
@@ -82,16 +82,16 @@
 }
 
 #[test]
-fn a_version_comes_from_two_peers_each_chunk_once() {
+fn each_chunk_is_fetched_once_from_two_peers() {
     let sample = sample(1);
     let (mut core, store) = core();
     let peers = [(); 2].map(|()| Arc::new(MemoryPeer::new(&sample.bytes)));
     core.add_version(sample.manifest.clone());
     (0..)
         .zip(&peers)
-        .for_each(|(place, peer)| join(&mut core, &sample, peer, place));
-    let events = drive(&mut core, &store);
-    assert_eq!(completes(&events, &sample), 1);
+        .for_each(|(place, peer)| add_peer(&mut core, &sample, peer, place));
+    let events = run_jobs(&mut core, &store);
+    assert_eq!(count_complete(&events, &sample), 1);
     assert_eq!(peers[0].count() + peers[1].count(), sample.bytes.len());
     // They take turns.
     assert!(peers.iter().all(|peer| peer.count() >= 6));
@@ -100,27 +100,31 @@
 // One of two upstreams fails, in each way an upstream can. The copy completes from the other, what
 // the bad one sent is not stored, and after a few faults the leader is asked for another upstream.
 #[test]
-fn a_bad_peer_costs_its_turns_only() {
-    let moods = [
-        Mood::Corrupt,
-        Mood::Fails(Fault::Down),
-        Mood::Fails(Fault::Stalled),
-        Mood::Fails(Fault::Stale),
-        Mood::Fails(Fault::Wrong),
-        Mood::Fails(Fault::Missing),
+fn a_copy_completes_despite_a_failing_peer() {
+    let behaviours = [
+        Behaviour::Corrupt,
+        Behaviour::Fails(Fault::Down),
+        Behaviour::Fails(Fault::Stalled),
+        Behaviour::Fails(Fault::Stale),
+        Behaviour::Fails(Fault::Wrong),
+        Behaviour::Fails(Fault::Missing),
     ];
-    for mood in moods {
+    for behaviour in behaviours {
         let sample = sample(1);
         let (mut core, store) = core();
-        let bad = Arc::new(MemoryPeer::with(&sample.bytes, mood));
+        let bad = Arc::new(MemoryPeer::with(&sample.bytes, behaviour));
         let good = Arc::new(MemoryPeer::new(&sample.bytes));
         core.add_version(sample.manifest.clone());
-        join(&mut core, &sample, &bad, 0);
-        join(&mut core, &sample, &good, 1);
-        let events = drive(&mut core, &store);
-        assert_eq!(completes(&events, &sample), 1, "{mood:?}");
-        assert_eq!(good.count(), sample.bytes.len(), "{mood:?}");
-        assert!(bad.count() <= 13, "{mood:?}: asked {} times", bad.count());
+        add_peer(&mut core, &sample, &bad, 0);
+        add_peer(&mut core, &sample, &good, 1);
+        let events = run_jobs(&mut core, &store);
+        assert_eq!(count_complete(&events, &sample), 1, "{behaviour:?}");
+        assert_eq!(good.count(), sample.bytes.len(), "{behaviour:?}");
+        assert!(
+            bad.count() <= 13,
+            "{behaviour:?}: asked {} times",
+            bad.count()
+        );
     }
 }
 
@@ -128,10 +132,13 @@
 fn an_upstream_that_keeps_failing_is_reported_once() {
     let sample = sample(1);
     let (mut core, store) = core();
-    let bad = Arc::new(MemoryPeer::with(&sample.bytes, Mood::Fails(Fault::Down)));
+    let bad = Arc::new(MemoryPeer::with(
+        &sample.bytes,
+        Behaviour::Fails(Fault::Down),
+    ));
     core.add_version(sample.manifest.clone());
-    join(&mut core, &sample, &bad, 0);
-    let events = drive(&mut core, &store);
+    add_peer(&mut core, &sample, &bad, 0);
+    let events = run_jobs(&mut core, &store);
     let worn = events
         .iter()
         .filter(|event| matches!(event, CopyEvent::UpstreamFailing { .. }));
@@ -153,14 +160,17 @@
     let (mut core, store) = core();
     let peers = [&one, &two].map(|sample| Arc::new(MemoryPeer::new(&sample.bytes)));
     core.add_version(one.manifest.clone());
-    join(&mut core, &one, &peers[0], 0);
-    let job = core.next(Millis::ZERO).unwrap();
+    add_peer(&mut core, &one, &peers[0], 0);
+    let job = core.next_job(Millis::ZERO).unwrap();
     core.add_version(two.manifest.clone());
-    join(&mut core, &two, &peers[1], 1);
-    let result = job.source.fetch_into(&job.want, &store).map(|_| ());
-    core.done(&job, result, Millis::ZERO);
-    let events = drive(&mut core, &store);
-    assert_eq!((completes(&events, &one), completes(&events, &two)), (1, 1));
+    add_peer(&mut core, &two, &peers[1], 1);
+    let result = job.source.fetch_into(&job.location, &store).map(|_| ());
+    core.record_result(&job, result, Millis::ZERO);
+    let events = run_jobs(&mut core, &store);
+    assert_eq!(
+        (count_complete(&events, &one), count_complete(&events, &two)),
+        (1, 1)
+    );
     // Five chunks are common to both.
     assert_eq!(peers[0].count() + peers[1].count(), 13 + 13 - 5);
 }
@@ -168,7 +178,7 @@
 // Two versions with common chunks are wanted at the same moment, with upstreams enough to request
 // everything at once. No chunk is under way twice.
 #[test]
-fn no_chunk_is_under_way_twice() {
+fn no_chunk_has_two_transfers() {
     let (one, two) = (sample(1), sample(2));
     let config = PullConfig {
         max_transfers: 64,
@@ -179,11 +189,11 @@
         core.add_version(sample.manifest.clone());
         for _ in 0..20 {
             let peer = Arc::new(MemoryPeer::new(&sample.bytes));
-            join(&mut core, sample, &peer, 0);
+            add_peer(&mut core, sample, &peer, 0);
         }
     }
-    let jobs = std::iter::from_fn(|| core.next(Millis::ZERO));
-    let mut chunks: Vec<_> = jobs.map(|job| job.want.chunk.digest).collect();
+    let jobs = std::iter::from_fn(|| core.next_job(Millis::ZERO));
+    let mut chunks: Vec<_> = jobs.map(|job| job.location.chunk.digest).collect();
     assert_eq!(chunks.len(), 13 + 13 - 5);
     chunks.sort_unstable();
     chunks.dedup();
@@ -193,24 +203,27 @@
 // The version is replaced in the middle of a copy, with a transfer under way. The transfer ends
 // after its version is forgotten and its index could name a chunk of the next one.
 #[test]
-fn a_version_that_changes_in_the_middle_leaves_nothing_behind() {
+fn late_transfers_of_a_removed_version_are_ignored() {
     let (one, two) = (sample(1), sample(2));
     let (mut core, store) = core();
     let first = Arc::new(MemoryPeer::new(&one.bytes));
     let second = Arc::new(MemoryPeer::new(&two.bytes));
     core.add_version(one.manifest.clone());
-    join(&mut core, &one, &first, 0);
-    let jobs: Vec<_> = std::iter::from_fn(|| core.next(Millis::ZERO)).collect();
+    add_peer(&mut core, &one, &first, 0);
+    let jobs: Vec<_> = std::iter::from_fn(|| core.next_job(Millis::ZERO)).collect();
     core.remove_version(one.manifest.root());
     core.add_version(two.manifest.clone());
-    join(&mut core, &two, &second, 1);
+    add_peer(&mut core, &two, &second, 1);
     for job in jobs {
-        let result = job.source.fetch_into(&job.want, &store).map(|_| ());
-        core.done(&job, result, Millis::ZERO);
+        let result = job.source.fetch_into(&job.location, &store).map(|_| ());
+        core.record_result(&job, result, Millis::ZERO);
     }
     assert!(core.progress(one.manifest.root()).is_none());
-    let events = drive(&mut core, &store);
-    assert_eq!((completes(&events, &one), completes(&events, &two)), (0, 1));
+    let events = run_jobs(&mut core, &store);
+    assert_eq!(
+        (count_complete(&events, &one), count_complete(&events, &two)),
+        (0, 1)
+    );
     assert!(
         two.manifest
             .chunks()
@@ -224,41 +237,41 @@
 #[test]
 fn a_grant_falls_back_to_the_origin() {
     let faults = [
-        (Mood::Corrupt, 1),
-        (Mood::Fails(Fault::Missing), 1),
-        (Mood::Fails(Fault::Stalled), 1),
-        (Mood::Fails(Fault::Stale), 1),
+        (Behaviour::Corrupt, 1),
+        (Behaviour::Fails(Fault::Missing), 1),
+        (Behaviour::Fails(Fault::Stalled), 1),
+        (Behaviour::Fails(Fault::Stale), 1),
         (
-            Mood::Fails(Fault::Busy {
+            Behaviour::Fails(Fault::Busy {
                 after: Millis::secs(5),
             }),
             0,
         ),
     ];
-    for (mood, asked) in faults {
+    for (behaviour, asked) in faults {
         let sample = sample(1);
         let (mut core, store) = core();
-        let weights = Arc::new(MemoryPeer::with(&sample.bytes, mood));
+        let weights = Arc::new(MemoryPeer::with(&sample.bytes, behaviour));
         let origin = Arc::new(MemoryPeer::new(&sample.bytes));
         core.add_version(sample.manifest.clone());
         let sources: Vec<Arc<dyn AnySource>> = vec![weights.clone(), origin.clone()];
         let chunk = sample.manifest.chunks()[4].digest;
         core.grant(sample.manifest.root(), chunk, sources);
-        drive(&mut core, &store);
-        assert_eq!(origin.count(), asked, "{mood:?}");
+        run_jobs(&mut core, &store);
+        assert_eq!(origin.count(), asked, "{behaviour:?}");
         assert_eq!(store.has(chunk), asked == 1);
     }
 }
 
 #[test]
-fn a_grant_whose_sources_all_fail_goes_back_to_the_leader() {
+fn a_grant_whose_sources_all_fail_is_returned_to_the_leader() {
     let sample = sample(1);
     let (mut core, store) = core();
-    let origin = Arc::new(MemoryPeer::with(&sample.bytes, Mood::Corrupt));
+    let origin = Arc::new(MemoryPeer::with(&sample.bytes, Behaviour::Corrupt));
     core.add_version(sample.manifest.clone());
     let chunk = sample.manifest.chunks()[4].digest;
     core.grant(sample.manifest.root(), chunk, vec![origin.clone()]);
-    let events = drive(&mut core, &store);
+    let events = run_jobs(&mut core, &store);
     let fault = Fault::Corrupt;
     assert!(events.contains(&CopyEvent::GrantFailed { chunk, fault }));
     assert_eq!(origin.count(), 1);
@@ -273,13 +286,13 @@
     let origin = Arc::new(MemoryPeer::new(&sample.bytes));
     let peer = Arc::new(MemoryPeer::new(&sample.bytes));
     core.add_version(sample.manifest.clone());
-    join(&mut core, &sample, &peer, 0);
-    drive(&mut core, &store);
+    add_peer(&mut core, &sample, &peer, 0);
+    run_jobs(&mut core, &store);
     let chunk = sample.manifest.chunks()[4].digest;
     let events = core.grant(sample.manifest.root(), chunk, vec![origin.clone()]);
     let granted = true;
     assert_eq!(events, [CopyEvent::ChunkStored { chunk, granted }]);
-    drive(&mut core, &store);
+    run_jobs(&mut core, &store);
     assert_eq!(origin.count(), 0);
 }
 
@@ -297,9 +310,9 @@
     let peer = Arc::new(MemoryPeer::new(&sample.bytes));
     core.add_version(sample.manifest.clone());
     assert_eq!(core.progress(sample.manifest.root()).unwrap().held, 10);
-    join(&mut core, &sample, &peer, 0);
-    let events = drive(&mut core, &store);
-    assert_eq!(completes(&events, &sample), 1);
+    add_peer(&mut core, &sample, &peer, 0);
+    let events = run_jobs(&mut core, &store);
+    assert_eq!(count_complete(&events, &sample), 1);
     assert_eq!(peer.count(), 3);
 }
 
@@ -335,7 +348,7 @@
     let origin = Arc::new(MemoryPeer::new(&sample.bytes));
     let agents: Vec<_> = (0..11).map(agent).collect();
     let mut plan = Plan::new(PlanConfig::default());
-    let mut tokens = Grants::new(GrantConfig::of(Weigh::Origin));
+    let mut grants = Grants::new(GrantConfig::of(Weigh::Origin));
     let target = |at: usize| Target {
         name: format!("t{at}").parse().unwrap(),
         zone: "van-a".parse().unwrap(),
@@ -343,17 +356,17 @@
     };
     let keys: Vec<_> = (0..11).map(|at| plan.join(target(at)).key).collect();
     for &key in &keys {
-        tokens.join(key, &"van".parse().unwrap());
+        grants.join(key, &"van".parse().unwrap());
     }
-    tokens.publish(sample.manifest.chunks().iter().map(|chunk| chunk.digest));
+    grants.publish(sample.manifest.chunks().iter().map(|chunk| chunk.digest));
     let at = |key| keys.iter().position(|other| *other == key).unwrap();
-    let mut downs = vec![Vec::new(); 11];
+    let mut downstreams = vec![Vec::new(); 11];
     for (down, agent) in agents.iter().enumerate() {
         agent.copier.add_version(sample.manifest.clone());
         for link in plan.upstreams(keys[down]) {
             let up = at(link.target);
             let source = Arc::new(StorePeer(agents[up].store.clone()));
-            downs[up].push((down, agent.copier.add_peer(source, link.position)));
+            downstreams[up].push((down, agent.copier.add_peer(source, link.position)));
         }
     }
     let send = |grants: Vec<Grant>| {
@@ -363,7 +376,7 @@
         }
     };
     let mut complete = 0;
-    send(tokens.grant(Millis::ZERO));
+    send(grants.grant(Millis::ZERO));
     while complete < 11 {
         for (up, agent) in agents.iter().enumerate() {
             let Ok(event) = agent.events.recv_timeout(Duration::from_millis(1)) else {
@@ -372,11 +385,11 @@
             match event {
                 CopyEvent::ChunkStored { chunk, granted } => {
                     if granted {
-                        tokens.completed(chunk, keys[up], Millis::ZERO);
-                        send(tokens.grant(Millis::ZERO));
+                        grants.completed(chunk, keys[up], Millis::ZERO);
+                        send(grants.grant(Millis::ZERO));
                     }
-                    let held = agent.copier.holding(root).unwrap();
-                    for &(down, key) in &downs[up] {
+                    let held = agent.copier.held_chunks(root).unwrap();
+                    for &(down, key) in &downstreams[up] {
                         agents[down].copier.announce(key, root, held.iter());
                     }
                 }
@@ -395,21 +408,21 @@
 }
 
 #[test]
-fn a_copier_on_threads_completes_and_ends() {
+fn a_copier_completes_and_stops_its_threads() {
     let sample = sample(1);
     let agent = agent(1);
     agent.copier.add_version(sample.manifest.clone());
     let peer = Arc::new(MemoryPeer::new(&sample.bytes));
-    let key = agent.copier.add_peer(peer, seat(0, 1));
+    let key = agent.copier.add_peer(peer, position(0, 1));
     let all = ChunkSet::full(sample.bytes.len());
     agent
         .copier
         .announce(key, sample.manifest.root(), all.iter());
     let root = sample.manifest.root();
     let complete = CopyEvent::Complete { root };
-    while agent.events.recv_timeout(LONG).unwrap() != complete {}
+    while agent.events.recv_timeout(TEST_TIMEOUT).unwrap() != complete {}
     let progress = agent.copier.progress(root).unwrap();
     assert_eq!((progress.held, progress.total), (13, 13));
     drop(agent.copier);
-    assert!(agent.events.recv_timeout(LONG).is_err());
+    assert!(agent.events.recv_timeout(TEST_TIMEOUT).is_err());
 }
--- a/crates/filbertstack-weights/tests/http.rs
+++ b/crates/filbertstack-weights/tests/http.rs
@@ -20,19 +20,19 @@
 use support::sample;
 
 const QUICK: HttpConfig = HttpConfig {
-    idle: Duration::from_millis(300),
+    idle_timeout: Duration::from_millis(300),
     window: Duration::from_millis(100),
-    progress: 50,
+    min_bytes: 50,
 };
 
 /// Waits so long for one read that only the floor on progress can end a fetch.
 const PATIENT: HttpConfig = HttpConfig {
-    idle: Duration::from_secs(60),
+    idle_timeout: Duration::from_secs(60),
     ..QUICK
 };
 
 /// The third chunk of the second file: neither the first nor the last range of it.
-fn want(sample: &Sample) -> ChunkLocation {
+fn location(sample: &Sample) -> ChunkLocation {
     sample.manifest.location(7).unwrap()
 }
 
@@ -42,7 +42,7 @@
     let origin = Origin::start(file, answer);
     let source = HttpSource::new(&origin.base(), config);
     let store = Store::memory(10_000);
-    let fetched = fetch_into(&source, &want(&sample), &store).map(|_| ());
+    let fetched = fetch_into(&source, &location(&sample), &store).map(|_| ());
     (fetched, store)
 }
 
@@ -50,13 +50,13 @@
 fn a_good_range_is_stored() {
     let (fetched, store) = fetch(HttpConfig::default(), Answer::Good);
     fetched.unwrap();
-    assert!(store.has(want(&sample(1)).chunk.digest));
+    assert!(store.has(location(&sample(1)).chunk.digest));
 }
 
 // The origin answers wrongly in each of the ways it can. The copier is told the kind of fault and
 // turns elsewhere; no byte of the answer reaches the store.
 #[test]
-fn each_wrong_answer_is_told_apart() {
+fn each_wrong_answer_reports_its_fault() {
     let after = filbertstack_core::Millis::secs(7);
     let cases = [
         (Answer::Whole, Fault::Wrong),
@@ -79,38 +79,38 @@
 // The origin keeps the connection and sends a byte each 20 ms. Every single read succeeds, so that
 // only a floor on progress ends it; the whole chunk would take 80 s.
 #[test]
-fn a_dripping_origin_is_a_stall() {
+fn a_slow_origin_is_reported_as_stalled() {
     let dir = tempfile::tempdir().unwrap();
     fs::write(dir.path().join("model.bin"), vec![7; 4096]).unwrap();
     let manifest = Manifest::from_dir(dir.path(), 4096).unwrap();
-    let origin = Origin::start(vec![7; 4096], Answer::Drip);
+    let origin = Origin::start(vec![7; 4096], Answer::Slow);
     let source = HttpSource::new(&origin.base(), PATIENT);
-    let want = manifest.location(0).unwrap();
-    let error = fetch_into(&source, &want, &Store::memory(10_000)).unwrap_err();
+    let location = manifest.location(0).unwrap();
+    let error = fetch_into(&source, &location, &Store::memory(10_000)).unwrap_err();
     assert_eq!(error.fault(), Some(Fault::Stalled), "{error}");
 }
 
 #[test]
-fn a_silent_origin_is_a_stall() {
+fn a_silent_origin_is_reported_as_stalled() {
     let (fetched, _) = fetch(QUICK, Answer::Silent);
     let error = fetched.unwrap_err();
     assert_eq!(error.fault(), Some(Fault::Stalled), "{error}");
 }
 
 #[test]
-fn an_origin_that_is_not_there_is_down() {
+fn an_unreachable_origin_is_reported_as_down() {
     let sample = sample(1);
     let addr = {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         listener.local_addr().unwrap()
     };
     let source = HttpSource::new(&format!("http://{addr}"), HttpConfig::default());
-    let error = fetch_into(&source, &want(&sample), &Store::memory(1000)).unwrap_err();
+    let error = fetch_into(&source, &location(&sample), &Store::memory(1000)).unwrap_err();
     assert_eq!(error.fault(), Some(Fault::Down), "{error}");
 }
 
 #[test]
-fn a_manifest_comes_by_its_digest() {
+fn a_manifest_is_fetched_by_its_digest() {
     let (one, two) = (sample(1), sample(2));
     let origin = Origin::start(one.manifest.encode().to_vec(), Answer::Whole);
     let source = HttpSource::new(&origin.base(), HttpConfig::default());
--- a/crates/filbertstack-weights/tests/lifecycle.rs
+++ b/crates/filbertstack-weights/tests/lifecycle.rs
@@ -36,18 +36,18 @@
 use filbertstack_weights::version::Version;
 
 use support::Sample;
+use support::peer::Behaviour;
 use support::peer::MemoryPeer;
-use support::peer::Mood;
 use support::peer::flip;
 use support::sample;
 
 const VERSIONS: usize = 2;
 
 /// Room for both versions, whose first file is common, and no more.
-const LIMIT: u64 = 300 + 500 + 500;
+const STORE_LIMIT: u64 = 300 + 500 + 500;
 
 /// The cases of a run that is given none.
-const CASES: u32 = 48;
+const DEFAULT_CASES: u32 = 48;
 
 static SERVED: AtomicU32 = AtomicU32::new(0);
 static REFUSED: AtomicU32 = AtomicU32::new(0);
@@ -56,54 +56,54 @@
 enum Step {
     Declare(usize),
     Forget(usize),
-    Fetch(usize, Mood),
-    Rot(usize, usize),
+    Fetch(usize, Behaviour),
+    Damage(usize, usize),
     Verify(usize),
     Load(usize),
     Report(usize, usize),
     Fail(usize),
-    Lose(usize),
+    Unload(usize),
     Drain(usize),
     Restart,
 }
 
 /// The generator needs no state: every step may come in every state.
 #[derive(Clone, Debug)]
-struct Any;
+struct NoState;
 
-impl ReferenceStateMachine for Any {
-    type State = Any;
+impl ReferenceStateMachine for NoState {
+    type State = NoState;
     type Transition = Step;
 
-    fn init_state() -> BoxedStrategy<Any> {
-        Just(Any).boxed()
+    fn init_state() -> BoxedStrategy<NoState> {
+        Just(NoState).boxed()
     }
 
-    fn transitions(_: &Any) -> BoxedStrategy<Step> {
+    fn transitions(_: &NoState) -> BoxedStrategy<Step> {
         let version = 0..VERSIONS;
-        let mood = prop_oneof![
-            6 => Just(Mood::Good),
-            1 => Just(Mood::Corrupt),
-            1 => Just(Mood::Fails(Fault::Down)),
+        let behaviour = prop_oneof![
+            6 => Just(Behaviour::Good),
+            1 => Just(Behaviour::Corrupt),
+            1 => Just(Behaviour::Fails(Fault::Down)),
         ];
         prop_oneof![
             6 => version.clone().prop_map(Step::Declare),
             1 => version.clone().prop_map(Step::Forget),
-            12 => (5..30_usize, mood).prop_map(|(count, mood)| Step::Fetch(count, mood)),
-            1 => (version.clone(), 0..13_usize).prop_map(|(v, at)| Step::Rot(v, at)),
+            12 => (5..30_usize, behaviour).prop_map(|(count, behaviour)| Step::Fetch(count, behaviour)),
+            1 => (version.clone(), 0..13_usize).prop_map(|(v, at)| Step::Damage(v, at)),
             12 => version.clone().prop_map(Step::Verify),
             12 => version.clone().prop_map(Step::Load),
             8 => version.clone().prop_map(|v| Step::Report(v, v)),
             2 => (version.clone(), 0..=VERSIONS).prop_map(|(v, r)| Step::Report(v, r)),
             1 => version.clone().prop_map(Step::Fail),
-            1 => version.clone().prop_map(Step::Lose),
+            1 => version.clone().prop_map(Step::Unload),
             1 => version.prop_map(Step::Drain),
             1 => Just(Step::Restart),
         ]
         .boxed()
     }
 
-    fn apply(state: Any, _: &Step) -> Any {
+    fn apply(state: NoState, _: &Step) -> NoState {
         state
     }
 }
@@ -141,11 +141,11 @@
 
 impl StateMachineTest for Agent {
     type SystemUnderTest = Agent;
-    type Reference = Any;
+    type Reference = NoState;
 
-    fn init_test(_: &Any) -> Agent {
+    fn init_test(_: &NoState) -> Agent {
         let dir = tempfile::tempdir().unwrap();
-        let store = Arc::new(Store::open(dir.path(), LIMIT).unwrap());
+        let store = Arc::new(Store::open(dir.path(), STORE_LIMIT).unwrap());
         Agent {
             dir,
             samples: vec![sample(1), sample(2)],
@@ -158,12 +158,12 @@
         }
     }
 
-    fn apply(mut agent: Agent, _: &Any, step: Step) -> Agent {
-        agent.take(step);
+    fn apply(mut agent: Agent, _: &NoState, step: Step) -> Agent {
+        agent.run_step(step);
         agent
     }
 
-    fn check_invariants(agent: &Agent, _: &Any) {
+    fn check_invariants(agent: &Agent, _: &NoState) {
         for (at, slot) in agent.slots.iter().enumerate() {
             assert_eq!(phase(slot.as_ref()), agent.expected[at]);
             if let Some(Slot::Serving(version)) = slot {
@@ -172,20 +172,20 @@
                 assert_eq!(answered, [agent.samples[at].manifest.root()]);
             }
         }
-        assert!(agent.store.usage().bytes <= LIMIT);
+        assert!(agent.store.usage().bytes <= STORE_LIMIT);
     }
 }
 
 impl Agent {
-    fn take(&mut self, step: Step) {
+    fn run_step(&mut self, step: Step) {
         match step {
             Step::Declare(at) => self.declare(at),
             Step::Forget(at) => self.forget(at),
-            Step::Fetch(count, mood) => self.fetch(count, mood),
-            Step::Rot(at, chunk) => self.rot(at, chunk),
+            Step::Fetch(count, behaviour) => self.fetch(count, behaviour),
+            Step::Damage(at, chunk) => self.damage(at, chunk),
             Step::Verify(at) => self.verify(at),
             Step::Restart => self.restart(),
-            step => self.turn(&step),
+            step => self.engine_step(&step),
         }
     }
 
@@ -207,18 +207,18 @@
     }
 
     /// Makes some fetches from peers that hold everything and fare by `mood`.
-    fn fetch(&mut self, count: usize, mood: Mood) {
+    fn fetch(&mut self, count: usize, behaviour: Behaviour) {
         let keys: Vec<_> = (0..VERSIONS)
             .map(|at| {
                 let sample = &self.samples[at];
-                let peer = Arc::new(MemoryPeer::with(&sample.bytes, mood));
+                let peer = Arc::new(MemoryPeer::with(&sample.bytes, behaviour));
                 let (proximity, place, places) = (Proximity::Zone, 0, 1);
-                let seat = RingPosition {
+                let position = RingPosition {
                     proximity,
                     place,
                     places,
                 };
-                let key = self.core.add_peer(peer, seat);
+                let key = self.core.add_peer(peer, position);
                 let all = ChunkSet::full(sample.bytes.len());
                 self.core.announce(key, sample.manifest.root(), all.iter());
                 key
@@ -227,23 +227,26 @@
         for _ in 0..count {
             self.now = self.now + Millis::secs(1);
             self.core.tick(self.now);
-            let Some(job) = self.core.next(self.now) else {
+            let Some(job) = self.core.next_job(self.now) else {
                 break;
             };
-            let digest = job.want.chunk.digest;
-            let result = job.source.fetch_into(&job.want, &self.store).map(|_| ());
+            let digest = job.location.chunk.digest;
+            let result = job
+                .source
+                .fetch_into(&job.location, &self.store)
+                .map(|_| ());
             if result.is_ok() {
                 // A chunk that the store holds already keeps the bytes it has.
                 self.intact.entry(digest).or_insert(true);
             }
-            self.core.done(&job, result, self.now);
+            self.core.record_result(&job, result, self.now);
         }
         for key in keys {
             self.core.remove_peer(key);
         }
     }
 
-    fn rot(&mut self, at: usize, chunk: usize) {
+    fn damage(&mut self, at: usize, chunk: usize) {
         let digest = self.samples[at].manifest.chunks()[chunk].digest;
         if let Some(intact) = self.intact.get_mut(&digest) {
             let path = self.dir.path().join("chunks").join(digest.to_string());
@@ -282,11 +285,11 @@
     }
 
     /// The steps of the engine, in whatever state the version is.
-    fn turn(&mut self, step: &Step) {
+    fn engine_step(&mut self, step: &Step) {
         let (Step::Load(at)
         | Step::Report(at, _)
         | Step::Fail(at)
-        | Step::Lose(at)
+        | Step::Unload(at)
         | Step::Drain(at)) = *step
         else {
             return;
@@ -304,7 +307,7 @@
                 }
             }
             (Some(Slot::Loading(version)), Step::Fail(_)) => Some(Slot::Verified(version.fail())),
-            (Some(Slot::Serving(version)), Step::Lose(_)) => {
+            (Some(Slot::Serving(version)), Step::Unload(_)) => {
                 Some(Slot::Verified(version.mark_unloaded()))
             }
             (Some(Slot::Serving(version)), Step::Drain(_)) => Some(Slot::Draining(version.drain())),
@@ -317,7 +320,7 @@
             (Phase::Verified, Step::Load(_)) => Phase::Loading,
             (Phase::Loading, Step::Report(at, of)) if at == of => Phase::Serving,
             (Phase::Loading, Step::Report(..) | Step::Fail(_))
-            | (Phase::Serving, Step::Lose(_)) => Phase::Verified,
+            | (Phase::Serving, Step::Unload(_)) => Phase::Verified,
             (Phase::Serving, Step::Drain(_)) => Phase::Draining,
             (Phase::Draining, Step::Drain(_)) => Phase::Fetching,
             (phase, _) => phase,
@@ -331,7 +334,7 @@
     fn restart(&mut self) {
         self.slots = vec![None, None];
         self.expected = [Phase::Absent; VERSIONS];
-        self.store = Arc::new(Store::open(self.dir.path(), LIMIT).unwrap());
+        self.store = Arc::new(Store::open(self.dir.path(), STORE_LIMIT).unwrap());
         self.core = Core::new(self.store.clone(), PullConfig::default(), 1);
     }
 }
@@ -351,9 +354,11 @@
 // engines that report the wrong version, forgotten and restarted in any order. None ever serves,
 // loads or counts as verified unless each of its chunks is intact at that moment.
 #[test]
-fn nothing_serves_that_is_not_whole_under_one_digest() {
+fn no_version_serves_unless_every_chunk_is_intact() {
     let cases = std::env::var("FILBERTSTACK_FUZZ_CASES");
-    let cases = cases.map_or(CASES, |cases| cases.parse().expect("a number of cases"));
+    let cases = cases.map_or(DEFAULT_CASES, |cases| {
+        cases.parse().expect("a number of cases")
+    });
     let config = Config {
         cases,
         rng_seed: RngSeed::Fixed(20_261_202),
@@ -361,7 +366,7 @@
         ..Config::default()
     };
     let mut runner = TestRunner::new(config.clone());
-    let steps = Any::sequential_strategy(60..160);
+    let steps = NoState::sequential_strategy(60..160);
     let run = |(state, steps, seen)| {
         Agent::test_sequential(config.clone(), state, steps, seen);
         Ok(())
--- a/crates/filbertstack-weights/tests/manifest.rs
+++ b/crates/filbertstack-weights/tests/manifest.rs
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn each_want_names_the_bytes_of_its_chunk() {
+fn each_location_covers_the_bytes_of_its_chunk() {
     let sample = sample(1);
-    for (want, bytes) in sample.manifest.locations().zip(&sample.bytes) {
-        let held = fs::read(sample.dir.path().join(&*want.file.name)).unwrap();
-        assert_eq!(held[want.range()], bytes[..]);
-        assert_eq!(want.chunk.digest, Digest::of(bytes));
+    for (location, bytes) in sample.manifest.locations().zip(&sample.bytes) {
+        let held = fs::read(sample.dir.path().join(&*location.file.name)).unwrap();
+        assert_eq!(held[location.range()], bytes[..]);
+        assert_eq!(location.chunk.digest, Digest::of(bytes));
     }
     assert_eq!(sample.manifest.locations().count(), sample.bytes.len());
 }
--- a/crates/filbertstack-weights/tests/store.rs
+++ b/crates/filbertstack-weights/tests/store.rs
@@ -10,7 +10,7 @@
 
 use filbertstack_core::Digest;
 use filbertstack_weights::Store;
-use filbertstack_weights::store::Put;
+use filbertstack_weights::store::PutOutcome;
 use filbertstack_weights::store::StoreError;
 
 use support::Sample;
@@ -18,8 +18,8 @@
 use support::sample;
 
 fn fill(store: &Store, sample: &Sample) {
-    for (want, bytes) in sample.manifest.locations().zip(&sample.bytes) {
-        store.put(want.chunk.digest, bytes.clone()).unwrap();
+    for (location, bytes) in sample.manifest.locations().zip(&sample.bytes) {
+        store.put(location.chunk.digest, bytes.clone()).unwrap();
     }
 }
 
@@ -34,15 +34,18 @@
     let error = store.put(digest, Bytes::from_static(b"wrong")).unwrap_err();
     assert!(matches!(error, StoreError::Corrupt { .. }), "{error}");
     assert!(store.get(digest).unwrap().is_none());
-    assert_eq!(store.put(digest, "right".into()).unwrap(), Put::Stored);
-    assert_eq!(store.put(digest, "right".into()).unwrap(), Put::Held);
+    assert_eq!(
+        store.put(digest, "right".into()).unwrap(),
+        PutOutcome::Stored
+    );
+    assert_eq!(store.put(digest, "right".into()).unwrap(), PutOutcome::Held);
     assert_eq!(store.get(digest).unwrap().unwrap(), "right");
 }
 
 // A disk flips a bit of a stored chunk. Peers would get it, verify it and blame this instance;
 // the engine would load it. The store finds it on the next read, drops it and takes a good one.
 #[test]
-fn rot_on_disk_is_found_and_never_served() {
+fn damage_on_disk_is_detected_and_never_served() {
     let dir = tempfile::tempdir().unwrap();
     let store = Store::open(dir.path(), 1000).unwrap();
     let bytes = Bytes::from_static(b"weights");
@@ -50,10 +53,13 @@
     store.put(digest, bytes.clone()).unwrap();
     fs::write(chunk_path(&dir, digest), flip(&bytes)).unwrap();
     let error = store.get(digest).unwrap_err();
-    assert!(matches!(error, StoreError::Rotten { .. }), "{error}");
+    assert!(matches!(error, StoreError::Damaged { .. }), "{error}");
     assert!(!store.has(digest) && store.get(digest).unwrap().is_none());
-    assert_eq!(store.usage().rotten, 1);
-    assert_eq!(store.put(digest, bytes.clone()).unwrap(), Put::Stored);
+    assert_eq!(store.usage().damaged, 1);
+    assert_eq!(
+        store.put(digest, bytes.clone()).unwrap(),
+        PutOutcome::Stored
+    );
     assert_eq!(store.get(digest).unwrap().unwrap(), bytes);
 }
 
@@ -69,7 +75,7 @@
 }
 
 #[test]
-fn the_least_recently_used_chunk_goes_first() {
+fn the_least_recently_used_chunk_is_evicted_first() {
     let store = Store::memory(10);
     let digests = ["aaaa", "bbbb", "cccc"].map(|text| (Digest::of(text.as_bytes()), text));
     store.put(digests[0].0, digests[0].1.into()).unwrap();
@@ -87,7 +93,7 @@
 // A second version arrives at a full store while the first is served. Without pins the copy of
 // the second would evict the first's chunks: peers and a restarting engine would find holes.
 #[test]
-fn declared_chunks_are_never_evicted() {
+fn pinned_chunks_are_never_evicted() {
     let (one, two) = (sample(1), sample(2));
     let store = Arc::new(Store::memory(900));
     let pin = store.pin(&one.manifest).unwrap();
@@ -139,8 +145,11 @@
     fs::write(dir.path().join("parts/77"), b"half a chunk").unwrap();
     fs::write(dir.path().join("chunks/note"), b"no digest").unwrap();
     let store = Store::open(dir.path(), 10_000).unwrap();
-    for (want, bytes) in one.manifest.locations().zip(&one.bytes) {
-        assert_eq!(store.get(want.chunk.digest).unwrap().as_ref(), Some(bytes));
+    for (location, bytes) in one.manifest.locations().zip(&one.bytes) {
+        assert_eq!(
+            store.get(location.chunk.digest).unwrap().as_ref(),
+            Some(bytes)
+        );
     }
     assert_eq!(fs::read_dir(dir.path().join("parts")).unwrap().count(), 0);
     // A smaller limit after the restart evicts at once.
--- a/crates/filbertstack-weights/tests/support/origin.rs
+++ b/crates/filbertstack-weights/tests/support/origin.rs
@@ -25,7 +25,7 @@
     /// The right head, half the body, then the connection is cut.
     Cut,
     /// The right head, then one byte each 20 ms.
-    Drip,
+    Slow,
     /// The right head and no body, connection left open.
     Silent,
     /// The right range of a file that has become longer.
@@ -135,7 +135,7 @@
             let _ = stream.read(&mut [0])?;
             Ok(())
         }
-        Answer::Drip => body.chunks(1).try_for_each(|byte| {
+        Answer::Slow => body.chunks(1).try_for_each(|byte| {
             thread::sleep(Duration::from_millis(20));
             stream.write_all(byte)
         }),
--- a/crates/filbertstack-weights/tests/support/peer.rs
+++ b/crates/filbertstack-weights/tests/support/peer.rs
@@ -14,7 +14,7 @@
 
 /// How the peer answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub enum Behaviour {
     /// With the chunk.
     Good,
     /// With a byte of the chunk flipped.
@@ -26,7 +26,7 @@
 /// A peer that holds all chunks of a version.
 pub struct MemoryPeer {
     chunks: Vec<Bytes>,
-    pub mood: Mutex<Mood>,
+    pub behaviour: Mutex<Behaviour>,
     pub asked: Mutex<Vec<u32>>,
 }
 
@@ -44,14 +44,14 @@
     pub fn new(chunks: &[Bytes]) -> Self {
         Self {
             chunks: chunks.to_vec(),
-            mood: Mutex::new(Mood::Good),
+            behaviour: Mutex::new(Behaviour::Good),
             asked: Mutex::default(),
         }
     }
 
-    pub fn with(chunks: &[Bytes], mood: Mood) -> Self {
+    pub fn with(chunks: &[Bytes], behaviour: Behaviour) -> Self {
         let peer = Self::new(chunks);
-        *peer.mood.lock().unwrap() = mood;
+        *peer.behaviour.lock().unwrap() = behaviour;
         peer
     }
 
@@ -63,13 +63,13 @@
 impl Source for MemoryPeer {
     type Error = PeerError;
 
-    fn fetch(&self, want: &ChunkLocation) -> Result<Bytes, PeerError> {
-        self.asked.lock().unwrap().push(want.index);
-        let chunk = self.chunks[want.index as usize].clone();
-        match *self.mood.lock().unwrap() {
-            Mood::Good => Ok(chunk),
-            Mood::Corrupt => Ok(flip(&chunk)),
-            Mood::Fails(fault) => Err(PeerError(fault)),
+    fn fetch(&self, location: &ChunkLocation) -> Result<Bytes, PeerError> {
+        self.asked.lock().unwrap().push(location.index);
+        let chunk = self.chunks[location.index as usize].clone();
+        match *self.behaviour.lock().unwrap() {
+            Behaviour::Good => Ok(chunk),
+            Behaviour::Corrupt => Ok(flip(&chunk)),
+            Behaviour::Fails(fault) => Err(PeerError(fault)),
         }
     }
 }
@@ -87,8 +87,8 @@
 impl Source for StorePeer {
     type Error = PeerError;
 
-    fn fetch(&self, want: &ChunkLocation) -> Result<Bytes, PeerError> {
-        let held = self.0.get(want.chunk.digest);
+    fn fetch(&self, location: &ChunkLocation) -> Result<Bytes, PeerError> {
+        let held = self.0.get(location.chunk.digest);
         held.ok().flatten().ok_or(PeerError(Fault::Missing))
     }
 }
--- a/crates/filbertstack-weights/tests/uploads.rs
+++ b/crates/filbertstack-weights/tests/uploads.rs
@@ -8,9 +8,9 @@
 use filbertstack_policy::spread::serve::UploadRequest;
 use filbertstack_weights::copy::UploadSlots;
 
-const LONG: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn ask(held: u32) -> UploadRequest {
+fn request(held: u32) -> UploadRequest {
     UploadRequest {
         chunk: 0,
         import: false,
@@ -21,25 +21,25 @@
 }
 
 #[test]
-fn a_full_house_refuses_and_a_dropped_slot_is_free() {
+fn acquire_fails_without_a_free_slot_and_a_dropped_slot_is_reused() {
     let uploads = UploadSlots::new(1);
-    let slot = uploads.acquire(ask(0), Duration::ZERO).unwrap();
-    assert!(uploads.acquire(ask(0), Duration::ZERO).is_none());
+    let slot = uploads.acquire(request(0), Duration::ZERO).unwrap();
+    assert!(uploads.acquire(request(0), Duration::ZERO).is_none());
     drop(slot);
-    assert!(uploads.acquire(ask(0), Duration::ZERO).is_some());
+    assert!(uploads.acquire(request(0), Duration::ZERO).is_some());
 }
 
 // Two wait for one slot. The one with fewer chunks gets it, though the other came first.
 #[test]
-fn the_one_with_the_fewest_chunks_goes_first() {
+fn the_requester_with_the_fewest_chunks_is_served_first() {
     let uploads = UploadSlots::new(1);
-    let slot = uploads.acquire(ask(0), Duration::ZERO).unwrap();
+    let slot = uploads.acquire(request(0), Duration::ZERO).unwrap();
     let (sender, served) = channel();
     let mut threads = Vec::new();
     for (before, held) in [200, 3].into_iter().enumerate() {
         let (own, sender) = (uploads.clone(), sender.clone());
         threads.push(thread::spawn(move || {
-            let slot = own.acquire(ask(held), LONG).unwrap();
+            let slot = own.acquire(request(held), TEST_TIMEOUT).unwrap();
             sender.send(held).unwrap();
             drop(slot);
         }));
@@ -48,8 +48,8 @@
         }
     }
     drop(slot);
-    assert_eq!(served.recv_timeout(LONG).unwrap(), 3);
-    assert_eq!(served.recv_timeout(LONG).unwrap(), 200);
+    assert_eq!(served.recv_timeout(TEST_TIMEOUT).unwrap(), 3);
+    assert_eq!(served.recv_timeout(TEST_TIMEOUT).unwrap(), 200);
     for thread in threads {
         thread.join().unwrap();
     }
--- a/crates/filbertstack-weights/tests/version.rs
+++ b/crates/filbertstack-weights/tests/version.rs
@@ -16,8 +16,8 @@
 use support::sample;
 
 fn fill(store: &Store, sample: &Sample, count: usize) {
-    for (want, bytes) in sample.manifest.locations().zip(&sample.bytes).take(count) {
-        store.put(want.chunk.digest, bytes.clone()).unwrap();
+    for (location, bytes) in sample.manifest.locations().zip(&sample.bytes).take(count) {
+        store.put(location.chunk.digest, bytes.clone()).unwrap();
     }
 }
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_version_with_a_hole_is_not_verified() {
+fn a_version_with_a_missing_chunk_is_not_verified() {
     let sample = sample(1);
     let store = Arc::new(Store::memory(10_000));
     fill(&store, &sample, 12);
@@ -47,7 +47,7 @@
 // A chunk rots on disk after it was verified on arrival, before the engine gets it. The version
 // must not become verified by what was once true: each chunk is read again.
 #[test]
-fn rot_before_loading_leads_back_to_fetching() {
+fn damage_before_loading_leads_back_to_fetching() {
     let dir = tempfile::tempdir().unwrap();
     let sample = sample(1);
     let store = Arc::new(Store::open(dir.path(), 10_000).unwrap());
@@ -92,7 +92,7 @@
 // removed and written anew under the engine, which saw a part of them, and callers would have got
 // answers from partial weights under the version's name.
 #[test]
-fn files_that_an_engine_may_be_reading_stay_as_they_are() {
+fn intact_files_are_not_rewritten() {
     let verified = verified();
     let out = tempfile::tempdir().unwrap();
     let written = verified.write_to(out.path()).unwrap();
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn files_that_turned_bad_where_they_were_written_are_written_again() {
+fn damaged_files_are_rewritten() {
     let verified = verified();
     let out = tempfile::tempdir().unwrap();
     let file = verified.write_to(out.path()).unwrap().join("layers/0.bin");
