--- a/crates/filbertstack-weights/src/copy.rs
+++ b/crates/filbertstack-weights/src/copy.rs
@@ -1,15 +1,18 @@
-//! The copier: brings the chunks of declared versions into the store.
+//! The copier fetches the chunks of declared versions into the store.
 //!
-//! [`Core`] decides (which chunk next, from whom, what a failure means) and reads no clock;
-//! [`Copier`] runs its decisions on a few threads, since a [`crate::Source`] blocks. The agent
-//! tells the copier what peers announce and what the leader grants, and reads [`CopyEvent`]s.
+//! [`Core`] chooses the next chunk and its source, handles failures and reads no clock.
+//! [`Copier`] makes the fetches on a few threads, because a [`crate::Source`] blocks. The agent
+//! passes the announcements of peers and the grants of the leader to the copier and handles its
+//! [`CopyEvent`]s.
 //!
-//! What the agent does with its links:
+//! The agent uses the copier as follows:
 //!
-//! - [`Copier::add_version`] a manifest, then ask the upstreams for their chunks of it and pass each
-//!   answer to [`Copier::announce`]; pass on its own landed chunks from [`CopyEvent::ChunkStored`].
-//! - On [`CopyEvent::Complete`] verify the version; if chunks were damaged, [`Copier::mark_missing`].
-//! - On [`CopyEvent::Escalate`] ask the leader; pass its grant to [`Copier::grant`].
+//! - It adds a manifest with [`Copier::add_version`], requests the list of held chunks from each upstream
+//!   and passes each answer to [`Copier::announce`].
+//! - On [`CopyEvent::ChunkStored`] it announces the chunk to its downstream peers.
+//! - On [`CopyEvent::Complete`] it verifies the version and passes damaged chunks to
+//!   [`Copier::mark_missing`].
+//! - On [`CopyEvent::Escalate`] it asks the leader for a grant and passes that to [`Copier::grant`].
 
 mod catalogue;
 mod core;
@@ -28,50 +31,51 @@
 pub use uploads::UploadSlot;
 pub use uploads::UploadSlots;
 
-/// What the agent is to know or to do.
+/// An event of the copier that the agent handles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CopyEvent {
-    /// A chunk has come: announce it downstream; if a grant brought it, report it to the leader.
+    /// A chunk is in the store. The agent announces it downstream, and reports it to the leader if it had
+    /// a grant.
     ChunkStored {
         /// The chunk.
         chunk: Digest,
-        /// Whether it came by a grant.
+        /// Whether the leader had granted the chunk to this agent.
         granted: bool,
     },
-    /// All chunks of a version are in the store: verify it.
+    /// All chunks of a version are in the store. The agent verifies the version.
     Complete {
-        /// The version.
+        /// The root digest of the version.
         root: Digest,
     },
-    /// No upstream has this chunk: ask the leader for it.
+    /// No upstream has this chunk. The agent asks the leader for a grant.
     Escalate {
         /// The chunk.
         chunk: Digest,
     },
-    /// All sources of a grant failed: give it back to the leader.
+    /// All sources of a grant failed. The agent returns the grant to the leader.
     GrantFailed {
         /// The chunk.
         chunk: Digest,
-        /// What the last source did.
+        /// The fault of the last source.
         fault: Fault,
     },
-    /// An upstream failed so often that another is wanted from the leader.
+    /// An upstream fails so often that the agent needs another one from the leader.
     UpstreamFailing {
         /// The upstream.
         peer: NeighbourKey,
     },
-    /// The store took no chunk: no room or a failing disk. The copy goes on when it does.
+    /// The store rejected a chunk because it is full or its disk fails. The copier retries the chunk.
     StoreFailed {
         /// The chunk.
         chunk: Digest,
     },
 }
 
-/// How far the copy of a version is.
+/// The progress of copying a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// The chunks in the store.
+    /// The number of chunks in the store.
     pub held: usize,
-    /// All chunks.
+    /// The number of all chunks of the version.
     pub total: usize,
 }
--- a/crates/filbertstack-weights/src/copy/catalogue.rs
+++ b/crates/filbertstack-weights/src/copy/catalogue.rs
@@ -1,4 +1,4 @@
-//! The distinct chunks of all wanted versions, with an index each.
+//! The catalogue assigns an index to each distinct chunk of all wanted versions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,22 +14,22 @@
 pub(super) struct WantedVersion {
     pub(super) manifest: Arc<Manifest>,
     pub(super) indices: Vec<ChunkIndex>,
-    /// The places whose chunks are not held.
+    /// The number of positions in the manifest whose chunks are not held.
     pub(super) missing: usize,
 }
 
-/// Maps chunks to indices; a chunk of two versions has one.
+/// Maps chunks to indices; a chunk that belongs to two versions has one index.
 #[derive(Debug, Default)]
 pub(super) struct Catalogue {
     versions: HashMap<Digest, WantedVersion>,
     indices: HashMap<Digest, ChunkIndex>,
-    /// The wants of each index, one for each version that has the chunk.
+    /// The locations of the chunk at each index, one for each position in a version that has the chunk.
     locations: Vec<Vec<ChunkLocation>>,
     free: Vec<ChunkIndex>,
 }
 
 impl Catalogue {
-    /// Adds a version; the indices of its chunks, or `None` if it is there already.
+    /// Adds a version and returns it with its indices; `None` if the catalogue has it already.
     pub(super) fn add(&mut self, manifest: Arc<Manifest>) -> Option<&WantedVersion> {
         let root = manifest.root();
         if self.versions.contains_key(&root) {
@@ -64,7 +64,7 @@
         index
     }
 
-    /// Removes a version; the indices that no other version has.
+    /// Removes a version and returns the indices that no other version uses.
     pub(super) fn remove(&mut self, root: Digest) -> Vec<ChunkIndex> {
         let Some(version) = self.versions.remove(&root) else {
             return Vec::new();
@@ -87,12 +87,12 @@
         unused
     }
 
-    /// Lets `index` name another chunk.
+    /// Releases `index` for another chunk.
     pub(super) fn release(&mut self, index: ChunkIndex) {
         self.free.push(index);
     }
 
-    /// The bound of the indices.
+    /// Returns the number of indices assigned so far, released ones included.
     pub(super) fn index_count(&self) -> usize {
         self.locations.len()
     }
@@ -101,7 +101,7 @@
         self.indices.get(&chunk).copied()
     }
 
-    /// What to fetch for an index, of the version `root` if it has the chunk.
+    /// Returns where to fetch the chunk at `index`: in the version `root` if it has the chunk, else in any.
     pub(super) fn location(
         &self,
         index: ChunkIndex,
@@ -118,7 +118,7 @@
         self.versions.get(&root)
     }
 
-    /// The versions that have a chunk.
+    /// Returns the versions that have the chunk, once for each position.
     pub(super) fn versions_of(&self, index: ChunkIndex) -> impl Iterator<Item = Digest> {
         let locations = self.locations.get(index as usize).into_iter().flatten();
         locations.map(|location| location.version)
@@ -128,7 +128,7 @@
         self.versions.keys().copied().collect()
     }
 
-    /// Counts what a version lacks; whether that has become nothing.
+    /// Recounts the missing chunks of a version; returns whether the version has just become complete.
     pub(super) fn update_missing(
         &mut self,
         root: Digest,
@@ -142,12 +142,12 @@
         before > 0 && version.missing == 0
     }
 
-    /// Takes note that a chunk came; the versions that it made complete.
+    /// Records that a chunk was stored and returns the versions that are complete with it.
     pub(super) fn mark_stored(&mut self, index: ChunkIndex) -> Vec<Digest> {
         let roots: Vec<_> = self.versions_of(index).collect();
         let mut complete = Vec::new();
         for root in roots {
-            // A version that has the chunk in two places is named twice.
+            // A version that has the chunk at two positions occurs twice, as it counted both as missing.
             let Some(version) = self.versions.get_mut(&root) else {
                 continue;
             };
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/core.rs
@@ -1,4 +1,4 @@
-//! The decisions of the copier; time is passed in.
+//! The decisions of the copier, with the time as a parameter.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -28,24 +28,24 @@
 /// One fetch to make.
 #[derive(Debug)]
 pub struct Job {
-    /// Names it in [`Core::record_result`].
+    /// The transfer in the scheduler, for [`Core::record_result`].
     pub transfer: TransferKey,
-    /// What to fetch.
+    /// The chunk to fetch.
     pub location: ChunkLocation,
-    /// From where.
+    /// The source to fetch it from.
     pub source: Arc<dyn AnySource>,
     index: ChunkIndex,
     from: Upstream,
 }
 
-/// The sources that a grant allows, the first to be tried first.
+/// A grant of the leader for one chunk, with the sources in the order in which they are tried.
 #[derive(Debug)]
 struct Grant {
     root: Digest,
     sources: VecDeque<Arc<dyn AnySource>>,
 }
 
-/// The decisions of one agent's copier.
+/// The state and the decisions of one agent's copier.
 #[derive(Debug)]
 pub struct Core {
     store: Arc<Store>,
@@ -53,15 +53,15 @@
     catalogue: Catalogue,
     peers: HashMap<NeighbourKey, Arc<dyn AnySource>>,
     grants: HashMap<ChunkIndex, Grant>,
-    /// Granted chunks whose source asked to come back later, and when.
+    /// Granted chunks whose source was busy, with the time of the next attempt.
     postponed: Vec<(Millis, ChunkIndex)>,
-    /// Indices of forgotten chunks that are still in flight.
+    /// Indices of chunks that no version wants any more but that still have a transfer.
     releasing: Vec<ChunkIndex>,
     failing: Vec<NeighbourKey>,
 }
 
 impl Core {
-    /// A copier that wants nothing yet; `seed` is to differ between agents.
+    /// Creates a copier without versions; `seed` must differ between agents.
     pub fn new(store: Arc<Store>, config: PullConfig, seed: u64) -> Self {
         Self {
             store,
@@ -75,8 +75,7 @@
         }
     }
 
-    /// Copies a version from now on, beside those wanted already. What the store holds of it is
-    /// not fetched.
+    /// Adds a version to those being copied. Chunks that the store holds already are not fetched.
     pub fn add_version(&mut self, manifest: Arc<Manifest>) -> Vec<CopyEvent> {
         let chunks: Vec<_> = manifest.chunks().iter().map(|chunk| chunk.digest).collect();
         let Some(version) = self.catalogue.add(manifest) else {
@@ -90,7 +89,7 @@
                 self.pull.hold(index);
             }
         }
-        // What the store held may complete versions that were wanted before, too.
+        // Chunks that the store held already may also complete versions that were added earlier.
         let roots = self.catalogue.roots();
         roots
             .into_iter()
@@ -98,7 +97,7 @@
             .collect()
     }
 
-    /// Counts anew what a version lacks.
+    /// Recounts the missing chunks of a version.
     fn update_missing(&mut self, root: Digest) -> Option<CopyEvent> {
         let held = self.pull.held();
         let complete = self
@@ -107,7 +106,7 @@
         complete.then_some(CopyEvent::Complete { root })
     }
 
-    /// Copies a version no more; chunks that another version wants are still fetched.
+    /// Stops copying a version; chunks that another version needs are still fetched.
     pub fn remove_version(&mut self, root: Digest) {
         let unused = self.catalogue.remove(root);
         for &index in &unused {
@@ -118,7 +117,7 @@
         self.reclaim();
     }
 
-    /// Frees the indices of forgotten chunks once nothing is in flight for them.
+    /// Releases the indices of unused chunks that have no transfer in progress.
     fn reclaim(&mut self) {
         let releasing = std::mem::take(&mut self.releasing);
         for index in releasing {
@@ -130,14 +129,14 @@
         }
     }
 
-    /// Adds an upstream.
+    /// Adds an upstream and returns its key.
     pub fn add_peer(&mut self, source: Arc<dyn AnySource>, position: RingPosition) -> NeighbourKey {
         let key = self.pull.join(position);
         self.peers.insert(key, source);
         key
     }
 
-    /// Removes an upstream; what it was to send is requested elsewhere.
+    /// Removes an upstream; the chunks requested from it are requested from other sources.
     pub fn remove_peer(&mut self, key: NeighbourKey) {
         self.pull.leave(key);
         self.peers.remove(&key);
@@ -145,8 +144,8 @@
         self.reclaim();
     }
 
-    /// Takes note of the chunks that an upstream holds, by their places in the manifest of a
-    /// version; those of a version that is not wanted are passed over.
+    /// Records the chunks that an upstream holds, by their positions in the manifest of a version.
+    /// Chunks of a version that is not being copied are ignored.
     pub fn announce(
         &mut self,
         key: NeighbourKey,
@@ -163,18 +162,18 @@
         }
     }
 
-    /// Takes note of the mesh clock in a peer's message.
+    /// Records the mesh clock from a message of a peer.
     pub fn observe_clock(&mut self, clock: Millis, now: Millis) {
         self.pull.observe_clock(clock, now);
     }
 
-    /// The mesh clock for this agent's messages.
+    /// Returns the mesh clock for this agent's messages.
     pub fn clock(&self, now: Millis) -> Millis {
         self.pull.clock(now)
     }
 
-    /// Takes a grant of the leader: `chunk` of the version `root` may be fetched from `sources`,
-    /// the weight store before the origin. A chunk that is held already costs no source a byte.
+    /// Accepts a grant of the leader: `chunk` of the version `root` may be fetched from `sources`, the
+    /// weight store before the origin. A chunk that is held already is reported as stored without a fetch.
     pub fn grant(
         &mut self,
         root: Digest,
@@ -193,8 +192,8 @@
         vec![CopyEvent::ChunkStored { chunk, granted }]
     }
 
-    /// Takes note that chunks of a version were found damaged or gone, by their places in its
-    /// manifest.
+    /// Marks chunks of a version that were found damaged or lost, by their positions in its manifest, so
+    /// that they are fetched again.
     pub fn mark_missing(&mut self, root: Digest, positions: &[u32]) {
         let Some(version) = self.catalogue.version(root) else {
             return;
@@ -213,7 +212,7 @@
         }
     }
 
-    /// The next fetch to make, in flight from now on.
+    /// Returns the next fetch to make; its transfer counts as started.
     pub fn next_job(&mut self, now: Millis) -> Option<Job> {
         loop {
             let request = self.pull.next(now)?;
@@ -239,7 +238,7 @@
         }
     }
 
-    /// Takes what came of a fetch; what the agent is to do.
+    /// Records the result of a fetch and returns the events for the agent.
     pub fn record_result(
         &mut self,
         job: &Job,
@@ -257,14 +256,15 @@
 
     fn fetch_succeeded(&mut self, job: &Job, now: Millis) -> Vec<CopyEvent> {
         let chunk = job.location.chunk.digest;
-        // A fetch that was given up, or whose version was forgotten, may end all the same: the
-        // index can name another chunk by then.
+        // A fetch may end after it timed out or after its version was removed. Its index may belong to
+        // another chunk by then.
         if !self.pull.completed(job.transfer, now)
             || self.catalogue.index_of(chunk) != Some(job.index)
         {
             return Vec::new();
         }
-        // It may have come from a peer before its grant was used: the leader is told all the same.
+        // The chunk may have come from a peer before its grant was used. It is reported as granted all
+        // the same, so that the leader can close the grant.
         let granted = self.grants.remove(&job.index).is_some();
         let mut events = vec![CopyEvent::ChunkStored { chunk, granted }];
         let complete = self.catalogue.mark_stored(job.index);
@@ -279,7 +279,7 @@
     fn fetch_failed(&mut self, job: &Job, error: &FetchError, now: Millis) -> Vec<CopyEvent> {
         let chunk = job.location.chunk.digest;
         let Some(fault) = error.fault() else {
-            // The fault is this instance's own: the source is not marked.
+            // The fault lies with this instance, so the source is not marked as failing.
             let after = Millis::secs(1);
             self.pull.failed(job.transfer, Fault::Busy { after }, now);
             return vec![CopyEvent::StoreFailed { chunk }];
@@ -292,7 +292,8 @@
             return Vec::new();
         };
         if let Fault::Busy { after } = fault {
-            // A rate-limited store has the chunk all the same; the origin's link is dearer.
+            // A weight store that limits its rate still has the chunk, and the origin's link costs more:
+            // the store is tried again instead of the origin.
             self.postponed.push((now + after, job.index));
             return Vec::new();
         }
@@ -315,7 +316,7 @@
         events
     }
 
-    /// Gives up what takes too long and asks for what nobody has.
+    /// Expires transfers that take too long and escalates a chunk that no upstream has.
     pub fn tick(&mut self, now: Millis) -> Vec<CopyEvent> {
         self.pull.expire(now);
         for (_, index) in self.postponed.extract_if(.., |(due, _)| *due <= now) {
@@ -330,12 +331,12 @@
         events
     }
 
-    /// Whether there is nothing to do until the agent says something new.
+    /// Returns whether the copier has nothing to do until the agent calls it again.
     pub fn is_idle(&self) -> bool {
         self.pull.is_complete() && self.postponed.is_empty()
     }
 
-    /// The chunks of a version in the store, to announce; `None` if it is not wanted.
+    /// Returns the held chunks of a version, for announcements; `None` if it is not being copied.
     pub fn held_chunks(&self, root: Digest) -> Option<ChunkSet> {
         let version = self.catalogue.version(root)?;
         let mut set = ChunkSet::new(version.indices.len());
@@ -347,7 +348,7 @@
         Some(set)
     }
 
-    /// How far the copy of a version is; `None` if it is not wanted.
+    /// Returns the progress of a version; `None` if it is not being copied.
     pub fn progress(&self, root: Digest) -> Option<Progress> {
         let set = self.held_chunks(root)?;
         let (held, total) = (set.count(), set.len());
--- a/crates/filbertstack-weights/src/copy/pool.rs
+++ b/crates/filbertstack-weights/src/copy/pool.rs
@@ -1,4 +1,4 @@
-//! The threads that make the fetches which [`Core`] decides on.
+//! The thread pool that makes the fetches chosen by [`Core`].
 
 use std::sync::Arc;
 use std::sync::Condvar;
@@ -28,21 +28,21 @@
 use crate::manifest::Manifest;
 use crate::store::Store;
 
-/// How often threads without work look for what has become late.
+/// The interval at which idle threads check for expired transfers.
 const TICK: Duration = Duration::from_millis(20);
 
-/// The figures of a copier.
+/// The configuration of a copier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopyConfig {
-    /// The limits of its requests; a thread is started for each slot.
+    /// The limits of its requests; the copier starts one thread for each concurrent transfer.
     pub pull: PullConfig,
-    /// A number that differs between agents.
+    /// The seed for random choices, which must differ between agents.
     pub seed: u64,
-    /// What may be fetched at first, in bytes a second.
+    /// The initial limit of the fetch rate, in bytes per second.
     pub rate: u64,
 }
 
-/// The copier of an agent; dropping it ends its threads after the fetches they are in.
+/// The copier of an agent; dropping it stops its threads after their current fetches.
 #[derive(Debug)]
 pub struct Copier {
     shared: Arc<Shared>,
@@ -66,7 +66,7 @@
 }
 
 impl Copier {
-    /// Starts the threads; what the agent is to know comes through `events`.
+    /// Starts the threads, which send their events for the agent to `events`.
     pub fn start(store: Arc<Store>, config: CopyConfig, events: Sender<CopyEvent>) -> Self {
         let state = State {
             core: Core::new(store.clone(), config.pull, config.seed),
@@ -138,18 +138,18 @@
         self.shared.wake.notify_all();
     }
 
-    /// Takes note of the mesh clock in a peer's message.
+    /// Records the mesh clock from a message of a peer.
     pub fn observe_clock(&self, clock: Millis) {
         let now = self.shared.now();
         self.shared.lock().core.observe_clock(clock, now);
     }
 
-    /// Changes what may be fetched, in bytes a second.
+    /// Sets the limit of the fetch rate, in bytes per second.
     pub fn set_rate(&self, rate: u64) {
         self.shared.lock().bucket.set_rate(rate);
     }
 
-    /// The mesh clock for this agent's messages.
+    /// Returns the mesh clock for this agent's messages.
     pub fn clock(&self) -> Millis {
         let now = self.shared.now();
         self.shared.lock().core.clock(now)
@@ -171,7 +171,7 @@
         self.shared.lock().stop = true;
         self.shared.wake.notify_all();
         for thread in self.threads.drain(..) {
-            // A thread that panicked has said so on standard error.
+            // A panic of the thread was already printed to standard error.
             let _ = thread.join();
         }
     }
@@ -180,7 +180,7 @@
 impl State {
     fn send(&self, events: Vec<CopyEvent>) {
         for event in events {
-            // Nobody listens any more: the agent is stopping.
+            // Sending fails only when the agent is stopping and has dropped the receiver.
             let _ = self.events.send(event);
         }
     }
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Waits for the next fetch and how long to hold it back; `None` at the end.
+    /// Waits for the next fetch and returns it with the delay before it; `None` when the copier stops.
     fn wait_job(&self) -> Option<(Job, Millis)> {
         let mut state = self.lock();
         loop {
@@ -225,7 +225,7 @@
                 let wait = state.bucket.take(size, now);
                 return Some((job, wait));
             }
-            // An agent whose versions are whole costs no wake-ups.
+            // Without work there is no periodic wake-up, so a complete agent uses no CPU time here.
             state = if state.core.is_idle() {
                 let waited = self.wake.wait(state);
                 waited.unwrap_or_else(PoisonError::into_inner)
--- a/crates/filbertstack-weights/src/copy/uploads.rs
+++ b/crates/filbertstack-weights/src/copy/uploads.rs
@@ -1,4 +1,4 @@
-//! Upload slots: who of those that ask for chunks is served next.
+//! Upload slots limit concurrent uploads and choose which peer's request is served next.
 
 use std::sync::Arc;
 use std::sync::Condvar;
@@ -26,14 +26,14 @@
     requests: Slab<UploadRequest>,
 }
 
-/// A slot; dropping it lets the next requester in.
+/// An upload slot; dropping it releases the slot for the next request.
 #[derive(Debug)]
 pub struct UploadSlot {
     uploads: Arc<UploadSlots>,
 }
 
 impl UploadSlots {
-    /// So many uploads at a time.
+    /// Creates a set of `slots` slots, the number of concurrent uploads.
     pub fn new(slots: usize) -> Arc<Self> {
         let state = State {
             free: slots,
@@ -45,8 +45,8 @@
         })
     }
 
-    /// Waits for a slot for at most `wait`; `None` if others went first, and the requester is to
-    /// be told that this instance is busy.
+    /// Waits for a slot for at most `wait`. Returns `None` if other requests took the slots meanwhile; the
+    /// caller then answers that this instance is busy.
     pub fn acquire(self: &Arc<Self>, request: UploadRequest, wait: Duration) -> Option<UploadSlot> {
         let end = Instant::now() + wait;
         let mut state = self.lock();
@@ -55,7 +55,7 @@
             if state.free > 0 && state.first_request() == Some(key) {
                 state.free -= 1;
                 state.requests.remove(key);
-                // With a second free slot the next one need not wait for a drop.
+                // If another slot is free, the next request can take it at once.
                 self.wake.notify_all();
                 return Some(UploadSlot {
                     uploads: self.clone(),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// How many wait for a slot.
+    /// Returns the number of requests that wait for a slot.
     pub fn waiting(&self) -> usize {
         self.lock().requests.len()
     }
--- a/crates/filbertstack-weights/src/fetch.rs
+++ b/crates/filbertstack-weights/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching one chunk from one source, verified before it is stored.
+//! Fetches one chunk from one source and verifies it before it is stored.
 
 mod http;
 
@@ -21,28 +21,28 @@
 pub use http::HttpError;
 pub use http::HttpSource;
 
-/// An error of a source, which says what kind of fault it is.
+/// An error of a source that can be classified as a kind of fault.
 pub trait SourceError: Error + Send + Sync + 'static {
-    /// The kind of fault.
+    /// Returns the kind of fault.
     fn fault(&self) -> Fault;
 }
 
-/// Where chunks come from: a peer, the weight store or the origin.
+/// A source of chunks: a peer, the weight store or the origin.
 ///
-/// A source need not verify what it gives; [`fetch_into`] does.
+/// A source need not verify the bytes that it returns; [`fetch_into`] does.
 pub trait Source: Send + Sync {
-    /// What goes wrong.
+    /// The error type of the source.
     type Error: SourceError;
 
-    /// Fetches the bytes of one chunk; blocks until they are there or a limit of the source is
-    /// reached. A source must bound its own wait.
+    /// Fetches the bytes of one chunk. The call blocks until they arrive or a time limit of the source
+    /// expires; every source must have such a limit.
     ///
     /// # Errors
-    /// What the source's kind of link reports.
+    /// Returns the error of the connection to the source.
     fn fetch(&self, location: &ChunkLocation) -> Result<Bytes, Self::Error>;
 }
 
-/// A fetch that brought no chunk into the store.
+/// The reason why a fetch stored no chunk.
 #[derive(Debug, ThisError)]
 pub enum FetchError {
     /// The source failed.
@@ -53,19 +53,19 @@
         /// The source's error.
         error: Box<dyn Error + Send + Sync>,
     },
-    /// The source sent other bytes.
-    #[error("the source sent other bytes for chunk {digest}: it is marked, another is asked")]
+    /// The bytes from the source do not match the chunk's digest.
+    #[error("the bytes from the source do not match chunk {digest}: another source will be tried")]
     Corrupt {
         /// The chunk.
         digest: Digest,
     },
-    /// The store did not take the chunk.
+    /// The store rejected the chunk.
     #[error(transparent)]
     Store(StoreError),
 }
 
 impl FetchError {
-    /// The source's fault; `None` if the fault is this instance's own.
+    /// Returns the fault of the source; `None` if the failure lies with this instance.
     pub fn fault(&self) -> Option<Fault> {
         match self {
             Self::Source { fault, .. } => Some(*fault),
@@ -75,10 +75,10 @@
     }
 }
 
-/// Fetches one chunk and stores it if it is what the manifest names.
+/// Fetches one chunk and stores it if it matches the digest in the manifest.
 ///
 /// # Errors
-/// Why the chunk is not in the store.
+/// Returns the reason why the chunk is not in the store.
 pub fn fetch_into<S: Source + ?Sized>(
     source: &S,
     location: &ChunkLocation,
@@ -98,12 +98,12 @@
     }
 }
 
-/// Any source, for collections of several kinds.
+/// A source of any error type, for collections that hold several kinds of sources.
 pub trait AnySource: Send + Sync {
-    /// Fetches one chunk and stores it if it is what the manifest names.
+    /// Fetches one chunk and stores it if it matches the digest in the manifest.
     ///
     /// # Errors
-    /// Why the chunk is not in the store.
+    /// Returns the reason why the chunk is not in the store.
     fn fetch_into(&self, location: &ChunkLocation, store: &Store)
     -> Result<PutOutcome, FetchError>;
 }
--- a/crates/filbertstack-weights/src/fetch/http.rs
+++ b/crates/filbertstack-weights/src/fetch/http.rs
@@ -1,7 +1,9 @@
-//! Ranges over HTTP: the origin and the weight store, which speak the same protocol.
+//! The HTTP source fetches chunks by range requests from the origin or the weight store, which use the
+//! same protocol.
 //!
-//! `GET <base>/<file>` with `Range: bytes=first-last` must be answered by 206 with the same
-//! `Content-Range`, the file's size in the manifest, and exactly that many bytes.
+//! The server must answer `GET <base>/<file>` with `Range: bytes=first-last` by status 206, a
+//! `Content-Range` with the same range and the file size from the manifest, and exactly the bytes of
+//! the range.
 
 use std::io;
 use std::io::Read;
@@ -28,32 +30,33 @@
 use crate::manifest::Manifest;
 use crate::manifest::ManifestError;
 
-/// The header by which a server may say which version a file belongs to.
+/// The optional response header that names the version of the file.
 const VERSION_HEADER: HeaderName = HeaderName::from_static("x-weights-version");
 
-/// The longest `Retry-After` that is believed.
+/// The upper limit for a `Retry-After` of a server.
 const MAX_RETRY_AFTER: Millis = Millis::secs(60);
 
-/// The wait after a 429 or 503 that names none.
+/// The delay after a 429 or 503 without a usable `Retry-After`.
 const DEFAULT_RETRY_AFTER: Millis = Millis::secs(1);
 
-/// The bytes read at once.
+/// The size of the read buffer, in bytes.
 const READ_SIZE: usize = 8 << 10;
 
 /// The limits of an HTTP source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpConfig {
-    /// The longest wait for a connection, for the head of an answer and for any one read.
+    /// The timeout for connecting, for the head of an answer and for each single read.
     pub idle_timeout: Duration,
-    /// The span over which progress is judged.
+    /// The interval over which progress is checked.
     pub window: Duration,
-    /// The fewest bytes that must come in each window.
+    /// The minimum number of bytes that must arrive in each window.
     pub min_bytes: u64,
 }
 
 impl Default for HttpConfig {
-    /// 64 KiB in 2 s: a sixtieth of a 2 MiB/s share, far under any link that helps a copy, and
-    /// far over a sender that drips bytes to hold a slot.
+    /// Returns a configuration that requires 64 KiB in each 2 s. This is a sixtieth of a 2 MiB/s share:
+    /// far below the rate of any link that is useful for a copy, and far above that of a server that
+    /// occupies a slot by sending single bytes.
     fn default() -> Self {
         Self {
             idle_timeout: Duration::from_secs(2),
@@ -63,59 +66,59 @@
     }
 }
 
-/// What goes wrong with a range.
+/// An error of an HTTP fetch.
 #[derive(Debug, Error)]
 pub enum HttpError {
-    /// No connection, or it broke.
+    /// The connection could not be made or broke.
     #[error("{url} cannot be fetched ({error}): check that the server runs and is reachable")]
     Down {
         /// The URL.
         url: String,
-        /// What the client said.
+        /// The error of the HTTP client.
         error: Box<ureq::Error>,
     },
-    /// Nothing came, or too little.
+    /// Nothing arrived within the timeout, or too few bytes within a window.
     #[error("{url} sent {got} of {size} bytes and then too few in {window:?}: it is left for now")]
     Stalled {
         /// The URL.
         url: String,
-        /// The bytes that came.
+        /// The number of bytes received.
         got: u64,
-        /// The bytes asked for.
+        /// The number of bytes requested.
         size: u64,
-        /// The span in which too few came.
+        /// The interval in which too few bytes arrived.
         window: Duration,
     },
-    /// The server has no room for the request now.
+    /// The server is busy.
     #[error("{url} asks to come back after {after}")]
     Busy {
         /// The URL.
         url: String,
-        /// The wait it asks for.
+        /// The delay before the next attempt.
         after: Millis,
     },
-    /// There is no such file.
+    /// The file does not exist.
     #[error("{url} does not exist: publish the version there, or correct the base URL")]
     Missing {
         /// The URL.
         url: String,
     },
-    /// The answer is no answer to a range request.
+    /// The status of the answer is not the expected one.
     #[error("{url} answered {status} to a range request: use a server that supports ranges")]
     Status {
         /// The URL.
         url: String,
-        /// The status.
+        /// The status of the answer.
         status: StatusCode,
     },
-    /// The answer is for another range.
+    /// The answer contains another range.
     #[error("{url} sent '{got}' when asked for '{wanted}': use a server that supports ranges")]
     Range {
         /// The URL.
         url: String,
-        /// The range asked for.
+        /// The requested range.
         wanted: String,
-        /// The range of the answer.
+        /// The range in the answer.
         got: String,
     },
     /// The body is shorter or longer than the range.
@@ -123,20 +126,20 @@
     Length {
         /// The URL.
         url: String,
-        /// The bytes that came, or one more than asked for.
+        /// The number of bytes received; a longer body is read for one byte more than requested.
         got: u64,
-        /// The bytes asked for.
+        /// The number of bytes requested.
         size: u64,
     },
-    /// The file is of another version.
+    /// The file belongs to another version.
     #[error("{url} serves another version than {wanted}: publish under a path that never changes")]
     Stale {
         /// The URL.
         url: String,
-        /// The version asked for.
+        /// The requested version.
         wanted: Digest,
     },
-    /// The manifest at the URL is not the one asked for.
+    /// The file at the URL is not the requested manifest.
     #[error(transparent)]
     Manifest(#[from] ManifestError),
 }
@@ -155,7 +158,7 @@
     }
 }
 
-/// A server of ranges.
+/// An HTTP server that supports range requests.
 #[derive(Clone, Debug)]
 pub struct HttpSource {
     base: String,
@@ -164,7 +167,7 @@
 }
 
 impl HttpSource {
-    /// The source whose files lie under `base`, such as `http://10.0.0.9:9000/draft/v3`.
+    /// Creates a source for the files below `base`, such as `http://10.0.0.9:9000/draft/v3`.
     pub fn new(base: &str, config: HttpConfig) -> Self {
         let idle = Some(config.idle_timeout);
         let agent = Agent::config_builder()
@@ -186,7 +189,7 @@
     /// Fetches the manifest `root` from `<base>/<file>`.
     ///
     /// # Errors
-    /// What the server did wrong, or that the file is no such manifest.
+    /// Returns the failure of the request, or [`HttpError::Manifest`] if the file is not that manifest.
     pub fn manifest(&self, file: &str, root: Digest) -> Result<Manifest, HttpError> {
         let url = format!("{}/{file}", self.base);
         let mut response = self.request(&url, None)?;
@@ -221,7 +224,8 @@
         }
     }
 
-    /// Reads up to `limit` bytes and one more, as long as enough come in each window.
+    /// Reads at most `limit` bytes plus one, which shows that a body is too long. Fails when too few bytes
+    /// arrive in a window.
     fn read_body(
         &self,
         url: &str,
@@ -273,7 +277,8 @@
     }
 }
 
-/// Whether the body ended before its announced length: the caller sees the length.
+/// Returns whether the body ended before its announced length. The callers check the length of what
+/// they got.
 fn is_truncated(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::UnexpectedEof
 }
@@ -336,17 +341,17 @@
             got: got.chars().take(80).collect(),
         });
     };
-    // The right range of a file of another size is a range of another version.
+    // A file of another size belongs to another version, even if the range is the requested one.
     if total == "*" || total == location.file.size.to_string() {
         return Ok(());
     }
     Err(stale_error(url, location))
 }
 
-/// Judges progress window by window.
+/// Checks that enough bytes arrive in each window.
 ///
-/// A sender at 1 byte/s never lets a read time out, yet holds a chunk for weeks: the symptom is a
-/// copy that stands still with all links up. A floor on each window's bytes ends it in one window.
+/// A server that sends 1 byte/s never causes a read timeout, but one chunk would take weeks: the copy
+/// stalls while all links are up. The minimum for each window ends such a transfer after one window.
 struct ProgressWindow {
     config: HttpConfig,
     start: Instant,
--- a/crates/filbertstack-weights/src/lib.rs
+++ b/crates/filbertstack-weights/src/lib.rs
@@ -1,9 +1,10 @@
-//! Weights: what a version is, where its chunks lie, and how they come to an instance verified.
+//! This crate describes versions of weights and copies them to an instance with verification.
 //!
-//! A version is an immutable [`Manifest`], named by its root digest. Chunks come from a
-//! [`Source`] (a peer, the weight store or the origin), are verified against the manifest and
-//! kept in a [`Store`] by digest; the [`Copier`] drives that. A [`version::Version`] walks its life cycle as a typestate, so
-//! that nothing is loaded or served that was not verified whole under one digest.
+//! An immutable [`Manifest`] describes a version; its root digest names the version. The [`Copier`]
+//! fetches chunks from a [`Source`] (a peer, the weight store or the origin), verifies them against the
+//! manifest and keeps them by digest in a [`Store`]. A [`version::Version`] is a typestate of the life
+//! cycle, so that an engine loads and serves only a version whose chunks were all verified under one
+//! root digest.
 //!
 //! ```
 //! use std::sync::Arc;
--- a/crates/filbertstack-weights/src/manifest.rs
+++ b/crates/filbertstack-weights/src/manifest.rs
@@ -1,4 +1,4 @@
-//! The manifest: the files of a version and the digests of their chunks under one root digest.
+//! The manifest lists the files of a version and the digests of their chunks under one root digest.
 
 mod check;
 mod read;
@@ -15,34 +15,36 @@
 
 pub use check::check_file_name;
 
-/// The chunk size of a publish that gives none, in bytes.
+/// The default chunk size, in bytes, and the smallest one that [`chunk_size`] returns.
 pub const DEFAULT_CHUNK_SIZE: u32 = 4 << 20;
 
-/// The largest chunk, in bytes: one transfer and one verification stay short.
+/// The maximum size of a chunk, in bytes. It keeps single transfers and verifications short.
 pub const MAX_CHUNK_SIZE: u32 = 64 << 20;
 
-/// The most chunks of a version: its bitmap stays within 8 KiB.
+/// The maximum number of chunks in a version. It keeps the bitmap of a version within 8 KiB.
 pub const MAX_CHUNKS: usize = 65_536;
 
-/// The most files of a version.
+/// The maximum number of files in a version.
 pub const MAX_FILES: usize = 4_096;
 
-/// The longest file name, in bytes, folders included.
+/// The maximum length of a file name including its folders, in bytes.
 pub const MAX_FILE_NAME: usize = 255;
 
-/// The largest encoded manifest, in bytes: [`MAX_CHUNKS`] entries of 42 bytes and the names fit.
+/// The maximum size of an encoded manifest, in bytes. [`MAX_CHUNKS`] chunks at 42 bytes each and the
+/// file names fit.
 pub const MAX_MANIFEST_SIZE: usize = 4 << 20;
 
-/// The chunks that [`chunk_size`] aims at, at most.
+/// The number of chunks that [`chunk_size`] tries not to exceed.
 const PREFERRED_CHUNKS: u64 = 2_048;
 
-/// The format this code writes and reads.
+/// The format version of encoded manifests.
 const FORMAT: u32 = 1;
 
-/// The chunk size for a version of `size` bytes, from [`DEFAULT_CHUNK_SIZE`] to [`MAX_CHUNK_SIZE`].
+/// Returns the chunk size for a version of `size` bytes, from [`DEFAULT_CHUNK_SIZE`] to
+/// [`MAX_CHUNK_SIZE`].
 ///
-/// Each chunk costs a dozen announcements at each target, so that there should not be many; with
-/// fewer than some hundred, a target could pass on little before it has the whole.
+/// Each chunk costs about a dozen announcements at each target, which limits their number. With fewer
+/// than a few hundred chunks, a target could pass on only little before it has the whole version.
 pub fn chunk_size(size: u64) -> u32 {
     let mut chunk = DEFAULT_CHUNK_SIZE;
     while u64::from(chunk) * PREFERRED_CHUNKS < size && chunk < MAX_CHUNK_SIZE {
@@ -51,7 +53,7 @@
     chunk
 }
 
-/// A directory or an encoded manifest that makes no version.
+/// The reason why a directory or an encoded manifest is not a valid version.
 #[derive(Debug, Error)]
 pub enum ManifestError {
     /// The directory could not be read.
@@ -59,19 +61,19 @@
     Read {
         /// The path.
         path: Arc<str>,
-        /// What the system said.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// A file name would leave the version's folder or cannot stand in a URL.
+    /// A file name would point outside of the version's folder or is not valid in a URL.
     #[error(
         "'{name}' is no file name of a version: use up to 255 letters, digits, '.', '_', '-', '+', \
          '=' or '@' in parts that do not start with '.', joined by '/'"
     )]
     Name {
-        /// The name, cut to the longest allowed.
+        /// The name, truncated to [`MAX_FILE_NAME`] characters.
         name: String,
     },
-    /// An entry is neither a file nor a folder.
+    /// A directory entry is neither a file nor a folder.
     #[error("{path} is neither a file nor a folder: remove it or replace it by a file")]
     Kind {
         /// The path.
@@ -80,16 +82,16 @@
     /// The chunk size is out of bounds.
     #[error("a chunk size of {size} bytes is out of bounds: use 1 to {MAX_CHUNK_SIZE}")]
     ChunkSize {
-        /// The size.
+        /// The size in bytes.
         size: u32,
     },
-    /// There are too many chunks.
+    /// The version has more than [`MAX_CHUNKS`] chunks.
     #[error("the version has over {MAX_CHUNKS} chunks: publish it with a larger chunk size")]
     Chunks,
-    /// There are too many files.
+    /// The version has more than [`MAX_FILES`] files.
     #[error("the version has over {MAX_FILES} files: pack the small ones")]
     Files,
-    /// The encoded manifest is too large.
+    /// The encoded manifest is larger than [`MAX_MANIFEST_SIZE`].
     #[error(
         "the manifest has {size} bytes, over {MAX_MANIFEST_SIZE}: publish with a larger chunk size"
     )]
@@ -97,26 +99,26 @@
         /// Its size in bytes.
         size: usize,
     },
-    /// There is nothing in it.
+    /// The version has no chunks.
     #[error("the version has no bytes: name the folder that holds the weights")]
     Empty,
     /// The bytes are not a manifest.
     #[error("these bytes are no manifest ({what}): fetch it again, or publish again")]
     Malformed {
-        /// What is wrong.
+        /// The part that is wrong.
         what: &'static str,
     },
-    /// The bytes hash to another digest than the one asked for.
+    /// The bytes have another digest than the requested one.
     #[error("asked for manifest {wanted}, got {got}: fetch it elsewhere and mark the source")]
     Digest {
-        /// The digest asked for.
+        /// The requested digest.
         wanted: Digest,
-        /// The digest of what came.
+        /// The digest of the bytes.
         got: Digest,
     },
 }
 
-/// One chunk: its content by digest, and its size.
+/// One chunk, named by the digest of its bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Chunk {
     /// The BLAKE3 digest of its bytes.
@@ -128,35 +130,35 @@
 /// One file of a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct File {
-    /// Its path below the version's folder, parts joined by `/`.
+    /// Its path below the version's folder, with `/` as separator.
     pub name: Arc<str>,
     /// Its size in bytes.
     pub size: u64,
 }
 
-/// One chunk to fetch, and where its bytes lie in the version.
+/// One chunk and the location of its bytes in a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChunkLocation {
     /// The version's root digest.
     pub version: Digest,
-    /// The chunk's place in the manifest.
+    /// The chunk's position in the manifest.
     pub index: u32,
     /// The chunk.
     pub chunk: Chunk,
-    /// The file it lies in.
+    /// The file that contains the chunk.
     pub file: File,
-    /// Its first byte in the file.
+    /// The offset of its first byte in the file.
     pub offset: u64,
 }
 
 impl ChunkLocation {
-    /// The range of the chunk in its file, for bytes held in memory.
+    /// Returns the byte range of the chunk in its file, as an index into the file's bytes in memory.
     pub fn range(&self) -> Range<usize> {
         let start = usize::try_from(self.offset).unwrap_or(usize::MAX);
         start..start.saturating_add(self.chunk.size as usize)
     }
 
-    /// The offset of the last byte, as a `Range` header gives it.
+    /// Returns the offset of the chunk's last byte, as used in a `Range` header.
     pub fn last(&self) -> u64 {
         self.offset + u64::from(self.chunk.size) - 1
     }
@@ -203,19 +205,19 @@
     size: u32,
 }
 
-/// The name of the file beside a version's weights that holds its manifest.
+/// Returns the name of the file that holds the manifest, next to the version's weights.
 pub fn manifest_name(root: Digest) -> String {
     format!(".manifest-{root}")
 }
 
 impl Manifest {
-    /// The manifest of the files below `dir`, in the order of their names.
+    /// Creates the manifest of the files below `dir`, sorted by name.
     ///
-    /// Hidden entries (names that start with `.`) are left out. No chunk spans two files, so
-    /// that any server of files with ranges can be the origin.
+    /// Hidden entries (names that start with `.`) are skipped. No chunk spans two files, so that any file
+    /// server with range requests can be the origin.
     ///
     /// # Errors
-    /// What keeps the directory from being a version.
+    /// Returns the reason why the directory is not a valid version.
     pub fn from_dir(dir: &Path, chunk_size: u32) -> Result<Self, ManifestError> {
         if chunk_size == 0 || chunk_size > MAX_CHUNK_SIZE {
             return Err(ManifestError::ChunkSize { size: chunk_size });
@@ -230,10 +232,11 @@
         Self::new(listed, chunks)
     }
 
-    /// A manifest of `files` whose bytes, in order, make up `chunks`.
+    /// Creates a manifest of `files`, whose bytes in this order are split into `chunks`.
     ///
     /// # Errors
-    /// What bounds it breaks, or that chunks and files do not fit each other.
+    /// Returns the limit that is exceeded, or [`ManifestError::Malformed`] if the chunks do not cover the
+    /// files exactly.
     pub fn new(files: Vec<File>, chunks: Vec<Chunk>) -> Result<Self, ManifestError> {
         check::check_files(&files)?;
         let offsets = check::offsets(&files, &chunks)?;
@@ -251,10 +254,11 @@
         })
     }
 
-    /// Reads an encoded manifest that is to have the digest `root`.
+    /// Decodes a manifest and checks that its digest is `root`.
     ///
     /// # Errors
-    /// [`ManifestError::Digest`] for another version's bytes; else what is wrong with them.
+    /// Returns [`ManifestError::Digest`] if the bytes have another digest, else the reason why they are not
+    /// a valid manifest.
     pub fn decode(root: Digest, bytes: &[u8]) -> Result<Self, ManifestError> {
         if bytes.len() > MAX_MANIFEST_SIZE {
             return Err(ManifestError::Size { size: bytes.len() });
@@ -271,39 +275,39 @@
         let files = message.files.into_iter().map(decode_file).collect();
         let chunks: Option<_> = message.chunks.iter().map(decode_chunk).collect();
         let manifest = Self::new(files, chunks.ok_or(malformed("a digest is cut"))?)?;
-        // Two encodings of one manifest would give one version two names.
+        // With two encodings of one manifest, one version would have two names.
         if manifest.root != root {
             return Err(malformed("not in canonical form"));
         }
         Ok(manifest)
     }
 
-    /// The canonical encoding, whose digest is [`Manifest::root`].
+    /// Returns the canonical encoding, whose digest is [`Manifest::root`].
     pub fn encode(&self) -> Bytes {
         to_message(&self.files, &self.chunks).encode_to_vec().into()
     }
 
-    /// The digest that names the version.
+    /// Returns the digest that names the version.
     pub fn root(&self) -> Digest {
         self.root
     }
 
-    /// The files in the order of their names.
+    /// Returns the files, sorted by name.
     pub fn files(&self) -> &[File] {
         &self.files
     }
 
-    /// The chunks in the order of the files' bytes.
+    /// Returns the chunks in the order of the files' bytes.
     pub fn chunks(&self) -> &[Chunk] {
         &self.chunks
     }
 
-    /// The bytes of all files.
+    /// Returns the size of all files, in bytes.
     pub fn size(&self) -> u64 {
         self.files.iter().map(|file| file.size).sum()
     }
 
-    /// What to fetch for the chunk at `index`; `None` past the last.
+    /// Returns the location of the chunk at `index`; `None` after the last chunk.
     pub fn location(&self, index: u32) -> Option<ChunkLocation> {
         let position = index as usize;
         let start = *self.offsets.get(position)?;
@@ -316,7 +320,7 @@
         })
     }
 
-    /// What to fetch for each chunk, in order.
+    /// Returns the locations of all chunks, in order.
     pub fn locations(&self) -> impl Iterator<Item = ChunkLocation> {
         (0..).map_while(|index| self.location(index))
     }
--- a/crates/filbertstack-weights/src/manifest/check.rs
+++ b/crates/filbertstack-weights/src/manifest/check.rs
@@ -1,4 +1,4 @@
-//! The checks of a manifest, the same for one made here and one that came over a link.
+//! Validates a manifest; locally created and received manifests pass the same checks.
 
 use super::Chunk;
 use super::File;
@@ -9,13 +9,13 @@
 use super::MAX_FILES;
 use super::ManifestError;
 
-/// Checks that `name` stays below the version's folder and can stand in a URL as it is.
+/// Checks that `name` is a path below the version's folder and needs no escaping in a URL.
 ///
 /// # Errors
-/// [`ManifestError::Name`] says what a name looks like.
+/// Returns [`ManifestError::Name`], whose text describes valid names.
 pub fn check_file_name(name: &str) -> Result<(), ManifestError> {
     let fits = name.len() <= MAX_FILE_NAME;
-    // A part of `..` or an empty one would let a manifest write outside of its folder.
+    // With `..` or an empty part in a name, a manifest could write outside of its folder.
     if fits && name.split('/').all(is_part) {
         return Ok(());
     }
@@ -42,7 +42,7 @@
             what: "its files are not in order",
         });
     }
-    // `a` as a file and `a/b` in a folder of that name cannot both be written.
+    // A file `a` and a file `a/b` cannot exist together, since `a` would also have to be a folder.
     if files.iter().any(|file| is_below_file(file, files)) {
         return Err(ManifestError::Malformed {
             what: "a file is also a folder",
--- a/crates/filbertstack-weights/src/manifest/read.rs
+++ b/crates/filbertstack-weights/src/manifest/read.rs
@@ -1,4 +1,4 @@
-//! Reading a directory into files and chunks.
+//! Reads the files of a directory and splits them into chunks.
 
 use std::fs;
 use std::io;
@@ -15,7 +15,7 @@
 use super::ManifestError;
 use super::check_file_name;
 
-/// The deepest folder below the version's, so that a loop of links ends.
+/// The maximum depth of folders below the version's folder, which ends a loop of symbolic links.
 const MAX_DEPTH: usize = 16;
 
 pub(super) fn list_files(dir: &Path) -> Result<Vec<(Arc<str>, PathBuf)>, ManifestError> {
--- a/crates/filbertstack-weights/src/store.rs
+++ b/crates/filbertstack-weights/src/store.rs
@@ -1,7 +1,7 @@
-//! The chunk store: chunks by digest, verified when they come and when they go.
+//! The chunk store keeps chunks by digest and verifies them when they are written and when they are read.
 //!
-//! Commands ([`Store::put`], [`Store::pin`]) change it and say what came of it; queries
-//! ([`Store::get`], [`Store::has`], [`Store::usage`]) read it.
+//! [`Store::put`] and [`Store::pin`] change the store; [`Store::get`], [`Store::has`] and
+//! [`Store::usage`] read it.
 
 mod disk;
 mod index;
@@ -25,16 +25,16 @@
 use disk::Disk;
 use index::StoreIndex;
 
-/// What keeps the store from holding or giving a chunk.
+/// An error of the chunk store.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The bytes are not those that the digest names.
+    /// The bytes do not match the digest.
     #[error("the bytes for chunk {digest} are not it: fetch it elsewhere and mark the source")]
     Corrupt {
         /// The chunk.
         digest: Digest,
     },
-    /// A stored chunk changed after it was verified; it is dropped.
+    /// A stored chunk was damaged after its verification; the store removed it.
     #[error(
         "chunk {digest} was damaged in the store and is dropped: fetch it again, check the disk"
     )]
@@ -42,51 +42,51 @@
         /// The chunk.
         digest: Digest,
     },
-    /// What is pinned leaves no room.
+    /// The pinned chunks leave no room.
     #[error(
         "{needed} bytes do not fit: {pinned} of {limit} are held for what is declared; \
          undeploy a version or raise the store's limit"
     )]
     Full {
-        /// The bytes asked for.
+        /// The number of bytes requested.
         needed: u64,
-        /// The bytes pinned.
+        /// The number of bytes pinned.
         pinned: u64,
         /// The store's limit in bytes.
         limit: u64,
     },
-    /// The disk failed.
+    /// A disk operation failed.
     #[error("the store's disk failed ({0}): check its space, permissions and health")]
     Disk(#[from] io::Error),
 }
 
-/// What came of a [`Store::put`].
+/// The result of a successful [`Store::put`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// The chunk is new.
+    /// The chunk was stored.
     Stored,
-    /// The chunk was held already.
+    /// The store held the chunk already.
     Held,
 }
 
-/// How full the store is, and what happened to it so far.
+/// The usage of the store and its counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// The chunks held.
+    /// The number of chunks held.
     pub chunks: usize,
-    /// Their bytes.
+    /// The size of the chunks held, in bytes.
     pub bytes: u64,
-    /// The bytes of all pinned chunks, held or not.
+    /// The size of all pinned chunks in bytes, whether they are held or not.
     pub pinned: u64,
-    /// The limit in bytes.
+    /// The limit of the store, in bytes.
     pub limit: u64,
-    /// Chunks evicted so far.
+    /// The number of chunks evicted so far.
     pub evicted: u64,
-    /// Chunks found damaged so far.
+    /// The number of chunks found damaged so far.
     pub damaged: u64,
 }
 
-/// Chunks by digest, in memory or on disk, up to a limit.
+/// A store of chunks by digest, in memory or on disk, with a size limit.
 #[derive(Debug)]
 pub struct Store {
     inner: Mutex<Inner>,
@@ -96,22 +96,22 @@
 #[derive(Debug)]
 struct Inner {
     index: StoreIndex,
-    /// The chunks' bytes, when there is no disk.
+    /// The bytes of the chunks if the store has no disk.
     memory: HashMap<Digest, Bytes>,
 }
 
 impl Store {
-    /// A store in memory that holds up to `limit` bytes.
+    /// Creates a store in memory that holds up to `limit` bytes.
     pub fn memory(limit: u64) -> Self {
         Self::from_parts(StoreIndex::new(limit), None)
     }
 
-    /// A store below `dir` that holds up to `limit` bytes, with what an earlier process left.
+    /// Opens a store below `dir` that holds up to `limit` bytes, with the chunks of an earlier process.
     ///
-    /// What was left is not trusted: each chunk is verified when it is read.
+    /// These chunks are not verified on opening, since each chunk is verified when it is read.
     ///
     /// # Errors
-    /// [`StoreError::Disk`] if the folder cannot be made or read.
+    /// Returns [`StoreError::Disk`] if the folder cannot be created or read.
     pub fn open(dir: &Path, limit: u64) -> Result<Self, StoreError> {
         let (disk, found) = Disk::open(dir)?;
         let mut index = StoreIndex::new(limit);
@@ -130,11 +130,11 @@
         Self { inner, disk }
     }
 
-    /// Stores `bytes` if they are the chunk `digest`, evicting what is not pinned.
+    /// Stores `bytes` if they match `digest`, and evicts chunks that are not pinned to make room.
     ///
     /// # Errors
-    /// [`StoreError::Corrupt`] for other bytes; [`StoreError::Full`] if only pinned chunks are
-    /// left to evict; [`StoreError::Disk`].
+    /// Returns [`StoreError::Corrupt`] if the bytes do not match, [`StoreError::Full`] if the chunk does
+    /// not fit beside the pinned ones, and [`StoreError::Disk`] if the disk fails.
     pub fn put(&self, digest: Digest, bytes: Bytes) -> Result<PutOutcome, StoreError> {
         if Digest::of(&bytes) != digest {
             return Err(StoreError::Corrupt { digest });
@@ -142,7 +142,7 @@
         if self.lock().index.touch(digest) {
             return Ok(PutOutcome::Held);
         }
-        // The slow part runs without the lock; two puts of one chunk write the same bytes.
+        // The slow write runs without the lock. Concurrent puts of one chunk write the same bytes.
         if let Some(disk) = &self.disk {
             disk.write(digest, &bytes)?;
         }
@@ -168,11 +168,12 @@
         Ok(PutOutcome::Stored)
     }
 
-    /// The bytes of a chunk, verified just now; `None` if it is not held.
+    /// Reads and verifies a chunk and returns its bytes; `None` if it is not held.
     ///
     /// # Errors
-    /// [`StoreError::Damaged`] if the bytes changed since they were stored: the chunk is dropped,
-    /// so that a caller never gets them and the next fetch mends the store; [`StoreError::Disk`].
+    /// Returns [`StoreError::Damaged`] if the bytes changed since they were stored. The chunk is removed,
+    /// so that no caller gets damaged bytes and the next fetch replaces it. Returns [`StoreError::Disk`] if
+    /// the disk fails.
     pub fn get(&self, digest: Digest) -> Result<Option<Bytes>, StoreError> {
         let bytes = match &self.disk {
             Some(disk) if self.lock().index.touch(digest) => disk.read(digest)?,
@@ -209,21 +210,21 @@
         }
     }
 
-    /// Whether a chunk is held, as far as known without reading it.
+    /// Returns whether the store holds a chunk, according to its index; the bytes are not read.
     pub fn has(&self, digest: Digest) -> bool {
         self.lock().index.holds(digest)
     }
 
-    /// How full the store is.
+    /// Returns the usage and the counters of the store.
     pub fn usage(&self) -> Usage {
         self.lock().index.usage()
     }
 
-    /// Keeps the chunks of `manifest`, those yet to come too, until the guard is dropped.
+    /// Pins the chunks of `manifest`, including those not stored yet, until the returned guard is dropped.
     ///
     /// # Errors
-    /// [`StoreError::Full`] at once, before anything is fetched, if all pinned chunks together
-    /// would not fit.
+    /// Returns [`StoreError::Full`] if all pinned chunks together would not fit, before any chunk is
+    /// fetched.
     pub fn pin(self: &Arc<Self>, manifest: &Manifest) -> Result<Pin, StoreError> {
         let chunks: Arc<[Chunk]> = manifest.chunks().into();
         self.lock().index.pin(&chunks)?;
@@ -236,7 +237,7 @@
     }
 }
 
-/// Keeps a version's chunks from eviction; dropping it releases them.
+/// A guard that protects a version's chunks from eviction; dropping it unpins them.
 #[derive(Debug)]
 pub struct Pin {
     store: Arc<Store>,
--- a/crates/filbertstack-weights/src/store/disk.rs
+++ b/crates/filbertstack-weights/src/store/disk.rs
@@ -1,4 +1,4 @@
-//! Chunks as files: written to a temporary name, synced, renamed.
+//! Stores chunks as files, which are written under a temporary name, synced and renamed.
 
 use std::fs;
 use std::fs::File;
@@ -29,7 +29,7 @@
 }
 
 impl Disk {
-    /// Opens the folder, drops half-written files and lists the chunks, the oldest first.
+    /// Opens the folder, removes partly written files and lists the chunks, the oldest first.
     pub(super) fn open(dir: &Path) -> io::Result<(Self, Vec<Chunk>)> {
         let chunks = dir.join(CHUNKS_DIR);
         let parts = dir.join(PARTS_DIR);
@@ -52,7 +52,7 @@
         self.chunks.join(digest.to_string())
     }
 
-    /// Writes a chunk so that a crash leaves it whole or not at all.
+    /// Writes a chunk atomically: after a crash it is there completely or not at all.
     pub(super) fn write(&self, digest: Digest, bytes: &[u8]) -> io::Result<()> {
         let number = self.writes.fetch_add(1, Ordering::Relaxed);
         let part = self.parts.join(number.to_string());
@@ -68,21 +68,22 @@
         File::open(&self.chunks)?.sync_all()
     }
 
-    /// The bytes of a chunk as they are now; `None` if there is no such file.
+    /// Reads the bytes of a chunk without verifying them; `None` if the file does not exist.
     pub(super) fn read(&self, digest: Digest) -> io::Result<Option<Bytes>> {
         let file = match File::open(self.path(digest)) {
             Ok(file) => file,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(error) => return Err(error),
         };
-        // A file that grew must not fill the memory; one byte more is enough to fail the digest.
+        // The limit keeps a file that has grown from filling the memory. One byte over the maximum is
+        // enough for the verification to fail.
         let mut bytes = Vec::new();
         file.take(u64::from(MAX_CHUNK_SIZE) + 1)
             .read_to_end(&mut bytes)?;
         Ok(Some(bytes.into()))
     }
 
-    /// Removes a chunk; one that is gone already is as good as removed.
+    /// Removes a chunk; errors are ignored, since the file may not exist any more.
     pub(super) fn remove(&self, digest: Digest) {
         let _ = fs::remove_file(self.path(digest));
     }
--- a/crates/filbertstack-weights/src/store/index.rs
+++ b/crates/filbertstack-weights/src/store/index.rs
@@ -1,4 +1,5 @@
-//! What the store holds, in the order of use, and what is pinned: no bytes, no disk.
+//! The index of the store: the held chunks in the order of their use and the pinned chunks, without
+//! their bytes.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -9,11 +10,11 @@
 use crate::store::StoreError;
 use crate::store::Usage;
 
-/// The index of a store.
+/// The index of a store, which decides on eviction.
 #[derive(Debug)]
 pub(super) struct StoreIndex {
     held: HashMap<Digest, HeldChunk>,
-    /// The held chunks by their last use, the oldest first.
+    /// The held chunks by their last use, the least recently used first.
     order: BTreeMap<u64, Digest>,
     pins: HashMap<Digest, PinnedChunk>,
     clock: u64,
@@ -57,7 +58,7 @@
         self.held.contains_key(&digest)
     }
 
-    /// Marks a chunk as just used; false if it is not held.
+    /// Marks a chunk as used now; returns false if it is not held.
     pub(super) fn touch(&mut self, digest: Digest) -> bool {
         let Some(held) = self.held.get_mut(&digest) else {
             return false;
@@ -97,7 +98,7 @@
         self.remove(digest);
     }
 
-    /// Checks that a new chunk fits beside all pinned ones, for those have their room reserved.
+    /// Checks that a new chunk fits beside all pinned ones, whose room is reserved.
     pub(super) fn check_room(&self, digest: Digest, size: u32) -> Result<(), StoreError> {
         let reserved = self.pins.contains_key(&digest);
         let needed = u64::from(size);
@@ -107,7 +108,7 @@
         Err(self.full_error(needed))
     }
 
-    /// Takes out the least recently used unpinned chunks until `needed` more bytes fit.
+    /// Removes the least recently used unpinned chunks until `needed` more bytes fit, and returns them.
     pub(super) fn evict(&mut self, needed: u64) -> Vec<Digest> {
         let mut evicted = Vec::new();
         let mut over = (self.usage.bytes + needed).saturating_sub(self.usage.limit);
--- a/crates/filbertstack-weights/src/version.rs
+++ b/crates/filbertstack-weights/src/version.rs
@@ -1,9 +1,9 @@
-//! A version's life on an instance, as a typestate.
+//! The life cycle of a version on an instance, as a typestate.
 //!
-//! `Absent -> Fetching -> Verified -> Loading -> Serving -> Draining -> Absent`. A [`Verified`]
-//! version can only come from reading every chunk under its one root digest, and a [`Serving`]
-//! one only from a verified one whose engine reported the same digest. Nothing of it outlives the
-//! process: an agent that is killed between verifying and loading starts at [`Absent`] again.
+//! The states are `Absent -> Fetching -> Verified -> Loading -> Serving -> Draining -> Absent`. A
+//! version becomes [`Verified`] only by reading and verifying every chunk of its manifest, and
+//! [`Serving`] only when the engine reports the root digest of a verified version. The state is not
+//! stored: an agent that is killed between verifying and loading starts at [`Absent`] again.
 
 use std::fs;
 use std::fs::File;
@@ -24,47 +24,47 @@
 use crate::store::Store;
 use crate::store::StoreError;
 
-/// Nothing of the version is wanted yet beyond its room in the store.
+/// The state of a version that only has its chunks pinned in the store.
 #[derive(Debug)]
 pub struct Absent;
 
-/// Its chunks are on their way.
+/// The state of a version whose chunks are being fetched.
 #[derive(Debug)]
 pub struct Fetching;
 
-/// Every chunk was read and verified.
+/// The state of a version whose chunks were all read and verified.
 #[derive(Debug)]
 pub struct Verified;
 
-/// The engine has the order to load it.
+/// The state of a version that the engine was ordered to load.
 #[derive(Debug)]
 pub struct Loading;
 
-/// The engine answers from it.
+/// The state of a version that the engine serves.
 #[derive(Debug)]
 pub struct Serving;
 
-/// It finishes what it began and takes nothing new.
+/// The state of a version that finishes its requests and takes no new ones.
 #[derive(Debug)]
 pub struct Draining;
 
-/// A step that could not be taken.
+/// The reason why a version cannot change its state.
 #[derive(Debug, Error)]
 pub enum VersionError {
-    /// Chunks are missing or were found damaged.
+    /// Chunks are missing or damaged.
     #[error("version {version} lacks {} of its chunks: fetch them and verify again", missing.len())]
     Missing {
-        /// The version.
+        /// The root digest of the version.
         version: Digest,
-        /// The places of the chunks in the manifest.
+        /// The positions of the chunks in the manifest.
         missing: Vec<u32>,
     },
     /// The engine reports another version than the one ordered.
     #[error("the engine was to load {wanted} and reports {got}: order it again or restart it")]
     Mismatch {
-        /// The version ordered.
+        /// The version that the engine was ordered to load.
         wanted: Digest,
-        /// The version reported.
+        /// The version that the engine reports.
         got: Digest,
     },
     /// The store failed.
@@ -75,41 +75,41 @@
     Write {
         /// The path.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         error: std::io::Error,
     },
 }
 
-/// A step that failed, with the version in the state it is in now.
+/// A failed change of state, with the version in its resulting state.
 #[derive(Debug)]
 pub struct FailedTransition<S> {
-    /// The version.
+    /// The version in its resulting state.
     pub version: Version<S>,
-    /// Why.
+    /// The reason.
     pub error: VersionError,
 }
 
-/// A version on this instance, in state `S`; its chunks stay pinned while it exists.
+/// A version on this instance in state `S`; its chunks are pinned while this value exists.
 #[derive(Debug)]
 pub struct Version<S> {
-    data: Box<Data>,
+    data: Box<VersionData>,
     state: PhantomData<S>,
 }
 
 #[derive(Debug)]
-struct Data {
+struct VersionData {
     manifest: Arc<Manifest>,
     store: Arc<Store>,
     _pin: Pin,
 }
 
 impl<S> Version<S> {
-    /// The digest that names it.
+    /// Returns the digest that names the version.
     pub fn root(&self) -> Digest {
         self.data.manifest.root()
     }
 
-    /// Its manifest.
+    /// Returns the manifest of the version.
     pub fn manifest(&self) -> &Arc<Manifest> {
         &self.data.manifest
     }
@@ -123,13 +123,13 @@
 }
 
 impl Version<Absent> {
-    /// Declares a version: its chunks are pinned from here on.
+    /// Declares a version and pins its chunks.
     ///
     /// # Errors
-    /// [`StoreError::Full`] if it does not fit beside what is declared already.
+    /// Returns [`StoreError::Full`] if the version does not fit beside those declared already.
     pub fn declare(manifest: Arc<Manifest>, store: Arc<Store>) -> Result<Self, StoreError> {
         let pin = store.pin(&manifest)?;
-        let data = Box::new(Data {
+        let data = Box::new(VersionData {
             manifest,
             store,
             _pin: pin,
@@ -140,14 +140,14 @@
         })
     }
 
-    /// Begins to fetch.
+    /// Enters the state in which the chunks are fetched.
     pub fn fetch(self) -> Version<Fetching> {
         self.into_state()
     }
 }
 
 impl Version<Fetching> {
-    /// The places of the chunks that the store does not hold, as far as known unread.
+    /// Returns the positions of the chunks that the store does not hold, without reading the chunks.
     pub fn missing(&self) -> Vec<u32> {
         let data = &self.data;
         let lacks = |chunk: Digest| !data.store.has(chunk);
@@ -161,8 +161,8 @@
     /// Reads and verifies every chunk.
     ///
     /// # Errors
-    /// The version still fetching, with what is missing; a damaged chunk was dropped and is
-    /// missing from now on.
+    /// Returns the version in state [`Fetching`] with the missing chunks. Damaged chunks are removed from
+    /// the store and count as missing.
     pub fn verify(self) -> Result<Version<Verified>, FailedTransition<Fetching>> {
         let missing = unreadable_chunks(&self.data);
         if missing.is_empty() {
@@ -177,13 +177,13 @@
     }
 }
 
-/// Whether the next bytes of a file are the chunk's.
+/// Returns whether the next bytes of a file are those of `chunk`.
 fn next_chunk_matches(file: &mut File, chunk: &Chunk) -> bool {
     let mut bytes = vec![0; chunk.size as usize];
     file.read_exact(&mut bytes).is_ok() && Digest::of(&bytes) == chunk.digest
 }
 
-fn unreadable_chunks(data: &Data) -> Vec<u32> {
+fn unreadable_chunks(data: &VersionData) -> Vec<u32> {
     let reads = |digest| matches!(data.store.get(digest), Ok(Some(_)));
     let locations = data.manifest.locations();
     locations
@@ -195,15 +195,16 @@
 impl Version<Verified> {
     /// Writes the version's files below `dir/<root>` for an engine that loads from a folder.
     ///
-    /// Each chunk is verified once more as it is read. The folder appears under its name only
-    /// when it is whole, so that an engine never finds half of it. Where it is there already and
-    /// right, it is left alone: an order that got no answer, or came from a process that was killed,
-    /// may be carried out while the next is prepared, and the engine would list a part of the files
-    /// (none of two in a test) and answer from them.
+    /// Each chunk is verified again when it is read. The folder gets its final name only when it is
+    /// complete, so that an engine never finds a part of it. If the folder exists and is correct, it is not
+    /// written again: an engine may still carry out an earlier order that got no answer, or that of an
+    /// agent that was killed. If the files were replaced meanwhile, the engine would list only some of them
+    /// (in a test, none of two) and answer from partial weights.
     ///
     /// # Errors
-    /// [`VersionError::Missing`] if a chunk was damaged since: go back with
-    /// [`Version::refetch`]; [`VersionError::Write`].
+    /// Returns [`VersionError::Missing`] if a chunk was damaged after the verification;
+    /// [`Version::refetch`] then goes back to fetching. Returns [`VersionError::Write`] if a file cannot be
+    /// written, and [`VersionError::Store`] if the store's disk fails.
     pub fn write_to(&self, dir: &Path) -> Result<PathBuf, VersionError> {
         let path = dir.join(self.root().to_string());
         if self.is_written(&path) {
@@ -223,7 +224,7 @@
         Ok(path)
     }
 
-    /// Whether the files below `whole` are the version's.
+    /// Returns whether the files below `path` are complete and match the manifest.
     fn is_written(&self, path: &Path) -> bool {
         let mut locations = self.data.manifest.locations().peekable();
         let mut files = self.data.manifest.files().iter();
@@ -274,12 +275,12 @@
         }
     }
 
-    /// Goes back to fetching, after a chunk was found damaged.
+    /// Goes back to fetching after a chunk was found damaged.
     pub fn refetch(self) -> Version<Fetching> {
         self.into_state()
     }
 
-    /// Gives the engine the order to load.
+    /// Records that the engine was ordered to load the version.
     pub fn load(self) -> Version<Loading> {
         self.into_state()
     }
@@ -291,10 +292,10 @@
 }
 
 impl Version<Loading> {
-    /// Takes the engine's report that it has loaded `reported`.
+    /// Records the engine's report that it has loaded `reported`.
     ///
     /// # Errors
-    /// The version verified but not loaded, if the engine reports another digest.
+    /// Returns the version in state [`Verified`] if the engine reports another digest.
     pub fn serve(self, reported: Digest) -> Result<Version<Serving>, FailedTransition<Verified>> {
         let wanted = self.root();
         if reported == wanted {
@@ -308,31 +309,33 @@
         Err(FailedTransition { version, error })
     }
 
-    /// The engine failed to load, or took too long.
+    /// Records that the engine failed to load the version or took too long.
     pub fn fail(self) -> Version<Verified> {
         self.into_state()
     }
 }
 
 impl Version<Serving> {
-    /// Whether a request routed for `version` may be answered from this one.
+    /// Returns whether a request routed for `version` may be answered from this version.
     pub fn answers(&self, version: Digest) -> bool {
         self.root() == version
     }
 
-    /// The engine reports another version or was restarted: it no longer answers from this one.
+    /// Records that the engine no longer serves this version, because it reports another one or was
+    /// restarted.
     pub fn mark_unloaded(self) -> Version<Verified> {
         self.into_state()
     }
 
-    /// Takes nothing new from here on.
+    /// Stops taking new requests.
     pub fn drain(self) -> Version<Draining> {
         self.into_state()
     }
 }
 
 impl Version<Draining> {
-    /// The last request has ended: the engine may unload, the chunks are unpinned on drop.
+    /// Records that the last request has ended. The engine may unload the version, and dropping the
+    /// returned value unpins its chunks.
     pub fn end(self) -> Version<Absent> {
         self.into_state()
     }
