--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -1,4 +1,4 @@
-//! The copier among peers, store and origin that fail in each of their ways.
+//! Tests the copier with peers, a weight store and an origin that fail in different ways.
 
 mod support;
 
@@ -33,7 +33,7 @@
 use support::peer::StorePeer;
 use support::sample;
 
-/// No test waits this long unless it fails.
+/// The time limit for a wait, reached only when a test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn position(place: u32, places: u32) -> RingPosition {
@@ -56,7 +56,7 @@
     core.announce(key, sample.manifest.root(), all.iter());
 }
 
-/// Makes the fetches one after the other, a turn each, for two minutes.
+/// Runs the fetches one after the other for two minutes of simulated time, one in each turn.
 fn run_jobs(core: &mut Core, store: &Store) -> Vec<CopyEvent> {
     let turn = PullConfig::default().turn_length;
     let mut events = Vec::new();
@@ -93,12 +93,12 @@
     let events = run_jobs(&mut core, &store);
     assert_eq!(count_complete(&events, &sample), 1);
     assert_eq!(peers[0].count() + peers[1].count(), sample.bytes.len());
-    // They take turns.
+    // Both peers get about half of the requests.
     assert!(peers.iter().all(|peer| peer.count() >= 6));
 }
 
-// One of two upstreams fails, in each way an upstream can. The copy completes from the other, what
-// the bad one sent is not stored, and after a few faults the leader is asked for another upstream.
+// One of two upstreams fails in each possible way. The copy must complete from the other upstream:
+// nothing that the failing one sends is stored, and it gets only a limited number of requests.
 #[test]
 fn a_copy_completes_despite_a_failing_peer() {
     let behaviours = [
@@ -143,7 +143,8 @@
         .iter()
         .filter(|event| matches!(event, CopyEvent::UpstreamFailing { .. }));
     assert_eq!(worn.count(), 1);
-    // Its rests grow, so that two minutes hold few requests; the leader is asked meanwhile.
+    // The delays between requests grow, so that two minutes allow only a few. Meanwhile the leader is
+    // asked for the chunks.
     assert!(bad.count() < 15, "asked {} times", bad.count());
     assert!(
         events
@@ -152,8 +153,8 @@
     );
 }
 
-// A second version is published while the first is being copied, then the second is rolled back.
-// Chunks of both are fetched once, and a chunk of the one version is never taken for the other's.
+// A second version is published while the first is being copied. Chunks that belong to both versions
+// are fetched only once, and both versions complete.
 #[test]
 fn a_chunk_of_two_versions_is_fetched_once() {
     let (one, two) = (sample(1), sample(2));
@@ -171,12 +172,12 @@
         (count_complete(&events, &one), count_complete(&events, &two)),
         (1, 1)
     );
-    // Five chunks are common to both.
+    // The versions have five chunks in common.
     assert_eq!(peers[0].count() + peers[1].count(), 13 + 13 - 5);
 }
 
-// Two versions with common chunks are wanted at the same moment, with upstreams enough to request
-// everything at once. No chunk is under way twice.
+// Two versions with common chunks are copied at the same time, with enough upstreams to request all
+// chunks at once. No chunk may be requested twice.
 #[test]
 fn no_chunk_has_two_transfers() {
     let (one, two) = (sample(1), sample(2));
@@ -200,8 +201,8 @@
     assert_eq!(chunks.len(), 13 + 13 - 5);
 }
 
-// The version is replaced in the middle of a copy, with a transfer under way. The transfer ends
-// after its version is forgotten and its index could name a chunk of the next one.
+// A version is replaced during its copy, while transfers are in progress. They end after their version
+// is removed, when their indices could already belong to chunks of the next version.
 #[test]
 fn late_transfers_of_a_removed_version_are_ignored() {
     let (one, two) = (sample(1), sample(2));
@@ -232,8 +233,8 @@
     );
 }
 
-// A grant names the weight store, then the origin. The store sends rot, lacks the chunk, stalls or
-// serves an old version: the origin is asked. A store that is only busy is asked again.
+// A grant lists the weight store before the origin. If the store sends damaged bytes, lacks the chunk,
+// stalls or serves an old version, the origin is used. A store that is only busy is asked again.
 #[test]
 fn a_grant_falls_back_to_the_origin() {
     let faults = [
@@ -277,8 +278,8 @@
     assert_eq!(origin.count(), 1);
 }
 
-// A grant comes for a chunk that a peer has sent meanwhile. The origin is not asked, and the leader
-// hears that the chunk is there; else the grant would stay out until its lease ends.
+// A grant arrives for a chunk that a peer has sent meanwhile. The origin is not used, and the chunk is
+// reported to the leader as stored; otherwise the grant would stay open until its lease ends.
 #[test]
 fn a_grant_for_a_held_chunk_is_answered_at_once() {
     let sample = sample(1);
@@ -316,7 +317,7 @@
     assert_eq!(peer.count(), 3);
 }
 
-/// One agent of the eleven: its threads, and what they report.
+/// One of the eleven agents: its copier with the threads, its store and its events.
 struct Agent {
     copier: Copier,
     store: Arc<Store>,
@@ -339,8 +340,8 @@
     }
 }
 
-// Eleven agents want one version at the same moment and none has a chunk of it. Without grants
-// each would pull it all from the origin: eleven copies. With them it is one.
+// Eleven agents copy one version at the same time, and none has a chunk of it. Without grants each
+// agent would fetch all chunks from the origin, which makes eleven copies. With grants it is one copy.
 #[test]
 fn eleven_agents_pull_one_copy_from_the_origin() {
     let sample = sample(1);
--- a/crates/filbertstack-weights/tests/http.rs
+++ b/crates/filbertstack-weights/tests/http.rs
@@ -1,4 +1,4 @@
-//! The origin over HTTP: what it does wrong has a kind, and nothing of it is stored.
+//! Tests the HTTP source: each failure of the origin has its kind of fault, and no wrong bytes are stored.
 
 mod support;
 
@@ -25,13 +25,13 @@
     min_bytes: 50,
 };
 
-/// Waits so long for one read that only the floor on progress can end a fetch.
+/// A configuration with a long idle timeout, so that only the minimum progress can end a fetch.
 const PATIENT: HttpConfig = HttpConfig {
     idle_timeout: Duration::from_secs(60),
     ..QUICK
 };
 
-/// The third chunk of the second file: neither the first nor the last range of it.
+/// Returns the third chunk of the second file, which is neither at its start nor at its end.
 fn location(sample: &Sample) -> ChunkLocation {
     sample.manifest.location(7).unwrap()
 }
@@ -53,8 +53,8 @@
     assert!(store.has(location(&sample(1)).chunk.digest));
 }
 
-// The origin answers wrongly in each of the ways it can. The copier is told the kind of fault and
-// turns elsewhere; no byte of the answer reaches the store.
+// The origin gives each kind of wrong answer. The fetch must report the matching fault, so that the
+// copier can choose another source, and must store nothing.
 #[test]
 fn each_wrong_answer_reports_its_fault() {
     let after = filbertstack_core::Millis::secs(7);
@@ -76,8 +76,8 @@
     }
 }
 
-// The origin keeps the connection and sends a byte each 20 ms. Every single read succeeds, so that
-// only a floor on progress ends it; the whole chunk would take 80 s.
+// The origin keeps the connection open and sends one byte every 20 ms. Every read succeeds, so that
+// only the minimum progress ends the fetch; the whole chunk would take 80 s.
 #[test]
 fn a_slow_origin_is_reported_as_stalled() {
     let dir = tempfile::tempdir().unwrap();
--- a/crates/filbertstack-weights/tests/lifecycle.rs
+++ b/crates/filbertstack-weights/tests/lifecycle.rs
@@ -1,7 +1,7 @@
-//! The agent's states under random faults, against an oracle.
+//! Tests the states of versions under random faults against a model.
 //!
-//! The oracle knows which chunk files are intact, because the harness makes every fault itself,
-//! and which state each version must be in. `FILBERTSTACK_FUZZ_CASES` runs more cases.
+//! The model knows which chunk files are intact, because the test causes every fault itself, and which
+//! state each version must have. The variable `FILBERTSTACK_FUZZ_CASES` sets the number of cases.
 
 mod support;
 
@@ -43,10 +43,10 @@
 
 const VERSIONS: usize = 2;
 
-/// Room for both versions, whose first file is common, and no more.
+/// The store's limit, which is exactly the size of both versions with their common first file.
 const STORE_LIMIT: u64 = 300 + 500 + 500;
 
-/// The cases of a run that is given none.
+/// The number of cases if `FILBERTSTACK_FUZZ_CASES` is not set.
 const DEFAULT_CASES: u32 = 48;
 
 static SERVED: AtomicU32 = AtomicU32::new(0);
@@ -67,7 +67,7 @@
     Restart,
 }
 
-/// The generator needs no state: every step may come in every state.
+/// The empty state of the generator, since every step is possible in every state.
 #[derive(Clone, Debug)]
 struct NoState;
 
@@ -108,7 +108,7 @@
     }
 }
 
-/// A version in whichever state it is.
+/// A version in any of its states.
 enum Slot {
     Fetching(Version<Fetching>),
     Verified(Version<Verified>),
@@ -134,7 +134,7 @@
     core: Core,
     slots: Vec<Option<Slot>>,
     now: Millis,
-    /// The chunks on disk, and whether their bytes are right.
+    /// The chunks on disk, with whether their bytes are intact.
     intact: BTreeMap<Digest, bool>,
     expected: [Phase; VERSIONS],
 }
@@ -206,7 +206,7 @@
         self.expected[at] = Phase::Absent;
     }
 
-    /// Makes some fetches from peers that hold everything and fare by `mood`.
+    /// Makes `count` fetches from peers that hold all chunks and answer according to `behaviour`.
     fn fetch(&mut self, count: usize, behaviour: Behaviour) {
         let keys: Vec<_> = (0..VERSIONS)
             .map(|at| {
@@ -236,7 +236,7 @@
                 .fetch_into(&job.location, &self.store)
                 .map(|_| ());
             if result.is_ok() {
-                // A chunk that the store holds already keeps the bytes it has.
+                // A chunk that the store holds already is not rewritten, so damage remains.
                 self.intact.entry(digest).or_insert(true);
             }
             self.core.record_result(&job, result, self.now);
@@ -284,7 +284,7 @@
         }
     }
 
-    /// The steps of the engine, in whatever state the version is.
+    /// Applies a step of the engine if the version's state allows it.
     fn engine_step(&mut self, step: &Step) {
         let (Step::Load(at)
         | Step::Report(at, _)
@@ -330,7 +330,7 @@
         }
     }
 
-    /// The process is killed, at whatever point, and starts anew on the same disk.
+    /// Simulates that the process is killed and starts again with the same disk.
     fn restart(&mut self) {
         self.slots = vec![None, None];
         self.expected = [Phase::Absent; VERSIONS];
@@ -350,9 +350,10 @@
     }
 }
 
-// Versions are declared, fetched from peers that corrupt and break off, damaged on disk, loaded by
-// engines that report the wrong version, forgotten and restarted in any order. None ever serves,
-// loads or counts as verified unless each of its chunks is intact at that moment.
+// In random order, versions are declared, fetched from peers that fail or send damaged bytes, damaged on
+// disk, loaded by engines that may report another version, and removed, and the process is restarted.
+// A version becomes verified only if each of its chunks is intact at that moment, and only a verified
+// version is loaded and served.
 #[test]
 fn no_version_serves_unless_every_chunk_is_intact() {
     let cases = std::env::var("FILBERTSTACK_FUZZ_CASES");
--- a/crates/filbertstack-weights/tests/manifest.rs
+++ b/crates/filbertstack-weights/tests/manifest.rs
@@ -1,4 +1,4 @@
-//! Manifests: made from folders, encoded, and refused when they break a bound.
+//! Tests manifests: creation from folders, encoding, and rejection of invalid ones.
 
 mod support;
 
@@ -37,7 +37,7 @@
     let names: Vec<_> = sample.manifest.files().iter().map(|f| &*f.name).collect();
     assert_eq!(names, ["config.json", "layers/0.bin"]);
     assert_eq!(sample.manifest.size(), 800);
-    // 300 and 500 bytes in chunks of 64 that span no files.
+    // 300 and 500 bytes in chunks of 64, none of which spans two files.
     assert_eq!(sample.manifest.chunks().len(), 5 + 8);
     let encoded = sample.manifest.encode();
     assert_eq!(Digest::of(&encoded), sample.manifest.root());
@@ -65,8 +65,8 @@
     assert!(matches!(error, ManifestError::Digest { .. }), "{error}");
 }
 
-// A manifest from a hostile origin names files outside of the version's folder. If one were
-// taken, writing the version for the engine would overwrite files of the machine.
+// A manifest from a malicious origin contains names of files outside of the version's folder. If one
+// were accepted, writing the version for the engine would overwrite other files of the instance.
 #[test]
 fn names_that_leave_the_folder_are_refused() {
     let names = [
@@ -132,7 +132,7 @@
 fn damaged_encodings_are_refused() {
     let sample = sample(1);
     let mut encoded = sample.manifest.encode().to_vec();
-    // An unknown field more: the same manifest under a second name.
+    // With an additional unknown field, the same manifest would have a second digest.
     encoded.extend_from_slice(&[0x78, 1]);
     let error = Manifest::decode(Digest::of(&encoded), &encoded).unwrap_err();
     assert!(matches!(error, ManifestError::Malformed { .. }), "{error}");
--- a/crates/filbertstack-weights/tests/store.rs
+++ b/crates/filbertstack-weights/tests/store.rs
@@ -1,4 +1,4 @@
-//! The chunk store: verification, eviction, pins, rot on disk and restarts.
+//! Tests the chunk store: verification, eviction, pins, damage on disk and restarts.
 
 mod support;
 
@@ -42,8 +42,9 @@
     assert_eq!(store.get(digest).unwrap().unwrap(), "right");
 }
 
-// A disk flips a bit of a stored chunk. Peers would get it, verify it and blame this instance;
-// the engine would load it. The store finds it on the next read, drops it and takes a good one.
+// The disk flips a bit of a stored chunk. Unnoticed, peers would receive it and mark this instance as
+// faulty, and the engine would load it. The next read must detect and remove it, and the store must
+// accept the correct chunk again.
 #[test]
 fn damage_on_disk_is_detected_and_never_served() {
     let dir = tempfile::tempdir().unwrap();
@@ -90,8 +91,8 @@
     assert!(store.usage().bytes <= 10);
 }
 
-// A second version arrives at a full store while the first is served. Without pins the copy of
-// the second would evict the first's chunks: peers and a restarting engine would find holes.
+// A second version is declared while the first is served and the store is full. Without pins, copying
+// the second would evict chunks of the first, which peers and a restarting engine still need.
 #[test]
 fn pinned_chunks_are_never_evicted() {
     let (one, two) = (sample(1), sample(2));
--- a/crates/filbertstack-weights/tests/support/mod.rs
+++ b/crates/filbertstack-weights/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small fakes at the interfaces: a version in memory, a peer, and an HTTP server of ranges.
+//! Fakes for the tests: a small version, a peer, and an HTTP server with range requests.
 
 #![allow(dead_code, reason = "each suite uses its own part of the fakes")]
 
@@ -13,17 +13,18 @@
 
 use filbertstack_weights::Manifest;
 
-/// The chunk size of the tests' versions.
+/// The chunk size of the versions in the tests, in bytes.
 pub const CHUNK: u32 = 64;
 
-/// A version, with its folder and the bytes of its chunks.
+/// A version with its folder and the bytes of its chunks.
 pub struct Sample {
     pub dir: TempDir,
     pub manifest: Arc<Manifest>,
     pub bytes: Vec<Bytes>,
 }
 
-/// A version of two files whose chunks differ by `seed`, except that the first file is common.
+/// Creates a version of two files. The first file is the same for all seeds, the second differs by
+/// `seed`.
 pub fn sample(seed: u8) -> Sample {
     let dir = tempfile::tempdir().unwrap();
     fs::create_dir(dir.path().join("layers")).unwrap();
--- a/crates/filbertstack-weights/tests/support/origin.rs
+++ b/crates/filbertstack-weights/tests/support/origin.rs
@@ -1,4 +1,4 @@
-//! A server of ranges on loopback, with the faults an origin can have.
+//! An HTTP server with range requests on the loopback address, which simulates faults of an origin.
 
 use std::io::Read;
 use std::io::Write;
@@ -13,34 +13,34 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// How the server answers.
+/// The answer of the server to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// As asked.
+    /// The requested range.
     Good,
-    /// 200 with the whole file.
+    /// Status 200 with the whole file.
     Whole,
-    /// 206 with a range that starts one byte later.
+    /// Status 206 with a range that starts one byte later.
     Shifted,
-    /// The right head, half the body, then the connection is cut.
+    /// The correct head and half of the body, after which the connection is closed.
     Cut,
-    /// The right head, then one byte each 20 ms.
+    /// The correct head, then one byte every 20 ms.
     Slow,
-    /// The right head and no body, connection left open.
+    /// The correct head without a body, with the connection left open.
     Silent,
-    /// The right range of a file that has become longer.
+    /// The requested range of a file that is one byte longer.
     Longer,
-    /// The right range under another version's header.
+    /// The requested range with another version in the header.
     OtherVersion,
-    /// The right range with a byte flipped.
+    /// The requested range with a damaged first byte.
     Corrupt,
-    /// 503 with `Retry-After: 7`.
+    /// Status 503 with `Retry-After: 7`.
     Busy,
-    /// 404.
+    /// Status 404.
     Missing,
 }
 
-/// The running server; dropping it ends its thread.
+/// A running server; dropping it stops its thread.
 pub struct Origin {
     pub addr: SocketAddr,
     pub answer: Arc<Mutex<Answer>>,
@@ -50,7 +50,7 @@
 }
 
 impl Origin {
-    /// Serves `file` under every path.
+    /// Starts a server that returns `file` for every path.
     pub fn start(file: Vec<u8>, answer: Answer) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
@@ -67,7 +67,7 @@
                 *asked.lock().unwrap() += 1;
                 let answer = *answer.lock().unwrap();
                 let file = file.clone();
-                // A client that gave up closes the connection: the write's error is expected.
+                // A client that gives up closes the connection, so an error of the write is expected.
                 thread::spawn(move || stream.and_then(|stream| serve(stream, &file, answer)));
             }
         });
@@ -131,7 +131,7 @@
     match answer {
         Answer::Cut => stream.write_all(&body[..body.len() / 2]),
         Answer::Silent => {
-            // Until the client closes.
+            // Waits until the client closes the connection.
             let _ = stream.read(&mut [0])?;
             Ok(())
         }
@@ -161,7 +161,7 @@
     Ok(String::from_utf8_lossy(&head).into_owned())
 }
 
-/// The range that the head asks for; the whole file if it asks for none.
+/// Returns the range in the request head, or the whole file if there is none.
 fn range(head: &str, len: usize) -> (usize, usize) {
     let lower = head.to_ascii_lowercase();
     let Some((_, rest)) = lower.split_once("range: bytes=") else {
--- a/crates/filbertstack-weights/tests/support/peer.rs
+++ b/crates/filbertstack-weights/tests/support/peer.rs
@@ -1,4 +1,4 @@
-//! A peer in memory, with the faults a peer can have.
+//! A peer in memory, which simulates faults of a peer.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -12,14 +12,14 @@
 use filbertstack_weights::fetch::SourceError;
 use filbertstack_weights::manifest::ChunkLocation;
 
-/// How the peer answers.
+/// The behaviour of the peer on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// With the chunk.
+    /// Returns the chunk.
     Good,
-    /// With a byte of the chunk flipped.
+    /// Returns the chunk with one bit flipped.
     Corrupt,
-    /// With an error of this kind.
+    /// Returns an error with this fault.
     Fails(Fault),
 }
 
@@ -74,14 +74,14 @@
     }
 }
 
-/// `bytes` with one bit of the first byte flipped.
+/// Returns `bytes` with one bit of the first byte flipped.
 pub fn flip(bytes: &[u8]) -> Bytes {
     let mut bytes = bytes.to_vec();
     bytes[0] ^= 1;
     bytes.into()
 }
 
-/// A peer that serves from its store.
+/// A peer that serves the chunks of a store.
 pub struct StorePeer(pub Arc<Store>);
 
 impl Source for StorePeer {
--- a/crates/filbertstack-weights/tests/uploads.rs
+++ b/crates/filbertstack-weights/tests/uploads.rs
@@ -1,4 +1,4 @@
-//! Upload slots: who is served, and that a slot always comes back.
+//! Tests upload slots: the order of requests and the release of slots.
 
 use std::sync::mpsc::channel;
 use std::thread;
@@ -29,7 +29,7 @@
     assert!(uploads.acquire(request(0), Duration::ZERO).is_some());
 }
 
-// Two wait for one slot. The one with fewer chunks gets it, though the other came first.
+// Two requesters wait for one slot. The one with fewer chunks gets it, although the other came first.
 #[test]
 fn the_requester_with_the_fewest_chunks_is_served_first() {
     let uploads = UploadSlots::new(1);
--- a/crates/filbertstack-weights/tests/version.rs
+++ b/crates/filbertstack-weights/tests/version.rs
@@ -1,4 +1,4 @@
-//! The typestate: nothing is loaded or served that was not verified under one digest.
+//! Tests the typestate: only a version that was verified under one digest is loaded and served.
 
 mod support;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// A version of which the store holds every chunk.
+/// Returns a verified version, of which the store holds every chunk.
 fn verified() -> Version<Verified> {
     let sample = sample(1);
     let store = Arc::new(Store::memory(10_000));
@@ -44,8 +44,8 @@
     assert!(refused.version.verify().is_ok());
 }
 
-// A chunk rots on disk after it was verified on arrival, before the engine gets it. The version
-// must not become verified by what was once true: each chunk is read again.
+// A chunk is damaged on disk after its version was verified and before the files are written for the
+// engine. The earlier verification must not be trusted: each chunk is read and verified again.
 #[test]
 fn damage_before_loading_leads_back_to_fetching() {
     let dir = tempfile::tempdir().unwrap();
@@ -87,10 +87,10 @@
     assert_eq!(serving.drain().end().root(), root);
 }
 
-// An engine is ordered to load a version and begins to list its files. Its answer comes too late, or
-// the agent is killed: the order counts as failed, and the files are prepared once more. They were
-// removed and written anew under the engine, which saw a part of them, and callers would have got
-// answers from partial weights under the version's name.
+// An engine is ordered to load a version and begins to list its files. Its answer comes too late, or the
+// agent is killed, so that the order counts as failed and the files are prepared again. If they were
+// removed and rewritten meanwhile, the engine would see only some of them, and callers would get answers
+// from partial weights under the version's digest.
 #[test]
 fn intact_files_are_not_rewritten() {
     let verified = verified();
