--- a/crates/filbertstack-weights/src/copy.rs
+++ b/crates/filbertstack-weights/src/copy.rs
@@ -1,6 +1,6 @@
 //! The copier fetches the chunks of declared versions into the store.
 //!
-//! [`Core`] chooses the next chunk and its source, handles failures and reads no clock.
+//! [`CopyScheduler`] chooses the next chunk and its source, handles failures and reads no clock.
 //! [`Copier`] makes the fetches on a few threads, because a [`crate::Source`] blocks. The agent
 //! passes the announcements of peers and the grants of the leader to the copier and handles its
 //! [`CopyEvent`]s.
@@ -15,8 +15,8 @@
 //! - On [`CopyEvent::Escalate`] it asks the leader for a grant and passes that to [`Copier::grant`].
 
 mod catalogue;
-mod core;
 mod pool;
+mod scheduler;
 mod uploads;
 
 use filbertstack_core::Digest;
@@ -24,10 +24,10 @@
 use filbertstack_policy::spread::pull::Fault;
 use filbertstack_policy::spread::pull::NeighbourKey;
 
-pub use core::Core;
-pub use core::Job;
 pub use pool::Copier;
 pub use pool::CopyConfig;
+pub use scheduler::CopyScheduler;
+pub use scheduler::Job;
 pub use uploads::UploadSlot;
 pub use uploads::UploadSlots;
 
--- a/crates/filbertstack-weights/src/copy/pool.rs
+++ b/crates/filbertstack-weights/src/copy/pool.rs
@@ -1,4 +1,4 @@
-//! The thread pool that makes the fetches chosen by [`Core`].
+//! The thread pool that makes the fetches chosen by [`CopyScheduler`].
 
 use std::sync::Arc;
 use std::sync::Condvar;
@@ -21,7 +21,7 @@
 use filbertstack_policy::spread::pull::RingPosition;
 
 use crate::copy::CopyEvent;
-use crate::copy::Core;
+use crate::copy::CopyScheduler;
 use crate::copy::Job;
 use crate::copy::Progress;
 use crate::fetch::AnySource;
@@ -59,7 +59,7 @@
 
 #[derive(Debug)]
 struct State {
-    core: Core,
+    scheduler: CopyScheduler,
     bucket: TokenBucket,
     events: Sender<CopyEvent>,
     stop: bool,
@@ -69,7 +69,7 @@
     /// Starts the threads, which send their events for the agent to `events`.
     pub fn start(store: Arc<Store>, config: CopyConfig, events: Sender<CopyEvent>) -> Self {
         let state = State {
-            core: Core::new(store.clone(), config.pull, config.seed),
+            scheduler: CopyScheduler::new(store.clone(), config.pull, config.seed),
             bucket: TokenBucket::new(config.rate),
             events,
             stop: false,
@@ -88,60 +88,60 @@
         Self { shared, threads }
     }
 
-    /// See [`Core::add_version`].
+    /// See [`CopyScheduler::add_version`].
     pub fn add_version(&self, manifest: Arc<Manifest>) {
         let mut state = self.shared.lock();
-        let events = state.core.add_version(manifest);
+        let events = state.scheduler.add_version(manifest);
         state.send(events);
         self.shared.wake.notify_all();
     }
 
-    /// See [`Core::remove_version`].
+    /// See [`CopyScheduler::remove_version`].
     pub fn remove_version(&self, root: Digest) {
-        self.shared.lock().core.remove_version(root);
+        self.shared.lock().scheduler.remove_version(root);
         self.shared.wake.notify_all();
     }
 
-    /// See [`Core::add_peer`].
+    /// See [`CopyScheduler::add_peer`].
     pub fn add_peer(&self, source: Arc<dyn AnySource>, position: RingPosition) -> NeighbourKey {
-        self.shared.lock().core.add_peer(source, position)
+        self.shared.lock().scheduler.add_peer(source, position)
     }
 
-    /// See [`Core::remove_peer`].
+    /// See [`CopyScheduler::remove_peer`].
     pub fn remove_peer(&self, key: NeighbourKey) {
-        self.shared.lock().core.remove_peer(key);
+        self.shared.lock().scheduler.remove_peer(key);
         self.shared.wake.notify_all();
     }
 
-    /// See [`Core::announce`].
+    /// See [`CopyScheduler::announce`].
     pub fn announce(
         &self,
         key: NeighbourKey,
         root: Digest,
         positions: impl IntoIterator<Item = ChunkIndex>,
     ) {
-        self.shared.lock().core.announce(key, root, positions);
+        self.shared.lock().scheduler.announce(key, root, positions);
         self.shared.wake.notify_all();
     }
 
-    /// See [`Core::grant`].
+    /// See [`CopyScheduler::grant`].
     pub fn grant(&self, root: Digest, chunk: Digest, sources: Vec<Arc<dyn AnySource>>) {
         let mut state = self.shared.lock();
-        let events = state.core.grant(root, chunk, sources);
+        let events = state.scheduler.grant(root, chunk, sources);
         state.send(events);
         self.shared.wake.notify_all();
     }
 
-    /// See [`Core::mark_missing`].
+    /// See [`CopyScheduler::mark_missing`].
     pub fn mark_missing(&self, root: Digest, positions: &[u32]) {
-        self.shared.lock().core.mark_missing(root, positions);
+        self.shared.lock().scheduler.mark_missing(root, positions);
         self.shared.wake.notify_all();
     }
 
     /// Records the mesh clock from a message of a peer.
     pub fn observe_clock(&self, clock: Millis) {
         let now = self.shared.now();
-        self.shared.lock().core.observe_clock(clock, now);
+        self.shared.lock().scheduler.observe_clock(clock, now);
     }
 
     /// Sets the limit of the fetch rate, in bytes per second.
@@ -152,17 +152,17 @@
     /// Returns the mesh clock for this agent's messages.
     pub fn clock(&self) -> Millis {
         let now = self.shared.now();
-        self.shared.lock().core.clock(now)
+        self.shared.lock().scheduler.clock(now)
     }
 
-    /// See [`Core::held_chunks`].
+    /// See [`CopyScheduler::held_chunks`].
     pub fn held_chunks(&self, root: Digest) -> Option<ChunkSet> {
-        self.shared.lock().core.held_chunks(root)
+        self.shared.lock().scheduler.held_chunks(root)
     }
 
-    /// See [`Core::progress`].
+    /// See [`CopyScheduler::progress`].
     pub fn progress(&self, root: Digest) -> Option<Progress> {
-        self.shared.lock().core.progress(root)
+        self.shared.lock().scheduler.progress(root)
     }
 }
 
@@ -204,7 +204,7 @@
                 .map(|_| ());
             let now = self.now();
             let mut state = self.lock();
-            let events = state.core.record_result(&job, result, now);
+            let events = state.scheduler.record_result(&job, result, now);
             state.send(events);
             self.wake.notify_all();
         }
@@ -218,15 +218,15 @@
                 return None;
             }
             let now = self.now();
-            let events = state.core.tick(now);
+            let events = state.scheduler.tick(now);
             state.send(events);
-            if let Some(job) = state.core.next_job(now) {
+            if let Some(job) = state.scheduler.next_job(now) {
                 let size = u64::from(job.location.chunk.size);
                 let wait = state.bucket.take(size, now);
                 return Some((job, wait));
             }
             // Without work there is no periodic wake-up, so a complete agent uses no CPU time here.
-            state = if state.core.is_idle() {
+            state = if state.scheduler.is_idle() {
                 let waited = self.wake.wait(state);
                 waited.unwrap_or_else(PoisonError::into_inner)
             } else {
--- a/crates/filbertstack-weights/src/copy/core.rs
+++ b/crates/filbertstack-weights/src/copy/scheduler.rs
@@ -28,7 +28,7 @@
 /// One fetch to make.
 #[derive(Debug)]
 pub struct Job {
-    /// The transfer in the scheduler, for [`Core::record_result`].
+    /// The transfer in the scheduler, for [`CopyScheduler::record_result`].
     pub transfer: TransferKey,
     /// The chunk to fetch.
     pub location: ChunkLocation,
@@ -47,7 +47,7 @@
 
 /// The state and the decisions of one agent's copier.
 #[derive(Debug)]
-pub struct Core {
+pub struct CopyScheduler {
     store: Arc<Store>,
     pull: PullScheduler,
     catalogue: Catalogue,
@@ -60,7 +60,7 @@
     failing: Vec<NeighbourKey>,
 }
 
-impl Core {
+impl CopyScheduler {
     /// Creates a copier without versions; `seed` must differ between agents.
     pub fn new(store: Arc<Store>, config: PullConfig, seed: u64) -> Self {
         Self {
--- a/crates/filbertstack-weights/tests/copy.rs
+++ b/crates/filbertstack-weights/tests/copy.rs
@@ -23,7 +23,7 @@
 use filbertstack_weights::copy::Copier;
 use filbertstack_weights::copy::CopyConfig;
 use filbertstack_weights::copy::CopyEvent;
-use filbertstack_weights::copy::Core;
+use filbertstack_weights::copy::CopyScheduler;
 use filbertstack_weights::fetch::AnySource;
 use filbertstack_weights::fetch::Fault;
 
@@ -45,29 +45,32 @@
     }
 }
 
-fn core() -> (Core, Arc<Store>) {
+fn scheduler() -> (CopyScheduler, Arc<Store>) {
     let store = Arc::new(Store::memory(100_000));
-    (Core::new(store.clone(), PullConfig::default(), 1), store)
+    (
+        CopyScheduler::new(store.clone(), PullConfig::default(), 1),
+        store,
+    )
 }
 
-fn add_peer(core: &mut Core, sample: &Sample, peer: &Arc<MemoryPeer>, place: u32) {
-    let key = core.add_peer(peer.clone(), position(place, 2));
+fn add_peer(scheduler: &mut CopyScheduler, sample: &Sample, peer: &Arc<MemoryPeer>, place: u32) {
+    let key = scheduler.add_peer(peer.clone(), position(place, 2));
     let all = ChunkSet::full(sample.bytes.len());
-    core.announce(key, sample.manifest.root(), all.iter());
+    scheduler.announce(key, sample.manifest.root(), all.iter());
 }
 
 /// Runs the fetches one after the other for two minutes of simulated time, one in each turn.
-fn run_jobs(core: &mut Core, store: &Store) -> Vec<CopyEvent> {
+fn run_jobs(scheduler: &mut CopyScheduler, store: &Store) -> Vec<CopyEvent> {
     let turn = PullConfig::default().turn_length;
     let mut events = Vec::new();
     let mut now = Millis::ZERO;
     while now < Millis::secs(120) {
-        events.extend(core.tick(now));
-        let job = core.next_job(now);
+        events.extend(scheduler.tick(now));
+        let job = scheduler.next_job(now);
         now = now + turn;
         if let Some(job) = job {
             let result = job.source.fetch_into(&job.location, store).map(|_| ());
-            events.extend(core.record_result(&job, result, now));
+            events.extend(scheduler.record_result(&job, result, now));
         }
     }
     events
@@ -84,13 +87,13 @@
 #[test]
 fn each_chunk_is_fetched_once_from_two_peers() {
     let sample = sample(1);
-    let (mut core, store) = core();
+    let (mut scheduler, store) = scheduler();
     let peers = [(); 2].map(|()| Arc::new(MemoryPeer::new(&sample.bytes)));
-    core.add_version(sample.manifest.clone());
+    scheduler.add_version(sample.manifest.clone());
     (0..)
         .zip(&peers)
-        .for_each(|(place, peer)| add_peer(&mut core, &sample, peer, place));
-    let events = run_jobs(&mut core, &store);
+        .for_each(|(place, peer)| add_peer(&mut scheduler, &sample, peer, place));
+    let events = run_jobs(&mut scheduler, &store);
     assert_eq!(count_complete(&events, &sample), 1);
     assert_eq!(peers[0].count() + peers[1].count(), sample.bytes.len());
     // Both peers get about half of the requests.
@@ -111,13 +114,13 @@
     ];
     for behaviour in behaviours {
         let sample = sample(1);
-        let (mut core, store) = core();
+        let (mut scheduler, store) = scheduler();
         let bad = Arc::new(MemoryPeer::with(&sample.bytes, behaviour));
         let good = Arc::new(MemoryPeer::new(&sample.bytes));
-        core.add_version(sample.manifest.clone());
-        add_peer(&mut core, &sample, &bad, 0);
-        add_peer(&mut core, &sample, &good, 1);
-        let events = run_jobs(&mut core, &store);
+        scheduler.add_version(sample.manifest.clone());
+        add_peer(&mut scheduler, &sample, &bad, 0);
+        add_peer(&mut scheduler, &sample, &good, 1);
+        let events = run_jobs(&mut scheduler, &store);
         assert_eq!(count_complete(&events, &sample), 1, "{behaviour:?}");
         assert_eq!(good.count(), sample.bytes.len(), "{behaviour:?}");
         assert!(
@@ -131,14 +134,14 @@
 #[test]
 fn an_upstream_that_keeps_failing_is_reported_once() {
     let sample = sample(1);
-    let (mut core, store) = core();
+    let (mut scheduler, store) = scheduler();
     let bad = Arc::new(MemoryPeer::with(
         &sample.bytes,
         Behaviour::Fails(Fault::Down),
     ));
-    core.add_version(sample.manifest.clone());
-    add_peer(&mut core, &sample, &bad, 0);
-    let events = run_jobs(&mut core, &store);
+    scheduler.add_version(sample.manifest.clone());
+    add_peer(&mut scheduler, &sample, &bad, 0);
+    let events = run_jobs(&mut scheduler, &store);
     let worn = events
         .iter()
         .filter(|event| matches!(event, CopyEvent::UpstreamFailing { .. }));
@@ -158,16 +161,16 @@
 #[test]
 fn a_chunk_of_two_versions_is_fetched_once() {
     let (one, two) = (sample(1), sample(2));
-    let (mut core, store) = core();
+    let (mut scheduler, store) = scheduler();
     let peers = [&one, &two].map(|sample| Arc::new(MemoryPeer::new(&sample.bytes)));
-    core.add_version(one.manifest.clone());
-    add_peer(&mut core, &one, &peers[0], 0);
-    let job = core.next_job(Millis::ZERO).unwrap();
-    core.add_version(two.manifest.clone());
-    add_peer(&mut core, &two, &peers[1], 1);
+    scheduler.add_version(one.manifest.clone());
+    add_peer(&mut scheduler, &one, &peers[0], 0);
+    let job = scheduler.next_job(Millis::ZERO).unwrap();
+    scheduler.add_version(two.manifest.clone());
+    add_peer(&mut scheduler, &two, &peers[1], 1);
     let result = job.source.fetch_into(&job.location, &store).map(|_| ());
-    core.record_result(&job, result, Millis::ZERO);
-    let events = run_jobs(&mut core, &store);
+    scheduler.record_result(&job, result, Millis::ZERO);
+    let events = run_jobs(&mut scheduler, &store);
     assert_eq!(
         (count_complete(&events, &one), count_complete(&events, &two)),
         (1, 1)
@@ -185,15 +188,15 @@
         max_transfers: 64,
         ..PullConfig::default()
     };
-    let mut core = Core::new(Arc::new(Store::memory(100_000)), config, 1);
+    let mut scheduler = CopyScheduler::new(Arc::new(Store::memory(100_000)), config, 1);
     for sample in [&one, &two] {
-        core.add_version(sample.manifest.clone());
+        scheduler.add_version(sample.manifest.clone());
         for _ in 0..20 {
             let peer = Arc::new(MemoryPeer::new(&sample.bytes));
-            add_peer(&mut core, sample, &peer, 0);
+            add_peer(&mut scheduler, sample, &peer, 0);
         }
     }
-    let jobs = std::iter::from_fn(|| core.next_job(Millis::ZERO));
+    let jobs = std::iter::from_fn(|| scheduler.next_job(Millis::ZERO));
     let mut chunks: Vec<_> = jobs.map(|job| job.location.chunk.digest).collect();
     assert_eq!(chunks.len(), 13 + 13 - 5);
     chunks.sort_unstable();
@@ -206,21 +209,21 @@
 #[test]
 fn late_transfers_of_a_removed_version_are_ignored() {
     let (one, two) = (sample(1), sample(2));
-    let (mut core, store) = core();
+    let (mut scheduler, store) = scheduler();
     let first = Arc::new(MemoryPeer::new(&one.bytes));
     let second = Arc::new(MemoryPeer::new(&two.bytes));
-    core.add_version(one.manifest.clone());
-    add_peer(&mut core, &one, &first, 0);
-    let jobs: Vec<_> = std::iter::from_fn(|| core.next_job(Millis::ZERO)).collect();
-    core.remove_version(one.manifest.root());
-    core.add_version(two.manifest.clone());
-    add_peer(&mut core, &two, &second, 1);
+    scheduler.add_version(one.manifest.clone());
+    add_peer(&mut scheduler, &one, &first, 0);
+    let jobs: Vec<_> = std::iter::from_fn(|| scheduler.next_job(Millis::ZERO)).collect();
+    scheduler.remove_version(one.manifest.root());
+    scheduler.add_version(two.manifest.clone());
+    add_peer(&mut scheduler, &two, &second, 1);
     for job in jobs {
         let result = job.source.fetch_into(&job.location, &store).map(|_| ());
-        core.record_result(&job, result, Millis::ZERO);
+        scheduler.record_result(&job, result, Millis::ZERO);
     }
-    assert!(core.progress(one.manifest.root()).is_none());
-    let events = run_jobs(&mut core, &store);
+    assert!(scheduler.progress(one.manifest.root()).is_none());
+    let events = run_jobs(&mut scheduler, &store);
     assert_eq!(
         (count_complete(&events, &one), count_complete(&events, &two)),
         (0, 1)
@@ -251,14 +254,14 @@
     ];
     for (behaviour, asked) in faults {
         let sample = sample(1);
-        let (mut core, store) = core();
+        let (mut scheduler, store) = scheduler();
         let weights = Arc::new(MemoryPeer::with(&sample.bytes, behaviour));
         let origin = Arc::new(MemoryPeer::new(&sample.bytes));
-        core.add_version(sample.manifest.clone());
+        scheduler.add_version(sample.manifest.clone());
         let sources: Vec<Arc<dyn AnySource>> = vec![weights.clone(), origin.clone()];
         let chunk = sample.manifest.chunks()[4].digest;
-        core.grant(sample.manifest.root(), chunk, sources);
-        run_jobs(&mut core, &store);
+        scheduler.grant(sample.manifest.root(), chunk, sources);
+        run_jobs(&mut scheduler, &store);
         assert_eq!(origin.count(), asked, "{behaviour:?}");
         assert_eq!(store.has(chunk), asked == 1);
     }
@@ -267,12 +270,12 @@
 #[test]
 fn a_grant_whose_sources_all_fail_is_returned_to_the_leader() {
     let sample = sample(1);
-    let (mut core, store) = core();
+    let (mut scheduler, store) = scheduler();
     let origin = Arc::new(MemoryPeer::with(&sample.bytes, Behaviour::Corrupt));
-    core.add_version(sample.manifest.clone());
+    scheduler.add_version(sample.manifest.clone());
     let chunk = sample.manifest.chunks()[4].digest;
-    core.grant(sample.manifest.root(), chunk, vec![origin.clone()]);
-    let events = run_jobs(&mut core, &store);
+    scheduler.grant(sample.manifest.root(), chunk, vec![origin.clone()]);
+    let events = run_jobs(&mut scheduler, &store);
     let fault = Fault::Corrupt;
     assert!(events.contains(&CopyEvent::GrantFailed { chunk, fault }));
     assert_eq!(origin.count(), 1);
@@ -283,17 +286,17 @@
 #[test]
 fn a_grant_for_a_held_chunk_is_answered_at_once() {
     let sample = sample(1);
-    let (mut core, store) = core();
+    let (mut scheduler, store) = scheduler();
     let origin = Arc::new(MemoryPeer::new(&sample.bytes));
     let peer = Arc::new(MemoryPeer::new(&sample.bytes));
-    core.add_version(sample.manifest.clone());
-    add_peer(&mut core, &sample, &peer, 0);
-    run_jobs(&mut core, &store);
+    scheduler.add_version(sample.manifest.clone());
+    add_peer(&mut scheduler, &sample, &peer, 0);
+    run_jobs(&mut scheduler, &store);
     let chunk = sample.manifest.chunks()[4].digest;
-    let events = core.grant(sample.manifest.root(), chunk, vec![origin.clone()]);
+    let events = scheduler.grant(sample.manifest.root(), chunk, vec![origin.clone()]);
     let granted = true;
     assert_eq!(events, [CopyEvent::ChunkStored { chunk, granted }]);
-    run_jobs(&mut core, &store);
+    run_jobs(&mut scheduler, &store);
     assert_eq!(origin.count(), 0);
 }
 
@@ -307,12 +310,12 @@
     }
     drop(store);
     let store = Arc::new(Store::open(dir.path(), 100_000).unwrap());
-    let mut core = Core::new(store.clone(), PullConfig::default(), 1);
+    let mut scheduler = CopyScheduler::new(store.clone(), PullConfig::default(), 1);
     let peer = Arc::new(MemoryPeer::new(&sample.bytes));
-    core.add_version(sample.manifest.clone());
-    assert_eq!(core.progress(sample.manifest.root()).unwrap().held, 10);
-    add_peer(&mut core, &sample, &peer, 0);
-    let events = run_jobs(&mut core, &store);
+    scheduler.add_version(sample.manifest.clone());
+    assert_eq!(scheduler.progress(sample.manifest.root()).unwrap().held, 10);
+    add_peer(&mut scheduler, &sample, &peer, 0);
+    let events = run_jobs(&mut scheduler, &store);
     assert_eq!(count_complete(&events, &sample), 1);
     assert_eq!(peer.count(), 3);
 }
--- a/crates/filbertstack-weights/tests/lifecycle.rs
+++ b/crates/filbertstack-weights/tests/lifecycle.rs
@@ -27,7 +27,7 @@
 use filbertstack_policy::spread::pull::PullConfig;
 use filbertstack_policy::spread::pull::RingPosition;
 use filbertstack_weights::Store;
-use filbertstack_weights::copy::Core;
+use filbertstack_weights::copy::CopyScheduler;
 use filbertstack_weights::version::Draining;
 use filbertstack_weights::version::Fetching;
 use filbertstack_weights::version::Loading;
@@ -131,7 +131,7 @@
     dir: TempDir,
     samples: Vec<Sample>,
     store: Arc<Store>,
-    core: Core,
+    scheduler: CopyScheduler,
     slots: Vec<Option<Slot>>,
     now: Millis,
     /// The chunks on disk, with whether their bytes are intact.
@@ -149,7 +149,7 @@
         Agent {
             dir,
             samples: vec![sample(1), sample(2)],
-            core: Core::new(store.clone(), PullConfig::default(), 1),
+            scheduler: CopyScheduler::new(store.clone(), PullConfig::default(), 1),
             store,
             slots: vec![None, None],
             now: Millis::ZERO,
@@ -196,13 +196,14 @@
         let manifest = self.samples[at].manifest.clone();
         let version = Version::declare(manifest.clone(), self.store.clone()).unwrap();
         self.slots[at] = Some(Slot::Fetching(version.fetch()));
-        self.core.add_version(manifest);
+        self.scheduler.add_version(manifest);
         self.expected[at] = Phase::Fetching;
     }
 
     fn forget(&mut self, at: usize) {
         self.slots[at] = None;
-        self.core.remove_version(self.samples[at].manifest.root());
+        self.scheduler
+            .remove_version(self.samples[at].manifest.root());
         self.expected[at] = Phase::Absent;
     }
 
@@ -218,16 +219,17 @@
                     place,
                     places,
                 };
-                let key = self.core.add_peer(peer, position);
+                let key = self.scheduler.add_peer(peer, position);
                 let all = ChunkSet::full(sample.bytes.len());
-                self.core.announce(key, sample.manifest.root(), all.iter());
+                self.scheduler
+                    .announce(key, sample.manifest.root(), all.iter());
                 key
             })
             .collect();
         for _ in 0..count {
             self.now = self.now + Millis::secs(1);
-            self.core.tick(self.now);
-            let Some(job) = self.core.next_job(self.now) else {
+            self.scheduler.tick(self.now);
+            let Some(job) = self.scheduler.next_job(self.now) else {
                 break;
             };
             let digest = job.location.chunk.digest;
@@ -239,10 +241,10 @@
                 // A chunk that the store holds already is not rewritten, so damage remains.
                 self.intact.entry(digest).or_insert(true);
             }
-            self.core.record_result(&job, result, self.now);
+            self.scheduler.record_result(&job, result, self.now);
         }
         for key in keys {
-            self.core.remove_peer(key);
+            self.scheduler.remove_peer(key);
         }
     }
 
@@ -274,7 +276,8 @@
             Err(refused) => {
                 assert!(!whole, "refused a whole version");
                 let missing = refused.version.missing();
-                self.core.mark_missing(refused.version.root(), &missing);
+                self.scheduler
+                    .mark_missing(refused.version.root(), &missing);
                 for at in missing.iter().map(|at| *at as usize) {
                     self.intact.remove(&chunks[at].digest);
                 }
@@ -335,7 +338,7 @@
         self.slots = vec![None, None];
         self.expected = [Phase::Absent; VERSIONS];
         self.store = Arc::new(Store::open(self.dir.path(), STORE_LIMIT).unwrap());
-        self.core = Core::new(self.store.clone(), PullConfig::default(), 1);
+        self.scheduler = CopyScheduler::new(self.store.clone(), PullConfig::default(), 1);
     }
 }
 
