--- a/crates/filbertstack-weights/src/copy/scheduler.rs
+++ b/crates/filbertstack-weights/src/copy/scheduler.rs
@@ -323,8 +323,8 @@
             self.pull.import(index);
         }
         let mut events = self.report_failing();
-        let orphan = self.pull.escalate(now);
-        let location = orphan.and_then(|index| self.catalogue.location(index, None));
+        let unavailable = self.pull.escalate(now);
+        let location = unavailable.and_then(|index| self.catalogue.location(index, None));
         events.extend(location.map(|location| CopyEvent::Escalate {
             chunk: location.chunk.digest,
         }));
--- a/crates/filbertstack-weights/src/manifest/check.rs
+++ b/crates/filbertstack-weights/src/manifest/check.rs
@@ -64,7 +64,7 @@
     if chunks.is_empty() {
         return Err(ManifestError::Empty);
     }
-    let misfit = ManifestError::Malformed {
+    let mismatch = ManifestError::Malformed {
         what: "its chunks do not fit its files",
     };
     let mut offsets = Vec::with_capacity(chunks.len());
@@ -73,7 +73,7 @@
         let mut offset = 0;
         while offset < file.size {
             let Some(chunk) = remaining.next() else {
-                return Err(misfit);
+                return Err(mismatch);
             };
             if chunk.size == 0 || chunk.size > MAX_CHUNK_SIZE {
                 return Err(ManifestError::ChunkSize { size: chunk.size });
@@ -82,11 +82,11 @@
             offset += u64::from(chunk.size);
         }
         if offset != file.size {
-            return Err(misfit);
+            return Err(mismatch);
         }
     }
     if remaining.next().is_some() {
-        return Err(misfit);
+        return Err(mismatch);
     }
     Ok(offsets)
 }
--- a/crates/filbertstack-weights/src/store.rs
+++ b/crates/filbertstack-weights/src/store.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The bytes do not match the digest.
-    #[error("the bytes for chunk {digest} are not it: fetch it elsewhere and mark the source")]
+    #[error("the bytes do not match the digest of chunk {digest}: fetch it from another source")]
     Corrupt {
         /// The chunk.
         digest: Digest,
--- a/crates/filbertstack-weights/src/store/index.rs
+++ b/crates/filbertstack-weights/src/store/index.rs
@@ -15,7 +15,7 @@
 pub(super) struct StoreIndex {
     held: HashMap<Digest, HeldChunk>,
     /// The held chunks by their last use, the least recently used first.
-    order: BTreeMap<u64, Digest>,
+    by_last_use: BTreeMap<u64, Digest>,
     pins: HashMap<Digest, PinnedChunk>,
     clock: u64,
     usage: Usage,
@@ -37,7 +37,7 @@
     pub(super) fn new(limit: u64) -> Self {
         Self {
             held: HashMap::new(),
-            order: BTreeMap::new(),
+            by_last_use: BTreeMap::new(),
             pins: HashMap::new(),
             clock: 0,
             usage: Usage {
@@ -64,9 +64,9 @@
             return false;
         };
         self.clock += 1;
-        self.order.remove(&held.last_use);
+        self.by_last_use.remove(&held.last_use);
         held.last_use = self.clock;
-        self.order.insert(self.clock, digest);
+        self.by_last_use.insert(self.clock, digest);
         true
     }
 
@@ -80,13 +80,13 @@
             last_use: self.clock,
         };
         self.held.insert(chunk.digest, held);
-        self.order.insert(self.clock, chunk.digest);
+        self.by_last_use.insert(self.clock, chunk.digest);
         self.usage.bytes += u64::from(chunk.size);
     }
 
     pub(super) fn remove(&mut self, digest: Digest) {
         if let Some(held) = self.held.remove(&digest) {
-            self.order.remove(&held.last_use);
+            self.by_last_use.remove(&held.last_use);
             self.usage.bytes -= u64::from(held.size);
         }
     }
@@ -112,7 +112,7 @@
     pub(super) fn evict(&mut self, needed: u64) -> Vec<Digest> {
         let mut evicted = Vec::new();
         let mut over = (self.usage.bytes + needed).saturating_sub(self.usage.limit);
-        for &digest in self.order.values() {
+        for &digest in self.by_last_use.values() {
             if over == 0 {
                 break;
             }
--- a/crates/filbertstack-weights/tests/http.rs
+++ b/crates/filbertstack-weights/tests/http.rs
@@ -19,16 +19,16 @@
 use support::origin::Origin;
 use support::sample;
 
-const QUICK: HttpConfig = HttpConfig {
+const SHORT_TIMEOUTS: HttpConfig = HttpConfig {
     idle_timeout: Duration::from_millis(300),
     window: Duration::from_millis(100),
     min_bytes: 50,
 };
 
 /// A configuration with a long idle timeout, so that only the minimum progress can end a fetch.
-const PATIENT: HttpConfig = HttpConfig {
+const LONG_IDLE_TIMEOUT: HttpConfig = HttpConfig {
     idle_timeout: Duration::from_secs(60),
-    ..QUICK
+    ..SHORT_TIMEOUTS
 };
 
 /// Returns the third chunk of the second file, which is neither at its start nor at its end.
@@ -59,10 +59,10 @@
 fn each_wrong_answer_reports_its_fault() {
     let after = filbertstack_core::Millis::secs(7);
     let cases = [
-        (Answer::Whole, Fault::Wrong),
-        (Answer::Shifted, Fault::Wrong),
-        (Answer::Cut, Fault::Wrong),
-        (Answer::Longer, Fault::Stale),
+        (Answer::WholeFile, Fault::Wrong),
+        (Answer::ShiftedRange, Fault::Wrong),
+        (Answer::Truncated, Fault::Wrong),
+        (Answer::LongerFile, Fault::Stale),
         (Answer::OtherVersion, Fault::Stale),
         (Answer::Corrupt, Fault::Corrupt),
         (Answer::Busy, Fault::Busy { after }),
@@ -84,7 +84,7 @@
     fs::write(dir.path().join("model.bin"), vec![7; 4096]).unwrap();
     let manifest = Manifest::from_dir(dir.path(), 4096).unwrap();
     let origin = Origin::start(vec![7; 4096], Answer::Slow);
-    let source = HttpSource::new(&origin.base(), PATIENT);
+    let source = HttpSource::new(&origin.base(), LONG_IDLE_TIMEOUT);
     let location = manifest.location(0).unwrap();
     let error = fetch_into(&source, &location, &Store::memory(10_000)).unwrap_err();
     assert_eq!(error.fault(), Some(Fault::Stalled), "{error}");
@@ -92,7 +92,7 @@
 
 #[test]
 fn a_silent_origin_is_reported_as_stalled() {
-    let (fetched, _) = fetch(QUICK, Answer::Silent);
+    let (fetched, _) = fetch(SHORT_TIMEOUTS, Answer::Silent);
     let error = fetched.unwrap_err();
     assert_eq!(error.fault(), Some(Fault::Stalled), "{error}");
 }
@@ -112,7 +112,7 @@
 #[test]
 fn a_manifest_is_fetched_by_its_digest() {
     let (one, two) = (sample(1), sample(2));
-    let origin = Origin::start(one.manifest.encode().to_vec(), Answer::Whole);
+    let origin = Origin::start(one.manifest.encode().to_vec(), Answer::WholeFile);
     let source = HttpSource::new(&origin.base(), HttpConfig::default());
     let fetched = source.manifest("manifest", one.manifest.root()).unwrap();
     assert_eq!(fetched, *one.manifest);
--- a/crates/filbertstack-weights/tests/lifecycle.rs
+++ b/crates/filbertstack-weights/tests/lifecycle.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Declare(usize),
-    Forget(usize),
+    Remove(usize),
     Fetch(usize, Behaviour),
     Damage(usize, usize),
     Verify(usize),
@@ -88,8 +88,8 @@
         ];
         prop_oneof![
             6 => version.clone().prop_map(Step::Declare),
-            1 => version.clone().prop_map(Step::Forget),
-            12 => (5..30_usize, behaviour).prop_map(|(count, behaviour)| Step::Fetch(count, behaviour)),
+            1 => version.clone().prop_map(Step::Remove),
+            12 => (5..30_usize, behaviour).prop_map(|(count, b)| Step::Fetch(count, b)),
             1 => (version.clone(), 0..13_usize).prop_map(|(v, at)| Step::Damage(v, at)),
             12 => version.clone().prop_map(Step::Verify),
             12 => version.clone().prop_map(Step::Load),
@@ -180,7 +180,7 @@
     fn run_step(&mut self, step: Step) {
         match step {
             Step::Declare(at) => self.declare(at),
-            Step::Forget(at) => self.forget(at),
+            Step::Remove(at) => self.remove(at),
             Step::Fetch(count, behaviour) => self.fetch(count, behaviour),
             Step::Damage(at, chunk) => self.damage(at, chunk),
             Step::Verify(at) => self.verify(at),
@@ -200,7 +200,7 @@
         self.expected[at] = Phase::Fetching;
     }
 
-    fn forget(&mut self, at: usize) {
+    fn remove(&mut self, at: usize) {
         self.slots[at] = None;
         self.scheduler
             .remove_version(self.samples[at].manifest.root());
--- a/crates/filbertstack-weights/tests/support/origin.rs
+++ b/crates/filbertstack-weights/tests/support/origin.rs
@@ -19,17 +19,17 @@
     /// The requested range.
     Good,
     /// Status 200 with the whole file.
-    Whole,
+    WholeFile,
     /// Status 206 with a range that starts one byte later.
-    Shifted,
+    ShiftedRange,
     /// The correct head and half of the body, after which the connection is closed.
-    Cut,
+    Truncated,
     /// The correct head, then one byte every 20 ms.
     Slow,
     /// The correct head without a body, with the connection left open.
     Silent,
     /// The requested range of a file that is one byte longer.
-    Longer,
+    LongerFile,
     /// The requested range with another version in the header.
     OtherVersion,
     /// The requested range with a damaged first byte.
@@ -100,7 +100,7 @@
     let mut shift = 0;
     let mut extra = "";
     match answer {
-        Answer::Whole => return whole(&mut stream, file),
+        Answer::WholeFile => return send_whole(&mut stream, file),
         Answer::Busy => {
             return stream.write_all(
                 b"HTTP/1.1 503 No\r\nRetry-After: 7\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
@@ -110,8 +110,8 @@
             return stream
                 .write_all(b"HTTP/1.1 404 No\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
         }
-        Answer::Shifted => shift = 1,
-        Answer::Longer => total += 1,
+        Answer::ShiftedRange => shift = 1,
+        Answer::LongerFile => total += 1,
         Answer::OtherVersion => extra = "X-Weights-Version: 00\r\n",
         Answer::Corrupt => body[0] ^= 1,
         _ => {}
@@ -129,7 +129,7 @@
 
 fn send(stream: &mut TcpStream, body: &[u8], answer: Answer) -> std::io::Result<()> {
     match answer {
-        Answer::Cut => stream.write_all(&body[..body.len() / 2]),
+        Answer::Truncated => stream.write_all(&body[..body.len() / 2]),
         Answer::Silent => {
             // Waits until the client closes the connection.
             let _ = stream.read(&mut [0])?;
@@ -143,7 +143,7 @@
     }
 }
 
-fn whole(stream: &mut TcpStream, file: &[u8]) -> std::io::Result<()> {
+fn send_whole(stream: &mut TcpStream, file: &[u8]) -> std::io::Result<()> {
     let head = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
         file.len()
