--- a/crates/filbertstack-agent/src/mesh/copies.rs
+++ b/crates/filbertstack-agent/src/mesh/copies.rs
@@ -406,7 +406,7 @@
         let name = manifest_name(self.root);
         for base in &self.bases {
             let source = HttpSource::new(base, HttpConfig::default());
-            match source.manifest(&name, self.root) {
+            match source.fetch_manifest(&name, self.root) {
                 Ok(manifest) => return Ok(manifest),
                 Err(error) => trouble = error.to_string(),
             }
--- a/crates/filbertstack-weights/src/fetch/http.rs
+++ b/crates/filbertstack-weights/src/fetch/http.rs
@@ -190,7 +190,7 @@
     ///
     /// # Errors
     /// Returns the failure of the request, or [`HttpError::Manifest`] if the file is not that manifest.
-    pub fn manifest(&self, file: &str, root: Digest) -> Result<Manifest, HttpError> {
+    pub fn fetch_manifest(&self, file: &str, root: Digest) -> Result<Manifest, HttpError> {
         let url = format!("{}/{file}", self.base);
         let mut response = self.request(&url, None)?;
         check_status(&url, &response, StatusCode::OK)?;
--- a/crates/filbertstack-weights/tests/http.rs
+++ b/crates/filbertstack-weights/tests/http.rs
@@ -114,7 +114,13 @@
     let (one, two) = (sample(1), sample(2));
     let origin = Origin::start(one.manifest.encode().to_vec(), Answer::WholeFile);
     let source = HttpSource::new(&origin.base(), HttpConfig::default());
-    let fetched = source.manifest("manifest", one.manifest.root()).unwrap();
+    let fetched = source
+        .fetch_manifest("manifest", one.manifest.root())
+        .unwrap();
     assert_eq!(fetched, *one.manifest);
-    assert!(source.manifest("manifest", two.manifest.root()).is_err());
+    assert!(
+        source
+            .fetch_manifest("manifest", two.manifest.root())
+            .is_err()
+    );
 }
