--- a/crates/filbertstack-weights/src/copy/uploads.rs
+++ b/crates/filbertstack-weights/src/copy/uploads.rs
@@ -29,7 +29,7 @@
 /// An upload slot; dropping it releases the slot for the next request.
 #[derive(Debug)]
 pub struct UploadSlot {
-    uploads: Arc<UploadSlots>,
+    slots: Arc<UploadSlots>,
 }
 
 impl UploadSlots {
@@ -58,7 +58,7 @@
                 // If another slot is free, the next request can take it at once.
                 self.wake.notify_all();
                 return Some(UploadSlot {
-                    uploads: self.clone(),
+                    slots: self.clone(),
                 });
             }
             let remaining = end.saturating_duration_since(Instant::now());
@@ -95,7 +95,7 @@
 
 impl Drop for UploadSlot {
     fn drop(&mut self) {
-        self.uploads.lock().free += 1;
-        self.uploads.wake.notify_all();
+        self.slots.lock().free += 1;
+        self.slots.wake.notify_all();
     }
 }
--- a/crates/filbertstack-weights/src/fetch/http.rs
+++ b/crates/filbertstack-weights/src/fetch/http.rs
@@ -262,7 +262,7 @@
 
     fn fetch(&self, location: &ChunkLocation) -> Result<Bytes, HttpError> {
         let url = format!("{}/{}", self.base, location.file.name);
-        let range = format!("bytes={}-{}", location.offset, location.last());
+        let range = format!("bytes={}-{}", location.offset, location.last_byte());
         let mut response = self.request(&url, Some(&range))?;
         check_status(&url, &response, StatusCode::PARTIAL_CONTENT)?;
         check_version(&url, &response, location)?;
@@ -333,7 +333,7 @@
     location: &ChunkLocation,
 ) -> Result<(), HttpError> {
     let got = header_text(response, &header::CONTENT_RANGE).unwrap_or("no range");
-    let range = format!("bytes {}-{}/", location.offset, location.last());
+    let range = format!("bytes {}-{}/", location.offset, location.last_byte());
     let Some(total) = got.strip_prefix(&range) else {
         return Err(HttpError::Range {
             url: url.to_owned(),
--- a/crates/filbertstack-weights/src/manifest.rs
+++ b/crates/filbertstack-weights/src/manifest.rs
@@ -159,7 +159,7 @@
     }
 
     /// Returns the offset of the chunk's last byte, as used in a `Range` header.
-    pub fn last(&self) -> u64 {
+    pub fn last_byte(&self) -> u64 {
         self.offset + u64::from(self.chunk.size) - 1
     }
 }
