--- a/crates/filbertstack-agent/src/mesh.rs
+++ b/crates/filbertstack-agent/src/mesh.rs
@@ -131,12 +131,12 @@
     pub fn start_copy(&self, manifest: &Arc<Manifest>, assignment: &Assignment) {
         let in_progress = self.lock().add_user(manifest, assignment);
         if in_progress {
-            let missing = manifest.wants();
+            let missing = manifest.locations();
             let missing = missing.filter(|want| !self.store.has(want.chunk.digest));
             let indices: Vec<u32> = missing.map(|want| want.index).collect();
-            self.copier.lost(manifest.root(), &indices);
+            self.copier.mark_missing(manifest.root(), &indices);
         } else {
-            self.copier.want(manifest.clone());
+            self.copier.add_version(manifest.clone());
         }
         self.changed.notify_all();
     }
@@ -144,7 +144,7 @@
     /// Ends a copy that was started; the last user ends it in the copier.
     pub fn end_copy(&self, root: Digest) {
         if self.lock().remove_user(root) {
-            self.copier.forget(root);
+            self.copier.remove_version(root);
         }
     }
 
--- a/crates/filbertstack-agent/src/mesh/copies.rs
+++ b/crates/filbertstack-agent/src/mesh/copies.rs
@@ -221,7 +221,7 @@
     /// Records an event of the copier and returns true if it is to be reported to the leader at once.
     pub fn record_event(&mut self, event: &CopyEvent) -> bool {
         match event {
-            CopyEvent::Landed { granted, .. } => *granted,
+            CopyEvent::ChunkStored { granted, .. } => *granted,
             CopyEvent::GrantFailed { chunk, fault } => {
                 for state in self.states.values_mut() {
                     let failed = state
@@ -250,7 +250,7 @@
                 }
                 false
             }
-            CopyEvent::Complete { .. } | CopyEvent::Worn { .. } => false,
+            CopyEvent::Complete { .. } | CopyEvent::UpstreamFailing { .. } => false,
         }
     }
 
@@ -335,7 +335,7 @@
         let has = |index: &u32| {
             *index == MANIFEST
                 || manifest
-                    .want(*index)
+                    .location(*index)
                     .is_some_and(|want| store.has(want.chunk.digest))
         };
         self.grants.keys().copied().filter(has).collect()
@@ -346,7 +346,7 @@
             return Vec::new();
         };
         let mut held = ChunkSet::new(manifest.chunks().len());
-        for want in manifest.wants() {
+        for want in manifest.locations() {
             if store.has(want.chunk.digest) {
                 held.insert(want.index);
             }
@@ -355,7 +355,10 @@
     }
 
     fn chunk_indices(&self, chunk: Digest) -> impl Iterator<Item = u32> {
-        let wants = self.manifest.iter().flat_map(|manifest| manifest.wants());
+        let wants = self
+            .manifest
+            .iter()
+            .flat_map(|manifest| manifest.locations());
         wants
             .filter(move |want| want.chunk.digest == chunk)
             .map(|want| want.index)
@@ -377,7 +380,7 @@
             if delayed || self.passed.contains(&index) {
                 continue;
             }
-            let Some(want) = manifest.want(index) else {
+            let Some(want) = manifest.location(index) else {
                 continue;
             };
             let chunk = want.chunk.digest;
@@ -432,7 +435,7 @@
         let name = manifest_name(self.root);
         for base in &self.bases {
             let source = HttpSource::new(base, HttpConfig::default());
-            match source.manifest(&name, self.root) {
+            match source.fetch_manifest(&name, self.root) {
                 Ok(manifest) => return Ok(manifest),
                 Err(error) => last_error = error.to_string(),
             }
--- a/crates/filbertstack-agent/src/reconciler.rs
+++ b/crates/filbertstack-agent/src/reconciler.rs
@@ -372,7 +372,7 @@
         self.gate.close();
         let text = report.map_or_else(|error| error.to_string(), |report| format!("{report:?}"));
         tracked.record_failure(format!("the engine serves something else: {text}"));
-        LocalStage::Verified(version.lose())
+        LocalStage::Verified(version.mark_unloaded())
     }
 
     fn finish_drain(
@@ -390,7 +390,7 @@
         }
         let _ = std::fs::remove_dir_all(self.files_dir.join(version.root().to_string()));
         // A version that is still assigned stays verified, so that a rollback copies nothing.
-        duty.map(|_| LocalStage::Verified(version.lose()))
+        duty.map(|_| LocalStage::Verified(version.mark_unloaded()))
     }
 
     fn record_unanswered(&mut self, order: Order, error: &TargetError) {
--- a/crates/filbertstack-agent/src/serve.rs
+++ b/crates/filbertstack-agent/src/serve.rs
@@ -15,7 +15,7 @@
 use filbertstack_telemetry::traces::Hop;
 use filbertstack_telemetry::traces::Parent;
 use filbertstack_weights::Store;
-use filbertstack_weights::copy::Uploads;
+use filbertstack_weights::copy::UploadSlots;
 use filbertstack_wire::Handler;
 use filbertstack_wire::Remote;
 use filbertstack_wire::Responder;
@@ -81,7 +81,7 @@
     /// The store of the chunks that peers request.
     pub store: Arc<Store>,
     /// The upload slots, which order the waiting peers.
-    pub uploads: Arc<Uploads>,
+    pub uploads: Arc<UploadSlots>,
     /// The state with the manifests that peers request.
     pub shared: Arc<SharedState>,
     /// The highest term accepted.
@@ -179,7 +179,7 @@
             .name("chunk".into())
             .stack_size(STACK);
         let _ = builder.spawn(move || {
-            let Some(_slot) = uploads.enter(UNKNOWN_REQUESTER, MAX_UPLOAD_WAIT) else {
+            let Some(_slot) = uploads.acquire(UNKNOWN_REQUESTER, MAX_UPLOAD_WAIT) else {
                 return responder.refuse("others were served first: come back", BUSY_RETRY_MS);
             };
             match store.get(digest) {
--- a/crates/filbertstack-weights/src/copy/pool.rs
+++ b/crates/filbertstack-weights/src/copy/pool.rs
@@ -1,4 +1,4 @@
-//! The threads that make the fetches which [`Core`] decides on.
+//! The thread pool that makes the fetches chosen by [`CopyScheduler`].
 
 use std::sync::Arc;
 use std::sync::Condvar;
@@ -21,28 +21,28 @@
 use filbertstack_policy::spread::pull::RingPosition;
 
 use crate::copy::CopyEvent;
-use crate::copy::Core;
+use crate::copy::CopyScheduler;
 use crate::copy::Job;
 use crate::copy::Progress;
 use crate::fetch::AnySource;
 use crate::manifest::Manifest;
 use crate::store::Store;
 
-/// How often threads without work look for what has become late.
+/// The interval at which idle threads check for expired transfers.
 const TICK: Duration = Duration::from_millis(20);
 
-/// The figures of a copier.
+/// The configuration of a copier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopyConfig {
-    /// The limits of its requests; a thread is started for each slot.
+    /// The limits of its requests; the copier starts one thread for each concurrent transfer.
     pub pull: PullConfig,
-    /// A number that differs between agents.
+    /// The seed for random choices, which must differ between agents.
     pub seed: u64,
-    /// What may be fetched at first, in bytes a second.
+    /// The initial limit of the fetch rate, in bytes per second.
     pub rate: u64,
 }
 
-/// The copier of an agent; dropping it ends its threads after the fetches they are in.
+/// The copier of an agent; dropping it stops its threads after their current fetches.
 #[derive(Debug)]
 pub struct Copier {
     shared: Arc<Shared>,
@@ -59,17 +59,17 @@
 
 #[derive(Debug)]
 struct State {
-    core: Core,
+    scheduler: CopyScheduler,
     bucket: TokenBucket,
     events: Sender<CopyEvent>,
     stop: bool,
 }
 
 impl Copier {
-    /// Starts the threads; what the agent is to know comes through `events`.
+    /// Starts the threads, which send their events for the agent to `events`.
     pub fn start(store: Arc<Store>, config: CopyConfig, events: Sender<CopyEvent>) -> Self {
         let state = State {
-            core: Core::new(store.clone(), config.pull, config.seed),
+            scheduler: CopyScheduler::new(store.clone(), config.pull, config.seed),
             bucket: TokenBucket::new(config.rate),
             events,
             stop: false,
@@ -82,87 +82,87 @@
         });
         let start = |_| {
             let shared = shared.clone();
-            thread::spawn(move || shared.work())
+            thread::spawn(move || shared.run_jobs())
         };
         let threads = (0..config.pull.max_transfers).map(start).collect();
         Self { shared, threads }
     }
 
-    /// See [`Core::want`].
-    pub fn want(&self, manifest: Arc<Manifest>) {
+    /// See [`CopyScheduler::add_version`].
+    pub fn add_version(&self, manifest: Arc<Manifest>) {
         let mut state = self.shared.lock();
-        let events = state.core.want(manifest);
+        let events = state.scheduler.add_version(manifest);
         state.send(events);
         self.shared.wake.notify_all();
     }
 
-    /// See [`Core::forget`].
-    pub fn forget(&self, root: Digest) {
-        self.shared.lock().core.forget(root);
+    /// See [`CopyScheduler::remove_version`].
+    pub fn remove_version(&self, root: Digest) {
+        self.shared.lock().scheduler.remove_version(root);
         self.shared.wake.notify_all();
     }
 
-    /// See [`Core::add_peer`].
-    pub fn add_peer(&self, source: Arc<dyn AnySource>, seat: RingPosition) -> NeighbourKey {
-        self.shared.lock().core.add_peer(source, seat)
+    /// See [`CopyScheduler::add_peer`].
+    pub fn add_peer(&self, source: Arc<dyn AnySource>, position: RingPosition) -> NeighbourKey {
+        self.shared.lock().scheduler.add_peer(source, position)
     }
 
-    /// See [`Core::remove_peer`].
+    /// See [`CopyScheduler::remove_peer`].
     pub fn remove_peer(&self, key: NeighbourKey) {
-        self.shared.lock().core.remove_peer(key);
+        self.shared.lock().scheduler.remove_peer(key);
         self.shared.wake.notify_all();
     }
 
-    /// See [`Core::announce`].
+    /// See [`CopyScheduler::announce`].
     pub fn announce(
         &self,
         key: NeighbourKey,
         root: Digest,
-        places: impl IntoIterator<Item = ChunkIndex>,
+        positions: impl IntoIterator<Item = ChunkIndex>,
     ) {
-        self.shared.lock().core.announce(key, root, places);
+        self.shared.lock().scheduler.announce(key, root, positions);
         self.shared.wake.notify_all();
     }
 
-    /// See [`Core::grant`].
+    /// See [`CopyScheduler::grant`].
     pub fn grant(&self, root: Digest, chunk: Digest, sources: Vec<Arc<dyn AnySource>>) {
         let mut state = self.shared.lock();
-        let events = state.core.grant(root, chunk, sources);
+        let events = state.scheduler.grant(root, chunk, sources);
         state.send(events);
         self.shared.wake.notify_all();
     }
 
-    /// See [`Core::lost`].
-    pub fn lost(&self, root: Digest, places: &[u32]) {
-        self.shared.lock().core.lost(root, places);
+    /// See [`CopyScheduler::mark_missing`].
+    pub fn mark_missing(&self, root: Digest, positions: &[u32]) {
+        self.shared.lock().scheduler.mark_missing(root, positions);
         self.shared.wake.notify_all();
     }
 
-    /// Takes note of the mesh clock in a peer's message.
-    pub fn hear(&self, clock: Millis) {
+    /// Records the mesh clock from a message of a peer.
+    pub fn observe_clock(&self, clock: Millis) {
         let now = self.shared.now();
-        self.shared.lock().core.hear(clock, now);
+        self.shared.lock().scheduler.observe_clock(clock, now);
     }
 
-    /// Changes what may be fetched, in bytes a second.
+    /// Sets the limit of the fetch rate, in bytes per second.
     pub fn set_rate(&self, rate: u64) {
         self.shared.lock().bucket.set_rate(rate);
     }
 
-    /// The mesh clock for this agent's messages.
+    /// Returns the mesh clock for this agent's messages.
     pub fn clock(&self) -> Millis {
         let now = self.shared.now();
-        self.shared.lock().core.clock(now)
+        self.shared.lock().scheduler.clock(now)
     }
 
-    /// See [`Core::holding`].
-    pub fn holding(&self, root: Digest) -> Option<ChunkSet> {
-        self.shared.lock().core.holding(root)
+    /// See [`CopyScheduler::held_chunks`].
+    pub fn held_chunks(&self, root: Digest) -> Option<ChunkSet> {
+        self.shared.lock().scheduler.held_chunks(root)
     }
 
-    /// See [`Core::progress`].
+    /// See [`CopyScheduler::progress`].
     pub fn progress(&self, root: Digest) -> Option<Progress> {
-        self.shared.lock().core.progress(root)
+        self.shared.lock().scheduler.progress(root)
     }
 }
 
@@ -171,7 +171,7 @@
         self.shared.lock().stop = true;
         self.shared.wake.notify_all();
         for thread in self.threads.drain(..) {
-            // A thread that panicked has said so on standard error.
+            // A panic of the thread was already printed to standard error.
             let _ = thread.join();
         }
     }
@@ -180,7 +180,7 @@
 impl State {
     fn send(&self, events: Vec<CopyEvent>) {
         for event in events {
-            // Nobody listens any more: the agent is stopping.
+            // Sending fails only when the agent is stopping and has dropped the receiver.
             let _ = self.events.send(event);
         }
     }
@@ -195,35 +195,38 @@
         self.start.elapsed().into()
     }
 
-    fn work(&self) {
-        while let Some((job, wait)) = self.next() {
+    fn run_jobs(&self) {
+        while let Some((job, wait)) = self.wait_job() {
             thread::sleep(wait.into());
-            let result = job.source.fetch_into(&job.want, &self.store).map(|_| ());
+            let result = job
+                .source
+                .fetch_into(&job.location, &self.store)
+                .map(|_| ());
             let now = self.now();
             let mut state = self.lock();
-            let events = state.core.done(&job, result, now);
+            let events = state.scheduler.record_result(&job, result, now);
             state.send(events);
             self.wake.notify_all();
         }
     }
 
-    /// Waits for the next fetch and how long to hold it back; `None` at the end.
-    fn next(&self) -> Option<(Job, Millis)> {
+    /// Waits for the next fetch and returns it with the delay before it; `None` when the copier stops.
+    fn wait_job(&self) -> Option<(Job, Millis)> {
         let mut state = self.lock();
         loop {
             if state.stop {
                 return None;
             }
             let now = self.now();
-            let events = state.core.tick(now);
+            let events = state.scheduler.tick(now);
             state.send(events);
-            if let Some(job) = state.core.next(now) {
-                let size = u64::from(job.want.chunk.size);
+            if let Some(job) = state.scheduler.next_job(now) {
+                let size = u64::from(job.location.chunk.size);
                 let wait = state.bucket.take(size, now);
                 return Some((job, wait));
             }
-            // An agent whose versions are whole costs no wake-ups.
-            state = if state.core.is_idle() {
+            // Without work there is no periodic wake-up, so a complete agent uses no CPU time here.
+            state = if state.scheduler.is_idle() {
                 let waited = self.wake.wait(state);
                 waited.unwrap_or_else(PoisonError::into_inner)
             } else {
--- a/crates/filbertstack-weights/src/copy/uploads.rs
+++ b/crates/filbertstack-weights/src/copy/uploads.rs
@@ -1,4 +1,4 @@
-//! Upload slots: who of those that ask for chunks is served next.
+//! Upload slots limit concurrent uploads and choose which peer's request is served next.
 
 use std::sync::Arc;
 use std::sync::Condvar;
@@ -15,7 +15,7 @@
 
 /// The upload slots of an agent.
 #[derive(Debug)]
-pub struct Uploads {
+pub struct UploadSlots {
     state: Mutex<State>,
     wake: Condvar,
 }
@@ -23,21 +23,21 @@
 #[derive(Debug)]
 struct State {
     free: usize,
-    asks: Slab<UploadRequest>,
+    requests: Slab<UploadRequest>,
 }
 
-/// A slot; dropping it lets the next requester in.
+/// An upload slot; dropping it releases the slot for the next request.
 #[derive(Debug)]
 pub struct UploadSlot {
-    uploads: Arc<Uploads>,
+    slots: Arc<UploadSlots>,
 }
 
-impl Uploads {
-    /// So many uploads at a time.
+impl UploadSlots {
+    /// Creates a set of `slots` slots, the number of concurrent uploads.
     pub fn new(slots: usize) -> Arc<Self> {
         let state = State {
             free: slots,
-            asks: Slab::new(),
+            requests: Slab::new(),
         };
         Arc::new(Self {
             state: Mutex::new(state),
@@ -45,36 +45,36 @@
         })
     }
 
-    /// Waits for a slot for at most `wait`; `None` if others went first, and the requester is to
-    /// be told that this instance is busy.
-    pub fn enter(self: &Arc<Self>, ask: UploadRequest, wait: Duration) -> Option<UploadSlot> {
+    /// Waits for a slot for at most `wait`. Returns `None` if other requests took the slots meanwhile; the
+    /// caller then answers that this instance is busy.
+    pub fn acquire(self: &Arc<Self>, request: UploadRequest, wait: Duration) -> Option<UploadSlot> {
         let end = Instant::now() + wait;
         let mut state = self.lock();
-        let key = state.asks.insert(ask);
+        let key = state.requests.insert(request);
         loop {
-            if state.free > 0 && state.first() == Some(key) {
+            if state.free > 0 && state.first_request() == Some(key) {
                 state.free -= 1;
-                state.asks.remove(key);
-                // With a second free slot the next one need not wait for a drop.
+                state.requests.remove(key);
+                // If another slot is free, the next request can take it at once.
                 self.wake.notify_all();
                 return Some(UploadSlot {
-                    uploads: self.clone(),
+                    slots: self.clone(),
                 });
             }
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                state.asks.remove(key);
+            let remaining = end.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                state.requests.remove(key);
                 self.wake.notify_all();
                 return None;
             }
-            let waited = self.wake.wait_timeout(state, left);
+            let waited = self.wake.wait_timeout(state, remaining);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
-    /// How many wait for a slot.
+    /// Returns the number of requests that wait for a slot.
     pub fn waiting(&self) -> usize {
-        self.lock().asks.len()
+        self.lock().requests.len()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -83,15 +83,19 @@
 }
 
 impl State {
-    fn first(&self) -> Option<usize> {
-        let (keys, asks): (Vec<_>, Vec<_>) = self.asks.iter().map(|(key, ask)| (key, *ask)).unzip();
-        serve::next_upload(&asks).map(|at| keys[at])
+    fn first_request(&self) -> Option<usize> {
+        let (keys, requests): (Vec<_>, Vec<_>) = self
+            .requests
+            .iter()
+            .map(|(key, request)| (key, *request))
+            .unzip();
+        serve::next_upload(&requests).map(|at| keys[at])
     }
 }
 
 impl Drop for UploadSlot {
     fn drop(&mut self) {
-        self.uploads.lock().free += 1;
-        self.uploads.wake.notify_all();
+        self.slots.lock().free += 1;
+        self.slots.wake.notify_all();
     }
 }
--- a/crates/filbertstack-weights/src/manifest/check.rs
+++ b/crates/filbertstack-weights/src/manifest/check.rs
@@ -1,21 +1,21 @@
-//! The checks of a manifest, the same for one made here and one that came over a link.
+//! Validates a manifest; locally created and received manifests pass the same checks.
 
 use super::Chunk;
 use super::File;
-use super::MAX_CHUNK;
+use super::FileOffset;
+use super::MAX_CHUNK_SIZE;
 use super::MAX_CHUNKS;
 use super::MAX_FILE_NAME;
 use super::MAX_FILES;
 use super::ManifestError;
-use super::Place;
 
-/// Checks that `name` stays below the version's folder and can stand in a URL as it is.
+/// Checks that `name` is a path below the version's folder and needs no escaping in a URL.
 ///
 /// # Errors
-/// [`ManifestError::Name`] says what a name looks like.
+/// Returns [`ManifestError::Name`], whose text describes valid names.
 pub fn check_file_name(name: &str) -> Result<(), ManifestError> {
     let fits = name.len() <= MAX_FILE_NAME;
-    // A part of `..` or an empty one would let a manifest write outside of its folder.
+    // With `..` or an empty part in a name, a manifest could write outside of its folder.
     if fits && name.split('/').all(is_part) {
         return Ok(());
     }
@@ -30,7 +30,7 @@
     !part.is_empty() && !part.starts_with('.') && part.chars().all(allowed)
 }
 
-pub(super) fn files(files: &[File]) -> Result<(), ManifestError> {
+pub(super) fn check_files(files: &[File]) -> Result<(), ManifestError> {
     if files.len() > MAX_FILES {
         return Err(ManifestError::Files);
     }
@@ -42,7 +42,7 @@
             what: "its files are not in order",
         });
     }
-    // `a` as a file and `a/b` in a folder of that name cannot both be written.
+    // A file `a` and a file `a/b` cannot exist together, since `a` would also have to be a folder.
     if files.iter().any(|file| is_below_file(file, files)) {
         return Err(ManifestError::Malformed {
             what: "a file is also a folder",
@@ -57,36 +57,36 @@
     folders.any(is_file)
 }
 
-pub(super) fn places(files: &[File], chunks: &[Chunk]) -> Result<Vec<Place>, ManifestError> {
+pub(super) fn offsets(files: &[File], chunks: &[Chunk]) -> Result<Vec<FileOffset>, ManifestError> {
     if chunks.len() > MAX_CHUNKS {
         return Err(ManifestError::Chunks);
     }
     if chunks.is_empty() {
         return Err(ManifestError::Empty);
     }
-    let misfit = ManifestError::Malformed {
+    let mismatch = ManifestError::Malformed {
         what: "its chunks do not fit its files",
     };
-    let mut places = Vec::with_capacity(chunks.len());
-    let mut rest = chunks.iter();
+    let mut offsets = Vec::with_capacity(chunks.len());
+    let mut remaining = chunks.iter();
     for (at, file) in files.iter().enumerate() {
         let mut offset = 0;
         while offset < file.size {
-            let Some(chunk) = rest.next() else {
-                return Err(misfit);
+            let Some(chunk) = remaining.next() else {
+                return Err(mismatch);
             };
-            if chunk.size == 0 || chunk.size > MAX_CHUNK {
+            if chunk.size == 0 || chunk.size > MAX_CHUNK_SIZE {
                 return Err(ManifestError::ChunkSize { size: chunk.size });
             }
-            places.push(Place { file: at, offset });
+            offsets.push(FileOffset { file: at, offset });
             offset += u64::from(chunk.size);
         }
         if offset != file.size {
-            return Err(misfit);
+            return Err(mismatch);
         }
     }
-    if rest.next().is_some() {
-        return Err(misfit);
+    if remaining.next().is_some() {
+        return Err(mismatch);
     }
-    Ok(places)
+    Ok(offsets)
 }
--- a/crates/filbertstack-weights/src/version.rs
+++ b/crates/filbertstack-weights/src/version.rs
@@ -1,9 +1,9 @@
-//! A version's life on an instance, as a typestate.
+//! The life cycle of a version on an instance, as a typestate.
 //!
-//! `Absent -> Fetching -> Verified -> Loading -> Serving -> Draining -> Absent`. A [`Verified`]
-//! version can only come from reading every chunk under its one root digest, and a [`Serving`]
-//! one only from a verified one whose engine reported the same digest. Nothing of it outlives the
-//! process: an agent that is killed between verifying and loading starts at [`Absent`] again.
+//! The states are `Absent -> Fetching -> Verified -> Loading -> Serving -> Draining -> Absent`. A
+//! version becomes [`Verified`] only by reading and verifying every chunk of its manifest, and
+//! [`Serving`] only when the engine reports the root digest of a verified version. The state is not
+//! stored: an agent that is killed between verifying and loading starts at [`Absent`] again.
 
 use std::fs;
 use std::fs::File;
@@ -24,47 +24,47 @@
 use crate::store::Store;
 use crate::store::StoreError;
 
-/// Nothing of the version is wanted yet beyond its room in the store.
+/// The state of a version that only has its chunks pinned in the store.
 #[derive(Debug)]
 pub struct Absent;
 
-/// Its chunks are on their way.
+/// The state of a version whose chunks are being fetched.
 #[derive(Debug)]
 pub struct Fetching;
 
-/// Every chunk was read and verified.
+/// The state of a version whose chunks were all read and verified.
 #[derive(Debug)]
 pub struct Verified;
 
-/// The engine has the order to load it.
+/// The state of a version that the engine was ordered to load.
 #[derive(Debug)]
 pub struct Loading;
 
-/// The engine answers from it.
+/// The state of a version that the engine serves.
 #[derive(Debug)]
 pub struct Serving;
 
-/// It finishes what it began and takes nothing new.
+/// The state of a version that finishes its requests and takes no new ones.
 #[derive(Debug)]
 pub struct Draining;
 
-/// A step that could not be taken.
+/// The reason why a version cannot change its state.
 #[derive(Debug, Error)]
 pub enum VersionError {
-    /// Chunks are missing or were found damaged.
+    /// Chunks are missing or damaged.
     #[error("version {version} lacks {} of its chunks: fetch them and verify again", missing.len())]
     Missing {
-        /// The version.
+        /// The root digest of the version.
         version: Digest,
-        /// The places of the chunks in the manifest.
+        /// The positions of the chunks in the manifest.
         missing: Vec<u32>,
     },
     /// The engine reports another version than the one ordered.
     #[error("the engine was to load {wanted} and reports {got}: order it again or restart it")]
     Mismatch {
-        /// The version ordered.
+        /// The version that the engine was ordered to load.
         wanted: Digest,
-        /// The version reported.
+        /// The version that the engine reports.
         got: Digest,
     },
     /// The store failed.
@@ -75,139 +75,140 @@
     Write {
         /// The path.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         error: std::io::Error,
     },
 }
 
-/// A step that failed, with the version in the state it is in now.
+/// A failed change of state, with the version in its resulting state.
 #[derive(Debug)]
-pub struct Refused<S> {
-    /// The version.
+pub struct FailedTransition<S> {
+    /// The version in its resulting state.
     pub version: Version<S>,
-    /// Why.
+    /// The reason.
     pub error: VersionError,
 }
 
-/// A version on this instance, in state `S`; its chunks stay pinned while it exists.
+/// A version on this instance in state `S`; its chunks are pinned while this value exists.
 #[derive(Debug)]
 pub struct Version<S> {
-    held: Box<Held>,
+    data: Box<VersionData>,
     state: PhantomData<S>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct VersionData {
     manifest: Arc<Manifest>,
     store: Arc<Store>,
     _pin: Pin,
 }
 
 impl<S> Version<S> {
-    /// The digest that names it.
+    /// Returns the digest that names the version.
     pub fn root(&self) -> Digest {
-        self.held.manifest.root()
+        self.data.manifest.root()
     }
 
-    /// Its manifest.
+    /// Returns the manifest of the version.
     pub fn manifest(&self) -> &Arc<Manifest> {
-        &self.held.manifest
+        &self.data.manifest
     }
 
-    fn to<T>(self) -> Version<T> {
+    fn into_state<T>(self) -> Version<T> {
         Version {
-            held: self.held,
+            data: self.data,
             state: PhantomData,
         }
     }
 }
 
 impl Version<Absent> {
-    /// Declares a version: its chunks are pinned from here on.
+    /// Declares a version and pins its chunks.
     ///
     /// # Errors
-    /// [`StoreError::Full`] if it does not fit beside what is declared already.
+    /// Returns [`StoreError::Full`] if the version does not fit beside those declared already.
     pub fn declare(manifest: Arc<Manifest>, store: Arc<Store>) -> Result<Self, StoreError> {
         let pin = store.pin(&manifest)?;
-        let held = Box::new(Held {
+        let data = Box::new(VersionData {
             manifest,
             store,
             _pin: pin,
         });
         Ok(Self {
-            held,
+            data,
             state: PhantomData,
         })
     }
 
-    /// Begins to fetch.
+    /// Enters the state in which the chunks are fetched.
     pub fn fetch(self) -> Version<Fetching> {
-        self.to()
+        self.into_state()
     }
 }
 
 impl Version<Fetching> {
-    /// The places of the chunks that the store does not hold, as far as known unread.
+    /// Returns the positions of the chunks that the store does not hold, without reading the chunks.
     pub fn missing(&self) -> Vec<u32> {
-        let held = &self.held;
-        let lacks = |chunk: Digest| !held.store.has(chunk);
-        let wants = held.manifest.wants();
-        wants
-            .filter(|want| lacks(want.chunk.digest))
-            .map(|want| want.index)
+        let data = &self.data;
+        let lacks = |chunk: Digest| !data.store.has(chunk);
+        let locations = data.manifest.locations();
+        locations
+            .filter(|location| lacks(location.chunk.digest))
+            .map(|location| location.index)
             .collect()
     }
 
     /// Reads and verifies every chunk.
     ///
     /// # Errors
-    /// The version still fetching, with what is missing; a damaged chunk was dropped and is
-    /// missing from now on.
-    pub fn verify(self) -> Result<Version<Verified>, Refused<Fetching>> {
-        let missing = unreadable(&self.held);
+    /// Returns the version in state [`Fetching`] with the missing chunks. Damaged chunks are removed from
+    /// the store and count as missing.
+    pub fn verify(self) -> Result<Version<Verified>, FailedTransition<Fetching>> {
+        let missing = unreadable_chunks(&self.data);
         if missing.is_empty() {
-            return Ok(self.to());
+            return Ok(self.into_state());
         }
         let version = self.root();
         let error = VersionError::Missing { version, missing };
-        Err(Refused {
+        Err(FailedTransition {
             version: self,
             error,
         })
     }
 }
 
-/// Whether the next bytes of a file are the chunk's.
-fn begins_with(file: &mut File, chunk: &Chunk) -> bool {
+/// Returns whether the next bytes of a file are those of `chunk`.
+fn next_chunk_matches(file: &mut File, chunk: &Chunk) -> bool {
     let mut bytes = vec![0; chunk.size as usize];
     file.read_exact(&mut bytes).is_ok() && Digest::of(&bytes) == chunk.digest
 }
 
-fn unreadable(held: &Held) -> Vec<u32> {
-    let reads = |digest| matches!(held.store.get(digest), Ok(Some(_)));
-    let wants = held.manifest.wants();
-    wants
-        .filter(|want| !reads(want.chunk.digest))
-        .map(|want| want.index)
+fn unreadable_chunks(data: &VersionData) -> Vec<u32> {
+    let reads = |digest| matches!(data.store.get(digest), Ok(Some(_)));
+    let locations = data.manifest.locations();
+    locations
+        .filter(|location| !reads(location.chunk.digest))
+        .map(|location| location.index)
         .collect()
 }
 
 impl Version<Verified> {
     /// Writes the version's files below `dir/<root>` for an engine that loads from a folder.
     ///
-    /// Each chunk is verified once more as it is read. The folder appears under its name only
-    /// when it is whole, so that an engine never finds half of it. Where it is there already and
-    /// right, it is left alone: an order that got no answer, or came from a process that was killed,
-    /// may be carried out while the next is prepared, and the engine would list a part of the files
-    /// (none of two in a test) and answer from them.
+    /// Each chunk is verified again when it is read. The folder gets its final name only when it is
+    /// complete, so that an engine never finds a part of it. If the folder exists and is correct, it is not
+    /// written again: an engine may still carry out an earlier order that got no answer, or that of an
+    /// agent that was killed. If the files were replaced meanwhile, the engine would list only some of them
+    /// (in a test, none of two) and answer from partial weights.
     ///
     /// # Errors
-    /// [`VersionError::Missing`] if a chunk was damaged since: go back with
-    /// [`Version::refetch`]; [`VersionError::Write`].
+    /// Returns [`VersionError::Missing`] if a chunk was damaged after the verification;
+    /// [`Version::refetch`] then goes back to fetching. Returns [`VersionError::Write`] if a file cannot be
+    /// written, and [`VersionError::Store`] if the store's disk fails.
     pub fn write_to(&self, dir: &Path) -> Result<PathBuf, VersionError> {
-        let whole = dir.join(self.root().to_string());
-        if self.is_written(&whole) {
-            return Ok(whole);
+        let path = dir.join(self.root().to_string());
+        if self.is_written(&path) {
+            return Ok(path);
         }
         let part = dir.join(format!(".{}.part", self.root()));
         let written = self.write_files(&part);
@@ -215,24 +216,25 @@
             let _ = fs::remove_dir_all(&part);
         }
         written?;
-        let failed = |error| write_error(&whole, error);
-        if whole.exists() {
-            fs::remove_dir_all(&whole).map_err(failed)?;
+        let failed = |error| write_error(&path, error);
+        if path.exists() {
+            fs::remove_dir_all(&path).map_err(failed)?;
         }
-        fs::rename(&part, &whole).map_err(failed)?;
-        Ok(whole)
+        fs::rename(&part, &path).map_err(failed)?;
+        Ok(path)
     }
 
-    /// Whether the files below `whole` are the version's.
-    fn is_written(&self, whole: &Path) -> bool {
-        let mut wants = self.held.manifest.wants().peekable();
-        let mut files = self.held.manifest.files().iter();
+    /// Returns whether the files below `path` are complete and match the manifest.
+    fn is_written(&self, path: &Path) -> bool {
+        let mut locations = self.data.manifest.locations().peekable();
+        let mut files = self.data.manifest.files().iter();
         files.all(|file| {
-            let Ok(mut written) = File::open(whole.join(&*file.name)) else {
+            let Ok(mut written) = File::open(path.join(&*file.name)) else {
                 return false;
             };
-            while let Some(want) = wants.next_if(|want| want.file.name == file.name) {
-                if !begins_with(&mut written, &want.chunk) {
+            while let Some(location) = locations.next_if(|location| location.file.name == file.name)
+            {
+                if !next_chunk_matches(&mut written, &location.chunk) {
                     return false;
                 }
             }
@@ -244,15 +246,16 @@
         if part.exists() {
             fs::remove_dir_all(part).map_err(|error| write_error(part, error))?;
         }
-        let mut wants = self.held.manifest.wants().peekable();
-        for file in self.held.manifest.files() {
+        let mut locations = self.data.manifest.locations().peekable();
+        for file in self.data.manifest.files() {
             let path = part.join(&*file.name);
             let failed = |error| write_error(&path, error);
             let folder = path.parent().unwrap_or(part);
             fs::create_dir_all(folder).map_err(failed)?;
             let mut out = File::create(&path).map_err(failed)?;
-            while let Some(want) = wants.next_if(|want| want.file.name == file.name) {
-                let bytes = self.read(want.index, want.chunk.digest)?;
+            while let Some(location) = locations.next_if(|location| location.file.name == file.name)
+            {
+                let bytes = self.read_chunk(location.index, location.chunk.digest)?;
                 out.write_all(&bytes).map_err(failed)?;
             }
             out.sync_all().map_err(failed)?;
@@ -260,26 +263,26 @@
         Ok(())
     }
 
-    fn read(&self, index: u32, digest: Digest) -> Result<bytes::Bytes, VersionError> {
+    fn read_chunk(&self, index: u32, digest: Digest) -> Result<bytes::Bytes, VersionError> {
         let missing = || VersionError::Missing {
             version: self.root(),
             missing: vec![index],
         };
-        match self.held.store.get(digest) {
+        match self.data.store.get(digest) {
             Ok(Some(bytes)) => Ok(bytes),
-            Ok(None) | Err(StoreError::Rotten { .. }) => Err(missing()),
+            Ok(None) | Err(StoreError::Damaged { .. }) => Err(missing()),
             Err(error) => Err(error.into()),
         }
     }
 
-    /// Goes back to fetching, after a chunk was found damaged.
+    /// Goes back to fetching after a chunk was found damaged.
     pub fn refetch(self) -> Version<Fetching> {
-        self.to()
+        self.into_state()
     }
 
-    /// Gives the engine the order to load.
+    /// Records that the engine was ordered to load the version.
     pub fn load(self) -> Version<Loading> {
-        self.to()
+        self.into_state()
     }
 }
 
@@ -289,49 +292,51 @@
 }
 
 impl Version<Loading> {
-    /// Takes the engine's report that it has loaded `reported`.
+    /// Records the engine's report that it has loaded `reported`.
     ///
     /// # Errors
-    /// The version verified but not loaded, if the engine reports another digest.
-    pub fn serve(self, reported: Digest) -> Result<Version<Serving>, Refused<Verified>> {
+    /// Returns the version in state [`Verified`] if the engine reports another digest.
+    pub fn serve(self, reported: Digest) -> Result<Version<Serving>, FailedTransition<Verified>> {
         let wanted = self.root();
         if reported == wanted {
-            return Ok(self.to());
+            return Ok(self.into_state());
         }
         let error = VersionError::Mismatch {
             wanted,
             got: reported,
         };
         let version = self.fail();
-        Err(Refused { version, error })
+        Err(FailedTransition { version, error })
     }
 
-    /// The engine failed to load, or took too long.
+    /// Records that the engine failed to load the version or took too long.
     pub fn fail(self) -> Version<Verified> {
-        self.to()
+        self.into_state()
     }
 }
 
 impl Version<Serving> {
-    /// Whether a request routed for `version` may be answered from this one.
+    /// Returns whether a request routed for `version` may be answered from this version.
     pub fn answers(&self, version: Digest) -> bool {
         self.root() == version
     }
 
-    /// The engine reports another version or was restarted: it no longer answers from this one.
-    pub fn lose(self) -> Version<Verified> {
-        self.to()
+    /// Records that the engine no longer serves this version, because it reports another one or was
+    /// restarted.
+    pub fn mark_unloaded(self) -> Version<Verified> {
+        self.into_state()
     }
 
-    /// Takes nothing new from here on.
+    /// Stops taking new requests.
     pub fn drain(self) -> Version<Draining> {
-        self.to()
+        self.into_state()
     }
 }
 
 impl Version<Draining> {
-    /// The last request has ended: the engine may unload, the chunks are unpinned on drop.
+    /// Records that the last request has ended. The engine may unload the version, and dropping the
+    /// returned value unpins its chunks.
     pub fn end(self) -> Version<Absent> {
-        self.to()
+        self.into_state()
     }
 }
--- a/crates/filbertstack-weights/tests/manifest.rs
+++ b/crates/filbertstack-weights/tests/manifest.rs
@@ -1,4 +1,4 @@
-//! Manifests: made from folders, encoded, and refused when they break a bound.
+//! Tests manifests: creation from folders, encoding, and rejection of invalid ones.
 
 mod support;
 
@@ -37,25 +37,25 @@
     let names: Vec<_> = sample.manifest.files().iter().map(|f| &*f.name).collect();
     assert_eq!(names, ["config.json", "layers/0.bin"]);
     assert_eq!(sample.manifest.size(), 800);
-    // 300 and 500 bytes in chunks of 64 that span no files.
+    // 300 and 500 bytes in chunks of 64, none of which spans two files.
     assert_eq!(sample.manifest.chunks().len(), 5 + 8);
     let encoded = sample.manifest.encode();
     assert_eq!(Digest::of(&encoded), sample.manifest.root());
     let decoded = Manifest::decode(sample.manifest.root(), &encoded).unwrap();
     assert_eq!(decoded, *sample.manifest);
-    let again = Manifest::of_dir(sample.dir.path(), CHUNK).unwrap();
+    let again = Manifest::from_dir(sample.dir.path(), CHUNK).unwrap();
     assert_eq!(again.root(), sample.manifest.root());
 }
 
 #[test]
-fn each_want_names_the_bytes_of_its_chunk() {
+fn each_location_covers_the_bytes_of_its_chunk() {
     let sample = sample(1);
-    for (want, bytes) in sample.manifest.wants().zip(&sample.bytes) {
-        let held = fs::read(sample.dir.path().join(&*want.file.name)).unwrap();
-        assert_eq!(held[want.range()], bytes[..]);
-        assert_eq!(want.chunk.digest, Digest::of(bytes));
+    for (location, bytes) in sample.manifest.locations().zip(&sample.bytes) {
+        let held = fs::read(sample.dir.path().join(&*location.file.name)).unwrap();
+        assert_eq!(held[location.range()], bytes[..]);
+        assert_eq!(location.chunk.digest, Digest::of(bytes));
     }
-    assert_eq!(sample.manifest.wants().count(), sample.bytes.len());
+    assert_eq!(sample.manifest.locations().count(), sample.bytes.len());
 }
 
 #[test]
@@ -65,8 +65,8 @@
     assert!(matches!(error, ManifestError::Digest { .. }), "{error}");
 }
 
-// A manifest from a hostile origin names files outside of the version's folder. If one were
-// taken, writing the version for the engine would overwrite files of the machine.
+// A manifest from a malicious origin contains names of files outside of the version's folder. If one
+// were accepted, writing the version for the engine would overwrite other files of the instance.
 #[test]
 fn names_that_leave_the_folder_are_refused() {
     let names = [
@@ -132,7 +132,7 @@
 fn damaged_encodings_are_refused() {
     let sample = sample(1);
     let mut encoded = sample.manifest.encode().to_vec();
-    // An unknown field more: the same manifest under a second name.
+    // With an additional unknown field, the same manifest would have a second digest.
     encoded.extend_from_slice(&[0x78, 1]);
     let error = Manifest::decode(Digest::of(&encoded), &encoded).unwrap_err();
     assert!(matches!(error, ManifestError::Malformed { .. }), "{error}");
@@ -143,17 +143,17 @@
 #[test]
 fn folders_that_make_no_version_are_refused() {
     let dir = tempfile::tempdir().unwrap();
-    let empty = Manifest::of_dir(dir.path(), CHUNK).unwrap_err();
+    let empty = Manifest::from_dir(dir.path(), CHUNK).unwrap_err();
     assert!(matches!(empty, ManifestError::Empty), "{empty}");
     fs::write(dir.path().join(".cache"), b"x").unwrap();
     fs::write(dir.path().join("a"), b"x").unwrap();
     assert_eq!(
-        Manifest::of_dir(dir.path(), CHUNK).unwrap().files().len(),
+        Manifest::from_dir(dir.path(), CHUNK).unwrap().files().len(),
         1
     );
-    assert!(Manifest::of_dir(dir.path(), 0).is_err());
+    assert!(Manifest::from_dir(dir.path(), 0).is_err());
     symlink(dir.path(), dir.path().join("loop")).unwrap();
-    let looped = Manifest::of_dir(dir.path(), CHUNK).unwrap_err();
+    let looped = Manifest::from_dir(dir.path(), CHUNK).unwrap_err();
     assert!(matches!(looped, ManifestError::Kind { .. }), "{looped}");
 }
 
--- a/crates/filbertstack-weights/tests/support/peer.rs
+++ b/crates/filbertstack-weights/tests/support/peer.rs
@@ -1,4 +1,4 @@
-//! A peer in memory, with the faults a peer can have.
+//! A peer in memory, which simulates faults of a peer.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -10,23 +10,23 @@
 use filbertstack_weights::Store;
 use filbertstack_weights::fetch::Fault;
 use filbertstack_weights::fetch::SourceError;
-use filbertstack_weights::manifest::Want;
+use filbertstack_weights::manifest::ChunkLocation;
 
-/// How the peer answers.
+/// The behaviour of the peer on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
-    /// With the chunk.
+pub enum Behaviour {
+    /// Returns the chunk.
     Good,
-    /// With a byte of the chunk flipped.
+    /// Returns the chunk with one bit flipped.
     Corrupt,
-    /// With an error of this kind.
+    /// Returns an error with this fault.
     Fails(Fault),
 }
 
 /// A peer that holds all chunks of a version.
 pub struct MemoryPeer {
     chunks: Vec<Bytes>,
-    pub mood: Mutex<Mood>,
+    pub behaviour: Mutex<Behaviour>,
     pub asked: Mutex<Vec<u32>>,
 }
 
@@ -44,14 +44,14 @@
     pub fn new(chunks: &[Bytes]) -> Self {
         Self {
             chunks: chunks.to_vec(),
-            mood: Mutex::new(Mood::Good),
+            behaviour: Mutex::new(Behaviour::Good),
             asked: Mutex::default(),
         }
     }
 
-    pub fn with(chunks: &[Bytes], mood: Mood) -> Self {
+    pub fn with(chunks: &[Bytes], behaviour: Behaviour) -> Self {
         let peer = Self::new(chunks);
-        *peer.mood.lock().unwrap() = mood;
+        *peer.behaviour.lock().unwrap() = behaviour;
         peer
     }
 
@@ -63,32 +63,32 @@
 impl Source for MemoryPeer {
     type Error = PeerError;
 
-    fn fetch(&self, want: &Want) -> Result<Bytes, PeerError> {
-        self.asked.lock().unwrap().push(want.index);
-        let chunk = self.chunks[want.index as usize].clone();
-        match *self.mood.lock().unwrap() {
-            Mood::Good => Ok(chunk),
-            Mood::Corrupt => Ok(flip(&chunk)),
-            Mood::Fails(fault) => Err(PeerError(fault)),
+    fn fetch(&self, location: &ChunkLocation) -> Result<Bytes, PeerError> {
+        self.asked.lock().unwrap().push(location.index);
+        let chunk = self.chunks[location.index as usize].clone();
+        match *self.behaviour.lock().unwrap() {
+            Behaviour::Good => Ok(chunk),
+            Behaviour::Corrupt => Ok(flip(&chunk)),
+            Behaviour::Fails(fault) => Err(PeerError(fault)),
         }
     }
 }
 
-/// `bytes` with one bit of the first byte flipped.
+/// Returns `bytes` with one bit of the first byte flipped.
 pub fn flip(bytes: &[u8]) -> Bytes {
     let mut bytes = bytes.to_vec();
     bytes[0] ^= 1;
     bytes.into()
 }
 
-/// A peer that serves from its store.
+/// A peer that serves the chunks of a store.
 pub struct StorePeer(pub Arc<Store>);
 
 impl Source for StorePeer {
     type Error = PeerError;
 
-    fn fetch(&self, want: &Want) -> Result<Bytes, PeerError> {
-        let held = self.0.get(want.chunk.digest);
+    fn fetch(&self, location: &ChunkLocation) -> Result<Bytes, PeerError> {
+        let held = self.0.get(location.chunk.digest);
         held.ok().flatten().ok_or(PeerError(Fault::Missing))
     }
 }
--- a/crates/filbertstack-weights/tests/version.rs
+++ b/crates/filbertstack-weights/tests/version.rs
@@ -1,4 +1,4 @@
-//! The typestate: nothing is loaded or served that was not verified under one digest.
+//! Tests the typestate: only a version that was verified under one digest is loaded and served.
 
 mod support;
 
@@ -16,12 +16,12 @@
 use support::sample;
 
 fn fill(store: &Store, sample: &Sample, count: usize) {
-    for (want, bytes) in sample.manifest.wants().zip(&sample.bytes).take(count) {
-        store.put(want.chunk.digest, bytes.clone()).unwrap();
+    for (location, bytes) in sample.manifest.locations().zip(&sample.bytes).take(count) {
+        store.put(location.chunk.digest, bytes.clone()).unwrap();
     }
 }
 
-/// A version of which the store holds every chunk.
+/// Returns a verified version, of which the store holds every chunk.
 fn verified() -> Version<Verified> {
     let sample = sample(1);
     let store = Arc::new(Store::memory(10_000));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_version_with_a_hole_is_not_verified() {
+fn a_version_with_a_missing_chunk_is_not_verified() {
     let sample = sample(1);
     let store = Arc::new(Store::memory(10_000));
     fill(&store, &sample, 12);
@@ -44,10 +44,10 @@
     assert!(refused.version.verify().is_ok());
 }
 
-// A chunk rots on disk after it was verified on arrival, before the engine gets it. The version
-// must not become verified by what was once true: each chunk is read again.
+// A chunk is damaged on disk after its version was verified and before the files are written for the
+// engine. The earlier verification must not be trusted: each chunk is read and verified again.
 #[test]
-fn rot_before_loading_leads_back_to_fetching() {
+fn damage_before_loading_leads_back_to_fetching() {
     let dir = tempfile::tempdir().unwrap();
     let sample = sample(1);
     let store = Arc::new(Store::open(dir.path(), 10_000).unwrap());
@@ -87,12 +87,12 @@
     assert_eq!(serving.drain().end().root(), root);
 }
 
-// An engine is ordered to load a version and begins to list its files. Its answer comes too late, or
-// the agent is killed: the order counts as failed, and the files are prepared once more. They were
-// removed and written anew under the engine, which saw a part of them, and callers would have got
-// answers from partial weights under the version's name.
+// An engine is ordered to load a version and begins to list its files. Its answer comes too late, or the
+// agent is killed, so that the order counts as failed and the files are prepared again. If they were
+// removed and rewritten meanwhile, the engine would see only some of them, and callers would get answers
+// from partial weights under the version's digest.
 #[test]
-fn files_that_an_engine_may_be_reading_stay_as_they_are() {
+fn intact_files_are_not_rewritten() {
     let verified = verified();
     let out = tempfile::tempdir().unwrap();
     let written = verified.write_to(out.path()).unwrap();
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn files_that_turned_bad_where_they_were_written_are_written_again() {
+fn damaged_files_are_rewritten() {
     let verified = verified();
     let out = tempfile::tempdir().unwrap();
     let file = verified.write_to(out.path()).unwrap().join("layers/0.bin");
