--- a/crates/filbertstack-core/src/serving.rs
+++ b/crates/filbertstack-core/src/serving.rs
@@ -264,7 +264,7 @@
     }
 
     /// Whether every request of `service` may go on at another target when it breaks off.
-    pub fn may_break_off(&self, service: &str) -> bool {
+    pub fn is_resumable(&self, service: &str) -> bool {
         let uses = |route: &Route| {
             let mut backends = route.backends.iter();
             backends.any(|backend| &*backend.service == service && backend.weight > 0)
--- a/crates/filbertstack-gateway/src/control/declared.rs
+++ b/crates/filbertstack-gateway/src/control/declared.rs
@@ -268,7 +268,7 @@
         engine.models.iter().map(|model| ServedModel {
             service: service.name.to_string(),
             model: model.to_string(),
-            resumable: catalogue.may_break_off(&service.name),
+            resumable: catalogue.is_resumable(&service.name),
         })
     });
     models.collect()
