--- a/crates/filbertstack-core/src/serving.rs
+++ b/crates/filbertstack-core/src/serving.rs
@@ -148,7 +148,7 @@
     /// All organisations; none means that no request needs a key.
     pub organisations: Vec<Organisation>,
     /// Whether the document speaks of organisations at all.
-    pub keyed: bool,
+    pub requires_key: bool,
     /// Bounds for callers.
     pub limits: CallerLimits,
 }
@@ -199,7 +199,7 @@
     routes: HashMap<Arc<str>, Vec<Arc<Route>>>,
     services: HashMap<Arc<str>, Arc<Service>>,
     holders: HashMap<Arc<str>, Arc<Organisation>>,
-    keyed: bool,
+    requires_key: bool,
     limits: CallerLimits,
 }
 
@@ -232,7 +232,7 @@
             routes,
             services,
             holders: holders(parts.organisations)?,
-            keyed: parts.keyed,
+            requires_key: parts.requires_key,
             limits: parts.limits,
         })
     }
@@ -274,8 +274,8 @@
     }
 
     /// Whether requests need a key, except on public routes.
-    pub fn keyed(&self) -> bool {
-        self.keyed
+    pub fn requires_key(&self) -> bool {
+        self.requires_key
     }
 
     /// The organisation that holds `key`.
--- a/crates/filbertstack-gateway/src/request/mod.rs
+++ b/crates/filbertstack-gateway/src/request/mod.rs
@@ -303,7 +303,7 @@
     route: &Route,
     head: &CallHead,
 ) -> Result<Option<Arc<str>>, Refusal> {
-    if !catalogue.keyed() {
+    if !catalogue.requires_key() {
         return Ok(None);
     }
     let holder = head.key.as_deref().and_then(|key| catalogue.holder(key));
