--- a/crates/filbertstack-core/src/declare.rs
+++ b/crates/filbertstack-core/src/declare.rs
@@ -1,4 +1,4 @@
-//! Declarations: what operators want to run, as sections of an INI file.
+//! Declarations state what operators want to run, as sections of an INI file.
 //!
 //! ```ini
 //! [deployment drafting]
@@ -44,14 +44,14 @@
 use crate::time::Millis;
 use crate::time::parse_size;
 
-/// What a copy of weights is planned for.
+/// The cost that the plan for a copy of weights minimises.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Weigh {
-    /// The shortest time to N replicas.
+    /// Minimises the time until the wanted number of replicas serve.
     #[default]
     Time,
-    /// The fewest bytes from the origin.
+    /// Minimises the bytes that the origin sends.
     Origin,
 }
 
@@ -76,12 +76,12 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Served from what the others leave, but never starved.
+    /// Requests use the capacity that higher priorities leave, but are never starved.
     Low,
-    /// The default.
+    /// Requests have the default priority.
     #[default]
     Normal,
-    /// Served before the others.
+    /// Requests are served before those of other priorities.
     High,
 }
 
@@ -101,26 +101,26 @@
     }
 }
 
-/// A model's version on a number of instances.
+/// A deployment runs one version of a model on a number of instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Deployment {
     /// Labels that rules select by.
     pub labels: Labels,
     /// The model's name in requests.
     pub model: ModelName,
-    /// The manifest's digest.
+    /// The digest of the version's manifest.
     pub version: Digest,
-    /// The number of instances to serve on.
+    /// The number of instances that serve the version.
     pub replicas: u32,
-    /// The memory it takes on an instance, in bytes.
+    /// The memory that the version takes on an instance, in bytes.
     pub memory: u64,
     /// Selects pools by their labels.
     pub pools: Selector,
-    /// What a copy is planned for.
+    /// The cost that the plan for a copy of the weights minimises.
     pub weigh: Weigh,
 }
 
-/// A set of instances.
+/// A pool is a set of instances, selected by their labels.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
     /// Labels that deployments select by.
@@ -129,42 +129,42 @@
     pub instances: Selector,
 }
 
-/// Where a rule's requests go.
+/// The destination of a rule's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Route {
-    /// To model engines that serve one of the deployments.
+    /// Requests go to model engines that serve one of the deployments.
     Models {
         /// Selects deployments by their labels.
         deployments: Selector,
-        /// Narrows the deployments' instances by their labels.
+        /// Restricts the deployments' instances by their labels.
         instances: Selector,
     },
-    /// To plain services, by the request's path unchanged.
+    /// Requests go to plain services, with their path unchanged.
     Service {
         /// Selects the instances by their labels.
         instances: Selector,
     },
 }
 
-/// Which requests go to which instances.
+/// A rule routes matching requests to instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rule {
     /// Labels for operators.
     pub labels: Labels,
-    /// Rules are tried from the lowest order up; ties by name.
+    /// The order of evaluation: rules are tried from the lowest order up, and by name where orders are equal.
     pub order: u32,
     /// Selects requests by `organisation`, `model` and `method`.
     pub requests: Selector,
-    /// Requests whose path starts with this.
+    /// The prefix of the paths that the rule matches.
     pub path: Arc<str>,
-    /// Where they go.
+    /// The destination of matching requests.
     pub route: Route,
-    /// Whether a request may run twice.
+    /// Whether a request may run more than once.
     pub idempotent: bool,
-    /// The longest a caller waits for the end of the answer.
+    /// The longest time that a caller waits for the end of the answer.
     pub timeout: Millis,
-    /// The priority at admission.
+    /// The priority of the requests at admission.
     pub priority: Priority,
 }
 
@@ -174,7 +174,7 @@
 /// The order of a rule that gives none.
 pub const DEFAULT_ORDER: u32 = 100;
 
-/// Everything declared, by name.
+/// All declared objects, by kind and name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Declarations {
     /// The deployments.
@@ -186,18 +186,18 @@
 }
 
 impl Declarations {
-    /// Reads a declaration file; `file` names it in errors.
+    /// Parses the text of a declaration file; `file` is the file name that errors report.
     ///
     /// # Errors
-    /// All problems of the file at once.
+    /// Returns all problems of the file.
     pub fn parse(file: &str, text: &str) -> Result<Self, Problems> {
         Self::from_document(Document::parse(file, text)?)
     }
 
-    /// Reads the sections of `document`.
+    /// Reads the declarations from the sections of `document`.
     ///
     /// # Errors
-    /// All problems at once.
+    /// Returns all problems of the document.
     pub fn from_document(document: Document) -> Result<Self, Problems> {
         let mut declared = Self::default();
         let mut problems = Problems::default();
@@ -220,7 +220,7 @@
         }
     }
 
-    /// The rules in the order in which they are tried.
+    /// Returns the rules in the order in which they are tried.
     pub fn ordered_rules(&self) -> Vec<(&RuleName, &Rule)> {
         let mut rules: Vec<_> = self.rules.iter().collect();
         rules.sort_by_key(|(name, rule)| (rule.order, (*name).clone()));
@@ -229,7 +229,7 @@
 }
 
 fn insert<N: FromStr<Err = ValueError> + Ord, T>(
-    into: &mut BTreeMap<N, T>,
+    objects: &mut BTreeMap<N, T>,
     section: &mut Section,
     problems: &mut Problems,
     reader: fn(&mut Section, &mut Problems) -> Option<T>,
@@ -238,7 +238,7 @@
     let value = reader(section, problems);
     match (name, value) {
         (Ok(name), Some(value)) => {
-            into.insert(name, value);
+            objects.insert(name, value);
         }
         (Err(error), _) => problems.0.push(section.problem(section.line, error)),
         (Ok(_), None) => {}
--- a/crates/filbertstack-core/src/digest.rs
+++ b/crates/filbertstack-core/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests: the BLAKE3 hash that names a chunk or a version of weights.
+//! A digest is the BLAKE3 hash that identifies a chunk or a version of weights.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,22 +13,22 @@
 pub struct Digest([u8; DIGEST_LEN]);
 
 impl Digest {
-    /// The digest of `bytes`.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
     }
 
-    /// A digest from its raw bytes; `None` if there are not [`DIGEST_LEN`] of them.
+    /// Creates a digest from its raw bytes; returns `None` unless there are exactly [`DIGEST_LEN`] of them.
     pub fn from_slice(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Self)
     }
 
-    /// The raw bytes.
+    /// Returns the raw bytes.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// The raw bytes in a vector, as messages carry them.
+    /// Returns the raw bytes as a vector, the form that messages carry.
     pub fn to_vec(self) -> Vec<u8> {
         self.0.to_vec()
     }
--- a/crates/filbertstack-core/src/error.rs
+++ b/crates/filbertstack-core/src/error.rs
@@ -1,76 +1,76 @@
-//! Errors of values read from text.
+//! Errors of values that are parsed from text.
 
 use thiserror::Error;
 
-/// A value that does not read as what it should be.
+/// A text cannot be parsed as a value of the expected type.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ValueError {
-    /// A name has a wrong character or length.
+    /// A name contains an invalid character or has an invalid length.
     #[error(
         "'{text}' is not a name: use 1 to 63 letters, digits, '.', '_' or '-', \
          starting with a letter or digit"
     )]
     Name {
-        /// The text, cut to the longest name.
+        /// The text, truncated to the maximum length of a name.
         text: String,
     },
-    /// A list of labels does not read.
+    /// A list of labels contains a part that is not `key=value`.
     #[error("'{text}' is not a label: write key=value, separated by commas")]
     Label {
-        /// The part that does not read.
+        /// The part that cannot be parsed.
         text: String,
     },
-    /// A label key stands twice.
+    /// A label key occurs twice.
     #[error("the label key '{key}' is given twice: keep one of them")]
-    LabelTwice {
-        /// The key.
+    DuplicateLabel {
+        /// The duplicate key.
         key: String,
     },
-    /// A selector does not read.
+    /// A selector contains a part that is not a requirement.
     #[error(
         "'{text}' is not a requirement: write key=value, key!=value, key in (a, b), \
          key notin (a, b), key or !key, separated by commas"
     )]
     Requirement {
-        /// The part that does not read.
+        /// The part that cannot be parsed.
         text: String,
     },
-    /// A digest does not read.
+    /// A digest cannot be parsed.
     #[error("'{text}' is not a digest: give the 64 hexadecimal digits that 'publish' printed")]
     Digest {
-        /// The text, cut to 80 characters.
+        /// The text, truncated to 80 characters.
         text: String,
     },
-    /// A duration does not read.
+    /// A duration cannot be parsed.
     #[error("'{text}' is not a duration: write a whole number with ms, s, m or h, such as 500ms")]
     Duration {
-        /// The text.
+        /// The text that was given.
         text: String,
     },
-    /// A size does not read.
+    /// A size cannot be parsed.
     #[error("'{text}' is not a size: write a whole number with B, KiB, MiB, GiB or TiB")]
     Size {
-        /// The text.
+        /// The text that was given.
         text: String,
     },
-    /// A count does not read.
+    /// A count cannot be parsed.
     #[error("'{text}' is not a count: write a whole number up to 4294967295")]
     Count {
-        /// The text.
+        /// The text that was given.
         text: String,
     },
-    /// An address does not read.
+    /// An address cannot be parsed.
     #[error("'{text}' is not an address: write IP:port, such as 10.0.0.1:9080")]
     Address {
-        /// The text.
+        /// The text that was given.
         text: String,
     },
-    /// A value is none of those allowed.
+    /// A value is not one of the allowed ones.
     #[error("'{text}' is none of the values allowed here: use {allowed}")]
     Choice {
-        /// The text.
+        /// The text that was given.
         text: String,
-        /// The values allowed.
+        /// The allowed values, as the error message lists them.
         allowed: &'static str,
     },
 }
--- a/crates/filbertstack-core/src/ini.rs
+++ b/crates/filbertstack-core/src/ini.rs
@@ -1,7 +1,8 @@
-//! INI files read with the line of every key, so that each error can point at its cause.
+//! This module parses INI files and keeps the line number of every key, so that each error can point at its
+//! cause.
 //!
-//! A reader takes the keys it knows out of a [`Section`]; [`Section::finish`] then reports every
-//! key that nobody took. All errors of a file are gathered in one [`Problems`].
+//! A reader takes the keys that it knows out of a [`Section`]; [`Section::finish`] then reports every key
+//! that was not taken. All errors of a file are collected in one [`Problems`].
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,27 +14,27 @@
 
 use crate::error::ValueError;
 
-/// One fault of a file: where it is, what was expected and the remedy.
+/// One error in a file, with its position, the expected form and the remedy.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{file}:{line}: {what}")]
 pub struct Problem {
-    /// The file's name as it was given.
+    /// The name of the file, as the caller gave it.
     pub file: Arc<str>,
-    /// The line, counted from 1.
+    /// The line number, counted from 1.
     pub line: usize,
-    /// What is wrong and what to do about it.
+    /// The description of the error and its remedy.
     pub what: String,
 }
 
-/// Every fault of a file at once, in the order of lines.
+/// All errors of a file; [`Problems::into_result`] sorts them by line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Problems(pub Vec<Problem>);
 
 impl Problems {
-    /// `Ok(value)` if there is no problem, all of them otherwise.
+    /// Returns `Ok(value)` if there are no problems.
     ///
     /// # Errors
-    /// The problems, sorted by line.
+    /// Returns all problems, sorted by line.
     pub fn into_result<T>(mut self, value: T) -> Result<T, Self> {
         if self.0.is_empty() {
             return Ok(value);
@@ -63,21 +64,21 @@
     taken: bool,
 }
 
-/// One section and its keys.
+/// One section of a file and its keys.
 #[derive(Clone, Debug)]
 pub struct Section {
     /// The first word of the header: `deployment` in `[deployment drafting]`.
     pub kind: String,
     /// The rest of the header: `drafting`; empty if there is none.
     pub title: String,
-    /// The header's line.
+    /// The line number of the header.
     pub line: usize,
     file: Arc<str>,
     entries: Vec<Entry>,
 }
 
 impl Section {
-    /// A problem of this section at `line`.
+    /// Creates a problem in this section's file at `line`.
     pub fn problem(&self, line: usize, what: impl fmt::Display) -> Problem {
         Problem {
             file: self.file.clone(),
@@ -86,12 +87,13 @@
         }
     }
 
-    /// Whether the section has `key`.
+    /// Returns whether the section has `key`.
     pub fn has(&self, key: &str) -> bool {
         self.entries.iter().any(|entry| entry.key == key)
     }
 
-    /// Takes the text of `key` with its line, if it is there.
+    /// Takes the value of `key` and returns it with its line; returns `None` if it is absent or already
+    /// taken.
     pub fn take(&mut self, key: &str) -> Option<(String, usize)> {
         let entry = self
             .entries
@@ -101,7 +103,8 @@
         Some((entry.value.clone(), entry.line))
     }
 
-    /// Takes and reads `key`; `None` if it is absent or wrong, in which case `problems` grows.
+    /// Takes and parses `key`. Returns `None` if the key is absent or invalid; an invalid value is added to
+    /// `problems`.
     pub fn read<T: FromStr<Err = E>, E: fmt::Display>(
         &mut self,
         key: &str,
@@ -110,7 +113,7 @@
         self.read_with(key, problems, T::from_str)
     }
 
-    /// Like [`Section::read`], by the reader given.
+    /// Does the same as [`Section::read`], with the given parser.
     pub fn read_with<T, E: fmt::Display>(
         &mut self,
         key: &str,
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Like [`Section::read`], but an absent key is a problem too.
+    /// Does the same as [`Section::read`], and reports an absent key as a problem.
     pub fn require<T: FromStr<Err = E>, E: fmt::Display>(
         &mut self,
         key: &str,
@@ -138,7 +141,7 @@
         self.require_with(key, problems, T::from_str)
     }
 
-    /// Like [`Section::require`], by the reader given.
+    /// Does the same as [`Section::require`], with the given parser.
     pub fn require_with<T, E: fmt::Display>(
         &mut self,
         key: &str,
@@ -164,7 +167,7 @@
         }
     }
 
-    /// The header as it was written.
+    /// Returns the text of the header, without brackets.
     pub fn header(&self) -> String {
         if self.title.is_empty() {
             return self.kind.clone();
@@ -173,20 +176,20 @@
     }
 }
 
-/// A file's sections in order.
+/// The sections of a file, in the order of the file.
 #[derive(Clone, Debug)]
 pub struct Document {
-    /// The file's name as it was given.
+    /// The name of the file, as the caller gave it.
     pub file: Arc<str>,
     /// The sections.
     pub sections: Vec<Section>,
 }
 
 impl Document {
-    /// Reads `text`; `file` names it in errors. Comments start with `;` or `#`.
+    /// Parses `text`; `file` is the file name that errors report. Comments start with `;` or `#`.
     ///
     /// # Errors
-    /// Every line that is no header, key or comment, and every section or key given twice.
+    /// Returns every line that is not a header, key or comment, and every duplicate section or key.
     pub fn parse(file: &str, text: &str) -> Result<Self, Problems> {
         let mut document = Self {
             file: file.into(),
@@ -228,7 +231,7 @@
             .split_once(char::is_whitespace)
             .unwrap_or((header, ""));
         let (kind, title) = (kind.trim().to_owned(), title.trim().to_owned());
-        let twice = self
+        let duplicate = self
             .sections
             .iter()
             .any(|s| s.kind == kind && s.title == title);
@@ -240,7 +243,7 @@
             file,
             entries: Vec::new(),
         });
-        if twice {
+        if duplicate {
             return Err(format!("the section [{header}] stands twice: join the two"));
         }
         Ok(())
@@ -263,7 +266,7 @@
         Ok(())
     }
 
-    /// Takes the section `[kind]` out of the document, if it is there.
+    /// Removes the section `[kind]` from the document and returns it, if it is present.
     pub fn take(&mut self, kind: &str) -> Option<Section> {
         let index = self
             .sections
@@ -272,7 +275,7 @@
         Some(self.sections.remove(index))
     }
 
-    /// Reports every section that was not taken.
+    /// Reports every section that was not taken out of the document.
     pub fn finish(&self, problems: &mut Problems) {
         for section in &self.sections {
             let what = format!(
@@ -284,10 +287,10 @@
     }
 }
 
-/// Reads `true` or `false`.
+/// Parses `true` or `false`.
 ///
 /// # Errors
-/// [`ValueError::Choice`].
+/// Returns [`ValueError::Choice`] for any other text.
 pub fn parse_bool(text: &str) -> Result<bool, ValueError> {
     match text {
         "true" => Ok(true),
@@ -299,10 +302,10 @@
     }
 }
 
-/// Reads a whole number.
+/// Parses a whole number.
 ///
 /// # Errors
-/// [`ValueError::Count`].
+/// Returns [`ValueError::Count`] if the text is not a number of type `u32`.
 pub fn parse_count(text: &str) -> Result<u32, ValueError> {
     text.parse()
         .map_err(|_| ValueError::Count { text: text.into() })
--- a/crates/filbertstack-core/src/labels.rs
+++ b/crates/filbertstack-core/src/labels.rs
@@ -1,4 +1,4 @@
-//! Labels: small sets of `key=value` that operators attach to what they declare.
+//! Labels are small sets of `key=value` pairs that operators attach to declared objects.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,21 +11,21 @@
 use crate::error::ValueError;
 use crate::names::check_name;
 
-/// A set of labels, at most one value a key, in the order of the keys.
+/// A set of labels with at most one value for each key, ordered by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Labels(BTreeMap<Arc<str>, Arc<str>>);
 
 impl Labels {
-    /// The value of `key`, if the set has one.
+    /// Returns the value of `key`, if the set has one.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key).map(AsRef::as_ref)
     }
 
-    /// Sets `key` to `value`; an earlier value is replaced.
+    /// Sets `key` to `value` and replaces an earlier value.
     ///
     /// # Errors
-    /// [`ValueError::Name`] if either is no name.
+    /// Returns [`ValueError::Name`] if `key` or `value` is not a valid name.
     pub fn set(&mut self, key: &str, value: &str) -> Result<(), ValueError> {
         check_name(key)?;
         check_name(value)?;
@@ -33,14 +33,14 @@
         Ok(())
     }
 
-    /// The labels in the order of their keys.
+    /// Iterates over the labels in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0
             .iter()
             .map(|(key, value)| (key.as_ref(), value.as_ref()))
     }
 
-    /// Whether the set is empty.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -56,11 +56,11 @@
             .map(str::trim)
             .filter(|part| !part.is_empty())
         {
-            let label = || ValueError::Label { text: part.into() };
-            let (key, value) = part.split_once('=').ok_or_else(label)?;
+            let malformed = || ValueError::Label { text: part.into() };
+            let (key, value) = part.split_once('=').ok_or_else(malformed)?;
             let (key, value) = (key.trim(), value.trim());
             if labels.get(key).is_some() {
-                return Err(ValueError::LabelTwice { key: key.into() });
+                return Err(ValueError::DuplicateLabel { key: key.into() });
             }
             labels.set(key, value)?;
         }
--- a/crates/filbertstack-core/src/lib.rs
+++ b/crates/filbertstack-core/src/lib.rs
@@ -1,8 +1,9 @@
-//! Words that every other crate shares: names, labels, selectors, digests, declarations, settings.
+//! This crate defines the types that all other crates share: names, labels, selectors, digests, declarations
+//! and settings.
 //!
-//! Nothing here talks to a network or reads a clock. A declaration file is read with
-//! [`declare::Declarations::parse`]; a settings file with [`ini::Document::parse`] and the
-//! `settings` modules of the crates that own the keys.
+//! The crate uses no network and reads no clock. [`declare::Declarations::parse`] reads a declaration file;
+//! [`ini::Document::parse`] reads a settings file, and the `settings` modules of the crates that own the keys
+//! interpret it.
 
 pub mod declare;
 pub mod digest;
--- a/crates/filbertstack-core/src/names.rs
+++ b/crates/filbertstack-core/src/names.rs
@@ -1,4 +1,4 @@
-//! Names: shared immutable strings, one type for each kind of thing.
+//! Names are shared immutable strings, with one type for each kind of object.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -7,18 +7,20 @@
 
 use crate::error::ValueError;
 
-/// The longest name, in bytes: a DNS label's length, so that a name fits every metric and path.
+/// The maximum length of a name in bytes. It equals that of a DNS label, so that a name fits into every
+/// metric and path.
 pub const MAX_NAME: usize = 63;
 
-/// Checks that `text` is a name: 1 to [`MAX_NAME`] of `[A-Za-z0-9._-]`, starting alphanumeric.
+/// Checks that `text` is a valid name: 1 to [`MAX_NAME`] characters of `[A-Za-z0-9._-]`, the first of them
+/// alphanumeric.
 ///
 /// # Errors
-/// [`ValueError::Name`] says what a name looks like.
+/// Returns [`ValueError::Name`], whose message describes a valid name.
 pub fn check_name(text: &str) -> Result<(), ValueError> {
-    let starts = text.starts_with(|c: char| c.is_ascii_alphanumeric());
+    let valid_start = text.starts_with(|c: char| c.is_ascii_alphanumeric());
     let fits = text.len() <= MAX_NAME;
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
-    if starts && fits && text.chars().all(allowed) {
+    if valid_start && fits && text.chars().all(allowed) {
         return Ok(());
     }
     Err(ValueError::Name {
@@ -33,7 +35,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name's text.
+            /// Returns the text of the name.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -82,7 +84,7 @@
 }
 
 name! {
-    /// The name of a model, as callers give it in a request.
+    /// The name of a model, as callers send it in a request.
     ModelName;
     /// The name of a deployment.
     DeploymentName;
@@ -96,6 +98,6 @@
     ZoneName;
     /// The name of a region.
     RegionName;
-    /// The name of an organisation whose members call.
+    /// The name of an organisation that callers belong to.
     OrgName;
 }
--- a/crates/filbertstack-core/src/render.rs
+++ b/crates/filbertstack-core/src/render.rs
@@ -1,7 +1,7 @@
-//! Declarations written back as the INI text that [`Declarations::parse`] reads.
+//! This module writes declarations as the INI text that [`Declarations::parse`] reads.
 //!
-//! The text is canonical: equal declarations give equal bytes, in the order of kinds and names,
-//! with every key that has a value. The replicated state keeps, compares and sends this form.
+//! The text is canonical: equal declarations give equal bytes. Objects are ordered by kind and name, and
+//! every key that has a value is written. The replicated state stores, compares and sends this form.
 
 use std::fmt;
 use std::fmt::Write;
@@ -34,7 +34,7 @@
     }
 }
 
-/// The keys of a deployment's section, without its header.
+/// Writes the keys of a deployment's section, without its header.
 impl fmt::Display for Deployment {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write_unless_empty(f, "labels", &self.labels)?;
@@ -47,7 +47,7 @@
     }
 }
 
-/// The keys of a pool's section, without its header.
+/// Writes the keys of a pool's section, without its header.
 impl fmt::Display for Pool {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write_unless_empty(f, "labels", &self.labels)?;
@@ -55,7 +55,7 @@
     }
 }
 
-/// The keys of a rule's section, without its header.
+/// Writes the keys of a rule's section, without its header.
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write_unless_empty(f, "labels", &self.labels)?;
--- a/crates/filbertstack-core/src/selector.rs
+++ b/crates/filbertstack-core/src/selector.rs
@@ -1,4 +1,4 @@
-//! Selectors: requirements over labels, all of which must hold.
+//! A selector is a list of requirements on labels, all of which must hold.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,10 +8,10 @@
 use crate::labels::Labels;
 use crate::names::check_name;
 
-/// What a selector asks of one key.
+/// The condition that a requirement places on the value of its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Demand {
-    /// The value is one of these: `key=a` or `key in (a, b)`.
+    /// The value is in the set: `key=a` or `key in (a, b)`.
     In(Vec<Arc<str>>),
     /// The key is absent or has another value: `key!=a` or `key notin (a, b)`.
     NotIn(Vec<Arc<str>>),
@@ -22,12 +22,13 @@
 }
 
 impl Demand {
-    /// Whether the value of the key, `None` if it is absent, meets this demand.
+    /// Returns whether `value` meets this demand; `None` means that the key is absent.
     pub fn allows(&self, value: Option<&str>) -> bool {
-        let among = |set: &[Arc<str>]| value.is_some_and(|v| set.iter().any(|s| s.as_ref() == v));
+        let contains =
+            |set: &[Arc<str>]| value.is_some_and(|v| set.iter().any(|s| s.as_ref() == v));
         match self {
-            Self::In(set) => among(set),
-            Self::NotIn(set) => !among(set),
+            Self::In(set) => contains(set),
+            Self::NotIn(set) => !contains(set),
             Self::Present => value.is_some(),
             Self::Absent => value.is_none(),
         }
@@ -39,32 +40,32 @@
 pub struct Requirement {
     /// The label key.
     pub key: Arc<str>,
-    /// What is asked of its value.
+    /// The condition on the value of the key.
     pub demand: Demand,
 }
 
 impl Requirement {
-    /// Whether `labels` meet this requirement.
+    /// Returns whether `labels` meet this requirement.
     pub fn matches(&self, labels: &Labels) -> bool {
         self.demand.allows(labels.get(&self.key))
     }
 }
 
-/// Requirements that must all hold; an empty selector matches everything.
+/// A list of requirements that must all hold; an empty selector matches all labels.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Selector {
     requirements: Vec<Requirement>,
 }
 
 impl Selector {
-    /// Whether `labels` meet every requirement.
+    /// Returns whether `labels` meet every requirement.
     pub fn matches(&self, labels: &Labels) -> bool {
         self.requirements
             .iter()
             .all(|requirement| requirement.matches(labels))
     }
 
-    /// Whether some set of labels could meet both selectors.
+    /// Returns whether any set of labels can meet both selectors.
     pub fn overlaps(&self, other: &Self) -> bool {
         let both = || self.requirements.iter().chain(&other.requirements);
         both().all(|requirement| {
@@ -74,29 +75,29 @@
         })
     }
 
-    /// Whether some set of labels could meet the selector; `a=x, a=y` meets none.
+    /// Returns whether any set of labels can meet the selector; no labels meet `a=x, a=y`.
     pub fn is_satisfiable(&self) -> bool {
         self.overlaps(&Self::default())
     }
 
-    /// The requirements in the order they were written.
+    /// Returns the requirements in the order of the text.
     pub fn requirements(&self) -> &[Requirement] {
         &self.requirements
     }
 }
 
-/// Whether one value, or the absence of any, meets all demands on one key.
+/// Returns whether one value of a key, or its absence, meets all `demands` on that key.
 fn satisfiable(demands: &[&Demand]) -> bool {
-    let meets = |value: Option<&str>| demands.iter().all(|demand| demand.allows(value));
-    let named = demands.iter().filter_map(|demand| match demand {
+    let meets_all = |value: Option<&str>| demands.iter().all(|demand| demand.allows(value));
+    let value_sets = demands.iter().filter_map(|demand| match demand {
         Demand::In(set) => Some(set),
         _ => None,
     });
-    let bound = |demand: &&Demand| matches!(demand, Demand::In(_) | Demand::Absent);
-    // Without `In` there are more values than any number of `NotIn` can rule out.
-    let free = !demands.iter().any(bound);
-    let mut values = named.flatten();
-    free || meets(None) || values.any(|value| meets(Some(value)))
+    let bounds_value = |demand: &&Demand| matches!(demand, Demand::In(_) | Demand::Absent);
+    // Without `In` or `Absent`, the values are unbounded: any number of `NotIn` leaves some of them.
+    let unbounded = !demands.iter().any(bounds_value);
+    let mut values = value_sets.flatten();
+    unbounded || meets_all(None) || values.any(|value| meets_all(Some(value)))
 }
 
 impl FromStr for Selector {
@@ -106,7 +107,7 @@
         let parts = split_outside_parentheses(text);
         let requirements = parts
             .into_iter()
-            .map(requirement)
+            .map(parse_requirement)
             .collect::<Result<_, _>>()?;
         Ok(Self { requirements })
     }
@@ -114,7 +115,7 @@
 
 fn split_outside_parentheses(text: &str) -> Vec<&str> {
     let mut depth = 0_u32;
-    let separators = |c: char| {
+    let is_separator = |c: char| {
         match c {
             '(' => depth += 1,
             ')' => depth = depth.saturating_sub(1),
@@ -122,15 +123,15 @@
         }
         c == ',' && depth == 0
     };
-    text.split(separators)
+    text.split(is_separator)
         .map(str::trim)
         .filter(|part| !part.is_empty())
         .collect()
 }
 
-fn requirement(text: &str) -> Result<Requirement, ValueError> {
+fn parse_requirement(text: &str) -> Result<Requirement, ValueError> {
     let (key, demand) =
-        parse_requirement(text).ok_or_else(|| ValueError::Requirement { text: text.into() })?;
+        split_requirement(text).ok_or_else(|| ValueError::Requirement { text: text.into() })?;
     check_name(key)?;
     Ok(Requirement {
         key: key.into(),
@@ -138,30 +139,34 @@
     })
 }
 
-fn parse_requirement(text: &str) -> Option<(&str, Demand)> {
+fn split_requirement(text: &str) -> Option<(&str, Demand)> {
     if let Some((key, value)) = text.split_once("!=") {
-        return Some((key.trim(), Demand::NotIn(vec![value_of(value)?])));
+        return Some((key.trim(), Demand::NotIn(vec![parse_value(value)?])));
     }
     if let Some((key, value)) = text.split_once('=') {
-        return Some((key.trim(), Demand::In(vec![value_of(value)?])));
+        return Some((key.trim(), Demand::In(vec![parse_value(value)?])));
     }
     if let Some(key) = text.strip_prefix('!') {
         return Some((key.trim(), Demand::Absent));
     }
     let Some((head, list)) = text.split_once('(') else {
-        let lone = !text.contains(char::is_whitespace);
-        return lone.then_some((text, Demand::Present));
+        let single_word = !text.contains(char::is_whitespace);
+        return single_word.then_some((text, Demand::Present));
     };
-    let set: Option<Vec<_>> = list.strip_suffix(')')?.split(',').map(value_of).collect();
-    let (key, verb) = head.trim().split_once(char::is_whitespace)?;
-    match verb.trim() {
+    let set: Option<Vec<_>> = list
+        .strip_suffix(')')?
+        .split(',')
+        .map(parse_value)
+        .collect();
+    let (key, operator) = head.trim().split_once(char::is_whitespace)?;
+    match operator.trim() {
         "in" => Some((key, Demand::In(set?))),
         "notin" => Some((key, Demand::NotIn(set?))),
         _ => None,
     }
 }
 
-fn value_of(text: &str) -> Option<Arc<str>> {
+fn parse_value(text: &str) -> Option<Arc<str>> {
     let text = text.trim();
     check_name(text).ok()?;
     Some(text.into())
--- a/crates/filbertstack-core/src/serving.rs
+++ b/crates/filbertstack-core/src/serving.rs
@@ -1,7 +1,8 @@
-//! A whole configuration as one versioned document: routes, services, organisations and limits.
+//! This module holds a complete configuration as one versioned document: routes, services, organisations and
+//! limits.
 //!
-//! Where operators replace the whole configuration at once, it is decoded into [`Parts`] and
-//! checked by [`Catalogue::build`]. A catalogue never changes; a newer one takes its place.
+//! Where operators replace the complete configuration at once, it is decoded into [`Parts`] and validated by
+//! [`Catalogue::build`]. A catalogue is immutable; a new version replaces it.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -11,121 +12,121 @@
 
 use thiserror::Error;
 
-/// What may be done when it is not known whether a request ran.
+/// Determines whether a request may be repeated when it is unknown whether it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     /// The request may run more than once.
     Idempotent,
-    /// The request may run once at most.
+    /// The request may run at most once.
     Once,
     /// The answer is a stream that another target can resume after the last event received.
     Resumable,
 }
 
-/// One routing rule.
+/// A route sends requests for one host and path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The rule's name.
+    /// The name of the route.
     pub name: Arc<str>,
-    /// The host that it answers for, in lower case.
+    /// The host that the route serves, in lower case.
     pub host: Arc<str>,
-    /// What the path begins with; begins and ends with a slash.
+    /// The prefix of the paths that the route serves; it starts and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub repeat: Repeat,
-    /// The longest time in which a request must have its final answer.
+    /// The time within which a request must have its complete answer.
     pub timeout: Duration,
-    /// The time within which an answer, or its first event, is worth most to the caller.
+    /// The target latency of an answer, or of the first event of a stream.
     pub goal: Duration,
-    /// The longest pause between two events of a stream that is still on time.
+    /// The target for the longest interval between two events of a stream.
     pub pause: Option<Duration>,
-    /// The rank among routes; 0 is first.
+    /// The priority among routes; 0 is the highest.
     pub priority: u8,
-    /// The services that requests are split over, by weight.
+    /// The services that share the requests, by weight.
     pub backends: Vec<Backend>,
-    /// The most targets that one request may be sent to.
+    /// The maximum number of targets that one request may be sent to.
     pub attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub public: bool,
 }
 
-/// One service of a route and its share.
+/// A service of a route and its share of the requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Backend {
     /// The service's name.
     pub service: Arc<str>,
-    /// Its share of the route's requests, against the sum of all.
+    /// The service's share of the route's requests, relative to the sum of all weights.
     pub weight: u32,
 }
 
-/// A service that targets announce themselves for.
+/// A service that targets register for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// The service's name.
     pub name: Arc<str>,
-    /// The most connections that one of its targets takes from all callers together.
+    /// The maximum number of connections that one of its targets accepts from all callers together.
     pub connections: u32,
-    /// How its model engines compute, if they are such.
+    /// The performance figures of its model engines, if its targets are model engines.
     pub engine: Option<EngineModel>,
-    /// Where its weights come from, if it is an origin of weights.
+    /// The address that its weights come from, if the service is an origin of weights.
     pub origin: Option<SocketAddr>,
 }
 
-/// The published figures of a model engine.
+/// The published performance figures of a model engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineModel {
-    /// Requests in one batch.
+    /// The number of requests in one batch.
     pub slots: u32,
-    /// Token steps in one pass.
+    /// The number of token steps in one pass.
     pub stride: u32,
-    /// Milliseconds of one step, without requests.
+    /// The duration of one step without requests, in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds that each writing request adds to a step.
+    /// The milliseconds that each request in the decode phase adds to a step.
     pub request_ms: f64,
-    /// Milliseconds that 1,000 tokens of context add to a step.
+    /// The milliseconds that 1,000 tokens of context add to a step.
     pub context_ms: f64,
-    /// Prompt tokens read in a millisecond.
+    /// The number of prompt tokens that the engine reads in a millisecond.
     pub read_rate: f64,
-    /// Milliseconds a million pairs of a prompt's tokens take.
+    /// The milliseconds that a million pairs of prompt tokens take.
     pub pairs_ms: f64,
-    /// The mean prompt, in tokens.
+    /// The mean length of a prompt, in tokens.
     pub prompt: f64,
-    /// The mean answer, in tokens.
+    /// The mean length of an answer, in tokens.
     pub answer: f64,
-    /// Pieces of one version of the weights.
+    /// The number of pieces in one version of the weights.
     pub pieces: u32,
-    /// Bytes of one piece.
+    /// The size of one piece, in bytes.
     pub piece_bytes: u32,
-    /// The models that its engines serve.
+    /// The models that the engine serves.
     pub models: Vec<Arc<str>>,
 }
 
-/// A caller's organisation.
+/// An organisation that callers belong to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Organisation {
-    /// Its name.
+    /// The name of the organisation.
     pub name: Arc<str>,
-    /// The keys that its callers show.
+    /// The keys that its callers present.
     pub keys: Vec<Arc<str>>,
-    /// Its rank; goes before the route's if there is one.
+    /// The priority of its requests; it overrides the priority of the route.
     pub priority: Option<u8>,
 }
 
-/// Bounds on what a caller may send, and how slowly.
+/// Limits on the size and the duration of what a caller sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// The maximum size of a request's head, in bytes.
     pub head: usize,
-    /// Bytes of a request's body.
+    /// The maximum size of a request's body, in bytes.
     pub body: usize,
-    /// How long a head may take to arrive.
+    /// The maximum time in which a head must arrive.
     pub head_time: Duration,
-    /// How long a kept connection may stay idle.
+    /// The maximum time that a kept-alive connection may stay idle.
     pub idle: Duration,
 }
 
 impl Default for CallerLimits {
-    /// What holds until a configuration says otherwise: common servers' bounds.
+    /// Returns the limits that apply until a configuration sets others; they are those of common servers.
     fn default() -> Self {
         Self {
             head: 16 << 10,
@@ -136,27 +137,27 @@
     }
 }
 
-/// A decoded configuration, not checked yet.
+/// A decoded configuration that has not been validated.
 #[derive(Clone, Debug, Default)]
 pub struct Parts {
-    /// The document's version.
+    /// The version of the document.
     pub version: u64,
-    /// All routes.
+    /// The routes.
     pub routes: Vec<Route>,
-    /// All services.
+    /// The services.
     pub services: Vec<Service>,
-    /// All organisations; none means that no request needs a key.
+    /// The organisations whose keys are accepted.
     pub organisations: Vec<Organisation>,
-    /// Whether the document speaks of organisations at all.
+    /// Whether the document has a list of organisations; without one, no request needs a key.
     pub requires_key: bool,
-    /// Bounds for callers.
+    /// The limits for callers.
     pub limits: CallerLimits,
 }
 
-/// Why a configuration is not accepted.
+/// The reason why a configuration is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CatalogueError {
-    /// A route sends to a service that isn't there.
+    /// A route refers to a service that is not declared.
     #[error("route {route} sends to service {service}, which is not declared: declare it")]
     UnknownService {
         /// The route's name.
@@ -164,35 +165,35 @@
         /// The service's name.
         service: Arc<str>,
     },
-    /// Two routes would answer for the same requests.
+    /// Two routes have the same host and path prefix.
     #[error("route {route} has the host and prefix of another route: change one of them")]
-    SamePlace {
+    DuplicateRoute {
         /// The later route's name.
         route: Arc<str>,
     },
-    /// No service of a route gets a share.
+    /// The weights of a route's services add up to zero.
     #[error("the weights of route {route} add up to 0: give a service a weight")]
-    NoWeight {
+    ZeroWeight {
         /// The route's name.
         route: Arc<str>,
     },
-    /// Every request of a route would time out at once.
+    /// A route has a timeout of zero, so that every request would time out at once.
     #[error("route {route} has a timeout of 0: give it one of a millisecond or more")]
-    NoTimeout {
+    ZeroTimeout {
         /// The route's name.
         route: Arc<str>,
     },
-    /// A key would stand for two organisations.
+    /// Two organisations have the same key.
     #[error("organisations {first} and {second} share a key: give each its own")]
     SharedKey {
-        /// The earlier organisation.
+        /// The name of the earlier organisation.
         first: Arc<str>,
-        /// The later one.
+        /// The name of the later organisation.
         second: Arc<str>,
     },
 }
 
-/// A checked configuration, arranged for look-ups.
+/// A validated configuration, indexed for look-ups.
 #[derive(Debug, Default)]
 pub struct Catalogue {
     version: u64,
@@ -204,19 +205,19 @@
 }
 
 impl Catalogue {
-    /// Checks the parts and arranges them.
+    /// Validates the parts and indexes them.
     ///
     /// # Errors
-    /// The first [`CatalogueError`] found.
+    /// Returns the first [`CatalogueError`] found.
     pub fn build(parts: Parts) -> Result<Self, CatalogueError> {
         let services = parts.services.into_iter().map(Arc::new);
         let services: HashMap<_, _> = services.map(|s| (s.name.clone(), s)).collect();
-        let mut places = HashSet::new();
+        let mut prefixes = HashSet::new();
         for route in &parts.routes {
             check_route(route, &services)?;
-            if !places.insert((route.host.clone(), route.prefix.clone())) {
+            if !prefixes.insert((route.host.clone(), route.prefix.clone())) {
                 let route = route.name.clone();
-                return Err(CatalogueError::SamePlace { route });
+                return Err(CatalogueError::DuplicateRoute { route });
             }
         }
         let mut routes: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
@@ -231,39 +232,39 @@
             version: parts.version,
             routes,
             services,
-            holders: holders(parts.organisations)?,
+            holders: index_keys(parts.organisations)?,
             requires_key: parts.requires_key,
             limits: parts.limits,
         })
     }
 
-    /// The document's version.
+    /// Returns the version of the document.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The bounds for callers.
+    /// Returns the limits for callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// The route with the longest prefix that begins the path.
+    /// Returns the route of `host` with the longest prefix that matches the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = self.routes.get(host.to_ascii_lowercase().as_str())?;
         host.iter().find(|r| path.starts_with(r.prefix.as_ref()))
     }
 
-    /// The service of that name.
+    /// Returns the service with that name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Iterates over all services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// Whether every request of `service` may go on at another target when it breaks off.
+    /// Returns whether every request of `service` may continue at another target after an interruption.
     pub fn is_resumable(&self, service: &str) -> bool {
         let uses = |route: &Route| {
             let mut backends = route.backends.iter();
@@ -273,12 +274,12 @@
         routes.all(|route| route.repeat != Repeat::Once)
     }
 
-    /// Whether requests need a key, except on public routes.
+    /// Returns whether requests need a key, except on public routes.
     pub fn requires_key(&self) -> bool {
         self.requires_key
     }
 
-    /// The organisation that holds `key`.
+    /// Returns the organisation that holds `key`.
     pub fn holder(&self, key: &str) -> Option<&Arc<Organisation>> {
         self.holders.get(key)
     }
@@ -301,15 +302,15 @@
         });
     }
     if route.backends.iter().all(|b| b.weight == 0) {
-        return Err(CatalogueError::NoWeight { route: name });
+        return Err(CatalogueError::ZeroWeight { route: name });
     }
     if route.timeout.is_zero() {
-        return Err(CatalogueError::NoTimeout { route: name });
+        return Err(CatalogueError::ZeroTimeout { route: name });
     }
     Ok(())
 }
 
-fn holders(
+fn index_keys(
     organisations: Vec<Organisation>,
 ) -> Result<HashMap<Arc<str>, Arc<Organisation>>, CatalogueError> {
     let mut holders: HashMap<Arc<str>, Arc<Organisation>> = HashMap::new();
--- a/crates/filbertstack-core/src/settings.rs
+++ b/crates/filbertstack-core/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the settings files of all processes share: reading the file, key files and addresses.
+//! This module reads settings files, key files and addresses for all processes.
 
 use std::fs;
 use std::io;
@@ -13,26 +13,26 @@
 use crate::ini::Problems;
 use crate::ini::Section;
 
-/// Settings that can't be used.
+/// The settings of a process cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file can't be read.
+    /// The settings file cannot be read.
     #[error("{file}: {source}; give the path of a settings file that this process may read")]
     Read {
-        /// The path as it was given.
+        /// The path that was given.
         file: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file has faults.
+    /// The settings file contains errors.
     #[error(transparent)]
     Problems(#[from] Problems),
 }
 
-/// Reads the settings file at `path`.
+/// Reads and parses the settings file at `path`.
 ///
 /// # Errors
-/// [`SettingsError`], with every line that does not parse.
+/// Returns [`SettingsError`], with every line that cannot be parsed.
 pub fn read_document(path: &Path) -> Result<Document, SettingsError> {
     let text = fs::read_to_string(path);
     let text = text.map_err(|source| SettingsError::Read {
@@ -42,13 +42,13 @@
     Ok(Document::parse(&path.display().to_string(), &text)?)
 }
 
-/// The settings file's own folder, to which its relative paths are relative.
+/// Returns the folder of the settings file; relative paths in the file are resolved against it.
 pub fn folder(document: &Document) -> PathBuf {
     let file = Path::new(document.file.as_ref());
     file.parent().unwrap_or(Path::new("")).to_path_buf()
 }
 
-/// Takes the section `[kind]`, which must be there.
+/// Takes the section `[kind]` and reports a problem if it is absent.
 pub fn require_section(
     document: &mut Document,
     kind: &str,
@@ -66,10 +66,10 @@
     section
 }
 
-/// Reads addresses as `IP:port`, separated by commas.
+/// Parses a list of `IP:port` addresses that are separated by commas.
 ///
 /// # Errors
-/// [`ValueError::Address`] names the first that does not read.
+/// Returns [`ValueError::Address`] with the first invalid address.
 pub fn parse_addrs(text: &str) -> Result<Vec<SocketAddr>, ValueError> {
     let parts = text
         .split(',')
@@ -78,16 +78,16 @@
     parts.map(parse_addr).collect()
 }
 
-/// Reads an address as `IP:port`.
+/// Parses an `IP:port` address.
 ///
 /// # Errors
-/// [`ValueError::Address`].
+/// Returns [`ValueError::Address`] if the text is not such an address.
 pub fn parse_addr(text: &str) -> Result<SocketAddr, ValueError> {
     text.parse()
         .map_err(|_| ValueError::Address { text: text.into() })
 }
 
-/// Takes the path at `key` and reads that file, relative to `folder`.
+/// Takes the path that `key` holds, resolves it against `folder` and reads that file.
 pub fn read_file(
     section: &mut Section,
     key: &str,
@@ -109,12 +109,12 @@
     }
 }
 
-/// One line of a key file: a name and the secret that its bearer shows.
+/// A credential is one line of a key file: a name and the secret that its bearer presents.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Credential {
-    /// Who the bearer is.
+    /// The name of the bearer.
     pub name: String,
-    /// What the bearer shows.
+    /// The secret that the bearer presents.
     pub secret: String,
 }
 
@@ -126,10 +126,10 @@
     }
 }
 
-/// Reads a key file: a name and a secret a line, separated by white space; `#` starts a comment.
+/// Parses a key file. Each line holds a name and a secret, separated by white space; `#` starts a comment.
 ///
 /// # Errors
-/// The number of the first line that is not so, and what was expected.
+/// Returns the number of the first invalid line; the message states the expected form.
 pub fn parse_credentials(text: &str) -> Result<Vec<Credential>, CredentialError> {
     let lines = text.lines().enumerate();
     let lines = lines.map(|(index, line)| (index + 1, line.trim()));
@@ -139,17 +139,17 @@
         .collect()
 }
 
-/// The least length of a secret, in bytes.
-pub const MIN_SECRET: usize = 16;
+/// The minimum length of a secret, in bytes.
+pub const MIN_SECRET_LEN: usize = 16;
 
-/// A line of a key file that does not read.
+/// A line of a key file cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error(
-    "line {line} of the key file is not 'NAME SECRET' with a secret of {MIN_SECRET} characters \
+    "line {line} of the key file is not 'NAME SECRET' with a secret of {MIN_SECRET_LEN} characters \
      or more: correct or remove it"
 )]
 pub struct CredentialError {
-    /// The line, counted from 1.
+    /// The line number, counted from 1.
     pub line: usize,
 }
 
@@ -158,8 +158,8 @@
         .split_once(char::is_whitespace)
         .ok_or(CredentialError { line })?;
     let secret = secret.trim();
-    let plain = secret.len() >= MIN_SECRET && !secret.contains(char::is_whitespace);
-    if !plain || crate::names::check_name(name).is_err() {
+    let valid_secret = secret.len() >= MIN_SECRET_LEN && !secret.contains(char::is_whitespace);
+    if !valid_secret || crate::names::check_name(name).is_err() {
         return Err(CredentialError { line });
     }
     Ok(Credential {
--- a/crates/filbertstack-core/src/time.rs
+++ b/crates/filbertstack-core/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the decisions see it: whole milliseconds, passed in and never read.
+//! Times are whole milliseconds that callers pass to the decision code, which never reads a clock.
 
 use std::fmt;
 use std::ops::Add;
@@ -11,7 +11,7 @@
 
 use crate::error::ValueError;
 
-/// A span, or a moment since the process began, in milliseconds.
+/// A duration, or a point in time since the start of the process, in milliseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -19,21 +19,21 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// No time at all.
+    /// A duration of zero.
     pub const ZERO: Self = Self(0);
 
-    /// `n` seconds.
+    /// Creates a duration of `n` seconds.
     pub const fn secs(n: u64) -> Self {
         Self(n * 1000)
     }
 
-    /// The span from `earlier` to `self`, zero if `earlier` is later.
+    /// Returns the duration from `earlier` to `self`, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
     }
 
-    /// The span in seconds, rounded up: the unit of `Retry-After`.
+    /// Returns the duration in seconds, rounded up, as the `Retry-After` header needs it.
     pub const fn ceil_secs(self) -> u64 {
         self.0.div_ceil(1000)
     }
@@ -56,14 +56,14 @@
 }
 
 impl From<Millis> for Duration {
-    fn from(span: Millis) -> Self {
-        Self::from_millis(span.0)
+    fn from(duration: Millis) -> Self {
+        Self::from_millis(duration.0)
     }
 }
 
 impl From<Duration> for Millis {
-    fn from(span: Duration) -> Self {
-        Self(u64::try_from(span.as_millis()).unwrap_or(u64::MAX))
+    fn from(duration: Duration) -> Self {
+        Self(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
     }
 }
 
@@ -71,18 +71,20 @@
     type Err = ValueError;
 
     fn from_str(text: &str) -> Result<Self, ValueError> {
-        let wrong = || ValueError::Duration { text: text.into() };
-        let digits = text.find(|c: char| !c.is_ascii_digit()).ok_or_else(wrong)?;
-        let (number, unit) = text.split_at(digits);
-        let number: u64 = number.parse().map_err(|_| wrong())?;
+        let invalid = || ValueError::Duration { text: text.into() };
+        let digits_end = text
+            .find(|c: char| !c.is_ascii_digit())
+            .ok_or_else(invalid)?;
+        let (number, unit) = text.split_at(digits_end);
+        let number: u64 = number.parse().map_err(|_| invalid())?;
         let scale = match unit.trim() {
             "ms" => 1,
             "s" => 1_000,
             "m" => 60_000,
             "h" => 3_600_000,
-            _ => return Err(wrong()),
+            _ => return Err(invalid()),
         };
-        number.checked_mul(scale).map(Self).ok_or_else(wrong)
+        number.checked_mul(scale).map(Self).ok_or_else(invalid)
     }
 }
 
@@ -95,33 +97,35 @@
     }
 }
 
-/// Reads a size such as `8GiB` as bytes.
+/// Parses a size such as `8GiB` and returns it in bytes.
 ///
 /// # Errors
-/// [`ValueError::Size`] says how a size is written.
+/// Returns [`ValueError::Size`], whose message describes a valid size.
 pub fn parse_size(text: &str) -> Result<u64, ValueError> {
-    let wrong = || ValueError::Size { text: text.into() };
-    let digits = text.find(|c: char| !c.is_ascii_digit()).ok_or_else(wrong)?;
-    let (number, unit) = text.split_at(digits);
-    let number: u64 = number.parse().map_err(|_| wrong())?;
+    let invalid = || ValueError::Size { text: text.into() };
+    let digits_end = text
+        .find(|c: char| !c.is_ascii_digit())
+        .ok_or_else(invalid)?;
+    let (number, unit) = text.split_at(digits_end);
+    let number: u64 = number.parse().map_err(|_| invalid())?;
     let shift = match unit.trim() {
         "B" => 0,
         "KiB" => 10,
         "MiB" => 20,
         "GiB" => 30,
         "TiB" => 40,
-        _ => return Err(wrong()),
+        _ => return Err(invalid()),
     };
-    number.checked_mul(1 << shift).ok_or_else(wrong)
+    number.checked_mul(1 << shift).ok_or_else(invalid)
 }
 
-/// Writes a size as [`parse_size`] reads it, in the largest unit that keeps it whole.
+/// Formats a size in the form that [`parse_size`] reads, in the largest unit that divides it evenly.
 pub fn render_size(bytes: u64) -> String {
     const UNITS: [(u32, &str); 4] = [(40, "TiB"), (30, "GiB"), (20, "MiB"), (10, "KiB")];
-    let whole = |shift: u32| bytes > 0 && bytes.trailing_zeros() >= shift;
+    let divides = |shift: u32| bytes > 0 && bytes.trailing_zeros() >= shift;
     UNITS
         .into_iter()
-        .find(|(shift, _)| whole(*shift))
+        .find(|(shift, _)| divides(*shift))
         .map_or_else(
             || format!("{bytes}B"),
             |(shift, unit)| format!("{}{unit}", bytes >> shift),
--- a/crates/filbertstack-core/tests/render.rs
+++ b/crates/filbertstack-core/tests/render.rs
@@ -1,4 +1,4 @@
-//! Declarations written back as text, and selectors that can or cannot meet.
+//! Property tests of the text form of declarations and of the overlap of selectors.
 
 use proptest::prelude::Strategy;
 use proptest::prelude::any;
@@ -44,9 +44,10 @@
     TestRunner::new_with_rng(config, rng)
 }
 
-/// What was read and written back reads as the same, and is written the same again.
+/// Parsing the rendered text of declarations gives equal declarations, and rendering those gives the same
+/// text.
 #[test]
-fn text_of_declarations_reads_back() {
+fn declarations_round_trip_through_text() {
     let numbers = (any::<u32>(), any::<u64>(), any::<u32>(), any::<bool>());
     let case = (selector(), selector(), selector(), numbers);
     let result = runner().run(&case, |(pools, instances, requests, numbers)| {
@@ -64,9 +65,9 @@
              priority = high\n",
             Digest::of(b"v")
         );
-        let first = Declarations::parse("first", &text).expect("it reads");
+        let first = Declarations::parse("first", &text).expect("the text parses");
         let written = first.to_string();
-        let second = Declarations::parse("second", &written).expect("it reads back");
+        let second = Declarations::parse("second", &written).expect("the rendered text parses");
         prop_assert_eq!(&first, &second, "{}", written);
         prop_assert_eq!(&written, &second.to_string());
         Ok(())
@@ -74,7 +75,7 @@
     result.unwrap_or_else(|error| panic!("{error}"));
 }
 
-/// Every set of labels over the keys; a fourth value stands for all that no selector names.
+/// Returns every set of labels over the keys; the value `other` stands for all values that no selector names.
 fn all_labels() -> Vec<Labels> {
     let values = [None, Some("x"), Some("y.1"), Some("Z-2"), Some("other")];
     let mut all = Vec::new();
@@ -90,7 +91,7 @@
     all
 }
 
-/// Whether two selectors can meet is what trying every set of labels says.
+/// `Selector::overlaps` agrees with an exhaustive search over all sets of labels.
 #[test]
 fn selectors_overlap_if_some_labels_meet_both() {
     let all = all_labels();
