--- a/crates/filbertstack-telemetry/src/identity.rs
+++ b/crates/filbertstack-telemetry/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who speaks in a log line, a metric or a span.
+//! The identity of the process that writes a log line, a metric or a span.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,23 +6,23 @@
 use opentelemetry::KeyValue;
 use opentelemetry_sdk::Resource;
 
-/// What a process is.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// An entry.
+    /// The process is an entry.
     Entry,
-    /// An agent beside a target.
+    /// The process is an agent beside a target.
     Agent,
-    /// The operators' client.
+    /// The process is the operators' client.
     Client,
-    /// The demo.
+    /// The process is the demo.
     Demo,
-    /// A stand-in of tests and the demo.
+    /// The process is a stand-in in tests and the demo.
     Standin,
 }
 
 impl Role {
-    /// The role's name in logs, metrics and traces.
+    /// Returns the name of the role in logs, metrics and traces.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Entry => "entry",
@@ -40,17 +40,17 @@
     }
 }
 
-/// A process's role and the name of its instance.
+/// The role of a process and the name of its instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// The role.
+    /// The role of the process.
     pub role: Role,
-    /// The instance's name.
+    /// The name of the instance.
     pub instance: Arc<str>,
 }
 
 impl Identity {
-    /// The identity of a process.
+    /// Creates the identity of a process.
     pub fn new(role: Role, instance: impl Into<Arc<str>>) -> Self {
         Self {
             role,
--- a/crates/filbertstack-telemetry/src/lib.rs
+++ b/crates/filbertstack-telemetry/src/lib.rs
@@ -1,8 +1,8 @@
-//! Structured logs, metrics and traces, set up in one place.
+//! This crate sets up structured logs, metrics and traces.
 //!
-//! [`Telemetry::start`] reads [`TelemetrySettings`] and gives a guard: `logs` have become the
-//! process's default logger, `metrics.render()` is the body of `/metrics`, and `tracer` makes a
-//! span for each hop. Dropping the guard flushes all of them.
+//! [`Telemetry::start`] takes [`TelemetrySettings`] and returns a guard: `logs` is the default logger of the
+//! process, `metrics.render()` returns the body of `/metrics`, and `tracer` creates a span for each hop.
+//! Dropping the guard flushes all three.
 //!
 //! ```
 //! use filbertstack_telemetry::Identity;
@@ -48,21 +48,21 @@
 pub use traces::Tracer;
 pub use traces::Traces;
 
-/// All three, kept for the life of the process.
+/// Holds the logs, metrics and traces for the lifetime of the process.
 pub struct Telemetry {
-    /// The process's logger.
+    /// The logger of the process.
     pub logs: Logs,
-    /// The process's metrics.
+    /// The metrics of the process.
     pub metrics: Metrics,
-    /// The process's traces.
+    /// The traces of the process.
     pub traces: Traces,
 }
 
 impl Telemetry {
-    /// Starts all three and makes `logs` the default logger.
+    /// Starts logs, metrics and traces, and makes `logs` the default logger.
     ///
     /// # Errors
-    /// A log or trace file that cannot be opened, an endpoint that is none.
+    /// Returns an error if a log or trace file cannot be opened or the endpoint is invalid.
     pub fn start(
         settings: &TelemetrySettings,
         identity: &Identity,
@@ -71,7 +71,7 @@
         logs.make_default();
         let metrics = Metrics::new(identity)?;
         let traces = Traces::start(settings, identity)?;
-        metrics.watch(traces.stats());
+        metrics.observe_spans(traces.stats());
         Ok(Self {
             logs,
             metrics,
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Makes spans.
+    /// Returns the tracer, which creates spans.
     pub fn tracer(&self) -> &Tracer {
         self.traces.tracer()
     }
--- a/crates/filbertstack-telemetry/src/logs.rs
+++ b/crates/filbertstack-telemetry/src/logs.rs
@@ -1,7 +1,7 @@
-//! Logs: lines for people or JSON, each with the process's role and instance.
+//! This module writes logs as text or JSON lines, each with the role and the instance of the process.
 //!
-//! [`Logs::make_default`] makes the logger the one that the macros of `spdlog` write to. Lines
-//! about one request go through a [`RequestLog`], which adds the request's fields.
+//! [`Logs::make_default`] makes the logger the one that the macros of `spdlog` write to. A [`RequestLog`]
+//! writes the lines about one request and adds the request's fields.
 
 use std::fmt;
 use std::sync::Arc;
@@ -36,19 +36,19 @@
 use crate::settings::LogStream;
 use crate::settings::TelemetrySettings;
 
-/// How long a line may stay in the buffer of a log file.
+/// The longest time that a line stays in the buffer of a log file.
 const FLUSH_PERIOD: Duration = Duration::from_secs(1);
 
-/// The process's logger; dropping it flushes.
+/// The logger of the process; dropping it flushes the log.
 pub struct Logs {
     logger: Arc<Logger>,
 }
 
 impl Logs {
-    /// Opens the log that the settings name.
+    /// Opens the log that the settings select.
     ///
     /// # Errors
-    /// [`TelemetryError::LogFile`] and [`TelemetryError::Logger`].
+    /// Returns [`TelemetryError::LogFile`], [`TelemetryError::Logger`] or [`TelemetryError::LogThread`].
     pub fn start(
         settings: &TelemetrySettings,
         identity: &Identity,
@@ -72,12 +72,12 @@
         Ok(Self { logger })
     }
 
-    /// Makes it the logger that the macros of `spdlog` write to.
+    /// Makes this logger the one that the macros of `spdlog` write to.
     pub fn make_default(&self) {
         spdlog::set_default_logger(self.logger.clone());
     }
 
-    /// The logger, for `info!(logger: ...)`.
+    /// Returns the logger, for use in `info!(logger: ...)`.
     pub fn logger(&self) -> &Arc<Logger> {
         &self.logger
     }
@@ -90,13 +90,13 @@
     }
 }
 
-/// Whether lines are written by a thread of their own.
+/// Returns whether a separate thread writes the lines.
 fn is_queued(settings: &TelemetrySettings) -> bool {
     settings.log_file.is_none() && settings.stream == LogStream::Output
 }
 
-/// From which level on a line is flushed. A queue is written out at once, and a flush would wait
-/// for its reader.
+/// Returns the lowest level whose lines are flushed at once. The queue needs no flush, because its thread
+/// writes lines without delay, and a flush would wait for the reader of the stream.
 fn flush_level(settings: &TelemetrySettings) -> LevelFilter {
     if is_queued(settings) {
         return LevelFilter::Off;
@@ -110,8 +110,8 @@
 ) -> Result<Arc<dyn Sink>, TelemetryError> {
     if is_queued(settings) {
         let lines = JsonLines::new(identity);
-        let tell = Box::new(move |kind: &str, count| lines.left_out(kind, count));
-        let sink = QueueSink::start(std::io::stdout(), tell);
+        let notice = Box::new(move |kind: &str, count| lines.dropped_line(kind, count));
+        let sink = QueueSink::start(std::io::stdout(), notice);
         return Ok(Arc::new(sink.map_err(TelemetryError::LogThread)?));
     }
     let Some(path) = &settings.log_file else {
@@ -134,7 +134,7 @@
     ))
 }
 
-/// Formats records as JSON objects, one a line.
+/// Formats records as JSON objects, one per line.
 #[derive(Clone)]
 struct JsonLines {
     role: &'static str,
@@ -151,8 +151,8 @@
 }
 
 impl JsonLines {
-    /// The line that tells how many of a kind were left out.
-    fn left_out(&self, kind: &str, count: u64) -> String {
+    /// Returns the line that reports how many lines of a kind were dropped.
+    fn dropped_line(&self, kind: &str, count: u64) -> String {
         let line = json!({
             "timestamp": unix_millis(), "level": "warn", "role": self.role,
             "instance": &*self.instance, "message": "lines left out",
@@ -164,7 +164,7 @@
 
 #[derive(Serialize)]
 struct Line<'a> {
-    /// Milliseconds since 1970, UTC.
+    /// The time of the record, in milliseconds since 1970, UTC.
     timestamp: u128,
     level: &'static str,
     role: &'static str,
@@ -192,9 +192,9 @@
         dest: &mut StringBuf,
         _: &mut FormatterContext,
     ) -> spdlog::Result<()> {
-        let since = record.time().duration_since(UNIX_EPOCH);
+        let elapsed = record.time().duration_since(UNIX_EPOCH);
         let line = Line {
-            timestamp: since.unwrap_or_default().as_millis(),
+            timestamp: elapsed.unwrap_or_default().as_millis(),
             level: record.level().as_str(),
             role: self.role,
             instance: &self.instance,
@@ -208,25 +208,25 @@
     }
 }
 
-/// Logs lines about one request, each with its fields.
+/// Logs lines about one request and adds the request's fields to each line.
 #[derive(Clone, Debug)]
 pub struct RequestLog {
     logger: Arc<Logger>,
-    /// The request's id.
+    /// The identifier of the request.
     pub request: Arc<str>,
-    /// The caller's organisation; empty before it is known.
+    /// The organisation of the caller; empty until it is known.
     pub organisation: Arc<str>,
-    /// The trace's id; empty if the request is not traced.
+    /// The identifier of the trace; empty if the request is not traced.
     pub trace: Arc<str>,
 }
 
 impl RequestLog {
-    /// Logs through the default logger.
+    /// Creates a log that writes to the default logger.
     pub fn new(request: impl Into<Arc<str>>) -> Self {
         Self::with_logger(spdlog::default_logger(), request)
     }
 
-    /// Logs through `logger`.
+    /// Creates a log that writes to `logger`.
     pub fn with_logger(logger: Arc<Logger>, request: impl Into<Arc<str>>) -> Self {
         Self {
             logger,
@@ -248,22 +248,22 @@
         );
     }
 
-    /// Logs for operators who look into a request.
+    /// Logs a detail that operators need when they examine a request.
     pub fn debug(&self, message: &str) {
         self.log(Level::Debug, message);
     }
 
-    /// Logs what is worth a line each time.
+    /// Logs an event that is recorded for every request.
     pub fn info(&self, message: &str) {
         self.log(Level::Info, message);
     }
 
-    /// Logs what went wrong and was dealt with.
+    /// Logs a failure that was handled.
     pub fn warn(&self, message: &str) {
         self.log(Level::Warn, message);
     }
 
-    /// Logs what went wrong for the caller.
+    /// Logs a failure that affects the caller.
     pub fn error(&self, message: &str) {
         self.log(Level::Error, message);
     }
--- a/crates/filbertstack-telemetry/src/metrics/groups.rs
+++ b/crates/filbertstack-telemetry/src/metrics/groups.rs
@@ -1,76 +1,90 @@
-//! Every instrument, by the part of the system that it belongs to.
+//! The instruments, grouped by the part of the system that they measure.
 
 use opentelemetry::metrics::Meter;
 
-use crate::metrics::instrument::Level;
-use crate::metrics::instrument::LevelBy;
-use crate::metrics::instrument::Timing;
-use crate::metrics::instrument::TimingBy;
-use crate::metrics::instrument::Total;
-use crate::metrics::instrument::TotalBy;
+use crate::metrics::instrument::LabelledCounter;
+use crate::metrics::instrument::LabelledGauge;
+use crate::metrics::instrument::LabelledTimer;
+use crate::metrics::instrument::PlainCounter;
+use crate::metrics::instrument::PlainGauge;
+use crate::metrics::instrument::PlainTimer;
 
-/// What an entry measures on the way of a request.
+/// The metrics of the requests that an entry handles.
 #[derive(Debug)]
 pub struct EntryMetrics {
-    /// Requests ended, by outcome.
-    pub requests: TotalBy,
-    /// Requests ended, by organisation.
-    pub organisations: TotalBy,
-    /// Requests refused, by reason.
-    pub refusals: TotalBy,
-    /// Attempts beyond the first, by reason.
-    pub retries: TotalBy,
-    /// Second attempts of idempotent requests beside the first.
-    pub hedges: Total,
-    /// Tokens passed on, by organisation.
-    pub tokens: TotalBy,
-    /// Frames of an attempt that was over, dropped.
-    pub late_frames: Total,
-    /// Resends answered from a kept answer or refused with what is known.
-    pub replays: TotalBy,
-    /// Requests in the queue.
-    pub queued: Level,
-    /// Requests at targets.
-    pub in_flight: Level,
-    /// Targets known, by state.
-    pub targets: LevelBy,
-    /// Targets ejected as slow or failing.
-    pub ejected: Level,
-    /// The time in the queue.
-    pub wait: Timing,
+    /// The requests that ended, by outcome.
+    pub requests: LabelledCounter,
+    /// The requests that ended, by organisation.
+    pub organisations: LabelledCounter,
+    /// The requests that were refused, by reason.
+    pub refusals: LabelledCounter,
+    /// The attempts after the first, by reason.
+    pub retries: LabelledCounter,
+    /// The hedged attempts: second attempts of idempotent requests that run in parallel with the first.
+    pub hedges: PlainCounter,
+    /// The tokens forwarded to callers, by organisation.
+    pub tokens: LabelledCounter,
+    /// The frames that were dropped because their attempt had ended.
+    pub late_frames: PlainCounter,
+    /// The resent requests that were answered from a stored answer, or refused with the known outcome.
+    pub replays: LabelledCounter,
+    /// The requests in the queue.
+    pub queued: PlainGauge,
+    /// The requests that targets are processing.
+    pub in_flight: PlainGauge,
+    /// The known targets, by state.
+    pub targets: LabelledGauge,
+    /// The targets that were ejected as slow or failing.
+    pub ejected: PlainGauge,
+    /// The time that requests spend in the queue.
+    pub wait: PlainTimer,
     /// The time to the first token.
-    pub first_token: Timing,
+    pub first_token: PlainTimer,
     /// The time between tokens.
-    pub token_gap: Timing,
+    pub token_gap: PlainTimer,
     /// The time to the end of the answer, by outcome.
-    pub duration: TimingBy,
+    pub duration: LabelledTimer,
 }
 
 impl EntryMetrics {
     pub(super) fn new(meter: &Meter) -> Self {
         let m = meter;
         Self {
-            requests: TotalBy::new(m, "entry_requests", "outcome", "Requests ended"),
-            organisations: TotalBy::new(
+            requests: LabelledCounter::new(m, "entry_requests", "outcome", "Requests ended"),
+            organisations: LabelledCounter::new(
                 m,
                 "entry_organisation_requests",
                 "organisation",
                 "Requests ended, by organisation",
             ),
-            refusals: TotalBy::new(m, "entry_refusals", "reason", "Requests refused"),
-            retries: TotalBy::new(m, "entry_retries", "reason", "Attempts beyond the first"),
-            hedges: Total::new(m, "entry_hedges", "Second attempts beside the first"),
-            tokens: TotalBy::new(m, "entry_tokens", "organisation", "Tokens passed on"),
-            late_frames: Total::new(m, "entry_late_frames", "Frames of a past attempt, dropped"),
-            replays: TotalBy::new(m, "entry_replays", "result", "Resends under a known key"),
-            queued: Level::new(m, "entry_queued", "Requests in the queue"),
-            in_flight: Level::new(m, "entry_in_flight", "Requests at targets"),
-            targets: LevelBy::new(m, "entry_targets", "state", "Targets known"),
-            ejected: Level::new(m, "entry_ejected", "Targets ejected as slow or failing"),
-            wait: Timing::new(m, "entry_wait", "Time in the queue"),
-            first_token: Timing::new(m, "entry_first_token", "Time to the first token"),
-            token_gap: Timing::new(m, "entry_token_gap", "Time between tokens"),
-            duration: TimingBy::new(
+            refusals: LabelledCounter::new(m, "entry_refusals", "reason", "Requests refused"),
+            retries: LabelledCounter::new(
+                m,
+                "entry_retries",
+                "reason",
+                "Attempts beyond the first",
+            ),
+            hedges: PlainCounter::new(m, "entry_hedges", "Second attempts beside the first"),
+            tokens: LabelledCounter::new(m, "entry_tokens", "organisation", "Tokens passed on"),
+            late_frames: PlainCounter::new(
+                m,
+                "entry_late_frames",
+                "Frames of a past attempt, dropped",
+            ),
+            replays: LabelledCounter::new(
+                m,
+                "entry_replays",
+                "result",
+                "Resends under a known key",
+            ),
+            queued: PlainGauge::new(m, "entry_queued", "Requests in the queue"),
+            in_flight: PlainGauge::new(m, "entry_in_flight", "Requests at targets"),
+            targets: LabelledGauge::new(m, "entry_targets", "state", "Targets known"),
+            ejected: PlainGauge::new(m, "entry_ejected", "Targets ejected as slow or failing"),
+            wait: PlainTimer::new(m, "entry_wait", "Time in the queue"),
+            first_token: PlainTimer::new(m, "entry_first_token", "Time to the first token"),
+            token_gap: PlainTimer::new(m, "entry_token_gap", "Time between tokens"),
+            duration: LabelledTimer::new(
                 m,
                 "entry_duration",
                 "outcome",
@@ -80,129 +94,134 @@
     }
 }
 
-/// What an agent measures at its target.
+/// The metrics of an agent and its target.
 #[derive(Debug)]
 pub struct AgentMetrics {
-    /// Requests at the gate, by decision.
-    pub gate: TotalBy,
-    /// Orders at the gate, by outcome.
-    pub orders: TotalBy,
-    /// Changes of the target's state, by the new state.
-    pub states: TotalBy,
-    /// Requests at the target.
-    pub in_flight: Level,
-    /// The time of a call of the target, by outcome.
-    pub call: TimingBy,
+    /// The requests at the gate, by decision.
+    pub gate: LabelledCounter,
+    /// The orders at the gate, by outcome.
+    pub orders: LabelledCounter,
+    /// The changes of the target's state, by new state.
+    pub states: LabelledCounter,
+    /// The requests that the target is processing.
+    pub in_flight: PlainGauge,
+    /// The duration of a call to the target, by outcome.
+    pub call: LabelledTimer,
     /// The age of the target's last load report.
-    pub report_age: Timing,
+    pub report_age: PlainTimer,
 }
 
 impl AgentMetrics {
     pub(super) fn new(meter: &Meter) -> Self {
         let m = meter;
         Self {
-            gate: TotalBy::new(m, "agent_gate", "decision", "Requests at the gate"),
-            orders: TotalBy::new(m, "agent_orders", "outcome", "Orders at the gate"),
-            states: TotalBy::new(m, "agent_states", "state", "Changes of the target's state"),
-            in_flight: Level::new(m, "agent_in_flight", "Requests at the target"),
-            call: TimingBy::new(m, "agent_call", "outcome", "Time of a call of the target"),
-            report_age: Timing::new(m, "agent_report_age", "Age of the last load report"),
+            gate: LabelledCounter::new(m, "agent_gate", "decision", "Requests at the gate"),
+            orders: LabelledCounter::new(m, "agent_orders", "outcome", "Orders at the gate"),
+            states: LabelledCounter::new(
+                m,
+                "agent_states",
+                "state",
+                "Changes of the target's state",
+            ),
+            in_flight: PlainGauge::new(m, "agent_in_flight", "Requests at the target"),
+            call: LabelledTimer::new(m, "agent_call", "outcome", "Time of a call of the target"),
+            report_age: PlainTimer::new(m, "agent_report_age", "Age of the last load report"),
         }
     }
 }
 
-/// What is measured where weights move.
+/// The metrics of the distribution of weights.
 #[derive(Debug)]
 pub struct WeightMetrics {
-    /// Bytes fetched, by the kind of source.
-    pub fetched: TotalBy,
-    /// Bytes served to others.
-    pub served: Total,
-    /// Chunks whose digest was wrong, by the kind of source.
-    pub bad_chunks: TotalBy,
-    /// Changes of the source after a stall or a bad chunk.
-    pub switches: Total,
-    /// Bytes that are still to be fetched.
-    pub missing: Level,
-    /// Whether a copy is in progress.
-    pub copying: Level,
-    /// The time from the order to the last chunk verified.
-    pub copy: Timing,
-    /// The time of loading into the engine.
-    pub load: Timing,
+    /// The bytes fetched, by kind of source.
+    pub fetched: LabelledCounter,
+    /// The bytes served to other instances.
+    pub served: PlainCounter,
+    /// The chunks whose digest did not match, by kind of source.
+    pub bad_chunks: LabelledCounter,
+    /// The changes of the source after a stall or a bad chunk.
+    pub switches: PlainCounter,
+    /// The bytes that remain to be fetched.
+    pub missing: PlainGauge,
+    /// Whether a copy is in progress: 0 or 1.
+    pub copying: PlainGauge,
+    /// The time from the order until the last chunk is verified.
+    pub copy: PlainTimer,
+    /// The time that the engine takes to load the weights.
+    pub load: PlainTimer,
 }
 
 impl WeightMetrics {
     pub(super) fn new(meter: &Meter) -> Self {
         let m = meter;
         Self {
-            fetched: TotalBy::new(m, "weights_fetched_bytes", "source", "Bytes fetched"),
-            served: Total::new(m, "weights_served_bytes", "Bytes served to others"),
-            bad_chunks: TotalBy::new(
+            fetched: LabelledCounter::new(m, "weights_fetched_bytes", "source", "Bytes fetched"),
+            served: PlainCounter::new(m, "weights_served_bytes", "Bytes served to others"),
+            bad_chunks: LabelledCounter::new(
                 m,
                 "weights_bad_chunks",
                 "source",
                 "Chunks with a bad digest",
             ),
-            switches: Total::new(m, "weights_switches", "Changes of the source"),
-            copying: Level::new(m, "weights_copying", "Whether a copy is in progress"),
-            missing: Level::new(m, "weights_missing_bytes", "Bytes still to be fetched"),
-            copy: Timing::new(m, "weights_copy", "Time to the last chunk verified"),
-            load: Timing::new(m, "weights_load", "Time of loading into the engine"),
+            switches: PlainCounter::new(m, "weights_switches", "Changes of the source"),
+            copying: PlainGauge::new(m, "weights_copying", "Whether a copy is in progress"),
+            missing: PlainGauge::new(m, "weights_missing_bytes", "Bytes still to be fetched"),
+            copy: PlainTimer::new(m, "weights_copy", "Time to the last chunk verified"),
+            load: PlainTimer::new(m, "weights_load", "Time of loading into the engine"),
         }
     }
 }
 
-/// What is measured of the replicated log and the configuration in force.
+/// The metrics of the replicated log and of the configuration in force.
 #[derive(Debug)]
 pub struct ControlMetrics {
-    /// The revision in force here.
-    pub revision: Level,
-    /// The term.
-    pub term: Level,
-    /// Whether this voter leads: 0 or 1.
-    pub leader: Level,
-    /// Elections that this voter stood in.
-    pub elections: Total,
-    /// Entries committed.
-    pub commits: Total,
-    /// Proposals refused, by reason.
-    pub refusals: TotalBy,
-    /// Followers, by state.
-    pub followers: LevelBy,
-    /// Voters that the group is declared for, and those that hold its log now.
-    pub voters: LevelBy,
-    /// The time of a sync of the log.
-    pub sync: Timing,
+    /// The revision that is in force in this process.
+    pub revision: PlainGauge,
+    /// The current term.
+    pub term: PlainGauge,
+    /// Whether this voter is the leader: 0 or 1.
+    pub leader: PlainGauge,
+    /// The elections in which this voter was a candidate.
+    pub elections: PlainCounter,
+    /// The committed entries of the log.
+    pub commits: PlainCounter,
+    /// The refused proposals, by reason.
+    pub refusals: LabelledCounter,
+    /// The followers, by state.
+    pub followers: LabelledGauge,
+    /// The declared voters of the group, and the voters that currently hold its log.
+    pub voters: LabelledGauge,
+    /// The duration of a sync of the log to disk.
+    pub sync: PlainTimer,
     /// The time from the proposal to the commit.
-    pub commit: Timing,
-    /// The time from the commit to being in force here.
-    pub in_force: Timing,
-    /// Bytes sent for control, by kind of message.
-    pub sent: TotalBy,
+    pub commit: PlainTimer,
+    /// The time from the commit until the configuration is in force in this process.
+    pub in_force: PlainTimer,
+    /// The bytes of control messages sent, by kind of message.
+    pub sent: LabelledCounter,
 }
 
 impl ControlMetrics {
     pub(super) fn new(meter: &Meter) -> Self {
         let m = meter;
         Self {
-            revision: Level::new(m, "control_revision", "Revision in force here"),
-            term: Level::new(m, "control_term", "Term"),
-            leader: Level::new(m, "control_leader", "Whether this voter leads"),
-            elections: Total::new(m, "control_elections", "Elections stood in"),
-            commits: Total::new(m, "control_commits", "Entries committed"),
-            refusals: TotalBy::new(m, "control_refusals", "reason", "Proposals refused"),
-            followers: LevelBy::new(m, "control_followers", "state", "Followers"),
-            voters: LevelBy::new(
+            revision: PlainGauge::new(m, "control_revision", "Revision in force here"),
+            term: PlainGauge::new(m, "control_term", "Term"),
+            leader: PlainGauge::new(m, "control_leader", "Whether this voter leads"),
+            elections: PlainCounter::new(m, "control_elections", "Elections stood in"),
+            commits: PlainCounter::new(m, "control_commits", "Entries committed"),
+            refusals: LabelledCounter::new(m, "control_refusals", "reason", "Proposals refused"),
+            followers: LabelledGauge::new(m, "control_followers", "state", "Followers"),
+            voters: LabelledGauge::new(
                 m,
                 "control_voters",
                 "count",
                 "Voters declared, and those that hold the log",
             ),
-            sync: Timing::new(m, "control_sync", "Time of a sync of the log"),
-            commit: Timing::new(m, "control_commit", "Time from proposal to commit"),
-            in_force: Timing::new(m, "control_in_force", "Time from commit to being in force"),
-            sent: TotalBy::new(m, "control_sent_bytes", "kind", "Bytes sent for control"),
+            sync: PlainTimer::new(m, "control_sync", "Time of a sync of the log"),
+            commit: PlainTimer::new(m, "control_commit", "Time from proposal to commit"),
+            in_force: PlainTimer::new(m, "control_in_force", "Time from commit to being in force"),
+            sent: LabelledCounter::new(m, "control_sent_bytes", "kind", "Bytes sent for control"),
         }
     }
 }
--- a/crates/filbertstack-telemetry/src/metrics/mod.rs
+++ b/crates/filbertstack-telemetry/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics: every instrument in one place, read as Prometheus text.
+//! This module defines the metrics of a process and renders them as Prometheus text.
 
 pub mod groups;
 pub mod instrument;
@@ -19,34 +19,34 @@
 use crate::metrics::groups::WeightMetrics;
 use crate::traces::SpanStats;
 
-/// The media type of [`Metrics::render`].
+/// The media type of the text that [`Metrics::render`] returns.
 pub const CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// The prefix of every metric's name.
+/// The prefix of the names of all metrics.
 const NAMESPACE: &str = "filbertstack";
 
-/// A process's metrics. Parts that a role does not use stay out of the text.
+/// The metrics of a process. The rendered text omits groups that the role does not use.
 #[derive(Debug)]
 pub struct Metrics {
-    /// The way of a request through an entry.
+    /// The metrics of the requests that an entry handles.
     pub entry: EntryMetrics,
-    /// The gate and the target of an agent.
+    /// The metrics of an agent's gate and target.
     pub agent: AgentMetrics,
-    /// The moves of weights.
+    /// The metrics of the distribution of weights.
     pub weights: WeightMetrics,
-    /// The replicated log and the configuration in force.
+    /// The metrics of the replicated log and of the configuration in force.
     pub control: ControlMetrics,
     meter: Meter,
     registry: Registry,
-    /// Collects for as long as it lives.
+    /// The provider; it collects metrics until it is dropped.
     _provider: SdkMeterProvider,
 }
 
 impl Metrics {
-    /// The metrics of a process, all at nothing.
+    /// Creates the metrics of a process without any recorded values.
     ///
     /// # Errors
-    /// [`TelemetryError::Metrics`] is a defect of the program.
+    /// Returns [`TelemetryError::Metrics`], which indicates a defect of the program.
     pub fn new(identity: &Identity) -> Result<Self, TelemetryError> {
         let registry = Registry::new();
         let reader = opentelemetry_prometheus::exporter()
@@ -71,8 +71,8 @@
         })
     }
 
-    /// Shows the counts of spans too.
-    pub fn watch(&self, stats: &Arc<SpanStats>) {
+    /// Adds the counts of dropped and failed spans to the metrics.
+    pub fn observe_spans(&self, stats: &Arc<SpanStats>) {
         let dropped = stats.clone();
         self.meter
             .u64_observable_counter("trace_spans_dropped")
@@ -87,10 +87,10 @@
             .build();
     }
 
-    /// The text for `/metrics`, of media type [`CONTENT_TYPE`].
+    /// Returns the text for `/metrics`, whose media type is [`CONTENT_TYPE`].
     pub fn render(&self) -> String {
         let families = self.registry.gather();
-        // The encoder refuses only a family without metrics, which a registry never gathers.
+        // The encoder rejects only a family without metrics, and a registry never gathers one.
         TextEncoder::new()
             .encode_to_string(&families)
             .unwrap_or_default()
--- a/crates/filbertstack-telemetry/src/queue.rs
+++ b/crates/filbertstack-telemetry/src/queue.rs
@@ -1,10 +1,10 @@
-//! Lines on a stream that never hold up the process.
+//! A log sink that writes lines to a stream without blocking the process.
 //!
-//! *Load pattern*: a reader of standard output stops, or requests are refused by the thousand. A
-//! process that wrote its lines itself would wait for the reader with every request that it serves,
-//! and one that wrote each of them would spend its share of a core on them. So lines go to a bounded
-//! queue that a thread of its own writes out, each kind has a budget a second, and what is left out
-//! is counted and told.
+//! *Load pattern*: a reader of standard output stops, or thousands of requests are refused. If the threads
+//! that serve requests wrote lines themselves, every request would wait for the reader; if every line were
+//! written, logging would use a considerable share of a core. Lines therefore go to a bounded queue that a
+//! separate thread writes to the stream. The number of lines of each kind is limited per second, and dropped
+//! lines are counted and reported.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -28,119 +28,126 @@
 use spdlog::sink::Sink;
 use spdlog::sink::SinkProp;
 
-/// Lines that wait to be written: some seconds of a busy process, 0.3 MB at most.
-const QUEUE: usize = 1_024;
+/// The maximum number of lines in the queue: some seconds of a busy process, at most 0.3 MB.
+const LINE_QUEUE_SIZE: usize = 1_024;
 
-/// Lines of one kind that are written a second. A process that serves 60 requests a second tells of
-/// each; under overload, a sample and the count of the rest tell as much.
-const BUDGET: u64 = 100;
+/// The maximum number of lines of one kind that are written per second. A process that serves 60 requests per
+/// second logs all of them; under overload, a sample and the number of dropped lines give the same
+/// information.
+const MAX_LINES_PER_SEC: u64 = 100;
 
-/// How long an end or a flush waits for the reader.
-const FLUSH: Duration = Duration::from_millis(200);
+/// The time that a flush, also the one at the end of the process, waits for the reader.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How soon what was left out is told.
-const TELL: Duration = Duration::from_secs(1);
+/// The longest idle time of the queue before dropped lines are reported.
+const NOTICE_DELAY: Duration = Duration::from_secs(1);
 
-/// Which lines are written: so many of each kind a second.
+/// Limits the number of lines of each kind that are written per second.
 #[derive(Debug, Default)]
-pub struct Budget {
+pub struct RateLimiter {
     second: u64,
-    taken: BTreeMap<String, u64>,
-    left: BTreeMap<String, u64>,
+    requested: BTreeMap<String, u64>,
+    dropped: BTreeMap<String, u64>,
 }
 
-impl Budget {
-    /// Takes one line of a kind in the given second; false if it is to be left out.
-    pub fn take(&mut self, kind: &str, second: u64) -> bool {
+impl RateLimiter {
+    /// Counts one line of a kind in the given second and returns whether it may be written.
+    pub fn admit(&mut self, kind: &str, second: u64) -> bool {
         if second != self.second {
             self.second = second;
-            self.taken.clear();
+            self.requested.clear();
         }
-        let taken = match self.taken.get_mut(kind) {
-            Some(taken) => taken,
-            None => self.taken.entry(kind.into()).or_default(),
+        let requested = match self.requested.get_mut(kind) {
+            Some(requested) => requested,
+            None => self.requested.entry(kind.into()).or_default(),
         };
-        *taken += 1;
-        let fits = *taken <= BUDGET;
-        if !fits {
-            self.leave_out(kind);
+        *requested += 1;
+        let admitted = *requested <= MAX_LINES_PER_SEC;
+        if !admitted {
+            self.count_dropped(kind);
         }
-        fits
+        admitted
     }
 
-    /// Counts a line that was not written.
-    pub fn leave_out(&mut self, kind: &str) {
-        *self.left.entry(kind.into()).or_default() += 1;
+    /// Counts a line that was dropped.
+    pub fn count_dropped(&mut self, kind: &str) {
+        *self.dropped.entry(kind.into()).or_default() += 1;
     }
 
-    /// What was left out since the last call, by kind.
-    pub fn left_out(&mut self) -> BTreeMap<String, u64> {
-        std::mem::take(&mut self.left)
+    /// Returns the numbers of lines that were dropped since the last call, by kind.
+    pub fn take_dropped(&mut self) -> BTreeMap<String, u64> {
+        std::mem::take(&mut self.dropped)
     }
 
-    fn has_left_out(&self) -> bool {
-        !self.left.is_empty()
+    fn has_dropped(&self) -> bool {
+        !self.dropped.is_empty()
     }
 }
 
 enum Item {
     Line(StringBuf),
-    /// Told when all before it is written.
+    /// Requests a signal on the channel once all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
-/// A line that tells how many of a kind were left out.
-pub type Tell = Box<dyn Fn(&str, u64) -> String + Send>;
+/// Formats the line that reports how many lines of a kind were dropped.
+pub type DropNotice = Box<dyn Fn(&str, u64) -> String + Send>;
 
-/// Writes lines to a stream from a thread of its own.
+/// Writes lines to a stream from a separate thread.
 pub struct QueueSink {
     prop: SinkProp,
     items: SyncSender<Item>,
-    budget: Arc<Mutex<Budget>>,
+    limiter: Arc<Mutex<RateLimiter>>,
 }
 
 impl QueueSink {
-    /// Starts the thread that writes to `stream`; `tell` makes the lines of what was left out.
+    /// Starts the thread that writes to `stream`; `notice` formats the lines that report dropped lines.
     ///
     /// # Errors
-    /// The thread can't be started.
-    pub fn start(stream: impl Write + Send + 'static, tell: Tell) -> std::io::Result<Self> {
-        let (items, queue) = sync_channel(QUEUE);
-        let budget: Arc<Mutex<Budget>> = Arc::default();
-        let counted = budget.clone();
+    /// Returns the error of the system if the thread cannot be started.
+    pub fn start(stream: impl Write + Send + 'static, notice: DropNotice) -> std::io::Result<Self> {
+        let (items, queue) = sync_channel(LINE_QUEUE_SIZE);
+        let limiter: Arc<Mutex<RateLimiter>> = Arc::default();
+        let shared = limiter.clone();
         thread::Builder::new()
             .name("logs".into())
             .stack_size(128 << 10)
-            .spawn(move || write_out(stream, &queue, &counted, &tell))?;
+            .spawn(move || write_out(stream, &queue, &shared, &notice))?;
         Ok(Self {
             prop: SinkProp::default(),
             items,
-            budget,
+            limiter,
         })
     }
 }
 
-fn lock(budget: &Mutex<Budget>) -> MutexGuard<'_, Budget> {
-    budget.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(limiter: &Mutex<RateLimiter>) -> MutexGuard<'_, RateLimiter> {
+    limiter.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Writes until the sink is dropped or the stream has ended: then there is nobody to tell.
-fn write_out(mut stream: impl Write, queue: &Receiver<Item>, budget: &Mutex<Budget>, tell: &Tell) {
+/// Writes lines until the sink is dropped or the stream fails; after a failure there is no reader to report
+/// it to.
+fn write_out(
+    mut stream: impl Write,
+    queue: &Receiver<Item>,
+    limiter: &Mutex<RateLimiter>,
+    notice: &DropNotice,
+) {
     loop {
-        let wait = lock(budget).has_left_out();
-        let item = if wait {
-            queue.recv_timeout(TELL)
+        let timed = lock(limiter).has_dropped();
+        let item = if timed {
+            queue.recv_timeout(NOTICE_DELAY)
         } else {
             queue.recv().map_err(RecvTimeoutError::from)
         };
         let written = match item {
             Ok(Item::Line(line)) => stream.write_all(line.as_bytes()),
             Ok(Item::Flush(done)) => {
-                // Whoever asked may have stopped waiting.
+                // The requester may have stopped waiting.
                 let _ = done.try_send(());
                 stream.flush()
             }
-            Err(RecvTimeoutError::Timeout) => write_left_out(&mut stream, budget, tell),
+            Err(RecvTimeoutError::Timeout) => write_notices(&mut stream, limiter, notice),
             Err(RecvTimeoutError::Disconnected) => return,
         };
         if written.is_err() {
@@ -149,14 +156,14 @@
     }
 }
 
-fn write_left_out(
+fn write_notices(
     stream: &mut impl Write,
-    budget: &Mutex<Budget>,
-    tell: &Tell,
+    limiter: &Mutex<RateLimiter>,
+    notice: &DropNotice,
 ) -> std::io::Result<()> {
-    let left = lock(budget).left_out();
-    for (kind, count) in left {
-        stream.write_all(tell(&kind, count).as_bytes())?;
+    let dropped = lock(limiter).take_dropped();
+    for (kind, count) in dropped {
+        stream.write_all(notice(&kind, count).as_bytes())?;
     }
     stream.flush()
 }
@@ -169,9 +176,9 @@
 
 impl Sink for QueueSink {
     fn log(&self, record: &Record) -> spdlog::Result<()> {
-        let since = record.time().duration_since(UNIX_EPOCH);
-        let second = since.unwrap_or_default().as_secs();
-        if !lock(&self.budget).take(record.payload(), second) {
+        let elapsed = record.time().duration_since(UNIX_EPOCH);
+        let second = elapsed.unwrap_or_default().as_secs();
+        if !lock(&self.limiter).admit(record.payload(), second) {
             return Ok(());
         }
         let mut line = StringBuf::new();
@@ -180,24 +187,24 @@
             .formatter()
             .format(record, &mut line, &mut context)?;
         if self.items.try_send(Item::Line(line)).is_err() {
-            lock(&self.budget).leave_out(record.payload());
+            lock(&self.limiter).count_dropped(record.payload());
         }
         Ok(())
     }
 
-    /// Waits until what is queued is written, but not for a reader that has stopped.
+    /// Waits until the queued lines are written, for at most [`FLUSH_TIMEOUT`].
     fn flush(&self) -> spdlog::Result<()> {
         let (done, written) = sync_channel(1);
         if self.items.try_send(Item::Flush(done)).is_ok() {
-            // A reader that has stopped is not waited for.
-            let _ = written.recv_timeout(FLUSH);
+            // The timeout prevents a wait for a reader that has stopped.
+            let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
 }
 
-/// The Unix millisecond of now.
+/// Returns the current Unix time in milliseconds.
 pub(crate) fn unix_millis() -> u128 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.unwrap_or_default().as_millis()
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.unwrap_or_default().as_millis()
 }
--- a/crates/filbertstack-telemetry/src/secret.rs
+++ b/crates/filbertstack-telemetry/src/secret.rs
@@ -1,31 +1,31 @@
-//! Secrets that cannot end up in a log or a trace by accident.
+//! A type for secrets that keeps them out of logs and traces.
 
 use std::convert::Infallible;
 use std::fmt;
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// What a secret shows of itself.
+/// The placeholder that `Debug` and `Display` print.
 const REDACTED: &str = "[secret]";
 
-/// A key or token. `Debug` and `Display` show a placeholder, and it is no `Serialize`; only
-/// [`Secret::expose`] gives the text.
+/// A key or token. `Debug` and `Display` print a placeholder, and the type does not implement `Serialize`;
+/// only [`Secret::expose`] returns the text.
 #[derive(Clone)]
 pub struct Secret(Arc<str>);
 
 impl Secret {
-    /// Keeps `text` from being shown.
+    /// Wraps `text` so that it is not printed.
     pub fn new(text: impl Into<Arc<str>>) -> Self {
         Self(text.into())
     }
 
-    /// The text, for the one place that sends or compares it.
+    /// Returns the text, for code that sends or compares it.
     pub fn expose(&self) -> &str {
         &self.0
     }
 
-    /// Compares in a time that depends on the lengths alone, so that a caller cannot find a key
-    /// byte by byte from how long a refusal takes.
+    /// Compares the secret with `given`. The duration depends on the lengths alone, so that a caller cannot
+    /// determine a key byte by byte from the time that a refusal takes.
     pub fn matches(&self, given: &str) -> bool {
         let (own, given) = (self.0.as_bytes(), given.as_bytes());
         let differences = own.iter().zip(given).fold(0, |sum, (a, b)| sum | (a ^ b));
--- a/crates/filbertstack-telemetry/src/settings.rs
+++ b/crates/filbertstack-telemetry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The `[telemetry]` section of a settings file.
+//! This module reads the `[telemetry]` section of a settings file.
 
 use std::fmt;
 use std::path::Path;
@@ -12,13 +12,13 @@
 use spdlog::Level;
 use thiserror::Error;
 
-/// The form of a log line.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Lines are plain text for human readers.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// Each line is a JSON object.
     Json,
 }
 
@@ -37,57 +37,58 @@
     }
 }
 
-/// A value of `[telemetry]` that does not read.
+/// A value in `[telemetry]` is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingError {
-    /// A share that is no number from 0 to 1.
+    /// The share of traced requests is not a number from 0 to 1.
     #[error("'{0}' is not a share of requests: write a number from 0 to 1, such as 0.05")]
     Sample(String),
-    /// An endpoint that is no plain HTTP URL.
+    /// The endpoint is not a plain HTTP URL.
     #[error(
         "'{0}' is not an endpoint: write http://ADDRESS:PORT of a collector, without TLS, \
          such as http://127.0.0.1:4318"
     )]
     Endpoint(String),
-    /// A file in a directory that is not there.
+    /// The directory of a file does not exist.
     #[error("the directory of '{0}' does not exist: create it or correct the path")]
     Directory(String),
 }
 
 /// The share of requests that are traced, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sample(f64);
+pub struct SampleRatio(f64);
 
-impl Sample {
-    /// Every request.
+impl SampleRatio {
+    /// Traces every request.
     pub const ALL: Self = Self(1.0);
 
-    /// The share.
+    /// Returns the share.
     pub const fn share(self) -> f64 {
         self.0
     }
 }
 
-impl FromStr for Sample {
+impl FromStr for SampleRatio {
     type Err = SettingError;
 
     fn from_str(text: &str) -> Result<Self, SettingError> {
         let share: Option<f64> = text.parse().ok();
-        let fits = share.filter(|share| (0.0..=1.0).contains(share));
-        fits.map(Self)
+        let valid = share.filter(|share| (0.0..=1.0).contains(share));
+        valid
+            .map(Self)
             .ok_or_else(|| SettingError::Sample(text.into()))
     }
 }
 
-/// The URL that spans are sent to.
+/// The URL of the collector that receives spans.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint(String);
 
-/// The path that OTLP over HTTP gives traces.
+/// The path that OTLP over HTTP specifies for traces.
 const TRACES_PATH: &str = "/v1/traces";
 
 impl Endpoint {
-    /// The URL with its path.
+    /// Returns the URL with its path.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -103,10 +104,10 @@
     type Err = SettingError;
 
     fn from_str(text: &str) -> Result<Self, SettingError> {
-        let wrong = || SettingError::Endpoint(text.into());
-        let uri: http::Uri = text.parse().map_err(|_| wrong())?;
+        let invalid = || SettingError::Endpoint(text.into());
+        let uri: http::Uri = text.parse().map_err(|_| invalid())?;
         if uri.scheme_str() != Some("http") || uri.host().is_none() {
-            return Err(wrong());
+            return Err(invalid());
         }
         if uri.path() == "/" {
             return Ok(Self(format!("{}{TRACES_PATH}", text.trim_end_matches('/'))));
@@ -115,32 +116,32 @@
     }
 }
 
-/// What `[telemetry]` sets; every key may be left out.
+/// The settings in `[telemetry]`; every key is optional.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TelemetrySettings {
-    /// `log-level`: the least level that is logged.
+    /// `log-level`: the least severe level that is logged.
     pub level: Level,
-    /// `log-format`
+    /// `log-format`: the format of log lines.
     pub format: LogFormat,
-    /// `log-file`: the file that logs are appended to; without it they go to `stream`.
+    /// `log-file`: the file that logs are appended to; without it, logs go to `stream`.
     pub log_file: Option<PathBuf>,
-    /// Where logs go without a file.
+    /// The stream that logs go to without a file.
     pub stream: LogStream,
-    /// `trace-file`: the file that spans are appended to, one JSON object a line.
+    /// `trace-file`: the file that spans are appended to, one JSON object per line.
     pub trace_file: Option<PathBuf>,
-    /// `trace-endpoint`: the collector that spans are sent to by OTLP over HTTP.
+    /// `trace-endpoint`: the collector that receives spans by OTLP over HTTP.
     pub endpoint: Option<Endpoint>,
-    /// `trace-sample`: the share of requests that are traced when the caller does not say.
-    pub sample: Sample,
+    /// `trace-sample`: the share of requests that are traced when the caller does not decide.
+    pub sample: SampleRatio,
 }
 
 /// The standard stream that logs go to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogStream {
-    /// Standard error, beside what a command prints.
+    /// Logs go to standard error, separate from the output of a command.
     #[default]
     Error,
-    /// Standard output, for processes that print nothing else there.
+    /// Logs go to standard output, for processes that print nothing else there.
     Output,
 }
 
@@ -153,14 +154,14 @@
             stream: LogStream::default(),
             trace_file: None,
             endpoint: None,
-            sample: Sample::ALL,
+            sample: SampleRatio::ALL,
         }
     }
 }
 
 impl TelemetrySettings {
-    /// Takes `[telemetry]` out of a document; the defaults if it is not there. Relative paths are
-    /// relative to `folder`.
+    /// Takes `[telemetry]` out of a document and reads it; returns the defaults if it is absent. Relative
+    /// paths are resolved against `folder`.
     pub fn take(document: &mut Document, folder: &Path, problems: &mut Problems) -> Self {
         let section = document.take("telemetry");
         section.map_or_else(Self::default, |section| {
@@ -168,7 +169,7 @@
         })
     }
 
-    /// Reads the section and reports every problem in it.
+    /// Reads the section and adds every error in it to `problems`.
     pub fn read(mut section: Section, folder: &Path, problems: &mut Problems) -> Self {
         let defaults = Self::default();
         let file = |text: &str| parse_file(folder, text);
--- a/crates/filbertstack-telemetry/src/traces/file.rs
+++ b/crates/filbertstack-telemetry/src/traces/file.rs
@@ -1,4 +1,4 @@
-//! Spans as JSON objects, one a line, appended to a file.
+//! An exporter that appends spans to a file as JSON objects, one per line.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -22,9 +22,9 @@
 use crate::error::TelemetryError;
 use crate::identity::Identity;
 
-/// The size at which a trace file takes no more: without a bound, traces that nobody collects
-/// would fill the disk that the replicated log needs.
-const MAX_FILE: u64 = 1 << 30;
+/// The maximum size of a trace file. Without a limit, traces that nobody removes would fill the disk that the
+/// replicated log needs.
+const MAX_FILE_BYTES: u64 = 1 << 30;
 
 pub(super) fn open(path: &Path, identity: &Identity) -> Result<FileExporter, TelemetryError> {
     let opened = File::options().append(true).create(true).open(path);
@@ -38,25 +38,25 @@
     })
 }
 
-/// Appends spans to a file.
+/// Exports spans by appending them to a file.
 #[derive(Debug)]
 pub(super) struct FileExporter {
     file: Mutex<File>,
     identity: Identity,
 }
 
-/// One line of the file.
+/// One line of the file, which describes one span.
 #[derive(Serialize)]
 struct Line<'a> {
     trace: String,
     span: String,
-    /// Absent at the root of a trace.
+    /// The identifier of the parent span; absent at the root of a trace.
     #[serde(skip_serializing_if = "Option::is_none")]
     parent: Option<String>,
     name: &'a str,
     role: &'static str,
     instance: &'a str,
-    /// Microseconds since 1970.
+    /// The start of the span, in microseconds since 1970.
     start_us: u128,
     duration_us: u128,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -81,8 +81,8 @@
 }
 
 fn micros(time: SystemTime) -> u128 {
-    let since = time.duration_since(UNIX_EPOCH);
-    since.unwrap_or_default().as_micros()
+    let elapsed = time.duration_since(UNIX_EPOCH);
+    elapsed.unwrap_or_default().as_micros()
 }
 
 impl FileExporter {
@@ -116,7 +116,7 @@
             text.push(b'\n');
         }
         let mut file = self.file.lock().unwrap_or_else(PoisonError::into_inner);
-        if file.metadata()?.len() + text.len() as u64 > MAX_FILE {
+        if file.metadata()?.len() + text.len() as u64 > MAX_FILE_BYTES {
             return Err(io::ErrorKind::FileTooLarge.into());
         }
         file.write_all(&text)
--- a/crates/filbertstack-telemetry/src/traces/hop.rs
+++ b/crates/filbertstack-telemetry/src/traces/hop.rs
@@ -1,36 +1,36 @@
-//! The names of spans and of their fields.
+//! This module defines the names of spans and of their fields.
 
 use opentelemetry::trace::SpanKind;
 
-/// A hop of a request or of an order.
+/// A hop is one step of a request or of an order, and has its own span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hop {
-    /// A caller's request, as an entry sees it.
+    /// An entry handles a caller's request.
     EntryRequest,
-    /// The wait for admission.
+    /// The request waits for admission.
     EntryAdmission,
-    /// One attempt at a target.
+    /// The entry sends one attempt to a target.
     EntryDispatch,
-    /// The claim of an idempotency key in the replicated log.
+    /// The entry claims an idempotency key in the replicated log.
     EntryClaim,
-    /// The check at the agent's gate and what follows it.
+    /// The agent's gate checks the request; the span covers the subsequent processing.
     AgentGate,
-    /// The call of a model engine.
+    /// The agent calls a model engine.
     AgentEngine,
-    /// The call of a plain service.
+    /// The agent calls a plain service.
     AgentService,
-    /// The fetch of a version's chunks.
+    /// The agent fetches the chunks of a version.
     AgentFetch,
-    /// The load of a version into the engine.
+    /// The agent loads a version into the engine.
     AgentLoad,
-    /// An operator's call.
+    /// An operator sends a request.
     ControlRequest,
-    /// The commit of an entry of the replicated log.
+    /// An entry of the replicated log is committed.
     ControlCommit,
 }
 
 impl Hop {
-    /// The span's name.
+    /// Returns the name of the span.
     pub const fn name(self) -> &'static str {
         match self {
             Self::EntryRequest => "entry.request",
@@ -60,37 +60,37 @@
     }
 }
 
-/// What a span notes.
+/// A field is an attribute of a span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// The caller's organisation.
+    /// The organisation of the caller.
     Organisation,
-    /// The model.
+    /// The name of the model.
     Model,
-    /// The version's digest.
+    /// The digest of the version.
     Version,
     /// The rule that matched.
     Rule,
-    /// The target.
+    /// The name of the target.
     Target,
-    /// The availability zone.
+    /// The name of the availability zone.
     Zone,
-    /// The attempt's number.
+    /// The number of the attempt.
     Attempt,
-    /// How it ended.
+    /// The outcome of the hop.
     Outcome,
-    /// Why it ended so.
+    /// The reason for the outcome.
     Reason,
-    /// Tokens.
+    /// The number of tokens.
     Tokens,
-    /// Bytes.
+    /// The number of bytes.
     Bytes,
-    /// The configuration's revision.
+    /// The revision of the configuration.
     Revision,
 }
 
 impl Field {
-    /// The attribute's name.
+    /// Returns the name of the attribute.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Organisation => "organisation",
--- a/crates/filbertstack-telemetry/src/traces/mod.rs
+++ b/crates/filbertstack-telemetry/src/traces/mod.rs
@@ -1,4 +1,4 @@
-//! Traces: a span for each hop of a request, joined over processes by W3C trace context.
+//! Traces consist of a span for each hop of a request; W3C trace context connects them across processes.
 
 mod file;
 mod hop;
@@ -24,7 +24,7 @@
 
 pub use hop::Field;
 pub use hop::Hop;
-pub use queue::QUEUE;
+pub use queue::SPAN_QUEUE_SIZE;
 pub use queue::SpanStats;
 
 use crate::error::TelemetryError;
@@ -34,7 +34,7 @@
 const TRACEPARENT: &str = "traceparent";
 const TRACESTATE: &str = "tracestate";
 
-/// A process's traces; dropping it writes what is left.
+/// The traces of a process; dropping them exports the remaining spans.
 pub struct Traces {
     provider: SdkTracerProvider,
     tracer: Tracer,
@@ -42,11 +42,11 @@
 }
 
 impl Traces {
-    /// Starts the exporter that the settings name. Without one spans go nowhere, but a caller's
+    /// Starts the exporter that the settings select. Without an exporter no span is recorded, but a caller's
     /// trace context still passes from hop to hop.
     ///
     /// # Errors
-    /// [`TelemetryError::TraceFile`] and [`TelemetryError::Endpoint`].
+    /// Returns [`TelemetryError::TraceFile`] or [`TelemetryError::Endpoint`].
     pub fn start(
         settings: &TelemetrySettings,
         identity: &Identity,
@@ -73,36 +73,36 @@
         })
     }
 
-    /// Makes spans; cheap to clone.
+    /// Returns the tracer, which is cheap to clone.
     pub fn tracer(&self) -> &Tracer {
         &self.tracer
     }
 
-    /// What became of the spans.
+    /// Returns the counts of exported, dropped and failed spans.
     pub fn stats(&self) -> &Arc<SpanStats> {
         &self.stats
     }
 
-    /// Writes or sends the spans that have ended.
+    /// Exports the spans that have ended.
     pub fn flush(&self) {
-        // A failed export is in the counts.
+        // The stats count a failed export.
         let _ = self.provider.force_flush();
     }
 }
 
 impl Drop for Traces {
     fn drop(&mut self) {
-        // A failed export is in the counts.
+        // The stats count a failed export.
         let _ = self.provider.shutdown();
     }
 }
 
-/// Makes spans.
+/// Creates spans.
 #[derive(Clone)]
 pub struct Tracer(SdkTracer);
 
 impl Tracer {
-    /// Starts the span of a hop.
+    /// Starts the span of a hop below `parent`.
     pub fn span(&self, hop: Hop, parent: &Parent) -> Span {
         let builder = SpanBuilder::from_name(hop.name()).with_kind(hop.kind());
         let span = self.0.build_with_context(builder, &parent.0);
@@ -118,17 +118,17 @@
     }
 }
 
-/// What a span stands below: another span, here or in another process, or nothing.
+/// The parent of a span: another span, in this process or in another one, or none.
 #[derive(Clone, Debug, Default)]
 pub struct Parent(Context);
 
 impl Parent {
-    /// Nothing: the span begins a trace.
+    /// Returns the empty parent; its span starts a trace.
     pub fn root() -> Self {
         Self(Context::new())
     }
 
-    /// The parent that W3C headers name; nothing if they are absent or do not read.
+    /// Parses the parent from W3C headers; returns the empty parent if they are absent or invalid.
     pub fn parse(traceparent: Option<&str>, tracestate: Option<&str>) -> Self {
         let mut headers = HashMap::new();
         headers.extend(traceparent.map(|text| (TRACEPARENT.to_owned(), text.to_owned())));
@@ -145,17 +145,17 @@
 }
 
 impl Span {
-    /// This span as the parent of others, on any thread.
+    /// Returns this span as the parent of other spans, which may be on any thread.
     pub fn parent(&self) -> Parent {
         Parent(self.context.clone())
     }
 
-    /// The `traceparent` header for the next process.
+    /// Returns the `traceparent` header for the next process.
     pub fn traceparent(&self) -> String {
         self.header(TRACEPARENT).unwrap_or_default()
     }
 
-    /// The `tracestate` header for the next process, if the caller gave one.
+    /// Returns the `tracestate` header for the next process, if the caller sent one.
     pub fn tracestate(&self) -> Option<String> {
         self.header(TRACESTATE).filter(|text| !text.is_empty())
     }
@@ -166,29 +166,29 @@
         headers.remove(name)
     }
 
-    /// The trace's id in hexadecimal, for logs.
+    /// Returns the identifier of the trace in hexadecimal, for logs.
     pub fn trace_id(&self) -> String {
         self.context.span().span_context().trace_id().to_string()
     }
 
-    /// Whether the span is to be exported.
+    /// Returns whether the span is exported.
     pub fn is_sampled(&self) -> bool {
         self.context.span().span_context().is_sampled()
     }
 
-    /// Notes a text.
+    /// Sets a text field.
     pub fn text(&self, field: Field, value: &str) {
         let pair = KeyValue::new(field.name(), value.to_owned());
         self.context.span().set_attribute(pair);
     }
 
-    /// Notes a number.
+    /// Sets a number field.
     pub fn number(&self, field: Field, value: i64) {
         let pair = KeyValue::new(field.name(), value);
         self.context.span().set_attribute(pair);
     }
 
-    /// Notes a moment within the hop, such as the first token.
+    /// Records an event within the hop, such as the first token.
     pub fn event(&self, name: &'static str) {
         self.context.span().add_event(name, Vec::new());
     }
--- a/crates/filbertstack-telemetry/src/traces/otlp.rs
+++ b/crates/filbertstack-telemetry/src/traces/otlp.rs
@@ -1,4 +1,4 @@
-//! Spans sent to a collector by OTLP over HTTP, with `ureq` as the client.
+//! An exporter that sends spans to a collector by OTLP over HTTP, with `ureq` as the client.
 
 use std::future;
 use std::future::Future;
@@ -19,19 +19,19 @@
 use crate::error::TelemetryError;
 use crate::settings::Endpoint;
 
-/// The longest that one export waits for the collector.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// The maximum time that one export waits for the collector.
+const EXPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The largest answer of a collector that is read, in bytes.
-const MAX_ANSWER: u64 = 64 * 1024;
+/// The maximum size of a collector's response, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 64 * 1024;
 
 pub(super) fn exporter(endpoint: &Endpoint) -> Result<SpanExporter, TelemetryError> {
     let built = SpanExporter::builder()
         .with_http()
-        .with_http_client(Client::new())
+        .with_http_client(UreqClient::new())
         .with_protocol(Protocol::HttpBinary)
         .with_endpoint(endpoint.as_str())
-        .with_timeout(TIMEOUT)
+        .with_timeout(EXPORT_TIMEOUT)
         .build();
     built.map_err(|e| TelemetryError::Endpoint {
         endpoint: endpoint.to_string(),
@@ -39,14 +39,14 @@
     })
 }
 
-/// The exporter's view of `ureq`. It blocks, which only the batch thread feels.
+/// Adapts `ureq` to the exporter. Its calls block, but only the batch thread makes them.
 #[derive(Debug)]
-struct Client(Agent);
+struct UreqClient(Agent);
 
-impl Client {
+impl UreqClient {
     fn new() -> Self {
         let config = Agent::config_builder()
-            .timeout_global(Some(TIMEOUT))
+            .timeout_global(Some(EXPORT_TIMEOUT))
             .http_status_as_error(false)
             .build();
         Self(config.new_agent())
@@ -56,15 +56,16 @@
         let (parts, body) = request.into_parts();
         let request = Request::from_parts(parts, body.to_vec());
         let (parts, mut body) = self.0.run(request)?.into_parts();
-        let answer = body.with_config().limit(MAX_ANSWER).read_to_vec()?;
-        Ok(Response::from_parts(parts, Bytes::from(answer)))
+        let content = body.with_config().limit(MAX_RESPONSE_BYTES).read_to_vec()?;
+        Ok(Response::from_parts(parts, Bytes::from(content)))
     }
 }
 
-type Sending<'f> = Pin<Box<dyn Future<Output = Result<Response<Bytes>, HttpError>> + Send + 'f>>;
+type ResponseFuture<'f> =
+    Pin<Box<dyn Future<Output = Result<Response<Bytes>, HttpError>> + Send + 'f>>;
 
-impl HttpClient for Client {
-    fn send_bytes<'s, 'f>(&'s self, request: Request<Bytes>) -> Sending<'f>
+impl HttpClient for UreqClient {
+    fn send_bytes<'s, 'f>(&'s self, request: Request<Bytes>) -> ResponseFuture<'f>
     where
         's: 'f,
         Self: 'f,
--- a/crates/filbertstack-telemetry/src/traces/queue.rs
+++ b/crates/filbertstack-telemetry/src/traces/queue.rs
@@ -1,8 +1,8 @@
-//! The queue between requests and the exporter: bounded, and full means dropped and counted.
+//! A bounded queue between requests and the exporter. Spans that do not fit are dropped and counted.
 //!
-//! A collector that hangs would otherwise hold up the requests that end their spans, or fill the
-//! memory with them. The SDK's own batch thread takes spans from here; the bound and the counts
-//! are kept on this side, since the SDK only logs what it drops.
+//! Without a bound, a collector that hangs would block the requests that end their spans, or fill the memory
+//! with spans. The SDK's batch thread takes spans from the queue; this module enforces the bound and keeps
+//! the counts, because the SDK only logs the spans that it drops.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -20,17 +20,17 @@
 use opentelemetry_sdk::trace::SpanExporter;
 use opentelemetry_sdk::trace::SpanProcessor;
 
-/// The most spans that wait for the exporter: some seconds of an entry's spans at 2 requests a
-/// second and node times 5 hops, with room for a burst of a hundred times as many.
-pub const QUEUE: usize = 4096;
+/// The maximum number of spans that wait for the exporter: some seconds of an entry's spans at 2 requests per
+/// second and node with 5 hops each, and room for a burst of a hundred times as many.
+pub const SPAN_QUEUE_SIZE: usize = 4096;
 
-/// The most spans of one export: some 200 KB of OTLP.
-const BATCH: usize = 512;
+/// The maximum number of spans in one export: about 200 KB of OTLP.
+const BATCH_SIZE: usize = 512;
 
-/// How long an ended span waits for others.
-const DELAY: Duration = Duration::from_secs(1);
+/// The longest time that an ended span waits for others before an export.
+const EXPORT_DELAY: Duration = Duration::from_secs(1);
 
-/// What became of the spans that ended.
+/// Counts the spans that ended, by what happened to them.
 #[derive(Debug, Default)]
 pub struct SpanStats {
     queued: AtomicUsize,
@@ -40,35 +40,36 @@
 }
 
 impl SpanStats {
-    /// Spans dropped because the queue was full.
+    /// Returns the number of spans that were dropped because the queue was full.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Spans written or sent.
+    /// Returns the number of exported spans.
     pub fn exported(&self) -> u64 {
         self.exported.load(Ordering::Relaxed)
     }
 
-    /// Spans that could not be written or sent.
+    /// Returns the number of spans that could not be exported.
     pub fn failed(&self) -> u64 {
         self.failed.load(Ordering::Relaxed)
     }
 
-    /// Takes a place in the queue, if there is one.
-    fn enter(&self) -> bool {
-        let free = |queued| (queued < QUEUE).then_some(queued + 1);
-        let entered = self
+    /// Reserves a place in the queue; returns false and counts a dropped span if the queue is full.
+    fn reserve(&self) -> bool {
+        let next = |queued| (queued < SPAN_QUEUE_SIZE).then_some(queued + 1);
+        let reserved = self
             .queued
-            .fetch_update(Ordering::AcqRel, Ordering::Acquire, free)
+            .fetch_update(Ordering::AcqRel, Ordering::Acquire, next)
             .is_ok();
-        if !entered {
+        if !reserved {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
-        entered
+        reserved
     }
 
-    fn leave(&self, spans: usize, exported: bool) {
+    /// Releases the places of exported or failed spans and counts them.
+    fn release(&self, spans: usize, exported: bool) {
         self.queued.fetch_sub(spans, Ordering::AcqRel);
         let count = if exported {
             &self.exported
@@ -79,39 +80,40 @@
     }
 }
 
-/// A processor that hands spans to `exporter` from a thread of its own.
+/// Creates a processor that passes spans to `exporter` from a separate thread.
 pub(super) fn processor<E>(exporter: E, stats: &Arc<SpanStats>) -> impl SpanProcessor + use<E>
 where
     E: SpanExporter + 'static,
 {
-    let counted = Counted {
+    let counting = CountingExporter {
         exporter,
         stats: stats.clone(),
     };
     let config = BatchConfigBuilder::default()
-        .with_max_queue_size(QUEUE + BATCH)
-        .with_max_export_batch_size(BATCH)
-        .with_scheduled_delay(DELAY)
+        .with_max_queue_size(SPAN_QUEUE_SIZE + BATCH_SIZE)
+        .with_max_export_batch_size(BATCH_SIZE)
+        .with_scheduled_delay(EXPORT_DELAY)
         .build();
-    Bounded {
-        batches: BatchSpanProcessor::new(counted, config),
+    BoundedProcessor {
+        batches: BatchSpanProcessor::new(counting, config),
         stats: stats.clone(),
     }
 }
 
+/// Limits the number of spans in the queue.
 #[derive(Debug)]
-struct Bounded {
+struct BoundedProcessor {
     batches: BatchSpanProcessor,
     stats: Arc<SpanStats>,
 }
 
-impl SpanProcessor for Bounded {
+impl SpanProcessor for BoundedProcessor {
     fn on_start(&self, span: &mut Span, context: &Context) {
         self.batches.on_start(span, context);
     }
 
     fn on_end(&self, span: SpanData) {
-        if span.span_context.is_sampled() && self.stats.enter() {
+        if span.span_context.is_sampled() && self.stats.reserve() {
             self.batches.on_end(span);
         }
     }
@@ -129,18 +131,18 @@
     }
 }
 
-/// An exporter that counts.
+/// Counts the spans that the inner exporter exports or fails to export.
 #[derive(Debug)]
-struct Counted<E> {
+struct CountingExporter<E> {
     exporter: E,
     stats: Arc<SpanStats>,
 }
 
-impl<E: SpanExporter> SpanExporter for Counted<E> {
+impl<E: SpanExporter> SpanExporter for CountingExporter<E> {
     async fn export(&self, batch: Vec<SpanData>) -> OTelSdkResult {
         let spans = batch.len();
         let result = self.exporter.export(batch).await;
-        self.stats.leave(spans, result.is_ok());
+        self.stats.release(spans, result.is_ok());
         result
     }
 
--- a/crates/filbertstack-telemetry/tests/collector/mod.rs
+++ b/crates/filbertstack-telemetry/tests/collector/mod.rs
@@ -1,4 +1,4 @@
-//! A collector that keeps what it receives; it can be held before its first answer.
+//! An OTLP collector that stores the spans it receives; it can be held before its first response.
 
 use std::sync::Arc;
 use std::sync::Condvar;
@@ -10,7 +10,7 @@
 use tiny_http::Response;
 use tiny_http::Server;
 
-/// The part of OTLP's span that the tests look at.
+/// The fields of an OTLP span that the tests check.
 #[derive(Clone, PartialEq, Message)]
 pub struct OtlpSpan {
     #[prost(bytes = "vec", tag = "1")]
@@ -65,7 +65,7 @@
         Self::with_hold(false)
     }
 
-    /// A collector that answers nothing before [`Collector::release`].
+    /// Starts a collector that sends no response before [`Collector::release`].
     pub fn held() -> Self {
         Self::with_hold(true)
     }
@@ -74,8 +74,8 @@
         let server = Arc::new(Server::http("127.0.0.1:0").unwrap());
         let shared = Arc::new(Shared::default());
         shared.state.lock().unwrap().held = held;
-        let (to_serve, to_keep) = (server.clone(), shared.clone());
-        let thread = thread::spawn(move || serve(&to_serve, &to_keep));
+        let (server_copy, shared_copy) = (server.clone(), shared.clone());
+        let thread = thread::spawn(move || serve(&server_copy, &shared_copy));
         Self {
             server,
             shared,
--- a/crates/filbertstack-telemetry/tests/logs.rs
+++ b/crates/filbertstack-telemetry/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines: their form, their fields and what must not be in them.
+//! Tests of the format and the fields of log lines, and of secrets, which no line may contain.
 
 use std::fs;
 
@@ -15,8 +15,8 @@
 
 const KEY: &str = "hunter2-hunter2";
 
-/// The log's text after `write` has logged to it.
-fn logged(format: LogFormat, write: impl FnOnce(&Logs)) -> String {
+/// Returns the text of the log after `write` has logged to it.
+fn log_text(format: LogFormat, write: impl FnOnce(&Logs)) -> String {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("log");
     let settings = TelemetrySettings {
@@ -30,7 +30,7 @@
     fs::read_to_string(path).unwrap()
 }
 
-fn without_time(line: &str) -> Value {
+fn parse_without_time(line: &str) -> Value {
     let mut value: Value = serde_json::from_str(line).unwrap();
     let time = value.as_object_mut().unwrap().remove("timestamp");
     assert!(time.unwrap().is_u64());
@@ -39,10 +39,10 @@
 
 #[test]
 fn json_lines_carry_role_instance_and_fields() {
-    let text = logged(LogFormat::Json, |logs| {
+    let text = log_text(LogFormat::Json, |logs| {
         info!(logger: logs.logger(), "a \"quoted\"\nline", kv: { targets = 3, zone = "van-a" });
     });
-    let lines: Vec<Value> = text.lines().map(without_time).collect();
+    let lines: Vec<Value> = text.lines().map(parse_without_time).collect();
     let expected = json!({
         "level": "info",
         "role": "entry",
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn lines_of_a_request_carry_its_ids() {
-    let text = logged(LogFormat::Json, |logs| {
+fn request_lines_carry_identifiers() {
+    let text = log_text(LogFormat::Json, |logs| {
         let mut log = RequestLog::with_logger(logs.logger().clone(), "r-7");
         log.organisation = "acme".into();
         log.warn("refused");
         log.debug("below the level");
     });
-    let lines: Vec<Value> = text.lines().map(without_time).collect();
+    let lines: Vec<Value> = text.lines().map(parse_without_time).collect();
     assert_eq!(lines.len(), 1);
     let fields = json!({"request": "r-7", "organisation": "acme", "trace": ""});
     assert_eq!(lines[0]["fields"], fields);
@@ -69,24 +69,24 @@
 
 #[test]
 fn text_lines_carry_role_instance_and_fields() {
-    let text = logged(LogFormat::Text, |logs| {
+    let text = log_text(LogFormat::Text, |logs| {
         info!(logger: logs.logger(), "started", kv: { targets = 3 });
     });
     assert!(text.contains(" info entry van-a-1 started "), "{text}");
     assert!(text.contains("targets=3"), "{text}");
 }
 
-// An operator logs a whole settings value by mistake. The key in it must not reach the log in any
-// of the forms in which a line can carry a value.
+// Guards against a leaked key: an operator logs a complete settings value by mistake. The key in it must not
+// appear in the log in any of the forms in which a line can contain a value.
 #[test]
-fn a_secret_does_not_reach_a_log() {
+fn secret_is_redacted_in_logs() {
     #[derive(Debug)]
     #[expect(dead_code, reason = "read by Debug alone")]
     struct Settings {
         key: Secret,
     }
     for format in [LogFormat::Json, LogFormat::Text] {
-        let text = logged(format, |logs| {
+        let text = log_text(format, |logs| {
             let key = Secret::new(KEY);
             let settings = Settings { key: key.clone() };
             info!(logger: logs.logger(), "{key} {key:?} {settings:?}", kv: { key:, settings:? });
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_secret_matches_itself_alone() {
+fn secret_matches_only_equal_text() {
     let key = Secret::new(KEY);
     assert!(key.matches(KEY));
     for other in ["", "hunter2", "hunter2-hunter3", "hunter2-hunter2-"] {
--- a/crates/filbertstack-telemetry/tests/metrics.rs
+++ b/crates/filbertstack-telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics as Prometheus text.
+//! Tests of the metrics that are rendered as Prometheus text.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_was_measured_is_rendered() {
+fn recorded_metrics_are_rendered() {
     let metrics = metrics();
     metrics.entry.requests.add("ran", 2);
     metrics.entry.requests.add("not-run", 1);
@@ -25,17 +25,18 @@
     insta::assert_snapshot!(metrics.render());
 }
 
-// A caller makes up a new organisation's name for each request. The text must stay bounded: the
-// first names are kept and all others share one line.
+// A caller sends a new organisation name with each request. The rendered text must stay bounded: the first
+// names keep their own lines and all others share one line.
 #[test]
-fn labels_from_callers_are_bounded() {
+fn label_values_are_bounded() {
     let metrics = metrics();
     for n in 0..10 * MAX_VALUES {
         metrics.entry.organisations.add(&format!("org-{n}"), 1);
     }
     let text = metrics.render();
-    let line = |line: &&str| line.starts_with("filbertstack_entry_organisation_requests_total{");
-    assert_eq!(text.lines().filter(line).count(), MAX_VALUES + 1);
+    let is_sample =
+        |line: &&str| line.starts_with("filbertstack_entry_organisation_requests_total{");
+    assert_eq!(text.lines().filter(is_sample).count(), MAX_VALUES + 1);
     let others = "filbertstack_entry_organisation_requests_total{organisation=\"other\"}";
     assert!(text.contains(&format!("{others} {}", 9 * MAX_VALUES)));
     assert!(text.contains("organisation=\"org-0\"} 1"));
--- a/crates/filbertstack-telemetry/tests/queue.rs
+++ b/crates/filbertstack-telemetry/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Lines before a reader that stops, and more of them than there is a budget for.
+//! Tests of the log queue with a reader that stops and with more lines than the rate limit allows.
 
 use std::io;
 use std::io::Write;
@@ -9,27 +9,27 @@
 use std::sync::mpsc::Sender;
 use std::sync::mpsc::channel;
 
-use filbertstack_telemetry::queue::Budget;
 use filbertstack_telemetry::queue::QueueSink;
+use filbertstack_telemetry::queue::RateLimiter;
 use spdlog::Logger;
 use spdlog::info;
 
-/// A reader that takes nothing until it is told to go on.
-struct Reader {
-    go_on: Receiver<()>,
-    going: bool,
-    read: Arc<Mutex<String>>,
+/// A stream that accepts no bytes until it is resumed.
+struct BlockedStream {
+    resume: Receiver<()>,
+    resumed: bool,
+    written: Arc<Mutex<String>>,
 }
 
-impl Write for Reader {
+impl Write for BlockedStream {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if !self.going {
-            // The test has ended without telling: nobody reads any more.
-            self.go_on.recv().map_err(|_| io::ErrorKind::BrokenPipe)?;
-            self.going = true;
+        if !self.resumed {
+            // The test has ended without resuming the stream, so that no reader is left.
+            self.resume.recv().map_err(|_| io::ErrorKind::BrokenPipe)?;
+            self.resumed = true;
         }
         let text = String::from_utf8_lossy(bytes);
-        lock(&self.read).push_str(&text);
+        lock(&self.written).push_str(&text);
         Ok(bytes.len())
     }
 
@@ -38,66 +38,69 @@
     }
 }
 
-fn lock(read: &Mutex<String>) -> MutexGuard<'_, String> {
-    read.lock().expect("not poisoned")
+fn lock(written: &Mutex<String>) -> MutexGuard<'_, String> {
+    written.lock().expect("not poisoned")
 }
 
 fn start() -> (Arc<Logger>, Sender<()>, Arc<Mutex<String>>) {
-    let (tell, go_on) = channel();
-    let read: Arc<Mutex<String>> = Arc::default();
-    let reader = Reader {
-        go_on,
-        going: false,
-        read: read.clone(),
+    let (resume_sender, resume) = channel();
+    let written: Arc<Mutex<String>> = Arc::default();
+    let stream = BlockedStream {
+        resume,
+        resumed: false,
+        written: written.clone(),
     };
-    let left_out = Box::new(|kind: &str, count| format!("{count} of {kind} left out\n"));
-    let sink = QueueSink::start(reader, left_out).expect("a thread");
+    let notice = Box::new(|kind: &str, count| format!("{count} of {kind} left out\n"));
+    let sink = QueueSink::start(stream, notice).expect("a thread");
     let logger = Logger::builder().sink(Arc::new(sink)).build_arc();
-    (logger.expect("a logger"), tell, read)
+    (logger.expect("a logger"), resume_sender, written)
 }
 
-/// Whoever reads the lines stops, and the process goes on serving. Written by the process itself,
-/// its lines would wait for the reader, and with them every request. They are queued, left out once
-/// the queue is full, and the count of those is told when the reader goes on.
+/// The reader of the log stops while the process continues to serve. If requests wrote their lines
+/// themselves, every request would wait for the reader. Instead, lines are queued, dropped once the queue is
+/// full, and the number of dropped lines is reported when the reader resumes.
 #[test]
-fn a_reader_that_stops_holds_up_nobody() {
-    let (logger, go_on, read) = start();
+fn stopped_reader_does_not_block_logging() {
+    let (logger, resume, output) = start();
     for kind in 0..40 {
         for _ in 0..50 {
             info!(logger: logger, "kind {kind}");
         }
     }
-    assert_eq!(*lock(&read), "");
-    go_on.send(()).expect("the reader waits");
-    while !lock(&read).contains("kind 39 left out") {
+    assert_eq!(*lock(&output), "");
+    resume.send(()).expect("the stream waits");
+    while !lock(&output).contains("kind 39 left out") {
         std::thread::yield_now();
     }
-    let read = lock(&read).clone();
-    let first = read.lines().filter(|line| line.ends_with("kind 0")).count();
-    assert_eq!(first, 50, "what came first is kept");
-    let left_out = read
+    let output = lock(&output).clone();
+    let first = output
+        .lines()
+        .filter(|line| line.ends_with("kind 0"))
+        .count();
+    assert_eq!(first, 50, "the first lines are kept");
+    let dropped = output
         .lines()
         .filter_map(|line| line.strip_suffix(" left out"));
-    let counts = left_out.filter_map(|line| line.split(' ').next()?.parse::<usize>().ok());
-    let left_out: usize = counts.sum();
-    let written = read.lines().filter(|line| !line.ends_with(" left out"));
+    let counts = dropped.filter_map(|line| line.split(' ').next()?.parse::<usize>().ok());
+    let dropped: usize = counts.sum();
+    let written = output.lines().filter(|line| !line.ends_with(" left out"));
     assert_eq!(
-        written.count() + left_out,
+        written.count() + dropped,
         2_000,
         "all are written or counted"
     );
 }
 
-/// Every request of a burst is refused, a thousand a second. A hundred lines tell of it, and the
-/// count of the rest; other kinds have a budget of their own, and the next second has one again.
+/// A burst of a thousand requests per second is refused. A hundred lines are written and the rest are
+/// counted; other kinds of line have their own limit, and the limit starts afresh in the next second.
 #[test]
-fn each_kind_of_line_has_a_budget_a_second() {
-    let mut budget = Budget::default();
-    let written = (0..1_000).filter(|_| budget.take("refused", 7)).count();
+fn each_kind_of_line_is_limited_per_second() {
+    let mut limiter = RateLimiter::default();
+    let written = (0..1_000).filter(|_| limiter.admit("refused", 7)).count();
     assert_eq!(written, 100);
-    assert!(budget.take("target not reached", 7));
-    assert!(budget.take("refused", 8));
-    let left: Vec<_> = budget.left_out().into_iter().collect();
-    assert_eq!(left, [("refused".to_owned(), 900)]);
-    assert!(budget.left_out().is_empty());
+    assert!(limiter.admit("target not reached", 7));
+    assert!(limiter.admit("refused", 8));
+    let dropped: Vec<_> = limiter.take_dropped().into_iter().collect();
+    assert_eq!(dropped, [("refused".to_owned(), 900)]);
+    assert!(limiter.take_dropped().is_empty());
 }
--- a/crates/filbertstack-telemetry/tests/settings.rs
+++ b/crates/filbertstack-telemetry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The `[telemetry]` section.
+//! Tests of the `[telemetry]` section.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 use filbertstack_telemetry::settings::LogFormat;
 use spdlog::Level;
 
-/// The tests' own folder, which is there.
+/// The folder of the tests, which exists.
 const FOLDER: &str = "tests";
 
 fn read(text: &str) -> (TelemetrySettings, Problems) {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_key_is_read() {
+fn all_keys_are_read() {
     let (settings, problems) = read(
         "[telemetry]\nlog-level = debug\nlog-format = json\nlog-file = entry.log\n\
          trace-endpoint = http://127.0.0.1:4318\ntrace-sample = 0.05\n",
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn without_a_section_there_are_defaults() {
+fn absent_section_gives_defaults() {
     let (settings, problems) = read("");
     assert_eq!(problems, Problems::default());
     assert_eq!(settings, TelemetrySettings::default());
 }
 
 #[test]
-fn every_problem_has_its_line_and_remedy() {
+fn problems_name_line_and_remedy() {
     let (_, problems) = read(
         "[telemetry]\nlog-level = loud\nlog-format = xml\nlog-file = no/such/dir/x.log\n\
          trace-file = spans.jsonl\ntrace-endpoint = http://127.0.0.1:4318/x\n\
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn endpoints_that_cannot_work_are_refused() {
+fn invalid_endpoints_are_rejected() {
     for text in ["https://collector:4318", "collector:4318", "http://", "/v1"] {
         let (_, problems) = read(&format!("[telemetry]\ntrace-endpoint = {text}\n"));
         assert_eq!(problems.0.len(), 1, "{text}");
--- a/crates/filbertstack-telemetry/tests/traces.rs
+++ b/crates/filbertstack-telemetry/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Traces: hops joined over processes, in a file and at a collector.
+//! Tests of traces across processes, in a file and at a collector.
 
 mod collector;
 
@@ -15,17 +15,17 @@
 use filbertstack_telemetry::traces::Field;
 use filbertstack_telemetry::traces::Hop;
 use filbertstack_telemetry::traces::Parent;
-use filbertstack_telemetry::traces::QUEUE;
+use filbertstack_telemetry::traces::SPAN_QUEUE_SIZE;
 use serde_json::Value;
 
 use collector::Collector;
 
-/// A caller's context, sampled.
+/// The trace context of a caller that samples the trace.
 const CALLER: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 const CALLER_TRACE: &str = "0af7651916cd43dd8448eb211c80319c";
 const CALLER_SPAN: &str = "b7ad6b7169203331";
 
-fn to_file(path: &Path, role: Role, sample: &str) -> Traces {
+fn start_with_file(path: &Path, role: Role, sample: &str) -> Traces {
     let settings = TelemetrySettings {
         trace_file: Some(path.into()),
         sample: sample.parse().unwrap(),
@@ -34,7 +34,7 @@
     Traces::start(&settings, &Identity::new(role, "one")).unwrap()
 }
 
-fn to_collector(collector: &Collector) -> Traces {
+fn start_with_collector(collector: &Collector) -> Traces {
     let settings = TelemetrySettings {
         endpoint: Some(collector.url().parse().unwrap()),
         ..TelemetrySettings::default()
@@ -42,22 +42,22 @@
     Traces::start(&settings, &Identity::new(Role::Entry, "one")).unwrap()
 }
 
-fn spans(path: &Path) -> BTreeMap<String, Value> {
+fn spans_by_name(path: &Path) -> BTreeMap<String, Value> {
     let text = fs::read_to_string(path).unwrap();
     let values = text.lines().map(|line| serde_json::from_str(line).unwrap());
     let named = values.map(|span: Value| (span["name"].as_str().unwrap().to_owned(), span));
     named.collect()
 }
 
-// A caller's request passes an entry and an agent, each a process with a file of its own; all that
-// goes between them is a header. The spans of both must stand in the caller's trace, each below
-// the hop that called it.
+// A caller's request passes through an entry and an agent, which are two processes with separate files; only
+// a header connects them. The spans of both must belong to the caller's trace, each below the hop that called
+// it.
 #[test]
 fn hops_of_two_processes_form_one_trace() {
     let dir = tempfile::tempdir().unwrap();
     let (entry_file, agent_file) = (dir.path().join("entry"), dir.path().join("agent"));
-    let entry = to_file(&entry_file, Role::Entry, "0");
-    let agent = to_file(&agent_file, Role::Agent, "0");
+    let entry = start_with_file(&entry_file, Role::Entry, "0");
+    let agent = start_with_file(&agent_file, Role::Agent, "0");
 
     let parent = Parent::parse(Some(CALLER), Some("vendor=x"));
     let request = entry.tracer().span(Hop::EntryRequest, &parent);
@@ -74,7 +74,7 @@
     drop((gate, dispatch, request));
     drop((entry, agent));
 
-    let (entry, agent) = (spans(&entry_file), spans(&agent_file));
+    let (entry, agent) = (spans_by_name(&entry_file), spans_by_name(&agent_file));
     let (request, dispatch) = (&entry["entry.request"], &entry["entry.dispatch"]);
     let gate = &agent["agent.gate"];
     assert_eq!(request["trace"], CALLER_TRACE);
@@ -90,10 +90,10 @@
 }
 
 #[test]
-fn a_request_without_context_begins_a_trace() {
+fn request_without_context_starts_a_trace() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("spans");
-    let traces = to_file(&path, Role::Entry, "1");
+    let traces = start_with_file(&path, Role::Entry, "1");
     for header in [None, Some("garbage"), Some("00-0-0-01")] {
         let parent = Parent::parse(header, None);
         drop(traces.tracer().span(Hop::EntryRequest, &parent));
@@ -106,13 +106,13 @@
     assert!(!text.contains("\"parent\""));
 }
 
-// The share of traced requests is 0 and the caller asks for no trace: nothing may be written, yet
-// the next hop gets a context, so that one trace id still names the request everywhere.
+// The share of traced requests is 0 and the caller requests no trace. No span may be written, but the next
+// hop receives a context, so that one trace identifier still names the request in all processes.
 #[test]
-fn a_request_that_is_not_sampled_keeps_its_context() {
+fn unsampled_request_keeps_its_context() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("spans");
-    let traces = to_file(&path, Role::Entry, "0");
+    let traces = start_with_file(&path, Role::Entry, "0");
     let unsampled = CALLER.replace("-01", "-00");
     let span = traces
         .tracer()
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn without_an_exporter_the_context_passes_on() {
+fn context_is_forwarded_without_an_exporter() {
     let settings = TelemetrySettings::default();
     let traces = Traces::start(&settings, &Identity::new(Role::Entry, "one")).unwrap();
     let parent = Parent::parse(Some(CALLER), None);
@@ -136,9 +136,9 @@
 }
 
 #[test]
-fn a_collector_receives_otlp() {
+fn collector_receives_spans() {
     let collector = Collector::start();
-    let traces = to_collector(&collector);
+    let traces = start_with_collector(&collector);
     let parent = Parent::parse(Some(CALLER), None);
     let request = traces.tracer().span(Hop::EntryRequest, &parent);
     drop(traces.tracer().span(Hop::EntryAdmission, &request.parent()));
@@ -152,15 +152,15 @@
     assert_eq!(collector.path().as_deref(), Some("/v1/traces"));
 }
 
-// The collector hangs while requests go on ending their spans. No request may wait: what does not
-// fit into the queue is dropped and counted, and the rest arrives once the collector answers.
+// The collector hangs while requests continue to end their spans. No request may wait: spans that do not fit
+// into the queue are dropped and counted, and the others arrive once the collector responds.
 #[test]
-fn a_full_queue_drops_and_counts() {
+fn full_queue_drops_and_counts_spans() {
     let collector = Collector::held();
-    let traces = to_collector(&collector);
+    let traces = start_with_collector(&collector);
     let metrics = Metrics::new(&Identity::new(Role::Entry, "one")).unwrap();
-    metrics.watch(traces.stats());
-    for _ in 0..QUEUE + 100 {
+    metrics.observe_spans(traces.stats());
+    for _ in 0..SPAN_QUEUE_SIZE + 100 {
         drop(traces.tracer().span(Hop::EntryRequest, &Parent::root()));
     }
     assert_eq!(traces.stats().dropped(), 100);
@@ -168,14 +168,14 @@
     assert!(text.contains("filbertstack_trace_spans_dropped_total 100"));
     collector.release();
     traces.flush();
-    assert_eq!(traces.stats().exported(), QUEUE as u64);
+    assert_eq!(traces.stats().exported(), SPAN_QUEUE_SIZE as u64);
     assert_eq!(traces.stats().failed(), 0);
     drop(traces);
-    assert_eq!(collector.spans().len(), QUEUE);
+    assert_eq!(collector.spans().len(), SPAN_QUEUE_SIZE);
 }
 
 #[test]
-fn a_collector_that_is_gone_is_counted() {
+fn unreachable_collector_counts_failed_spans() {
     let url = Collector::start().url();
     let settings = TelemetrySettings {
         endpoint: Some(url.parse().unwrap()),
@@ -189,10 +189,10 @@
 }
 
 #[test]
-fn a_secret_does_not_reach_a_span() {
+fn secret_is_redacted_in_spans() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("spans");
-    let traces = to_file(&path, Role::Entry, "1");
+    let traces = start_with_file(&path, Role::Entry, "1");
     let span = traces.tracer().span(Hop::EntryRequest, &Parent::root());
     let key = Secret::new("hunter2");
     span.text(Field::Reason, &format!("{key} {key:?}"));
