--- a/crates/filbertstack-core/src/serving.rs
+++ b/crates/filbertstack-core/src/serving.rs
@@ -36,9 +36,9 @@
     pub repeat: Repeat,
     /// The time within which a request must have its complete answer.
     pub timeout: Duration,
-    /// The target latency of an answer, or of the first event of a stream.
+    /// The time within which an answer, or the first event of a stream, is most useful to the caller.
     pub goal: Duration,
-    /// The target for the longest interval between two events of a stream.
+    /// The longest interval between two events of a stream that still counts as on time.
     pub pause: Option<Duration>,
     /// The priority among routes; 0 is the highest.
     pub priority: u8,
--- a/crates/filbertstack-telemetry/src/logs.rs
+++ b/crates/filbertstack-telemetry/src/logs.rs
@@ -253,7 +253,7 @@
         self.log(Level::Debug, message);
     }
 
-    /// Logs an event that is recorded for every request.
+    /// Logs an event that is worth a line at every occurrence.
     pub fn info(&self, message: &str) {
         self.log(Level::Info, message);
     }
--- a/crates/filbertstack-telemetry/src/queue.rs
+++ b/crates/filbertstack-telemetry/src/queue.rs
@@ -2,7 +2,7 @@
 //!
 //! *Load pattern*: a reader of standard output stops, or thousands of requests are refused. If the threads
 //! that serve requests wrote lines themselves, every request would wait for the reader; if every line were
-//! written, logging would use a considerable share of a core. Lines therefore go to a bounded queue that a
+//! written, logging would use up the process's share of a core. Lines therefore go to a bounded queue that a
 //! separate thread writes to the stream. The number of lines of each kind is limited per second, and dropped
 //! lines are counted and reported.
 
@@ -28,7 +28,7 @@
 use spdlog::sink::Sink;
 use spdlog::sink::SinkProp;
 
-/// The maximum number of lines in the queue: some seconds of a busy process, at most 0.3 MB.
+/// The maximum number of lines in the queue: some seconds of output of a busy process, at most 0.3 MB.
 const LINE_QUEUE_SIZE: usize = 1_024;
 
 /// The maximum number of lines of one kind that are written per second. A process that serves 60 requests per
@@ -39,7 +39,7 @@
 /// The time that a flush, also the one at the end of the process, waits for the reader.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The longest idle time of the queue before dropped lines are reported.
+/// The time that the queue must be idle before dropped lines are reported.
 const NOTICE_DELAY: Duration = Duration::from_secs(1);
 
 /// Limits the number of lines of each kind that are written per second.
