--- a/crates/filbertstack-core/src/serving.rs
+++ b/crates/filbertstack-core/src/serving.rs
@@ -43,7 +43,7 @@
     /// The priority among routes; 0 is the highest.
     pub priority: u8,
     /// The services that share the requests, by weight.
-    pub backends: Vec<Backend>,
+    pub backends: Vec<WeightedService>,
     /// The maximum number of targets that one request may be sent to.
     pub attempts: u32,
     /// Whether requests are accepted without a key.
@@ -52,7 +52,7 @@
 
 /// A service of a route and its share of the requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Backend {
+pub struct WeightedService {
     /// The service's name.
     pub service: Arc<str>,
     /// The service's share of the route's requests, relative to the sum of all weights.
