--- a/crates/filbertstack-telemetry/src/metrics/groups.rs
+++ b/crates/filbertstack-telemetry/src/metrics/groups.rs
@@ -15,7 +15,7 @@
     /// The requests that ended, by outcome.
     pub requests: LabelledCounter,
     /// The requests that ended, by organisation.
-    pub organisations: LabelledCounter,
+    pub organisation_requests: LabelledCounter,
     /// The requests that were refused, by reason.
     pub refusals: LabelledCounter,
     /// The attempts after the first, by reason.
@@ -51,7 +51,7 @@
         let m = meter;
         Self {
             requests: LabelledCounter::new(m, "entry_requests", "outcome", "Requests ended"),
-            organisations: LabelledCounter::new(
+            organisation_requests: LabelledCounter::new(
                 m,
                 "entry_organisation_requests",
                 "organisation",
