--- a/crates/filbertstack-core/src/serving.rs
+++ b/crates/filbertstack-core/src/serving.rs
@@ -43,7 +43,7 @@
     /// The priority among routes; 0 is the highest.
     pub priority: u8,
     /// The services that share the requests, by weight.
-    pub backends: Vec<WeightedService>,
+    pub weighted_services: Vec<WeightedService>,
     /// The maximum number of targets that one request may be sent to.
     pub attempts: u32,
     /// Whether requests are accepted without a key.
@@ -267,8 +267,8 @@
     /// Returns whether every request of `service` may continue at another target after an interruption.
     pub fn is_resumable(&self, service: &str) -> bool {
         let uses = |route: &Route| {
-            let mut backends = route.backends.iter();
-            backends.any(|backend| &*backend.service == service && backend.weight > 0)
+            let mut services = route.weighted_services.iter();
+            services.any(|weighted| &*weighted.service == service && weighted.weight > 0)
         };
         let mut routes = self.routes.values().flatten().filter(|route| uses(route));
         routes.all(|route| route.repeat != Repeat::Once)
@@ -291,17 +291,17 @@
 ) -> Result<(), CatalogueError> {
     let name = route.name.clone();
     let unknown = route
-        .backends
+        .weighted_services
         .iter()
-        .find(|b| !services.contains_key(&b.service));
-    if let Some(backend) = unknown {
-        let service = backend.service.clone();
+        .find(|w| !services.contains_key(&w.service));
+    if let Some(weighted) = unknown {
+        let service = weighted.service.clone();
         return Err(CatalogueError::UnknownService {
             route: name,
             service,
         });
     }
-    if route.backends.iter().all(|b| b.weight == 0) {
+    if route.weighted_services.iter().all(|w| w.weight == 0) {
         return Err(CatalogueError::ZeroWeight { route: name });
     }
     if route.timeout.is_zero() {
--- a/crates/filbertstack-gateway/src/request/mod.rs
+++ b/crates/filbertstack-gateway/src/request/mod.rs
@@ -269,16 +269,16 @@
 
     /// Draws the service for a request from those of its route, by their weights.
     fn draw_service(&self, route: &Route) -> Arc<str> {
-        let total: u32 = route.backends.iter().map(|b| b.weight).sum();
+        let total: u32 = route.weighted_services.iter().map(|b| b.weight).sum();
         let mut remaining = self.rng.borrow_mut().random_range(0..total.max(1));
-        for backend in &route.backends {
+        for backend in &route.weighted_services {
             if remaining < backend.weight {
                 return backend.service.clone();
             }
             remaining -= backend.weight;
         }
         // Not reached: a catalogue has no route whose weights add up to 0.
-        route.backends[0].service.clone()
+        route.weighted_services[0].service.clone()
     }
 }
 
