--- a/crates/filbertstack-core/src/ini.rs
+++ b/crates/filbertstack-core/src/ini.rs
@@ -57,7 +57,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Entry {
+struct Property {
     key: String,
     value: String,
     line: usize,
@@ -74,7 +74,7 @@
     /// The line number of the header.
     pub line: usize,
     file: Arc<str>,
-    entries: Vec<Entry>,
+    properties: Vec<Property>,
 }
 
 impl Section {
@@ -89,18 +89,18 @@
 
     /// Returns whether the section has `key`.
     pub fn has(&self, key: &str) -> bool {
-        self.entries.iter().any(|entry| entry.key == key)
+        self.properties.iter().any(|property| property.key == key)
     }
 
     /// Takes the value of `key` and returns it with its line; returns `None` if it is absent or already
     /// taken.
     pub fn take(&mut self, key: &str) -> Option<(String, usize)> {
-        let entry = self
-            .entries
+        let property = self
+            .properties
             .iter_mut()
-            .find(|entry| entry.key == key && !entry.taken)?;
-        entry.taken = true;
-        Some((entry.value.clone(), entry.line))
+            .find(|property| property.key == key && !property.taken)?;
+        property.taken = true;
+        Some((property.value.clone(), property.line))
     }
 
     /// Takes and parses `key`. Returns `None` if the key is absent or invalid; an invalid value is added to
@@ -157,13 +157,13 @@
 
     /// Reports every key that was not taken.
     pub fn finish(&self, problems: &mut Problems) {
-        for entry in self.entries.iter().filter(|entry| !entry.taken) {
+        for property in self.properties.iter().filter(|property| !property.taken) {
             let what = format!(
                 "unknown key '{}' in [{}]: remove it or correct its spelling",
-                entry.key,
+                property.key,
                 self.header()
             );
-            problems.0.push(self.problem(entry.line, what));
+            problems.0.push(self.problem(property.line, what));
         }
     }
 
@@ -217,7 +217,7 @@
         for item in Parser::new(text).auto_trim(true) {
             match item {
                 Item::Section(header) => self.add_section(header, line)?,
-                Item::Property(key, value) => self.add_entry(key, value, line)?,
+                Item::Property(key, value) => self.add_property(key, value, line)?,
                 Item::Error(_) => return Err("a header that does not end: add ']'".into()),
                 Item::Comment(_) | Item::Blank | Item::SectionEnd => {}
             }
@@ -241,7 +241,7 @@
             title,
             line,
             file,
-            entries: Vec::new(),
+            properties: Vec::new(),
         });
         if duplicate {
             return Err(format!("the section [{header}] stands twice: join the two"));
@@ -249,15 +249,19 @@
         Ok(())
     }
 
-    fn add_entry(&mut self, key: &str, value: Option<&str>, line: usize) -> Result<(), String> {
+    fn add_property(&mut self, key: &str, value: Option<&str>, line: usize) -> Result<(), String> {
         let value = value.ok_or_else(|| format!("'{key}' has no value: write {key} = value"))?;
         let section = self.sections.last_mut();
         let section = section.ok_or("a key before the first section: add a [section] header")?;
-        if section.entries.iter().any(|entry| entry.key == key) {
+        if section
+            .properties
+            .iter()
+            .any(|property| property.key == key)
+        {
             return Err(format!("the key '{key}' is given twice: keep one of them"));
         }
         let (key, value) = (key.to_owned(), value.to_owned());
-        section.entries.push(Entry {
+        section.properties.push(Property {
             key,
             value,
             line,
--- a/crates/filbertstack-core/src/selector.rs
+++ b/crates/filbertstack-core/src/selector.rs
@@ -67,9 +67,9 @@
 
     /// Returns whether any set of labels can meet both selectors.
     pub fn overlaps(&self, other: &Self) -> bool {
-        let both = || self.requirements.iter().chain(&other.requirements);
-        both().all(|requirement| {
-            let same_key = both().filter(|one| one.key == requirement.key);
+        let all_requirements = || self.requirements.iter().chain(&other.requirements);
+        all_requirements().all(|requirement| {
+            let same_key = all_requirements().filter(|one| one.key == requirement.key);
             let demands: Vec<_> = same_key.map(|one| &one.demand).collect();
             satisfiable(&demands)
         })
--- a/crates/filbertstack-telemetry/src/logs.rs
+++ b/crates/filbertstack-telemetry/src/logs.rs
@@ -55,17 +55,17 @@
     ) -> Result<Self, TelemetryError> {
         let sink = open_sink(settings, identity)?;
         match settings.format {
-            LogFormat::Json => sink.set_formatter(Box::new(JsonLines::new(identity))),
-            LogFormat::Text => sink.set_formatter(Box::new(text_lines())),
+            LogFormat::Json => sink.set_formatter(Box::new(JsonFormatter::new(identity))),
+            LogFormat::Text => sink.set_formatter(Box::new(text_formatter())),
         }
-        let failed = |e| TelemetryError::Logger(Box::new(e));
+        let logger_error = |e| TelemetryError::Logger(Box::new(e));
         let logger = Logger::builder()
             .name(format!("{} {}", identity.role, identity.instance))
             .level_filter(LevelFilter::MoreSevereEqual(settings.level))
             .flush_level_filter(flush_level(settings))
             .sink(sink)
             .build_arc()
-            .map_err(failed)?;
+            .map_err(logger_error)?;
         if !is_queued(settings) {
             logger.set_flush_period(Some(FLUSH_PERIOD));
         }
@@ -109,8 +109,8 @@
     identity: &Identity,
 ) -> Result<Arc<dyn Sink>, TelemetryError> {
     if is_queued(settings) {
-        let lines = JsonLines::new(identity);
-        let notice = Box::new(move |kind: &str, count| lines.dropped_line(kind, count));
+        let formatter = JsonFormatter::new(identity);
+        let notice = Box::new(move |kind: &str, count| formatter.dropped_line(kind, count));
         let sink = QueueSink::start(std::io::stdout(), notice);
         return Ok(Arc::new(sink.map_err(TelemetryError::LogThread)?));
     }
@@ -128,7 +128,7 @@
     })?)
 }
 
-fn text_lines() -> impl Formatter {
+fn text_formatter() -> impl Formatter {
     PatternFormatter::new(pattern!(
         "{date} {time}.{millisecond} {tz_offset} {level} {logger} {payload} {kv}{eol}"
     ))
@@ -136,12 +136,12 @@
 
 /// Formats records as JSON objects, one per line.
 #[derive(Clone)]
-struct JsonLines {
+struct JsonFormatter {
     role: &'static str,
     instance: Arc<str>,
 }
 
-impl JsonLines {
+impl JsonFormatter {
     fn new(identity: &Identity) -> Self {
         Self {
             role: identity.role.as_str(),
@@ -150,7 +150,7 @@
     }
 }
 
-impl JsonLines {
+impl JsonFormatter {
     /// Returns the line that reports how many lines of a kind were dropped.
     fn dropped_line(&self, kind: &str, count: u64) -> String {
         let line = json!({
@@ -185,7 +185,7 @@
     }
 }
 
-impl Formatter for JsonLines {
+impl Formatter for JsonFormatter {
     fn format(
         &self,
         record: &Record,
--- a/crates/filbertstack-telemetry/src/queue.rs
+++ b/crates/filbertstack-telemetry/src/queue.rs
@@ -192,7 +192,7 @@
         Ok(())
     }
 
-    /// Waits until the queued lines are written, for at most [`FLUSH_TIMEOUT`].
+    /// Waits until the queued lines are written, for at most `FLUSH_TIMEOUT`.
     fn flush(&self) -> spdlog::Result<()> {
         let (done, written) = sync_channel(1);
         if self.items.try_send(Item::Flush(done)).is_ok() {
--- a/crates/filbertstack-telemetry/src/settings.rs
+++ b/crates/filbertstack-telemetry/src/settings.rs
@@ -39,7 +39,7 @@
 
 /// A value in `[telemetry]` is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum SettingError {
+pub enum SettingValueError {
     /// The share of traced requests is not a number from 0 to 1.
     #[error("'{0}' is not a share of requests: write a number from 0 to 1, such as 0.05")]
     Sample(String),
@@ -69,14 +69,14 @@
 }
 
 impl FromStr for SampleRatio {
-    type Err = SettingError;
+    type Err = SettingValueError;
 
-    fn from_str(text: &str) -> Result<Self, SettingError> {
+    fn from_str(text: &str) -> Result<Self, SettingValueError> {
         let share: Option<f64> = text.parse().ok();
         let valid = share.filter(|share| (0.0..=1.0).contains(share));
         valid
             .map(Self)
-            .ok_or_else(|| SettingError::Sample(text.into()))
+            .ok_or_else(|| SettingValueError::Sample(text.into()))
     }
 }
 
@@ -101,10 +101,10 @@
 }
 
 impl FromStr for Endpoint {
-    type Err = SettingError;
+    type Err = SettingValueError;
 
-    fn from_str(text: &str) -> Result<Self, SettingError> {
-        let invalid = || SettingError::Endpoint(text.into());
+    fn from_str(text: &str) -> Result<Self, SettingValueError> {
+        let invalid = || SettingValueError::Endpoint(text.into());
         let uri: http::Uri = text.parse().map_err(|_| invalid())?;
         if uri.scheme_str() != Some("http") || uri.host().is_none() {
             return Err(invalid());
@@ -210,11 +210,11 @@
     }
 }
 
-fn parse_file(folder: &Path, text: &str) -> Result<PathBuf, SettingError> {
+fn parse_file(folder: &Path, text: &str) -> Result<PathBuf, SettingValueError> {
     let path = folder.join(text);
     let parent = path.parent().filter(|dir| !dir.as_os_str().is_empty());
     if parent.is_some_and(|dir| !dir.is_dir()) {
-        return Err(SettingError::Directory(text.into()));
+        return Err(SettingValueError::Directory(text.into()));
     }
     Ok(path)
 }
--- a/crates/filbertstack-telemetry/src/traces/file.rs
+++ b/crates/filbertstack-telemetry/src/traces/file.rs
@@ -88,7 +88,7 @@
 impl FileExporter {
     fn line<'a>(&'a self, span: &'a SpanData) -> Line<'a> {
         let pairs = span.attributes.iter();
-        let fields = pairs.map(|pair| (pair.key.as_str(), field(&pair.value)));
+        let fields = pairs.map(|pair| (pair.key.as_str(), to_field(&pair.value)));
         let events = span.events.iter().map(|event| Event {
             name: &event.name,
             at_us: micros(event.timestamp),
@@ -103,7 +103,7 @@
             instance: &self.identity.instance,
             start_us: micros(span.start_time),
             duration_us: micros(span.end_time).saturating_sub(micros(span.start_time)),
-            error: error(&span.status),
+            error: error_description(&span.status),
             fields: fields.collect(),
             events: events.collect(),
         }
@@ -123,14 +123,14 @@
     }
 }
 
-fn field(value: &Value) -> Field {
+fn to_field(value: &Value) -> Field {
     match value {
         Value::I64(number) => Field::Number(*number),
         other => Field::Text(other.to_string()),
     }
 }
 
-fn error(status: &Status) -> Option<&str> {
+fn error_description(status: &Status) -> Option<&str> {
     match status {
         Status::Error { description } => Some(description),
         Status::Ok | Status::Unset => None,
--- a/crates/filbertstack-telemetry/tests/metrics.rs
+++ b/crates/filbertstack-telemetry/tests/metrics.rs
@@ -31,7 +31,10 @@
 fn label_values_are_bounded() {
     let metrics = metrics();
     for n in 0..10 * MAX_VALUES {
-        metrics.entry.organisation_requests.add(&format!("org-{n}"), 1);
+        metrics
+            .entry
+            .organisation_requests
+            .add(&format!("org-{n}"), 1);
     }
     let text = metrics.render();
     let is_sample =
--- a/crates/filbertstack-telemetry/tests/queue.rs
+++ b/crates/filbertstack-telemetry/tests/queue.rs
@@ -42,7 +42,7 @@
     written.lock().expect("not poisoned")
 }
 
-fn start() -> (Arc<Logger>, Sender<()>, Arc<Mutex<String>>) {
+fn start_logger() -> (Arc<Logger>, Sender<()>, Arc<Mutex<String>>) {
     let (resume_sender, resume) = channel();
     let written: Arc<Mutex<String>> = Arc::default();
     let stream = BlockedStream {
@@ -61,7 +61,7 @@
 /// full, and the number of dropped lines is reported when the reader resumes.
 #[test]
 fn stopped_reader_does_not_block_logging() {
-    let (logger, resume, output) = start();
+    let (logger, resume, output) = start_logger();
     for kind in 0..40 {
         for _ in 0..50 {
             info!(logger: logger, "kind {kind}");
