--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' client: JSON over HTTP to any entry.
+//! The HTTP client of the operators' commands: it sends JSON to any entry.
 
 use std::env;
 use std::fs;
@@ -11,47 +11,47 @@
 use thiserror::Error;
 use ureq::Agent;
 
-/// The variable that names an entry when `--entry` does not.
+/// The environment variable that lists the entries if `--entry` is absent.
 const ENTRY_VARIABLE: &str = "FILBERTSTACK_ENTRY";
 
-/// The variable that names the key file when `--key-file` does not.
+/// The environment variable that gives the path of the key file if `--key-file` is absent.
 const KEY_VARIABLE: &str = "FILBERTSTACK_KEY_FILE";
 
-/// How long one answer may take: an election and a commit.
+/// The time limit of one HTTP request: it allows for an election and a commit.
 const TIMEOUT: Duration = Duration::from_secs(12);
 
-/// How often a call is sent anew before its outcome counts as unknown.
-const TRIES: usize = 5;
+/// The number of rounds over all entries after which the outcome of a call counts as unknown.
+const MAX_ROUNDS: usize = 5;
 
-/// The pause between two tries.
-const PAUSE: Duration = Duration::from_millis(400);
+/// The pause after each round over the entries.
+const ROUND_PAUSE: Duration = Duration::from_millis(400);
 
-/// Why a command of the client failed.
+/// The reasons for which a command of the client fails.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// No entry was given.
+    /// Neither `--entry` nor the environment names an entry.
     #[error("no entry is given: add --entry IP:port or set {ENTRY_VARIABLE}")]
     NoEntry,
-    /// No key was given.
+    /// Neither `--key-file` nor the environment names a key file.
     #[error("no key is given: add --key-file FILE or set {KEY_VARIABLE}")]
     NoKey,
-    /// A file can't be read.
+    /// The file cannot be read or written.
     #[error("{file}: {source}; give the path of a file that you may read")]
     File {
-        /// The path.
+        /// The path of the file.
         file: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// No entry answered.
+    /// No entry answered in any round; the text is the last failure.
     #[error("no entry answered ({0}): check the addresses and that one of them runs")]
     NoAnswer(String),
-    /// An entry refused, or the change did.
+    /// The entry or the command refused the request.
     #[error("{0}")]
     Refused(String),
 }
 
-/// Where commands go and with which key.
+/// The client holds the addresses of the entries and the operator's key.
 #[derive(Debug)]
 pub struct Client {
     entries: Vec<SocketAddr>,
@@ -59,25 +59,27 @@
     agent: Agent,
 }
 
-/// An entry's answer.
+/// The answer of an entry.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body.
+    /// The body as JSON, or as a JSON string if it is not JSON.
     pub body: Value,
 }
 
 impl Client {
-    /// A client of `entries`, or of the one that the environment names.
+    /// Returns a client of `entries`, or of those that the environment lists if `entries` is empty.
     ///
     /// # Errors
-    /// If there is no entry or no key.
+    /// Returns an error if no entry or no key is given, or if the key file cannot be read.
     pub fn new(entries: Vec<SocketAddr>, key: Option<PathBuf>) -> Result<Self, ClientError> {
-        let named = env::var(ENTRY_VARIABLE).unwrap_or_default();
-        let named = named.split(',').filter_map(|addr| addr.trim().parse().ok());
+        let from_env = env::var(ENTRY_VARIABLE).unwrap_or_default();
+        let from_env = from_env
+            .split(',')
+            .filter_map(|addr| addr.trim().parse().ok());
         let entries = if entries.is_empty() {
-            named.collect()
+            from_env.collect()
         } else {
             entries
         };
@@ -93,7 +95,8 @@
             .timeout_global(Some(TIMEOUT))
             .build()
             .new_agent();
-        // A key file may be the entry's own list of 'NAME SECRET' lines.
+        // The key file may also be the entry's list of 'NAME SECRET' lines; the last word is a secret in
+        // both cases.
         let key = key.split_whitespace().last().unwrap_or_default().to_owned();
         Ok(Self {
             entries,
@@ -102,60 +105,61 @@
         })
     }
 
-    /// Asks for what is below `/operator/`.
+    /// Sends a GET request for `path` below `/operator/`.
     ///
     /// # Errors
-    /// If no entry answers.
-    pub fn get(&self, what: &str) -> Result<Answer, ClientError> {
-        self.each(|url| {
-            let call = self.agent.get(format!("{url}{what}"));
+    /// Returns an error if no entry answers.
+    pub fn get(&self, path: &str) -> Result<Answer, ClientError> {
+        self.try_entries(|url| {
+            let call = self.agent.get(format!("{url}{path}"));
             call.header("authorization", format!("Bearer {}", self.key))
                 .call()
         })
     }
 
-    /// Sends `body` to what is below `/operator/`. It may be sent more than once, so `body` must
-    /// name itself: by a request id or a digest.
+    /// Sends `body` to `path` below `/operator/`. The request may be sent more than once, so `body`
+    /// must be identified by a request id or a digest.
     ///
     /// # Errors
-    /// If no entry answers.
-    pub fn post(&self, what: &str, body: &impl Serialize) -> Result<Answer, ClientError> {
+    /// Returns an error if `body` cannot be encoded or no entry answers.
+    pub fn post(&self, path: &str, body: &impl Serialize) -> Result<Answer, ClientError> {
         let body = serde_json::to_vec(body).map_err(|e| ClientError::Refused(e.to_string()))?;
-        self.each(|url| {
-            let call = self.agent.post(format!("{url}{what}"));
+        self.try_entries(|url| {
+            let call = self.agent.post(format!("{url}{path}"));
             let call = call.header("authorization", format!("Bearer {}", self.key));
             call.header("content-type", "application/json").send(&body)
         })
     }
 
-    fn each(
+    /// Calls one entry after the other until one gives another answer than 503 or 504.
+    fn try_entries(
         &self,
         call: impl Fn(&str) -> Result<ureq::http::Response<ureq::Body>, ureq::Error>,
     ) -> Result<Answer, ClientError> {
-        let mut last = String::new();
-        for _ in 0..TRIES {
+        let mut last_error = String::new();
+        for _ in 0..MAX_ROUNDS {
             for addr in &self.entries {
-                match call(&format!("http://{addr}/operator/")).map(read) {
+                match call(&format!("http://{addr}/operator/")).map(read_answer) {
                     Ok(answer) if !matches!(answer.status, 503 | 504) => return Ok(answer),
-                    Ok(answer) => last = message(&answer.body),
-                    Err(error) => last = format!("{addr}: {error}"),
+                    Ok(answer) => last_error = error_message(&answer.body),
+                    Err(error) => last_error = format!("{addr}: {error}"),
                 }
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(ROUND_PAUSE);
         }
-        Err(ClientError::NoAnswer(last))
+        Err(ClientError::NoAnswer(last_error))
     }
 }
 
-fn read(mut response: ureq::http::Response<ureq::Body>) -> Answer {
+fn read_answer(mut response: ureq::http::Response<ureq::Body>) -> Answer {
     let status = response.status().as_u16();
     let text = response.body_mut().read_to_string().unwrap_or_default();
     let body = serde_json::from_str(&text).unwrap_or(Value::String(text));
     Answer { status, body }
 }
 
-/// The message of an error answer.
-pub fn message(body: &Value) -> String {
+/// Returns the message in the body of an error answer, or the whole body if it has none.
+pub fn error_message(body: &Value) -> String {
     let text = body.pointer("/error/message").and_then(Value::as_str);
     text.map_or_else(|| body.to_string(), str::to_owned)
 }
--- a/src/cmd/agent.rs
+++ b/src/cmd/agent.rs
@@ -1,4 +1,4 @@
-//! `filbertstack agent`.
+//! `filbertstack agent` runs an agent until a signal stops it.
 
 use std::sync::Arc;
 
@@ -19,10 +19,11 @@
     let agent = Agent::start(settings, telemetry.clone())?;
     println!("listening links {}", agent.links());
     signals::wait()?;
-    let done = agent.stop();
-    // Threads that end with the process hold it too, so its own end would not flush it.
+    let completed = agent.stop();
+    // Threads that run until the process exits also hold the telemetry, so the drop at the end of
+    // this function would not flush it.
     telemetry.traces.flush();
-    if done {
+    if completed {
         return Ok(());
     }
     Err("requests were still in progress when the stop timeout ran out: raise stop-timeout".into())
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -1,4 +1,4 @@
-//! `filbertstack apply`.
+//! `filbertstack apply` changes the declarations.
 
 use std::fs;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 use serde_json::Value;
 
 use super::Failure;
-use super::print;
+use super::print_answer;
 use crate::client::Client;
 use crate::client::ClientError;
 use crate::flags;
 
-/// How often `--wait` asks.
-const POLL: Duration = Duration::from_millis(200);
+/// The interval at which `--wait` asks the entry.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 pub fn run(flags: flags::Apply) -> Result<(), Failure> {
     let client = Client::new(flags.entry, flags.key_file)?;
@@ -25,14 +25,14 @@
         source,
     })?;
     let request = ApplyRequest {
-        request: flags.request_id.unwrap_or_else(fresh_id),
+        request: flags.request_id.unwrap_or_else(random_id),
         expected: flags.revision,
         issued: unix_millis(),
         text,
         removals: flags.remove,
     };
     let answer = client.post("apply", &request)?;
-    print(&answer, flags.json, |body| {
+    print_answer(&answer, flags.json, |body| {
         let accepted = &body["accepted"];
         let warnings = accepted["warnings"].as_array();
         let warnings = warnings.into_iter().flatten().filter_map(Value::as_str);
@@ -46,14 +46,14 @@
         let revision = answer.body["accepted"]["revision"]
             .as_u64()
             .unwrap_or_default();
-        wait(&client, revision)?;
+        wait_in_force(&client, revision)?;
     }
     Ok(())
 }
 
-/// Waits until every follower has the revision or can't answer from an older one.
-fn wait(client: &Client, revision: u64) -> Result<(), Failure> {
-    let mut shown = String::new();
+/// Waits until every follower has the revision or cannot answer from an older one any more.
+fn wait_in_force(client: &Client, revision: u64) -> Result<(), Failure> {
+    let mut printed = String::new();
     loop {
         let answer = client.get(&format!("in-force?revision={revision}"))?;
         if answer.body["everywhere"] == Value::Bool(true) {
@@ -67,15 +67,15 @@
             .filter_map(Value::as_str)
             .collect();
         let line = format!("revision {revision}: waiting for {}", waiting.join(", "));
-        if line != shown {
+        if line != printed {
             eprintln!("{line}");
-            shown = line;
+            printed = line;
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn fresh_id() -> String {
+fn random_id() -> String {
     let number: u128 = rand::random();
     format!("{number:032x}")
 }
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `filbertstack demo`.
+//! `filbertstack demo` runs the demo and prints its report.
 
 use super::Failure;
 use crate::demo;
@@ -18,7 +18,7 @@
     if flags.json {
         println!("{}", serde_json::to_string(&report)?);
     }
-    if report.is_clean() {
+    if report.all_exact() {
         return Ok(());
     }
     Err("some requests did not get their own whole answer".into())
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,29 +1,29 @@
-//! `filbertstack explain`: one request's story, or what one process did and believed, from the logs
-//! of many processes.
+//! `filbertstack explain` prints the log lines of one request, or of the activity and state of one
+//! process, from the logs of many processes.
 
 use serde_json::Value;
 
 use super::Failure;
 use super::logs;
-use super::logs::Line;
+use super::logs::LogLine;
 use crate::flags;
 
-/// Whether a line tells of what is to be explained.
-fn is_wanted(line: &Line, flags: &flags::Explain) -> bool {
+/// Returns whether the flags select a line.
+fn is_selected(line: &LogLine, flags: &flags::Explain) -> bool {
     let request = line.fields.get("request").and_then(Value::as_str);
-    let of_request = flags
+    let request_matches = flags
         .request
         .as_deref()
         .is_none_or(|id| request == Some(id));
-    let of_node = flags
+    let node_matches = flags
         .node
         .as_ref()
         .is_none_or(|name| *name == line.instance);
-    // What a process believes is told by lines about no single request.
-    of_request && of_node && (flags.request.is_some() || request.is_none())
+    // Without a request id, only lines that belong to no request show the state of a process.
+    request_matches && node_matches && (flags.request.is_some() || request.is_none())
 }
 
-fn show(line: &Line, since: u64) -> String {
+fn format_line(line: &LogLine, start_ms: u64) -> String {
     let fields = line.fields.iter().filter(|(name, _)| *name != "request");
     let fields = fields.map(|(name, value)| match value {
         Value::String(text) => format!(" {name}={text:?}"),
@@ -31,7 +31,7 @@
     });
     format!(
         "{:>8} ms  {:<24} {:<5} {}{}",
-        line.timestamp.saturating_sub(since),
+        line.timestamp.saturating_sub(start_ms),
         line.instance,
         line.level,
         line.message,
@@ -43,18 +43,18 @@
     if flags.request.is_none() && flags.node.is_none() {
         return Err("say what to explain: give --request ID or --node NAME".into());
     }
-    let (mut lines, left_out) = logs::read_all(&flags.files)?;
-    lines.retain(|line| is_wanted(line, flags));
+    let (mut lines, skipped) = logs::read_all(&flags.files)?;
+    lines.retain(|line| is_selected(line, flags));
     let Some(first) = lines.first() else {
         return Err("no line tells of it: check the id, and give the logs of all entries".into());
     };
-    let since = first.timestamp;
-    println!("from {since} ms since 1970");
+    let start_ms = first.timestamp;
+    println!("from {start_ms} ms since 1970");
     for line in &lines {
-        println!("{}", show(line, since));
+        println!("{}", format_line(line, start_ms));
     }
-    if left_out > 0 {
-        println!("lines left out, cut off or not ours: {left_out}");
+    if skipped > 0 {
+        println!("lines left out, cut off or not ours: {skipped}");
     }
     Ok(())
 }
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -1,4 +1,4 @@
-//! `filbertstack gateway` and `filbertstack gateway-agent`.
+//! `filbertstack gateway` and `filbertstack gateway-agent` run the two roles of the platform.
 
 use std::path::PathBuf;
 
@@ -21,27 +21,28 @@
 use crate::flags;
 
 pub fn run_entry(flags: &flags::Gateway) -> Result<(), Failure> {
-    let (settings, path) = read(flags.settings.as_ref())?;
+    let (settings, path) = read_settings(flags.settings.as_ref())?;
     let identity = Identity::new(Role::Entry, settings.node.name.as_str());
     let _logs = start_logs(&identity)?;
     let metrics = Metrics::new(&identity)?;
-    let work = LocalSet::new();
-    work.block_on(&event_loop()?, entry::run(settings, path, metrics))?;
+    let local_set = LocalSet::new();
+    local_set.block_on(&build_runtime()?, entry::run(settings, path, metrics))?;
     Ok(())
 }
 
 pub fn run_agent(flags: &flags::GatewayAgent) -> Result<(), Failure> {
-    let (settings, path) = read(flags.settings.as_ref())?;
+    let (settings, path) = read_settings(flags.settings.as_ref())?;
     let identity = Identity::new(Role::Agent, settings.node.name.as_str());
     let _logs = start_logs(&identity)?;
     let metrics = Metrics::new(&identity)?;
-    let work = LocalSet::new();
-    work.block_on(&event_loop()?, agent::run(settings, path, metrics))?;
+    let local_set = LocalSet::new();
+    local_set.block_on(&build_runtime()?, agent::run(settings, path, metrics))?;
     Ok(())
 }
 
-fn read(given: Option<&PathBuf>) -> Result<(Settings, PathBuf), Failure> {
-    let path = given.cloned().or_else(settings_path);
+/// Reads the settings from the path in `explicit`, or from the one that the platform names.
+fn read_settings(explicit: Option<&PathBuf>) -> Result<(Settings, PathBuf), Failure> {
+    let path = explicit.cloned().or_else(settings_path);
     let path = path.ok_or("no settings file: give --settings FILE")?;
     Ok((Settings::read(&path)?, path))
 }
@@ -57,7 +58,8 @@
     Ok(logs)
 }
 
-/// One thread for everything but the disk: small instances have a part of one core.
-fn event_loop() -> std::io::Result<Runtime> {
+/// Returns a runtime with one thread for everything except disk access: small instances have a
+/// fraction of one core.
+fn build_runtime() -> std::io::Result<Runtime> {
     Builder::new_current_thread().enable_all().build()
 }
--- a/src/cmd/get.rs
+++ b/src/cmd/get.rs
@@ -1,9 +1,9 @@
-//! `filbertstack get`.
+//! `filbertstack get` prints the declarations.
 
 use serde_json::Value;
 
 use super::Failure;
-use super::print;
+use super::print_answer;
 use crate::client::Client;
 use crate::client::ClientError;
 use crate::flags;
@@ -19,7 +19,7 @@
     if kind != "all" && (200..300).contains(&answer.status) {
         answer.body = answer.body["declared"][kind].take();
     }
-    print(&answer, flags.json, |body| {
+    print_answer(&answer, flags.json, |body| {
         serde_json::to_string_pretty(body).unwrap_or_else(|_| Value::to_string(body))
     })
 }
--- a/src/cmd/logs.rs
+++ b/src/cmd/logs.rs
@@ -1,4 +1,4 @@
-//! The logs of our processes, read back.
+//! Reads the logs that entries, agents and gateways write as JSON lines.
 
 use std::fs;
 use std::path::PathBuf;
@@ -9,23 +9,23 @@
 
 use super::Failure;
 
-/// One line of a log.
+/// One line of a log, as JSON.
 #[derive(Deserialize)]
-pub struct Line {
+pub struct LogLine {
     /// Milliseconds since 1970, UTC.
     pub timestamp: u64,
-    /// Its level.
+    /// The level of the line.
     pub level: String,
-    /// The process that wrote it.
+    /// The name of the process that wrote the line.
     pub instance: String,
-    /// What happened.
+    /// The message.
     pub message: String,
-    /// What it is about.
+    /// The key values of the message.
     pub fields: Map<String, Value>,
 }
 
-impl Line {
-    /// A field that is text; empty if it isn't there.
+impl LogLine {
+    /// Returns the text of a field, or an empty one if the field is absent or not text.
     pub fn text(&self, name: &str) -> &str {
         self.fields
             .get(name)
@@ -33,44 +33,45 @@
             .unwrap_or_default()
     }
 
-    /// A field that is a number; -1 if it isn't there.
+    /// Returns the integer in a field, or -1 if the field is absent or not an integer.
     pub fn number(&self, name: &str) -> i64 {
         self.fields.get(name).and_then(Value::as_i64).unwrap_or(-1)
     }
 }
 
-/// The lines of some files in the order of time, and how many lines were none of ours.
+/// Returns the log lines of all files in the order of time, and the number of lines that are not
+/// log lines.
 ///
 /// # Errors
-/// A file that can't be read, or holds no line of ours.
-pub fn read_all(paths: &[PathBuf]) -> Result<(Vec<Line>, usize), Failure> {
-    let (mut lines, mut left_out) = (Vec::new(), 0);
+/// Returns an error if a file cannot be read or has no log line.
+pub fn read_all(paths: &[PathBuf]) -> Result<(Vec<LogLine>, usize), Failure> {
+    let (mut lines, mut skipped) = (Vec::new(), 0);
     for path in paths {
-        let (read, others) = read(path)?;
-        lines.extend(read);
-        left_out += others;
+        let (file_lines, file_skipped) = read_file(path)?;
+        lines.extend(file_lines);
+        skipped += file_skipped;
     }
     lines.sort_by_key(|line| line.timestamp);
-    Ok((lines, left_out))
+    Ok((lines, skipped))
 }
 
-/// The lines of one file that are logs, and how many are not.
-fn read(path: &PathBuf) -> Result<(Vec<Line>, usize), Failure> {
+/// Returns the log lines of one file, and the number of lines that are not.
+fn read_file(path: &PathBuf) -> Result<(Vec<LogLine>, usize), Failure> {
     let bytes = fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let text = String::from_utf8_lossy(&bytes);
-    let all = text.lines().filter(|line| !line.trim().is_empty());
-    let (mut lines, mut others) = (Vec::new(), 0);
-    for line in all {
-        // A collector may have put a time or a name before the line.
-        let begin = line.find('{').unwrap_or(0);
-        match serde_json::from_str(&line[begin..]) {
+    let candidates = text.lines().filter(|line| !line.trim().is_empty());
+    let (mut lines, mut skipped) = (Vec::new(), 0);
+    for line in candidates {
+        // A log collector may have put a time or a name before the JSON.
+        let start = line.find('{').unwrap_or(0);
+        match serde_json::from_str(&line[start..]) {
             Ok(line) => lines.push(line),
-            Err(_) => others += 1,
+            Err(_) => skipped += 1,
         }
     }
     if lines.is_empty() {
         let path = path.display();
         return Err(format!("{path}: no line is a log of ours; give files of JSON lines").into());
     }
-    Ok((lines, others))
+    Ok((lines, skipped))
 }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, a file each.
+//! The subcommands, one file each.
 
 mod account;
 mod agent;
@@ -23,14 +23,14 @@
 
 use crate::client::Answer;
 use crate::client::ClientError;
-use crate::client::message;
+use crate::client::error_message;
 use crate::flags::Filbertstack;
 use crate::flags::FilbertstackCmd;
 
-/// What a subcommand fails with: its message is printed, the exit code is 1.
+/// The error of a subcommand: its message is printed and the exit code is 1.
 type Failure = Box<dyn std::error::Error>;
 
-/// Runs the subcommand that the command line names.
+/// Runs the subcommand that the command line names and returns the exit code of the process.
 pub fn run() -> ExitCode {
     let arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
     let outcome = match arguments.first() {
@@ -64,37 +64,44 @@
     }
 }
 
-/// Prints `answer` as JSON or by `show`; an answer that refuses is a failure.
-fn print(answer: &Answer, json: bool, show: impl Fn(&Value) -> String) -> Result<(), Failure> {
+/// Prints `answer` as JSON or as the text that `render` returns.
+///
+/// # Errors
+/// Returns an error if the status of `answer` is not a success.
+fn print_answer(
+    answer: &Answer,
+    json: bool,
+    render: impl Fn(&Value) -> String,
+) -> Result<(), Failure> {
     if json {
         println!("{}", answer.body);
     }
     if !(200..300).contains(&answer.status) {
-        return Err(ClientError::Refused(refusal(&answer.body)).into());
+        return Err(ClientError::Refused(refusal_text(&answer.body)).into());
     }
     if !json {
-        println!("{}", show(&answer.body));
+        println!("{}", render(&answer.body));
     }
     Ok(())
 }
 
-/// Why an entry or a change refused, with every reason.
-fn refusal(body: &Value) -> String {
+/// Returns the reasons for which an entry refused a request or a change.
+fn refusal_text(body: &Value) -> String {
     if let Some(reasons) = body.pointer("/rejected/reasons").and_then(Value::as_array) {
         let reasons: Vec<&str> = reasons.iter().filter_map(Value::as_str).collect();
         return format!("rejected:\n  {}", reasons.join("\n  "));
     }
     if let Some(conflict) = body.get("conflict") {
-        let won = conflict.get("won").unwrap_or(&Value::Null);
-        let by = won
+        let winner = conflict.get("won").unwrap_or(&Value::Null);
+        let author = winner
             .get("operator")
             .and_then(Value::as_str)
             .unwrap_or("another operator");
         let current = conflict.get("current").unwrap_or(&Value::Null);
         return format!(
-            "conflict: revision {current} is in force, made by {by}; look at it with 'get all', \
+            "conflict: revision {current} is in force, made by {author}; look at it with 'get all', \
              then apply with --revision {current}"
         );
     }
-    message(body)
+    error_message(body)
 }
--- a/src/cmd/publish.rs
+++ b/src/cmd/publish.rs
@@ -1,4 +1,4 @@
-//! `filbertstack publish`.
+//! `filbertstack publish` makes the manifest of a folder of weights and adds it to the catalogue.
 
 use std::fs;
 
@@ -9,13 +9,13 @@
 use serde_json::json;
 
 use super::Failure;
-use super::print;
+use super::print_answer;
 use crate::client::Client;
 use crate::client::ClientError;
 use crate::flags;
 
-/// The size of a chunk by default, in bytes.
-const CHUNK_SIZE: u64 = 4 << 20;
+/// The default size of a chunk, in bytes.
+const DEFAULT_CHUNK_SIZE: u64 = 4 << 20;
 
 pub fn run(flags: flags::Publish) -> Result<(), Failure> {
     let client = Client::new(flags.entry, flags.key_file)?;
@@ -24,7 +24,7 @@
         .as_deref()
         .map(parse_size)
         .transpose()?
-        .unwrap_or(CHUNK_SIZE);
+        .unwrap_or(DEFAULT_CHUNK_SIZE);
     let manifest = Manifest::of_dir(&flags.dir, u32::try_from(size)?)?;
     let encoded = manifest.encode();
     let file = flags.dir.join(manifest_name(manifest.root()));
@@ -43,5 +43,5 @@
     if (200..300).contains(&answer.status) {
         answer.body = json!({ "version": request.root, "chunks": request.chunks });
     }
-    print(&answer, flags.json, |_| request.root.to_string())
+    print_answer(&answer, flags.json, |_| request.root.to_string())
 }
--- a/src/cmd/stand_in.rs
+++ b/src/cmd/stand_in.rs
@@ -1,4 +1,5 @@
-//! `filbertstack stand-in`, which the help text leaves out.
+//! `filbertstack stand-in` runs a stand-in for an engine, an origin or a service; the help text does
+//! not list it.
 
 use std::ffi::OsString;
 use std::time::Duration;
@@ -13,19 +14,19 @@
 use super::Failure;
 use crate::flags::standin;
 
-/// A rate's burst is what it sends in a tenth of a second.
-const BURSTS: u64 = 10;
+/// The burst of a rate limit is the number of bytes that it allows in a tenth of a second.
+const BURSTS_PER_SECOND: u64 = 10;
 
 pub fn run(arguments: Vec<OsString>) -> Result<(), Failure> {
     let flags = standin::StandIn::from_vec(arguments).unwrap_or_else(|error| error.exit());
     match flags.subcommand {
-        standin::StandInCmd::Engine(flags) => engine(&flags),
-        standin::StandInCmd::Origin(flags) => origin(flags),
-        standin::StandInCmd::Service(flags) => service(&flags),
+        standin::StandInCmd::Engine(flags) => run_engine(&flags),
+        standin::StandInCmd::Origin(flags) => run_origin(flags),
+        standin::StandInCmd::Service(flags) => run_service(&flags),
     }
 }
 
-fn engine(flags: &standin::Engine) -> Result<(), Failure> {
+fn run_engine(flags: &standin::Engine) -> Result<(), Failure> {
     let mut config = EngineConfig::default();
     config.addr = flags.listen.unwrap_or(config.addr);
     config.step = flags.step_ms.map_or(config.step, Duration::from_millis);
@@ -39,17 +40,17 @@
     match process::run_engine(config, None)? {}
 }
 
-fn origin(flags: standin::Origin) -> Result<(), Failure> {
+fn run_origin(flags: standin::Origin) -> Result<(), Failure> {
     let mut config = OriginConfig::new(flags.dir);
     config.addr = flags.listen.unwrap_or(config.addr);
     config.rate = flags.rate.map(|bytes| Rate {
         bytes,
-        burst: bytes / BURSTS,
+        burst: bytes / BURSTS_PER_SECOND,
     });
     match process::run_origin(config)? {}
 }
 
-fn service(flags: &standin::Service) -> Result<(), Failure> {
+fn run_service(flags: &standin::Service) -> Result<(), Failure> {
     let mut config = ServiceConfig::new(flags.name.as_str());
     config.addr = flags.listen.unwrap_or(config.addr);
     config.latency = flags
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,42 +1,42 @@
-//! `filbertstack status`.
+//! `filbertstack status` prints the declared and the actual state.
 
 use std::fmt::Write;
 
 use serde_json::Value;
 
 use super::Failure;
-use super::print;
+use super::print_answer;
 use crate::client::Client;
 use crate::flags;
 
 pub fn run(flags: flags::Status) -> Result<(), Failure> {
     let client = Client::new(flags.entry, flags.key_file)?;
     let answer = client.get("status")?;
-    print(&answer, flags.json, show)
+    print_answer(&answer, flags.json, render)
 }
 
-fn show(status: &Value) -> String {
+fn render(status: &Value) -> String {
     let mut text = format!("revision {}, term {}\n", status["revision"], status["term"]);
-    text.push_str(&control(&status["control"]));
-    for one in list(&status["deployments"]) {
-        let difference = if one["met"] == true {
+    text.push_str(&render_control(&status["control"]));
+    for deployment in items(&status["deployments"]) {
+        let verdict = if deployment["met"] == true {
             "as declared"
         } else {
             "NOT AS DECLARED"
         };
         let _ = writeln!(
             text,
-            "deployment {}: serving {} of {}: {difference}",
-            plain(&one["deployment"]),
-            one["serving"],
-            one["declared"],
+            "deployment {}: serving {} of {}: {verdict}",
+            as_text(&deployment["deployment"]),
+            deployment["serving"],
+            deployment["declared"],
         );
-        for why in list(&one["why"]) {
-            let _ = writeln!(text, "  {}", plain(why));
+        for reason in items(&deployment["why"]) {
+            let _ = writeln!(text, "  {}", as_text(reason));
         }
     }
-    for one in list(&status["targets"]) {
-        let leaving = if one["leaving"] == true {
+    for target in items(&status["targets"]) {
+        let leaving = if target["leaving"] == true {
             ", leaving"
         } else {
             ""
@@ -44,45 +44,46 @@
         let _ = writeln!(
             text,
             "target {} in {}{leaving}",
-            plain(&one["name"]),
-            plain(&one["zone"])
+            as_text(&target["name"]),
+            as_text(&target["zone"])
         );
-        for held in list(&one["held"]) {
+        for held in items(&target["held"]) {
             let _ = writeln!(
                 text,
                 "  {}: {}{}",
-                plain(&held["deployment"]),
-                plain(&held["stage"]),
-                trouble(&held["trouble"])
+                as_text(&held["deployment"]),
+                as_text(&held["stage"]),
+                trouble_suffix(&held["trouble"])
             );
         }
     }
-    for one in list(&status["lost"]) {
-        let _ = writeln!(text, "target {}: lost", plain(one));
+    for name in items(&status["lost"]) {
+        let _ = writeln!(text, "target {}: lost", as_text(name));
     }
     text.trim_end().to_owned()
 }
 
-fn list(value: &Value) -> impl Iterator<Item = &Value> {
+fn items(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
 
-fn plain(value: &Value) -> &str {
+fn as_text(value: &Value) -> &str {
     value.as_str().unwrap_or_default()
 }
 
-fn trouble(value: &Value) -> String {
-    match plain(value) {
+fn trouble_suffix(value: &Value) -> String {
+    match as_text(value) {
         "" => String::new(),
         text => format!(" ({text})"),
     }
 }
 
-/// What is wrong with the group of voters or this voter's disk.
-fn control(control: &Value) -> String {
+/// Returns the lines about the voters: their names, and faults of their group or of the disk of the
+/// voter that answered.
+fn render_control(control: &Value) -> String {
     let names = |key: &str| -> Vec<&str> {
-        list(&control[key])
-            .map(|member| plain(&member["name"]))
+        items(&control[key])
+            .map(|member| as_text(&member["name"]))
             .collect()
     };
     if control.is_null() {
--- a/src/flags.rs
+++ b/src/flags.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The flags of the command line. The doc comments inside `xflags!` are the help text.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -146,7 +146,8 @@
     }
 }
 
-/// The stand-ins, each a process of its own: for tests and trials, so not in the help text above.
+/// The flags of the stand-ins. Each stand-in is a separate process for tests and trials, so the help
+/// text above does not list them.
 pub mod standin {
     use std::net::SocketAddr;
     use std::path::PathBuf;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The one binary: entry, agent, the operators' client, the demo and the stand-ins.
+//! The binary of the entry, the agent, the gateway, the operators' commands, the demo and the
+//! stand-ins.
 
 mod client;
 mod cmd;
