--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -1,7 +1,8 @@
-//! The demo: a whole system as threads of one process on loopback, over the real protocols.
+//! The demo runs all parts of a system as threads of one process. They communicate over loopback with
+//! the real protocols.
 
 mod report;
-mod world;
+mod system;
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,116 +16,127 @@
 use thiserror::Error;
 
 pub use report::Report;
-use world::CALLER_KEY;
-use world::SERVICE;
-use world::World;
+use system::CALLER_KEY;
+use system::SERVICE;
+use system::System;
 
 /// The model that the demo serves.
 const MODEL: &str = "prairie-draft";
 
-/// How long each step may take.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The time limit of each wait, and of the load.
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How often progress is looked at.
-const POLL: Duration = Duration::from_millis(100);
+/// The interval at which the progress is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many callers ask at once.
+/// The number of concurrent callers.
 const CALLERS: usize = 16;
 
-/// How often a caller asks again after "not run".
+/// The number of times a caller repeats a request that was refused as not run.
 const RETRIES: u32 = 5;
 
-/// One request in ten is a booking, which must not run twice.
-const SHARES: (u32, u32) = (9, 1);
+/// The shares of completions and bookings: one request in ten is a booking, which must not run twice.
+const WORK_SHARES: (u32, u32) = (9, 1);
 
-/// What the demo is to do.
+/// The size of the demo.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// How many model engines.
+    /// The number of model engines.
     pub targets: u32,
-    /// How many requests.
+    /// The number of requests.
     pub requests: u32,
 }
 
-/// Why the demo broke off.
+/// The reasons for which the demo fails.
 #[derive(Debug, Error)]
 pub enum DemoError {
-    /// Something did not come to be in time.
+    /// A state was not reached within the time limit.
     #[error("{0} did not come to be within 60 s: see the log above")]
-    Late(&'static str),
+    Timeout(&'static str),
     /// A part did not start.
     #[error("the demo's {part} did not start: {text}")]
     Start {
-        /// The part.
+        /// The name of the part.
         part: &'static str,
-        /// Why.
+        /// The text of the error.
         text: String,
     },
-    /// A change was refused.
+    /// The entry refused a change.
     #[error("the demo's change was refused: {0}")]
     Refused(String),
 }
 
-/// Runs the demo; `progress` hears what happens.
+/// Runs the demo and reports each step to `progress`.
 ///
 /// # Errors
-/// [`DemoError`] says where it broke off.
+/// Returns an error if a part does not start, an entry refuses a change or a step exceeds its time
+/// limit.
 pub fn run(plan: Plan, progress: impl Fn(&str)) -> Result<Report, DemoError> {
     progress("starting 3 entries, an origin, a plain service and the engines");
-    let world = World::start(plan.targets)?;
+    let system = System::start(plan.targets)?;
     let targets = plan.targets as usize;
-    wait("targets known", targets + 1, || world.known(), &progress)?;
-    let version = world.publish()?;
+    wait_count(
+        "targets known",
+        targets + 1,
+        || system.known_targets(),
+        &progress,
+    )?;
+    let version = system.publish()?;
     progress(&format!("published version {}", &version[..12]));
     let began = Instant::now();
-    world.apply(&version, plan.targets)?;
-    wait("replicas serving", targets, || world.serving(), &progress)?;
-    let time = began.elapsed();
-    let copies = world.origin_copies();
+    system.apply(&version, plan.targets)?;
+    wait_count(
+        "replicas serving",
+        targets,
+        || system.serving_replicas(),
+        &progress,
+    )?;
+    let time_to_replicas = began.elapsed();
+    let origin_copies = system.origin_copies();
     progress(&format!("calling {} times", plan.requests));
-    let load = load::run(&load_config(&world, version, plan.requests));
-    Ok(Report::new(plan, time, copies, &load))
+    let load = load::run(&load_config(&system, version, plan.requests));
+    Ok(Report::new(plan, time_to_replicas, origin_copies, &load))
 }
 
-/// Waits until `count` reaches `wanted`.
-fn wait(
+/// Waits until `count` returns at least `wanted`, and reports each new count to `progress`.
+fn wait_count(
     what: &'static str,
     wanted: usize,
     count: impl Fn() -> usize,
     progress: &impl Fn(&str),
 ) -> Result<(), DemoError> {
-    let until = Instant::now() + PATIENCE;
-    let mut shown = None;
-    while Instant::now() < until {
-        let now = count();
-        if shown != Some(now) {
-            progress(&format!("{now} of {wanted} {what}"));
-            shown = Some(now);
+    let deadline = Instant::now() + STEP_TIMEOUT;
+    let mut reported = None;
+    while Instant::now() < deadline {
+        let current = count();
+        if reported != Some(current) {
+            progress(&format!("{current} of {wanted} {what}"));
+            reported = Some(current);
         }
-        if now >= wanted {
+        if current >= wanted {
             return Ok(());
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    Err(DemoError::Late(what))
+    Err(DemoError::Timeout(what))
 }
 
-fn load_config(world: &World, version: String, requests: u32) -> LoadConfig {
+fn load_config(system: &System, version: String, requests: u32) -> LoadConfig {
     let bookings = Work::Booking {
         service: SERVICE.into(),
         path: "/move-in/".into(),
     };
     let mut config = LoadConfig::new(MODEL);
-    config.bootstrap = world.callers_entries();
+    config.bootstrap = system.entry_addrs();
     config.organisations = vec![Organisation::new("prairie-homes", CALLER_KEY)];
     config.versions = vec![Version {
         digest: version,
-        weights: world.weights(),
+        weights: system.weights(),
     }];
     config.arrivals = Arrivals::Closed { callers: CALLERS };
-    config.work = vec![(SHARES.0, Work::Completion), (SHARES.1, bookings)];
+    config.work = vec![(WORK_SHARES.0, Work::Completion), (WORK_SHARES.1, bookings)];
     config.requests = requests.into();
-    config.duration = PATIENCE;
+    config.duration = STEP_TIMEOUT;
     config.retries = RETRIES;
     config
 }
--- a/src/demo/report.rs
+++ b/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! What the demo found.
+//! The report of the demo.
 
 use std::time::Duration;
 
@@ -7,38 +7,38 @@
 
 use super::Plan;
 
-/// What the demo found; the JSON that `--json` prints on the last line.
+/// The result of the demo, as `--json` prints it on the last line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// Model engines.
+    /// The number of model engines.
     pub targets: u32,
-    /// From the change accepted to every replica serving, in seconds.
+    /// The time from the start of the change until every replica serves, in seconds.
     pub time_to_replicas_s: f64,
-    /// Bytes that left the origin over the model's size.
+    /// The number of bytes that the origin sent, divided by the size of the model.
     pub origin_copies: f64,
-    /// Requests made.
+    /// The number of requests that were sent.
     pub requests: u64,
-    /// Whole answers, each its caller's own, byte for byte.
+    /// The number of complete answers that match the expected answer byte for byte.
     pub answers_exact: u64,
-    /// Refused as not run.
+    /// The number of requests that were refused as not run.
     pub not_run: u64,
-    /// Everything else.
+    /// The number of all other requests.
     pub errors: u64,
-    /// Half of the exact answers took at most this, in milliseconds.
+    /// The median duration of the exact answers, in milliseconds.
     pub p50_ms: f64,
-    /// 99 in 100 of the exact answers took at most this, in milliseconds.
+    /// The 99th percentile of the duration of the exact answers, in milliseconds.
     pub p99_ms: f64,
-    /// Some of what was not exact, in words.
+    /// Descriptions of some answers that were not exact.
     #[serde(skip)]
     pub examples: Vec<String>,
 }
 
 impl Report {
-    /// The report of one run.
-    pub fn new(plan: Plan, time: Duration, copies: f64, load: &LoadReport) -> Self {
+    /// Returns the report of one run.
+    pub fn new(plan: Plan, time_to_replicas: Duration, copies: f64, load: &LoadReport) -> Self {
         Self {
             targets: plan.targets,
-            time_to_replicas_s: time.as_secs_f64(),
+            time_to_replicas_s: time_to_replicas.as_secs_f64(),
             origin_copies: copies,
             requests: load.sent,
             answers_exact: load.exact,
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Whether every request got its own whole answer.
-    pub const fn is_clean(&self) -> bool {
+    /// Returns whether every request got the complete expected answer.
+    pub const fn all_exact(&self) -> bool {
         self.answers_exact == self.requests
     }
 }
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -1,4 +1,4 @@
-//! The parts of the demo's system, each started as its process would start it.
+//! The parts of the demo's system. Each part starts in the same way as in a process of its own.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -37,30 +37,32 @@
 use super::DemoError;
 use super::MODEL;
 use crate::client::Client;
-use crate::client::message;
+use crate::client::error_message;
 
-/// The key of the demo's callers.
+/// The key of the demo's caller organisation.
 pub const CALLER_KEY: &str = "the-demo-callers-key";
 
-/// The plain service.
+/// The name of the plain service.
 pub const SERVICE: &str = "move-in-desk";
 
 const OPERATOR_KEY: &str = "the-demo-operators-key";
 const ENTRIES: usize = 3;
 const ZONES: [&str; 3] = ["regina-hall", "winnipeg-hall", "calgary-hall"];
 
-/// The size of the demo's model, in bytes: small enough for a laptop, many chunks all the same.
+/// The size of the demo's model, in bytes: it is small enough for a laptop, but still has many chunks.
 const MODEL_SIZE: usize = 8 << 20;
-const CHUNK: u32 = 128 << 10;
 
-/// The origin's link carries eight copies a second.
+/// The size of a chunk, in bytes.
+const CHUNK_SIZE: u32 = 128 << 10;
+
+/// The rate limit of the origin, in bytes a second: it allows eight copies of the model a second.
 const ORIGIN_RATE: u64 = 64 << 20;
 
-/// A step of the demo's engines.
-const STEP: Duration = Duration::from_millis(2);
+/// The duration of a step of the demo's engines.
+const ENGINE_STEP: Duration = Duration::from_millis(2);
 
-/// The demo's system; dropped, all of it stops.
-pub struct World {
+/// The demo's system. All its parts stop when it is dropped.
+pub struct System {
     entries: Vec<Entry>,
     _agents: Vec<Agent>,
     _engines: Vec<Engine>,
@@ -71,23 +73,23 @@
     dir: TempDir,
 }
 
-impl World {
-    /// Starts everything.
+impl System {
+    /// Starts the origin, the entries, the service, `targets` engines and their agents.
     pub fn start(targets: u32) -> Result<Self, DemoError> {
         spdlog::default_logger()
             .set_level_filter(spdlog::LevelFilter::MoreSevereEqual(spdlog::Level::Error));
-        let dir = tempfile::tempdir().map_err(|error| failed("folder", &error))?;
-        let weights = prepare(dir.path()).map_err(|error| failed("folder", &error))?;
+        let dir = tempfile::tempdir().map_err(|error| start_error("folder", &error))?;
+        let weights = write_files(dir.path()).map_err(|error| start_error("folder", &error))?;
         let mut config = OriginConfig::new(dir.path().join("origin"));
         config.rate = Some(Rate {
             bytes: ORIGIN_RATE,
             burst: ORIGIN_RATE / 8,
         });
-        let origin = Origin::start(config).map_err(|error| failed("origin", &error))?;
+        let origin = Origin::start(config).map_err(|error| start_error("origin", &error))?;
         let entries = start_entries(dir.path())?;
         let links: Vec<SocketAddr> = entries.iter().map(Entry::links).collect();
         let service = Service::start(ServiceConfig::new(SERVICE));
-        let service = service.map_err(|error| failed("service", &error))?;
+        let service = service.map_err(|error| start_error("service", &error))?;
         let mut agents = vec![start_agent(
             dir.path(),
             0,
@@ -98,17 +100,17 @@
         let mut engines = Vec::new();
         for n in 1..=targets {
             let config = EngineConfig {
-                step: STEP,
+                step: ENGINE_STEP,
                 ..EngineConfig::default()
             };
-            let engine = Engine::start(config).map_err(|error| failed("engine", &error))?;
+            let engine = Engine::start(config).map_err(|error| start_error("engine", &error))?;
             agents.push(start_agent(dir.path(), n, "engine", engine.addr(), &links)?);
             engines.push(engine);
         }
         let key = dir.path().join("operators.keys");
         let client = |entry: &Entry| Client::new(vec![entry.addr()], Some(key.clone()));
         let clients: Result<Vec<_>, _> = entries.iter().map(client).collect();
-        let clients = clients.map_err(|error| failed("client", &error))?;
+        let clients = clients.map_err(|error| start_error("client", &error))?;
         Ok(Self {
             entries,
             _agents: agents,
@@ -121,31 +123,31 @@
         })
     }
 
-    /// Where callers ask for entries.
-    pub fn callers_entries(&self) -> Vec<SocketAddr> {
+    /// Returns the HTTP addresses of the entries.
+    pub fn entry_addrs(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(Entry::addr).collect()
     }
 
-    /// What engines make of the model's files.
+    /// Returns the digest that engines compute over the model's files.
     pub const fn weights(&self) -> Digest {
         self.weights
     }
 
-    /// The targets that every entry knows.
-    pub fn known(&self) -> usize {
-        self.least(|status| status["targets"].as_array().map_or(0, Vec::len))
+    /// Returns the number of targets that every entry knows.
+    pub fn known_targets(&self) -> usize {
+        self.min_count(|status| status["targets"].as_array().map_or(0, Vec::len))
     }
 
-    /// The replicas that every entry knows to serve: a caller may ask any of them.
-    pub fn serving(&self) -> usize {
-        self.least(|status| {
+    /// Returns the number of replicas that serve according to every entry: a caller may use any entry.
+    pub fn serving_replicas(&self) -> usize {
+        self.min_count(|status| {
             let serving = status["deployments"][0]["serving"].as_u64().unwrap_or(0);
             usize::try_from(serving).unwrap_or(0)
         })
     }
 
-    /// The least that any entry's status gives.
-    fn least(&self, count: impl Fn(&Value) -> usize) -> usize {
+    /// Returns the lowest count over the status of all entries; an entry that does not answer counts 0.
+    fn min_count(&self, count: impl Fn(&Value) -> usize) -> usize {
         let counts = self.clients.iter().map(|client| {
             let status = client.get("status").map(|answer| answer.body);
             count(&status.unwrap_or_default())
@@ -153,9 +155,9 @@
         counts.min().unwrap_or(0)
     }
 
-    /// Bytes that left the origin over the model's size.
+    /// Returns the number of bytes that the origin sent, divided by the size of the model.
     pub fn origin_copies(&self) -> f64 {
-        // Both are far under 2^52, so nothing is lost.
+        // Both numbers are far below 2^52, so the conversion is exact.
         #[expect(clippy::cast_precision_loss, reason = "sizes of a demo are small")]
         let copies = self.origin.stats().bytes as f64 / MODEL_SIZE as f64;
         copies
@@ -164,11 +166,11 @@
     /// Publishes the model and returns its version.
     pub fn publish(&self) -> Result<String, DemoError> {
         let folder = self.dir.path().join("origin");
-        let manifest = Manifest::of_dir(&folder, CHUNK);
-        let manifest = manifest.map_err(|error| failed("manifest", &error))?;
+        let manifest = Manifest::of_dir(&folder, CHUNK_SIZE);
+        let manifest = manifest.map_err(|error| start_error("manifest", &error))?;
         let encoded = manifest.encode();
         fs::write(folder.join(manifest_name(manifest.root())), &encoded)
-            .map_err(|error| failed("manifest", &error))?;
+            .map_err(|error| start_error("manifest", &error))?;
         let request = PublishRequest {
             root: manifest.root(),
             model: MODEL.into(),
@@ -182,7 +184,7 @@
         Ok(manifest.root().to_string())
     }
 
-    /// Declares the model on `targets` instances, and rules that lead to it and to the service.
+    /// Declares the model with `targets` replicas, and rules that route to it and to the service.
     pub fn apply(&self, version: &str, targets: u32) -> Result<(), DemoError> {
         let text = format!(
             "[deployment drafting]\nlabels = team=drafting\nmodel = {MODEL}\n\
@@ -206,25 +208,25 @@
         self.post("apply", &request)
     }
 
-    fn post(&self, what: &str, body: &impl serde::Serialize) -> Result<(), DemoError> {
-        let answer = self.clients[0].post(what, body);
+    fn post(&self, path: &str, body: &impl serde::Serialize) -> Result<(), DemoError> {
+        let answer = self.clients[0].post(path, body);
         let answer = answer.map_err(|error| DemoError::Refused(error.to_string()))?;
         if answer.status == 200 {
             return Ok(());
         }
-        Err(DemoError::Refused(message(&answer.body)))
+        Err(DemoError::Refused(error_message(&answer.body)))
     }
 }
 
-fn failed(part: &'static str, error: &dyn std::fmt::Display) -> DemoError {
+fn start_error(part: &'static str, error: &dyn std::fmt::Display) -> DemoError {
     DemoError::Start {
         part,
         text: error.to_string(),
     }
 }
 
-/// Writes keys and the model's files, and returns what engines make of the latter.
-fn prepare(dir: &Path) -> std::io::Result<Digest> {
+/// Writes the keys and the model's files, and returns the digest that engines compute over the model.
+fn write_files(dir: &Path) -> std::io::Result<Digest> {
     fs::write(dir.join("peer.key"), "the demo's key between entries")?;
     fs::write(dir.join("agent.key"), "the demo's key on links with agents")?;
     fs::write(
@@ -243,19 +245,19 @@
     weights_digest(&folder).map_err(std::io::Error::other)
 }
 
-/// So many different addresses that are free now: held until all are chosen, as a port that was
-/// let go may be handed out again.
+/// Returns `count` different free addresses. All sockets stay open until all ports are chosen, because
+/// the operating system may assign a released port again.
 fn free_addrs(count: usize) -> Result<Vec<SocketAddr>, DemoError> {
     let bind = |_| TcpListener::bind("127.0.0.1:0");
     let sockets: Result<Vec<_>, _> = (0..count).map(bind).collect();
-    let sockets = sockets.map_err(|error| failed("port", &error))?;
+    let sockets = sockets.map_err(|error| start_error("port", &error))?;
     let addrs: Result<Vec<_>, _> = sockets.iter().map(TcpListener::local_addr).collect();
-    addrs.map_err(|error| failed("port", &error))
+    addrs.map_err(|error| start_error("port", &error))
 }
 
 fn start_entries(dir: &Path) -> Result<Vec<Entry>, DemoError> {
     let addrs = free_addrs(2 * ENTRIES)?;
-    let places: Vec<_> = addrs
+    let nodes: Vec<_> = addrs
         .chunks_exact(2)
         .enumerate()
         .map(|(n, pair)| {
@@ -267,12 +269,12 @@
             )
         })
         .collect();
-    let voters: Vec<String> = places
+    let voters: Vec<String> = nodes
         .iter()
         .map(|(name, _, links, _)| format!("{name}@{links}"))
         .collect();
     let voters = voters.join(", ");
-    places
+    nodes
         .iter()
         .map(|(name, listen, links, zone)| {
             let text = format!(
@@ -282,11 +284,11 @@
                  operators = operators.keys\n"
             );
             let path = dir.join(format!("{name}.ini"));
-            fs::write(&path, text).map_err(|error| failed("entry", &error))?;
+            fs::write(&path, text).map_err(|error| start_error("entry", &error))?;
             let settings = filbertstack_entry::Settings::read(&path);
-            let settings = settings.map_err(|error| failed("entry", &error))?;
-            let telemetry = telemetry(&Identity::new(Role::Entry, name.as_str()))?;
-            Entry::start(settings, telemetry).map_err(|error| failed("entry", &error))
+            let settings = settings.map_err(|error| start_error("entry", &error))?;
+            let telemetry = start_telemetry(&Identity::new(Role::Entry, name.as_str()))?;
+            Entry::start(settings, telemetry).map_err(|error| start_error("entry", &error))
         })
         .collect()
 }
@@ -308,19 +310,19 @@
         entries.join(", ")
     );
     let path = dir.join(format!("{name}.ini"));
-    fs::write(&path, text).map_err(|error| failed("agent", &error))?;
+    fs::write(&path, text).map_err(|error| start_error("agent", &error))?;
     let settings = filbertstack_agent::Settings::read(&path);
-    let settings = settings.map_err(|error| failed("agent", &error))?;
-    let telemetry = telemetry(&Identity::new(Role::Agent, name.as_str()))?;
-    Agent::start(settings, telemetry).map_err(|error| failed("agent", &error))
+    let settings = settings.map_err(|error| start_error("agent", &error))?;
+    let telemetry = start_telemetry(&Identity::new(Role::Agent, name.as_str()))?;
+    Agent::start(settings, telemetry).map_err(|error| start_error("agent", &error))
 }
 
-fn telemetry(identity: &Identity) -> Result<Arc<Telemetry>, DemoError> {
+fn start_telemetry(identity: &Identity) -> Result<Arc<Telemetry>, DemoError> {
     let settings = TelemetrySettings::default();
-    let start = |error: filbertstack_telemetry::TelemetryError| failed("telemetry", &error);
+    let to_error = |error: filbertstack_telemetry::TelemetryError| start_error("telemetry", &error);
     Ok(Arc::new(Telemetry {
-        logs: Logs::start(&settings, identity).map_err(start)?,
-        metrics: Metrics::new(identity).map_err(start)?,
-        traces: Traces::start(&settings, identity).map_err(start)?,
+        logs: Logs::start(&settings, identity).map_err(to_error)?,
+        metrics: Metrics::new(identity).map_err(to_error)?,
+        traces: Traces::start(&settings, identity).map_err(to_error)?,
     }))
 }
