--- a/src/cmd/stand_in.rs
+++ b/src/cmd/stand_in.rs
@@ -20,13 +20,13 @@
 pub fn run(arguments: Vec<OsString>) -> Result<(), Failure> {
     let flags = standin::StandIn::from_vec(arguments).unwrap_or_else(|error| error.exit());
     match flags.subcommand {
-        standin::StandInCmd::Engine(flags) => run_engine(&flags),
-        standin::StandInCmd::Origin(flags) => run_origin(flags),
-        standin::StandInCmd::Service(flags) => run_service(&flags),
+        standin::StandInCmd::Engine(flags) => start_engine(&flags),
+        standin::StandInCmd::Origin(flags) => start_origin(flags),
+        standin::StandInCmd::Service(flags) => start_service(&flags),
     }
 }
 
-fn run_engine(flags: &standin::Engine) -> Result<(), Failure> {
+fn start_engine(flags: &standin::Engine) -> Result<(), Failure> {
     let mut config = EngineConfig::default();
     config.addr = flags.listen.unwrap_or(config.addr);
     config.step = flags.step_ms.map_or(config.step, Duration::from_millis);
@@ -40,7 +40,7 @@
     match process::run_engine(config, None)? {}
 }
 
-fn run_origin(flags: standin::Origin) -> Result<(), Failure> {
+fn start_origin(flags: standin::Origin) -> Result<(), Failure> {
     let mut config = OriginConfig::new(flags.dir);
     config.addr = flags.listen.unwrap_or(config.addr);
     config.rate = flags.rate.map(|bytes| Rate {
@@ -50,7 +50,7 @@
     match process::run_origin(config)? {}
 }
 
-fn run_service(flags: &standin::Service) -> Result<(), Failure> {
+fn start_service(flags: &standin::Service) -> Result<(), Failure> {
     let mut config = ServiceConfig::new(flags.name.as_str());
     config.addr = flags.listen.unwrap_or(config.addr);
     config.latency = flags
