--- a/examples/capacity/callers.rs
+++ b/examples/capacity/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that stream answers, and what they saw.
+//! Callers that stream answers, and the times that they measure.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -11,25 +11,27 @@
 
 use crate::system::CALLER_KEY;
 
-/// Answers of a caller in `calls`, and tokens of an answer.
-const ANSWERS: usize = 20;
-pub const TOKENS: usize = 32;
+/// The number of answers that each caller of `calls` requests.
+const ANSWERS_PER_CALLER: usize = 20;
 
-/// What callers saw.
-pub struct Seen {
+/// The number of tokens of an answer in `calls`.
+pub const ANSWER_TOKENS: usize = 32;
+
+/// The sorted times of all complete answers, and the number of the others.
+pub struct LoadResult {
     pub first: Vec<Duration>,
     pub whole: Vec<Duration>,
     pub gaps: Vec<Duration>,
     pub failed: usize,
 }
 
-impl Seen {
+impl LoadResult {
     pub fn answers(&self) -> usize {
         self.whole.len()
     }
 }
 
-impl std::fmt::Display for Seen {
+impl std::fmt::Display for LoadResult {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
@@ -37,39 +39,49 @@
              between tokens p50 {:.1?} p95 {:.1?} p99 {:.1?}",
             self.answers(),
             self.failed,
-            rank(&self.first, 50),
-            rank(&self.first, 99),
-            rank(&self.whole, 50),
-            rank(&self.whole, 99),
-            rank(&self.gaps, 50),
-            rank(&self.gaps, 95),
-            rank(&self.gaps, 99),
+            percentile(&self.first, 50),
+            percentile(&self.first, 99),
+            percentile(&self.whole, 50),
+            percentile(&self.whole, 99),
+            percentile(&self.gaps, 50),
+            percentile(&self.gaps, 95),
+            percentile(&self.gaps, 99),
         )
     }
 }
 
-pub fn rank(sorted: &[Duration], percent: usize) -> Duration {
-    let place = (sorted.len() * percent).div_ceil(100).saturating_sub(1);
-    sorted.get(place).copied().unwrap_or_default()
+/// Returns the value at `percent` of the sorted values, or zero if there are none.
+pub fn percentile(sorted: &[Duration], percent: usize) -> Duration {
+    let index = (sorted.len() * percent).div_ceil(100).saturating_sub(1);
+    sorted.get(index).copied().unwrap_or_default()
 }
 
-pub fn load(addrs: &[SocketAddr], callers: usize) -> Seen {
-    let took = thread::scope(|scope| {
+/// Runs `callers` concurrent callers and returns the times of all their answers.
+pub fn run_load(addrs: &[SocketAddr], callers: usize) -> LoadResult {
+    let answers = thread::scope(|scope| {
         let running: Vec<_> = (0..callers)
-            .map(|caller| scope.spawn(move || call_all(addrs, caller)))
+            .map(|caller| scope.spawn(move || run_caller(addrs, caller)))
             .collect();
-        let took = running.into_iter().filter_map(|one| one.join().ok());
-        took.flatten().collect::<Vec<_>>()
+        let answers = running.into_iter().filter_map(|thread| thread.join().ok());
+        answers.flatten().collect::<Vec<_>>()
     });
-    let mut first: Vec<Duration> = took.iter().flatten().map(|took| took.first).collect();
-    let mut whole: Vec<Duration> = took.iter().flatten().map(|took| took.whole).collect();
-    let gaps = took.iter().flatten().flat_map(|took| &took.gaps);
+    let mut first: Vec<Duration> = answers
+        .iter()
+        .flatten()
+        .map(|answer| answer.first)
+        .collect();
+    let mut whole: Vec<Duration> = answers
+        .iter()
+        .flatten()
+        .map(|answer| answer.whole)
+        .collect();
+    let gaps = answers.iter().flatten().flat_map(|answer| &answer.gaps);
     let mut gaps: Vec<Duration> = gaps.copied().collect();
     first.sort_unstable();
     whole.sort_unstable();
     gaps.sort_unstable();
-    let failed = took.iter().filter(|took| took.is_none()).count();
-    Seen {
+    let failed = answers.iter().filter(|answer| answer.is_none()).count();
+    LoadResult {
         first,
         whole,
         gaps,
@@ -77,24 +89,25 @@
     }
 }
 
-pub fn call_all(addrs: &[SocketAddr], caller: usize) -> Vec<Option<Took>> {
-    let calls = (0..ANSWERS).map(|n| {
+/// Streams the answers of one caller, each from the next address.
+pub fn run_caller(addrs: &[SocketAddr], caller: usize) -> Vec<Option<AnswerTimes>> {
+    let calls = (0..ANSWERS_PER_CALLER).map(|n| {
         let addr = addrs[(caller + n) % addrs.len()];
-        stream(addr, caller * ANSWERS + n, TOKENS)
+        stream(addr, caller * ANSWERS_PER_CALLER + n, ANSWER_TOKENS)
     });
     calls.collect()
 }
 
-/// How long an answer took.
-pub struct Took {
+/// The times of one answer: to the first token, to the end, and between tokens.
+pub struct AnswerTimes {
     pub first: Duration,
     pub whole: Duration,
     pub gaps: Vec<Duration>,
 }
 
-/// Streams one answer; `None` if it did not come whole.
-pub fn stream(addr: SocketAddr, n: usize, tokens: usize) -> Option<Took> {
-    let began = Instant::now();
+/// Streams one answer. Returns `None` if the answer is not complete.
+pub fn stream(addr: SocketAddr, n: usize, tokens: usize) -> Option<AnswerTimes> {
+    let start = Instant::now();
     let body = json!({
         "model": "m", "prompt": format!("question {n}"), "max_tokens": tokens, "stream": true,
     });
@@ -112,13 +125,14 @@
             let pairs = arrivals
                 .windows(2)
                 .map(|pair| pair[1].saturating_sub(pair[0]));
-            // The last event carries the reason for the end and comes with the last token.
+            // The last event has the finish reason and arrives together with the last token, so its gap
+            // is not counted.
             let gaps = pairs.take(tokens.saturating_sub(1)).collect();
-            let whole = began.elapsed();
-            return Some(Took { first, whole, gaps });
+            let whole = start.elapsed();
+            return Some(AnswerTimes { first, whole, gaps });
         }
         if line.starts_with("data: ") {
-            arrivals.push(began.elapsed());
+            arrivals.push(start.elapsed());
         }
     }
     None
--- a/examples/capacity/system.rs
+++ b/examples/capacity/system.rs
@@ -1,4 +1,4 @@
-//! Entries with their settings, agents and stand-ins for engines.
+//! A system for the measurements: entries, agents and stand-ins for engines, with their settings.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -11,19 +11,19 @@
 
 use crate::Failure;
 use crate::process::Process;
-use crate::process::binary;
+use crate::process::binary_path;
 use crate::process::free_addr;
 
-/// Entries of `calls` and `streams`; `rest` has three voters as well.
-pub const ENTRIES: usize = 3;
+/// The number of entries that each measurement starts; all of them are voters.
+pub const ENTRY_COUNT: usize = 3;
 
-/// Engines of `calls` and `streams`.
-const ENGINES: usize = 8;
+/// The number of engines in `calls` and `streams`.
+const ENGINE_COUNT: usize = 8;
 
-/// The secret of the callers.
+/// The key of the callers.
 pub const CALLER_KEY: &str = "measuring-caller-0123456789";
 
-/// A system in a folder of its own.
+/// The entries of a system, with the folder of their files.
 pub struct System {
     pub dir: TempDir,
     pub entries: Vec<Process>,
@@ -32,6 +32,7 @@
 }
 
 impl System {
+    /// Writes the keys and starts the entries.
     pub fn start() -> Result<Self, Failure> {
         let dir = tempfile::tempdir()?;
         let write = |name: &str, text: &str| fs::write(dir.path().join(name), text);
@@ -39,9 +40,9 @@
         write("agent.key", "the key on links with agents")?;
         write("callers.keys", &format!("acme {CALLER_KEY}\n"))?;
         write("operators.keys", "olga operator-secret-0123456789\n")?;
-        let http = (0..ENTRIES).map(|_| free_addr());
+        let http = (0..ENTRY_COUNT).map(|_| free_addr());
         let http: Vec<SocketAddr> = http.collect::<Result<_, _>>()?;
-        let links = (0..ENTRIES).map(|_| free_addr());
+        let links = (0..ENTRY_COUNT).map(|_| free_addr());
         let links: Vec<SocketAddr> = links.collect::<Result<_, _>>()?;
         let mut system = Self {
             dir,
@@ -49,27 +50,30 @@
             http,
             links,
         };
-        for n in 0..ENTRIES {
-            let path = system.entry_settings(n)?;
+        for n in 0..ENTRY_COUNT {
+            let path = system.write_settings(n)?;
             let process = Process::start(&["entry", "--settings", &path])?;
             system.entries.push(process);
         }
         Ok(system)
     }
 
-    pub fn write(&self, name: &str, text: &str) -> Result<String, Failure> {
+    /// Writes a file into the folder and returns its path.
+    pub fn write_file(&self, name: &str, text: &str) -> Result<String, Failure> {
         let path = self.dir.path().join(name);
         fs::write(&path, text)?;
         Ok(path.display().to_string())
     }
 
-    fn entry_settings(&self, n: usize) -> Result<String, Failure> {
-        let text = self.entry_text(n, self.http[n], self.links[n]);
+    /// Writes the settings of an entry with a disk, which is a voter, and returns their path.
+    fn write_settings(&self, n: usize) -> Result<String, Failure> {
+        let text = self.settings_text(n, self.http[n], self.links[n]);
         let text = format!("{text}[disk]\ndata = data-{n}\n");
-        self.write(&format!("entry-{n}.ini"), &text)
+        self.write_file(&format!("entry-{n}.ini"), &text)
     }
 
-    pub fn entry_text(&self, n: usize, http: SocketAddr, links: SocketAddr) -> String {
+    /// Returns the settings of an entry without a disk.
+    pub fn settings_text(&self, n: usize, http: SocketAddr, links: SocketAddr) -> String {
         let voters = self.links.iter().enumerate();
         let voters: Vec<String> = voters
             .map(|(n, addr)| format!("entry-{n}@{addr}"))
@@ -86,7 +90,13 @@
         )
     }
 
-    pub fn agent(&self, n: usize, kind: &str, target: SocketAddr) -> Result<Process, Failure> {
+    /// Starts the agent of `target`.
+    pub fn start_agent(
+        &self,
+        n: usize,
+        kind: &str,
+        target: SocketAddr,
+    ) -> Result<Process, Failure> {
         let entries: Vec<String> = self.links.iter().map(ToString::to_string).collect();
         let (entries, links) = (entries.join(", "), free_addr()?);
         let text = format!(
@@ -95,13 +105,14 @@
              [target]\nkind = {kind}\nurl = http://{target}\nslots = 64\n\
              [keys]\nagent = agent.key\n[telemetry]\nlog-level = error\n"
         );
-        let path = self.write(&format!("agent-{n}.ini"), &text)?;
+        let path = self.write_file(&format!("agent-{n}.ini"), &text)?;
         Process::start(&["agent", "--settings", &path])
     }
 
-    pub fn operate(&self, arguments: &[&str]) -> Result<String, Failure> {
+    /// Runs an operator's command at the first entry and returns its output.
+    pub fn run_operator(&self, arguments: &[&str]) -> Result<String, Failure> {
         let key = self.dir.path().join("operators.keys");
-        let output = Command::new(binary()?)
+        let output = Command::new(binary_path()?)
             .args(arguments)
             .args(["--entry", &self.http[0].to_string(), "--key-file"])
             .arg(key)
@@ -112,10 +123,11 @@
         Err(String::from_utf8_lossy(&output.stderr).into())
     }
 
-    pub fn wait(&self, wanted: impl Fn(&Value) -> bool) -> Result<(), Failure> {
+    /// Waits until the status of the first entry meets `condition`, for at least 60 s.
+    pub fn wait_status(&self, condition: impl Fn(&Value) -> bool) -> Result<(), Failure> {
         for _ in 0..600 {
-            let status = self.operate(&["status", "--json"]).unwrap_or_default();
-            if serde_json::from_str(&status).is_ok_and(|status| wanted(&status)) {
+            let status = self.run_operator(&["status", "--json"]).unwrap_or_default();
+            if serde_json::from_str(&status).is_ok_and(|status| condition(&status)) {
                 return Ok(());
             }
             thread::sleep(Duration::from_millis(100));
@@ -123,15 +135,16 @@
         Err("the system did not come up within 60 s".into())
     }
 
+    /// Waits until the first entry knows `count` targets.
     pub fn wait_targets(&self, count: usize) -> Result<(), Failure> {
-        self.wait(|status| {
+        self.wait_status(|status| {
             status["targets"]
                 .as_array()
                 .is_some_and(|all| all.len() == count)
         })
     }
 
-    /// Publishes a small model and has every engine serve it.
+    /// Publishes a small model, waits until `count` engines serve it, and returns its origin.
     pub fn deploy(&self, count: usize) -> Result<Process, Failure> {
         let dir = self.dir.path().join("weights");
         fs::create_dir_all(&dir)?;
@@ -139,36 +152,37 @@
         let dir = dir.display().to_string();
         let origin = Process::start(&["stand-in", "origin", &dir])?;
         let url = format!("http://{}", origin.addr()?);
-        let version = self.operate(&["publish", &dir, "--model", "m", "--origin", &url])?;
+        let version = self.run_operator(&["publish", &dir, "--model", "m", "--origin", &url])?;
         let text = format!(
             "[deployment m]\nlabels = t=m\nmodel = m\nversion = {version}\nreplicas = {count}\n\
              memory = 1MiB\npools = t=p\n[pool p]\nlabels = t=p\ninstances = role=engine\n\
              [rule m]\nrequests = model=m\ndeployments = t=m\nidempotent = true\ntimeout = 60s\n"
         );
-        let path = self.write("declarations.ini", &text)?;
-        self.operate(&["apply", &path])?;
-        self.wait(|status| status["deployments"][0]["met"] == true)?;
+        let path = self.write_file("declarations.ini", &text)?;
+        self.run_operator(&["apply", &path])?;
+        self.wait_status(|status| status["deployments"][0]["met"] == true)?;
         thread::sleep(Duration::from_secs(2));
         Ok(origin)
     }
 }
 
-/// An engine's stand-ins and their agents.
+/// Stand-ins for engines, their agents, and the origin of their weights.
 pub struct Fleet {
     pub engines: Vec<Process>,
     pub agents: Vec<Process>,
     pub _origin: Process,
 }
 
-pub fn fleet(system: &System) -> Result<Fleet, Failure> {
+/// Starts the engines and their agents, and deploys a model on them.
+pub fn start_fleet(system: &System) -> Result<Fleet, Failure> {
     let (mut engines, mut agents) = (Vec::new(), Vec::new());
-    for n in 0..ENGINES {
+    for n in 0..ENGINE_COUNT {
         let engine = Process::start(&["stand-in", "engine", "--slots", "64"])?;
-        agents.push(system.agent(n, "engine", engine.addr()?)?);
+        agents.push(system.start_agent(n, "engine", engine.addr()?)?);
         engines.push(engine);
     }
-    system.wait_targets(ENGINES)?;
-    let origin = system.deploy(ENGINES)?;
+    system.wait_targets(ENGINE_COUNT)?;
+    let origin = system.deploy(ENGINE_COUNT)?;
     Ok(Fleet {
         engines,
         agents,
