--- a/tests/cli/account.rs
+++ b/tests/cli/account.rs
@@ -1,12 +1,13 @@
-//! Adding up where requests were lost.
+//! Tests of `filbertstack account`.
 
 use std::fs;
 
 use insta::assert_snapshot;
 
-use crate::run;
-use crate::said;
+use crate::error_output;
+use crate::run_command;
 
+/// A log with prompt, slow, failed and refused requests, whose last line is cut off.
 const LOG: &str = r#"{"timestamp":1000,"level":"info","role":"entry","instance":"e1","message":"attempt ended","fields":{"request":"a1","outcome":"answered","first_ms":120}}
 {"timestamp":1100,"level":"info","role":"entry","instance":"e1","message":"attempt ended","fields":{"request":"a2","outcome":"answered","first_ms":900}}
 {"timestamp":3500,"level":"info","role":"entry","instance":"e2","message":"refused","fields":{"request":"a3","status":503,"why":"no target can serve it in time"}}
@@ -16,11 +17,11 @@
 {"timestamp":3900,"level":"info","role":"entry","inst"#;
 
 #[test]
-fn losses_are_added_up_by_moment_and_reason() {
-    let dir = tempfile::tempdir().expect("a folder");
-    fs::write(dir.path().join("e.log"), LOG).expect("written");
-    let output = run(dir.path(), &["account", "e.log"]);
-    assert!(output.status.success(), "{}", said(&output));
+fn outcomes_are_counted_by_time_and_reason() {
+    let dir = tempfile::tempdir().expect("create a temporary folder");
+    fs::write(dir.path().join("e.log"), LOG).expect("write the file");
+    let output = run_command(dir.path(), &["account", "e.log"]);
+    assert!(output.status.success(), "{}", error_output(&output));
     assert_snapshot!(String::from_utf8_lossy(&output.stdout), @r"
     from 1000 ms since 1970
       second  answered   slow  failed   left  refused
--- a/tests/cli/main.rs
+++ b/tests/cli/main.rs
@@ -1,4 +1,4 @@
-//! The command line: what it prints of wrong files, and its exit codes.
+//! Tests of the command line: its error messages for invalid files, and its exit codes.
 
 mod account;
 mod explain;
@@ -8,24 +8,27 @@
 use std::process::Command;
 use std::process::Output;
 
-fn run(dir: &Path, arguments: &[&str]) -> Output {
+/// Runs the binary in `dir`, without the environment variables of the client.
+fn run_command(dir: &Path, arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_filbertstack"))
         .current_dir(dir)
         .env_remove("FILBERTSTACK_ENTRY")
         .env_remove("FILBERTSTACK_KEY_FILE")
         .args(arguments)
         .output()
-        .expect("the binary runs")
+        .expect("run the binary")
 }
 
-fn said(output: &Output) -> String {
+/// Returns the text on standard error.
+fn error_output(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).trim().to_owned()
 }
 
-/// A folder with keys and the entry's settings, `change`d.
-fn folder(change: impl Fn(&str) -> String) -> tempfile::TempDir {
-    let dir = tempfile::tempdir().expect("a folder");
-    let write = |name: &str, text: &str| fs::write(dir.path().join(name), text).expect("written");
+/// Returns a folder with key files and the settings of an entry, to which `change` was applied.
+fn settings_dir(change: impl Fn(&str) -> String) -> tempfile::TempDir {
+    let dir = tempfile::tempdir().expect("create a temporary folder");
+    let write =
+        |name: &str, text: &str| fs::write(dir.path().join(name), text).expect("write the file");
     write("peer.key", "the key between entries");
     write("agent.key", "the key on links with agents");
     write("callers.keys", "acme acme-secret-0123456789\n");
@@ -38,28 +41,30 @@
     dir
 }
 
-fn check(change: impl Fn(&str) -> String) -> String {
-    let dir = folder(change);
-    let output = run(dir.path(), &["check", "entry.ini"]);
+/// Returns the errors that `filbertstack check` prints for changed settings.
+fn check_errors(change: impl Fn(&str) -> String) -> String {
+    let dir = settings_dir(change);
+    let output = run_command(dir.path(), &["check", "entry.ini"]);
     assert_eq!(output.status.code(), Some(1));
-    said(&output)
+    error_output(&output)
 }
 
 #[test]
-fn a_good_file_passes() {
-    let dir = folder(str::to_owned);
-    let output = run(dir.path(), &["check", "entry.ini"]);
-    assert!(output.status.success(), "{}", said(&output));
+fn a_valid_settings_file_passes() {
+    let dir = settings_dir(str::to_owned);
+    let output = run_command(dir.path(), &["check", "entry.ini"]);
+    assert!(output.status.success(), "{}", error_output(&output));
 }
 
 #[test]
-fn every_fault_of_a_settings_file_is_named_at_once() {
-    let faults = check(|good| {
-        good.replace("zone = z1\n", "zoned = z1\n")
+fn all_errors_of_a_settings_file_are_reported_together() {
+    let errors = check_errors(|valid| {
+        valid
+            .replace("zone = z1\n", "zoned = z1\n")
             .replace("listen = 127.0.0.1:18080", "listen = here")
             .replace("peer = peer.key", "peer = nowhere.key")
     });
-    insta::assert_snapshot!(faults, @r#"
+    insta::assert_snapshot!(errors, @r#"
     error: entry.ini:1: [entry] lacks the key 'zone': add it
     entry.ini:3: unknown key 'zoned' in [entry]: remove it or correct its spelling
     entry.ini:5: listen: 'here' is not an address: write IP:port, such as 10.0.0.1:9080
@@ -68,35 +73,37 @@
 }
 
 #[test]
-fn a_key_or_section_given_twice_is_a_fault() {
-    let faults = check(|good| format!("{good}[keys]\npeer = peer.key\n[entry]\nname = e1\n"));
-    insta::assert_snapshot!(faults, @r#"
+fn duplicate_sections_are_errors() {
+    let errors =
+        check_errors(|valid| format!("{valid}[keys]\npeer = peer.key\n[entry]\nname = e1\n"));
+    insta::assert_snapshot!(errors, @r#"
     error: entry.ini:14: the section [keys] stands twice: join the two
     entry.ini:16: the section [entry] stands twice: join the two
     "#);
 }
 
 #[test]
-fn an_address_for_all_interfaces_is_refused() {
-    let faults = check(|good| good.replace("listen = 127.0.0.1", "listen = 0.0.0.0"));
-    insta::assert_snapshot!(faults, @"error: entry.ini:1: listen: others are told this address: give the instance's own IP");
+fn a_listen_address_for_all_interfaces_is_rejected() {
+    let errors = check_errors(|valid| valid.replace("listen = 127.0.0.1", "listen = 0.0.0.0"));
+    insta::assert_snapshot!(errors, @"error: entry.ini:1: listen: others are told this address: give the instance's own IP");
 }
 
 #[test]
-fn a_stop_shorter_than_callers_keep_the_address_is_refused() {
-    let faults = check(|good| good.replace("zone = z1\n", "zone = z1\nstop-timeout = 5s\n"));
-    insta::assert_snapshot!(faults, @"error: entry.ini:1: stop-timeout 5s ends before callers have let go of this entry's address: give at least max-age and 6s");
+fn a_stop_timeout_shorter_than_the_address_max_age_is_rejected() {
+    let errors =
+        check_errors(|valid| valid.replace("zone = z1\n", "zone = z1\nstop-timeout = 5s\n"));
+    insta::assert_snapshot!(errors, @"error: entry.ini:1: stop-timeout 5s ends before callers have let go of this entry's address: give at least max-age and 6s");
 }
 
 #[test]
-fn declarations_name_their_faults_with_the_remedy() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn errors_in_declarations_include_the_remedy() {
+    let dir = tempfile::tempdir().expect("create a temporary folder");
     let text = "[deployment d]\nmodel = m\nversion = 12\nreplicas = many\n\
                 [rule r]\ntimeout = soon\npath = nowhere\n[pol p]\ninstances = a=b\n";
-    fs::write(dir.path().join("d.ini"), text).expect("written");
-    let output = run(dir.path(), &["check", "d.ini"]);
+    fs::write(dir.path().join("d.ini"), text).expect("write the file");
+    let output = run_command(dir.path(), &["check", "d.ini"]);
     assert_eq!(output.status.code(), Some(1));
-    insta::assert_snapshot!(said(&output), @r#"
+    insta::assert_snapshot!(error_output(&output), @r#"
     error: d.ini:1: [deployment d] lacks the key 'pools': add it
     d.ini:3: version: '12' is not a digest: give the 64 hexadecimal digits that 'publish' printed
     d.ini:4: replicas: 'many' is not a count: write a whole number up to 4294967295
@@ -109,31 +116,31 @@
 }
 
 #[test]
-fn a_missing_file_and_a_missing_entry_are_failures() {
-    let dir = tempfile::tempdir().expect("a folder");
-    let output = run(dir.path(), &["entry", "--settings", "none.ini"]);
+fn a_missing_settings_file_and_a_missing_entry_address_exit_with_one() {
+    let dir = tempfile::tempdir().expect("create a temporary folder");
+    let output = run_command(dir.path(), &["entry", "--settings", "none.ini"]);
     assert_eq!(output.status.code(), Some(1));
-    insta::assert_snapshot!(said(&output), @"error: none.ini: No such file or directory (os error 2); give the path of a settings file that this process may read");
-    let output = run(dir.path(), &["status"]);
+    insta::assert_snapshot!(error_output(&output), @"error: none.ini: No such file or directory (os error 2); give the path of a settings file that this process may read");
+    let output = run_command(dir.path(), &["status"]);
     assert_eq!(output.status.code(), Some(1));
-    insta::assert_snapshot!(said(&output), @"error: no entry is given: add --entry IP:port or set FILBERTSTACK_ENTRY");
+    insta::assert_snapshot!(error_output(&output), @"error: no entry is given: add --entry IP:port or set FILBERTSTACK_ENTRY");
 }
 
 #[test]
 fn wrong_usage_exits_with_two() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("create a temporary folder");
     for arguments in [
         &["aply", "x"][..],
         &["apply"],
         &["demo", "--targets", "many"],
         &[],
     ] {
-        let output = run(dir.path(), arguments);
+        let output = run_command(dir.path(), arguments);
         assert_eq!(
             output.status.code(),
             Some(2),
             "{arguments:?}: {}",
-            said(&output)
+            error_output(&output)
         );
     }
 }
