--- a/examples/capacity/callers.rs
+++ b/examples/capacity/callers.rs
@@ -62,7 +62,7 @@
         let running: Vec<_> = (0..callers)
             .map(|caller| scope.spawn(move || run_caller(addrs, caller)))
             .collect();
-        let answers = running.into_iter().filter_map(|thread| thread.join().ok());
+        let answers = running.into_iter().filter_map(|handle| handle.join().ok());
         answers.flatten().collect::<Vec<_>>()
     });
     let mut first: Vec<Duration> = answers
@@ -107,7 +107,7 @@
 
 /// Streams one answer. Returns `None` if the answer is not complete.
 pub fn stream(addr: SocketAddr, n: usize, tokens: usize) -> Option<AnswerTimes> {
-    let start = Instant::now();
+    let began = Instant::now();
     let body = json!({
         "model": "m", "prompt": format!("question {n}"), "max_tokens": tokens, "stream": true,
     });
@@ -128,11 +128,11 @@
             // The last event has the finish reason and arrives together with the last token, so its gap
             // is not counted.
             let gaps = pairs.take(tokens.saturating_sub(1)).collect();
-            let whole = start.elapsed();
+            let whole = began.elapsed();
             return Some(AnswerTimes { first, whole, gaps });
         }
         if line.starts_with("data: ") {
-            arrivals.push(start.elapsed());
+            arrivals.push(began.elapsed());
         }
     }
     None
--- a/examples/capacity/main.rs
+++ b/examples/capacity/main.rs
@@ -45,7 +45,7 @@
 /// The error that ends the measurement.
 type Failure = Box<dyn std::error::Error>;
 
-/// The time from the start of the processes until the measurement.
+/// The time for which the processes settle after their start, before the measurement.
 const SETTLE_TIME: Duration = Duration::from_secs(30);
 
 /// The duration of the measurement.
@@ -60,11 +60,11 @@
 fn main() -> Result<(), Failure> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let usage = "usage: capacity rest|followers|calls|streams N";
-    let (what, count) = match arguments.as_slice() {
-        [what, count] => (what.as_str(), count.parse()?),
+    let (mode, count) = match arguments.as_slice() {
+        [mode, count] => (mode.as_str(), count.parse()?),
         _ => return Err(usage.into()),
     };
-    match what {
+    match mode {
         "rest" => measure_rest(count),
         "followers" => measure_followers(count),
         "calls" => measure_calls(count),
@@ -82,33 +82,37 @@
     let agents: Vec<Process> = agents.collect::<Result<_, _>>()?;
     system.wait_targets(count)?;
     thread::sleep(SETTLE_TIME);
-    let kinds = [("entry", &system.entries), ("agent", &agents)];
-    print_usage(&format!("{count} agents"), &kinds)
+    let groups = [("entry", &system.entries), ("agent", &agents)];
+    print_usage(&format!("{count} agents"), &groups)
 }
 
 /// Prints the resources that processes use during the measurement.
-fn print_usage(what: &str, kinds: &[(&str, &Vec<Process>)]) -> Result<(), Failure> {
+fn print_usage(title: &str, groups: &[(&str, &Vec<Process>)]) -> Result<(), Failure> {
     let measure = || {
-        let used = kinds.iter().map(|(_, processes)| usages(processes));
+        let used = groups.iter().map(|(_, processes)| usages(processes));
         used.collect::<Result<Vec<_>, _>>()
     };
     let before = measure()?;
     thread::sleep(MEASURE_TIME);
     let after = measure()?;
-    for (n, (name, _)) in kinds.iter().enumerate() {
+    for (n, (name, _)) in groups.iter().enumerate() {
         let (before, after) = (&before[n], &after[n]);
         let spans = before.iter().zip(after);
         let sent: Vec<f64> = spans
             .map(|(before, after)| after.sent_bytes - before.sent_bytes)
             .collect();
-        let max_sent = sent.iter().fold(0.0, |max: f64, value| value.max(max));
+        let max_sent = sent
+            .iter()
+            .fold(0.0, |highest: f64, value| value.max(highest));
         let spans = before.iter().zip(after);
         let times: Vec<f64> = spans
             .map(|(before, after)| after.processor_s - before.processor_s)
             .collect();
-        let max_time = times.iter().fold(0.0, |max: f64, value| value.max(max));
+        let max_time = times
+            .iter()
+            .fold(0.0, |highest: f64, value| value.max(highest));
         println!(
-            "{what}: {name}: {:.0} KiB on average, {:.0} at most; {:.2} % of a core on average, {:.2} at most; {:.0} B/s sent on average, {:.0} at most",
+            "{title}: {name}: {:.0} KiB on average, {:.0} at most; {:.2} % of a core on average, {:.2} at most; {:.0} B/s sent on average, {:.0} at most",
             mean(after).memory_kib,
             max_memory(after),
             100.0 * (mean(after).processor_s - mean(before).processor_s)
@@ -134,17 +138,17 @@
     }
     system.wait_status(|status| status["leader"].is_string())?;
     thread::sleep(SETTLE_TIME);
-    let kinds = [("voter", &system.entries), ("follower", &processes)];
-    print_usage(&format!("{count} followers"), &kinds)?;
+    let groups = [("voter", &system.entries), ("follower", &processes)];
+    print_usage(&format!("{count} followers"), &groups)?;
     let mut delays = Vec::new();
     for n in 0..CHANGE_COUNT {
         let text = format!("[pool p]\nlabels = n=n{n}\ninstances = role=none\n");
         let path = system.write_file("change.ini", &text)?;
-        let start = Instant::now();
+        let began = Instant::now();
         system.run_operator(&["apply", &path])?;
-        let accepted = start.elapsed();
+        let accepted = began.elapsed();
         wait_revision(&addrs, n as u64 + 1)?;
-        delays.push(start.elapsed().saturating_sub(accepted));
+        delays.push(began.elapsed().saturating_sub(accepted));
     }
     delays.sort_unstable();
     println!(
@@ -218,9 +222,9 @@
             .collect();
         thread::sleep(Duration::from_secs(3));
         let open = [usages(&system.entries)?, usages(&fleet.agents)?];
-        let ended = running.iter().filter(|thread| thread.is_finished()).count();
+        let ended = running.iter().filter(|handle| handle.is_finished()).count();
         println!("{count} streams: {ended} had ended when measured");
-        let complete = running.into_iter().filter_map(|thread| thread.join().ok());
+        let complete = running.into_iter().filter_map(|handle| handle.join().ok());
         let complete = complete.flatten().count();
         println!("{count} streams: {complete} whole");
         Ok(open)
--- a/examples/capacity/process.rs
+++ b/examples/capacity/process.rs
@@ -143,7 +143,7 @@
 pub fn max_memory(usages: &[Usage]) -> f64 {
     usages
         .iter()
-        .fold(0.0, |max, usage| usage.memory_kib.max(max))
+        .fold(0.0, |highest, usage| usage.memory_kib.max(highest))
 }
 
 pub fn usize_to_f64(count: usize) -> f64 {
--- a/examples/capacity/system.rs
+++ b/examples/capacity/system.rs
@@ -123,7 +123,7 @@
         Err(String::from_utf8_lossy(&output.stderr).into())
     }
 
-    /// Waits until the status of the first entry meets `condition`, for at least 60 s.
+    /// Waits until the status of the first entry meets `condition`, and fails after 600 attempts.
     pub fn wait_status(&self, condition: impl Fn(&Value) -> bool) -> Result<(), Failure> {
         for _ in 0..600 {
             let status = self.run_operator(&["status", "--json"]).unwrap_or_default();
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -1,4 +1,4 @@
-//! `filbertstack gateway` and `filbertstack gateway-agent` run the two roles of the platform.
+//! `filbertstack gateway` and `filbertstack gateway-agent` run an entry and an agent on the platform.
 
 use std::path::PathBuf;
 
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -100,7 +100,7 @@
 
 /// Waits until `count` returns at least `wanted`, and reports each new count to `progress`.
 fn wait_count(
-    what: &'static str,
+    state: &'static str,
     wanted: usize,
     count: impl Fn() -> usize,
     progress: &impl Fn(&str),
@@ -110,7 +110,7 @@
     while Instant::now() < deadline {
         let current = count();
         if reported != Some(current) {
-            progress(&format!("{current} of {wanted} {what}"));
+            progress(&format!("{current} of {wanted} {state}"));
             reported = Some(current);
         }
         if current >= wanted {
@@ -118,7 +118,7 @@
         }
         std::thread::sleep(POLL_INTERVAL);
     }
-    Err(DemoError::Timeout(what))
+    Err(DemoError::Timeout(state))
 }
 
 fn load_config(system: &System, version: String, requests: u32) -> LoadConfig {
