--- a/crates/filbertstack-standins/src/error.rs
+++ b/crates/filbertstack-standins/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong while a stand-in starts or runs.
+//! Errors that a stand-in returns while it starts.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,29 +6,29 @@
 
 use thiserror::Error;
 
-/// A stand-in that cannot go on.
+/// The reason why a stand-in cannot start.
 #[derive(Debug, Error)]
 pub enum StandinError {
-    /// The address cannot be listened on.
+    /// Binding the listening address failed.
     #[error("cannot listen on {addr}: {source}; give a free loopback address or port 0")]
     Bind {
-        /// The address asked for.
+        /// The requested address.
         addr: SocketAddr,
         /// The cause.
         source: io::Error,
     },
-    /// A directory or file cannot be read.
+    /// Reading a directory or file failed.
     #[error("cannot read {path}: {source}; check that it exists and is readable")]
     Read {
-        /// The path.
+        /// The path that cannot be read.
         path: PathBuf,
         /// The cause.
         source: io::Error,
     },
-    /// A directory holds no weights.
+    /// The directory contains no weight files.
     #[error("{path} holds no files: give the directory of a published version")]
     Empty {
-        /// The path.
+        /// The empty directory.
         path: PathBuf,
     },
 }
--- a/crates/filbertstack-standins/src/lib.rs
+++ b/crates/filbertstack-standins/src/lib.rs
@@ -1,10 +1,10 @@
 //! Small stand-ins for engines, origins, weight stores and plain services, for the demo and tests.
 //!
-//! Each stand-in is a guard: `start` binds a loopback address and serves from threads of its own,
-//! dropping it stops them and closes every connection. [`engine::Engine`] speaks the OpenAI HTTP
-//! API, [`origin::Origin`] serves files by HTTP ranges. What an engine answers is a pure function
-//! of the weights that it read, the prompt and the token's index ([`answer`]), so that a caller
-//! can check every answer byte for byte.
+//! Each stand-in is an RAII guard: `start` binds a loopback address and serves it from background
+//! threads; dropping the value stops the threads and closes every connection. [`engine::Engine`]
+//! implements the OpenAI HTTP API, [`origin::Origin`] serves files by HTTP range. An engine's answer
+//! is a pure function of the loaded weights, the prompt and the token's index ([`answer`]), so that
+//! a caller can verify every answer byte for byte.
 
 pub mod answer;
 pub mod bucket;
--- a/crates/filbertstack-standins/src/origin.rs
+++ b/crates/filbertstack-standins/src/origin.rs
@@ -1,4 +1,4 @@
-//! An origin of weights: the files of a directory by HTTP ranges, with every byte counted.
+//! An origin of weights: serves the files of a directory by HTTP range and counts every byte sent.
 //!
 //! `GET /stats` answers with [`FileStats`]; `POST /admin/faults` takes [`FileFaults`].
 
@@ -17,18 +17,18 @@
 /// The settings of an [`Origin`].
 #[derive(Clone, Debug)]
 pub struct OriginConfig {
-    /// Where it listens.
+    /// The address to listen on.
     pub addr: SocketAddr,
-    /// The directory whose files it serves.
+    /// The directory to serve.
     pub dir: PathBuf,
-    /// The rate of its link; `None` for as fast as it can.
+    /// The bandwidth limit; `None` for no limit.
     pub rate: Option<Rate>,
-    /// What goes wrong from the start.
+    /// The faults to inject from the start.
     pub faults: FileFaults,
 }
 
 impl OriginConfig {
-    /// Serves `dir` at any free port without a limit.
+    /// Returns settings that serve `dir` at any free port without a bandwidth limit.
     pub fn new(dir: impl Into<PathBuf>) -> Self {
         Self {
             addr: ANY_ADDR,
@@ -46,14 +46,15 @@
 }
 
 impl Origin {
-    /// Starts serving.
+    /// Starts the origin.
     ///
     /// # Errors
-    /// The address cannot be listened on.
+    /// [`StandinError::Bind`] if the address cannot be bound.
     pub fn start(config: OriginConfig) -> Result<Self, StandinError> {
         Self::with_uploads(config, false)
     }
 
+    /// Starts the origin, which accepts uploads if `uploads` is set.
     pub(crate) fn with_uploads(config: OriginConfig, uploads: bool) -> Result<Self, StandinError> {
         let files = Files::new(config.dir, uploads, config.rate, config.faults);
         let files = Arc::new(files);
@@ -61,21 +62,21 @@
         Ok(Self { files, server })
     }
 
-    /// The address it listens on.
+    /// Returns the address that the origin listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// What was sent so far.
+    /// Returns the transfer counters.
     pub fn stats(&self) -> FileStats {
         self.files.stats()
     }
 
-    /// Sets what goes wrong from now on.
+    /// Replaces the faults to inject.
     pub fn set_faults(&self, faults: FileFaults) {
         self.files.set_faults(faults);
     }
 
-    /// Stops it; the same as dropping it.
+    /// Stops the origin, as dropping it does.
     pub fn stop(self) {}
 }
--- a/crates/filbertstack-standins/src/process.rs
+++ b/crates/filbertstack-standins/src/process.rs
@@ -1,4 +1,4 @@
-//! Stand-ins as processes of their own, for tests that kill and freeze them.
+//! Runs a stand-in as a process, for tests that kill or freeze it.
 
 use std::convert::Infallible;
 use std::io;
@@ -16,7 +16,7 @@
 use crate::service::ServiceConfig;
 use crate::store::Store;
 
-/// Weights that an engine serves from its start.
+/// Weights that an engine loads at its start.
 #[derive(Clone, Debug)]
 pub struct Preload {
     /// The model's name.
@@ -25,10 +25,10 @@
     pub dir: PathBuf,
 }
 
-/// Serves an engine until the process ends.
+/// Runs an engine until the process ends.
 ///
 /// # Errors
-/// It cannot start.
+/// The stand-in cannot start.
 pub fn run_engine(
     config: EngineConfig,
     preload: Option<Preload>,
@@ -41,45 +41,45 @@
     park(&engine)
 }
 
-/// Serves an origin until the process ends.
+/// Runs an origin until the process ends.
 ///
 /// # Errors
-/// It cannot start.
+/// The stand-in cannot start.
 pub fn run_origin(config: OriginConfig) -> Result<Infallible, StandinError> {
     let origin = Origin::start(config)?;
     announce(origin.addr());
     park(&origin)
 }
 
-/// Serves a weight store until the process ends.
+/// Runs a weight store until the process ends.
 ///
 /// # Errors
-/// It cannot start.
+/// The stand-in cannot start.
 pub fn run_store(config: OriginConfig) -> Result<Infallible, StandinError> {
     let store = Store::start(config)?;
     announce(store.addr());
     park(&store)
 }
 
-/// Serves a plain service until the process ends.
+/// Runs a plain service until the process ends.
 ///
 /// # Errors
-/// It cannot start.
+/// The stand-in cannot start.
 pub fn run_service(config: ServiceConfig) -> Result<Infallible, StandinError> {
     let service = Service::start(config)?;
     announce(service.addr());
     park(&service)
 }
 
-/// Prints the one line that tells whoever started the process where it listens.
+/// Prints the listening address as one line on standard output, for the parent process.
 fn announce(addr: SocketAddr) {
     let mut out = io::stdout().lock();
-    // Whoever started the process may have closed the pipe; the stand-in serves all the same.
+    // The parent process may have closed the pipe; the stand-in serves regardless.
     let _ = writeln!(out, "listening {addr}");
     let _ = out.flush();
 }
 
-/// Keeps the stand-in until a signal ends the process.
+/// Blocks until a signal ends the process; the borrowed stand-in keeps serving.
 fn park<T>(_standin: &T) -> Result<Infallible, StandinError> {
     loop {
         thread::park();
--- a/crates/filbertstack-standins/src/service.rs
+++ b/crates/filbertstack-standins/src/service.rs
@@ -1,7 +1,7 @@
-//! A plain service: bookings that may run once and lookups that may run often.
+//! A plain service with bookings, which may run once only, and lookups, which may be repeated.
 //!
-//! Every answer echoes the request ([`echo`]), so that a caller can check that it got its own.
-//! `GET /admin/runs` tells what ran, `POST /admin/faults` takes [`ServiceFaults`].
+//! Every answer echoes the request ([`echo`]), so that a caller can verify that the answer is its own.
+//! `GET /admin/runs` returns [`Runs`], `POST /admin/faults` takes [`ServiceFaults`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,18 +25,18 @@
 /// The settings of a [`Service`].
 #[derive(Clone, Debug)]
 pub struct ServiceConfig {
-    /// Where it listens.
+    /// The address to listen on.
     pub addr: SocketAddr,
-    /// Its name, which every answer carries.
+    /// The service's name, which every answer contains.
     pub name: String,
-    /// The time that a call takes.
+    /// The processing time of a call.
     pub latency: Duration,
-    /// What goes wrong from the start.
+    /// The faults to inject from the start.
     pub faults: ServiceFaults,
 }
 
 impl ServiceConfig {
-    /// A service at any free port that answers at once.
+    /// Returns settings of a service at any free port that answers without delay.
     pub fn new(name: impl Into<String>) -> Self {
         Self {
             addr: ANY_ADDR,
@@ -47,24 +47,25 @@
     }
 }
 
-/// What a service does wrong; the counts apply to the next so many calls.
+/// Faults to inject; each count applies to that many of the next calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// The connection ends before the call runs.
+    /// The connection closes before the call runs.
     pub cut_before: u32,
-    /// The call runs and the connection ends before the answer.
+    /// The call runs and the connection closes before the answer.
     pub cut_after: u32,
-    /// The call runs and the answer is 500.
+    /// The call runs and the answer has status 500.
     pub fail: u32,
-    /// Time added to every call, in milliseconds.
+    /// The delay added to every call, in milliseconds.
     pub slow_ms: u64,
 }
 
-fn use_up(left: &mut u32) -> bool {
-    let any = *left > 0;
+/// Decrements a fault count; returns whether it was above zero.
+fn take_one(left: &mut u32) -> bool {
+    let available = *left > 0;
     *left = left.saturating_sub(1);
-    any
+    available
 }
 
 /// The body of every answer.
@@ -80,7 +81,7 @@
     pub body: String,
 }
 
-/// The body that the service `name` answers a request with.
+/// Returns the body with which the service `name` answers a request.
 pub fn echo(name: &str, method: &str, path: &str, body: &str) -> Vec<u8> {
     let echo = Echo {
         service: name.to_owned(),
@@ -93,64 +94,64 @@
 
 /// A running service; dropping it stops it.
 pub struct Service {
-    desk: Arc<Desk>,
+    responder: Arc<Responder>,
     server: HttpServer,
 }
 
 impl Service {
-    /// Starts serving.
+    /// Starts the service.
     ///
     /// # Errors
-    /// The address cannot be listened on.
+    /// [`StandinError::Bind`] if the address cannot be bound.
     pub fn start(config: ServiceConfig) -> Result<Self, StandinError> {
-        let desk = Arc::new(Desk {
+        let responder = Arc::new(Responder {
             name: config.name,
             latency: config.latency,
             runs: RunLog::default(),
             faults: Mutex::new(config.faults),
         });
-        let server = HttpServer::start(config.addr, desk.clone())?;
-        Ok(Self { desk, server })
+        let server = HttpServer::start(config.addr, responder.clone())?;
+        Ok(Self { responder, server })
     }
 
-    /// The address it listens on.
+    /// Returns the address that the service listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// What ran so far.
+    /// Returns the record of the calls that ran.
     pub fn runs(&self) -> Runs {
-        self.desk.runs.read()
+        self.responder.runs.read()
     }
 
-    /// Sets what goes wrong from now on.
+    /// Replaces the faults to inject.
     pub fn set_faults(&self, faults: ServiceFaults) {
-        self.desk.set_faults(faults);
+        self.responder.set_faults(faults);
     }
 
-    /// Stops it; the same as dropping it.
+    /// Stops the service, as dropping it does.
     pub fn stop(self) {}
 }
 
-struct Desk {
+struct Responder {
     name: String,
     latency: Duration,
     runs: RunLog,
     faults: Mutex<ServiceFaults>,
 }
 
-impl Desk {
+impl Responder {
     fn set_faults(&self, faults: ServiceFaults) {
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = faults;
     }
 
-    /// The faults of this call, with its counts used up.
-    fn draw_faults(&self) -> ServiceFaults {
+    /// Returns the faults of the next call and decrements their counts.
+    fn take_faults(&self) -> ServiceFaults {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
         ServiceFaults {
-            cut_before: use_up(&mut faults.cut_before).into(),
-            cut_after: use_up(&mut faults.cut_after).into(),
-            fail: use_up(&mut faults.fail).into(),
+            cut_before: take_one(&mut faults.cut_before).into(),
+            cut_after: take_one(&mut faults.cut_after).into(),
+            fail: take_one(&mut faults.fail).into(),
             slow_ms: faults.slow_ms,
         }
     }
@@ -160,7 +161,7 @@
             Ok(body) => body,
             Err(refusal) => return call.reply(refusal),
         };
-        let faults = self.draw_faults();
+        let faults = self.take_faults();
         if faults.cut_before > 0 {
             return call.cut();
         }
@@ -184,7 +185,7 @@
     }
 }
 
-impl Handler for Desk {
+impl Handler for Responder {
     fn handle(&self, mut call: Call) {
         match (call.method(), call.path()) {
             ("GET", "/admin/runs") => call.reply(Reply::json(200, &self.runs.read())),
--- a/crates/filbertstack-standins/src/store.rs
+++ b/crates/filbertstack-standins/src/store.rs
@@ -1,4 +1,4 @@
-//! A rate-limited weight store: an origin that takes uploads by `PUT` too.
+//! A rate-limited weight store: an origin that also accepts uploads by `PUT`.
 
 use std::net::SocketAddr;
 
@@ -12,29 +12,29 @@
 pub struct Store(Origin);
 
 impl Store {
-    /// Starts serving. Uploads and downloads share the rate.
+    /// Starts the store. Uploads and downloads share the bandwidth limit.
     ///
     /// # Errors
-    /// The address cannot be listened on.
+    /// [`StandinError::Bind`] if the address cannot be bound.
     pub fn start(config: OriginConfig) -> Result<Self, StandinError> {
         Origin::with_uploads(config, true).map(Self)
     }
 
-    /// The address it listens on.
+    /// Returns the address that the store listens on.
     pub fn addr(&self) -> SocketAddr {
         self.0.addr()
     }
 
-    /// What was sent and taken so far.
+    /// Returns the transfer counters.
     pub fn stats(&self) -> FileStats {
         self.0.stats()
     }
 
-    /// Sets what goes wrong from now on.
+    /// Replaces the faults to inject.
     pub fn set_faults(&self, faults: FileFaults) {
         self.0.set_faults(faults);
     }
 
-    /// Stops it; the same as dropping it.
+    /// Stops the store, as dropping it does.
     pub fn stop(self) {}
 }
