--- a/crates/filbertstack-standins/src/files.rs
+++ b/crates/filbertstack-standins/src/files.rs
@@ -1,5 +1,5 @@
-//! What an origin and a weight store share: files served by ranges, uploads, a common rate limit,
-//! counts and faults.
+//! The file server behind an origin and a weight store: range requests, uploads, a shared rate limit,
+//! transfer counters and injected faults.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -31,43 +31,43 @@
 use crate::http::RawWriter;
 use crate::http::Reply;
 
-/// The largest piece sent between two looks at the bucket.
-const MAX_PIECE: u64 = 64 * 1024;
+/// The most bytes sent in one write, between two checks of the rate limit.
+const MAX_BLOCK: u64 = 64 * 1024;
 
-/// The smallest piece, so that a slow link is not all overhead.
-const MIN_PIECE: u64 = 1024;
+/// The fewest bytes sent in one write, which bounds the overhead at a low rate.
+const MIN_BLOCK: u64 = 1024;
 
-/// Pieces in a second at the least, so that connections share the link evenly.
-const PIECES: u64 = 50;
+/// The least number of writes a second at the limited rate, so that connections share it evenly.
+const BLOCKS_PER_SECOND: u64 = 50;
 
-/// The most paths that are counted each.
+/// The most paths that have counters of their own.
 const MAX_PATHS: usize = 100_000;
 
-/// How often a stalled answer looks whether its caller is still there.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often a stalled answer checks whether its caller is still connected.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A rate in bytes a second that all connections share.
+/// A bandwidth limit that all connections share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rate {
     /// Bytes a second.
     pub bytes: u64,
-    /// Bytes that may go out at once after a pause.
+    /// Bytes that may be sent at once after an idle period.
     pub burst: u64,
 }
 
-/// What a file server does wrong, each to the next so many answers.
+/// Faults to inject; each count applies to that many of the next answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FileFaults {
-    /// One byte in the middle is flipped.
+    /// The byte in the middle of the range is inverted.
     pub corrupt: u32,
-    /// The bytes of another range come under the right header.
+    /// The body holds the bytes of a range one byte further on; the headers are correct.
     pub shift: u32,
-    /// The connection ends half way.
+    /// The connection closes after half of the body.
     pub cut: u32,
-    /// Nothing more comes after half of it; the connection stays open.
+    /// The body stops after its first half while the connection stays open.
     pub stall: u32,
-    /// The answer is 503.
+    /// The answer has status 503.
     pub refuse: u32,
 }
 
@@ -81,8 +81,8 @@
 }
 
 impl FileFaults {
-    /// The fault of the next answer, which is used up by this.
-    fn draw(&mut self) -> Option<Fault> {
+    /// Returns the fault of the next answer and decrements its count.
+    fn take(&mut self) -> Option<Fault> {
         let kinds = [
             (&mut self.corrupt, Fault::Corrupt),
             (&mut self.shift, Fault::Shift),
@@ -96,79 +96,79 @@
     }
 }
 
-/// What was sent of one path.
+/// The transfer counters of one path.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PathStats {
-    /// Answers begun.
+    /// Answers started.
     pub requests: u64,
     /// Body bytes sent.
     pub bytes: u64,
 }
 
-/// What was sent in all; the answer to `GET /stats`.
+/// The transfer counters of the server; the answer to `GET /stats`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileStats {
-    /// Answers begun.
+    /// Answers started.
     pub requests: u64,
     /// Body bytes sent.
     pub bytes: u64,
-    /// Body bytes taken by uploads.
+    /// Body bytes received by uploads.
     pub uploaded: u64,
-    /// By path.
+    /// The counters of each path.
     pub paths: BTreeMap<String, PathStats>,
 }
 
-/// The files of a directory.
+/// Serves the files of a directory.
 pub struct Files {
     dir: PathBuf,
     uploads: bool,
-    piece: u64,
-    begin: Instant,
+    block: u64,
+    started: Instant,
     bucket: Option<Mutex<Bucket>>,
     stats: Mutex<FileStats>,
     faults: Mutex<FileFaults>,
-    parts: AtomicU64,
+    uploads_begun: AtomicU64,
 }
 
 impl Files {
-    /// Serves `dir`; takes uploads too if `uploads` is set.
+    /// Creates a server of `dir`, which accepts uploads if `uploads` is set.
     pub fn new(dir: PathBuf, uploads: bool, rate: Option<Rate>, faults: FileFaults) -> Self {
-        let piece = rate.map_or(MAX_PIECE, |rate| rate.bytes / PIECES);
+        let block = rate.map_or(MAX_BLOCK, |rate| rate.bytes / BLOCKS_PER_SECOND);
         let bucket = rate.map(|rate| Mutex::new(Bucket::new(rate.bytes, rate.burst)));
         Self {
             dir,
             uploads,
-            piece: piece.clamp(MIN_PIECE, MAX_PIECE),
-            begin: Instant::now(),
+            block: block.clamp(MIN_BLOCK, MAX_BLOCK),
+            started: Instant::now(),
             bucket,
             stats: Mutex::default(),
             faults: Mutex::new(faults),
-            parts: AtomicU64::new(0),
+            uploads_begun: AtomicU64::new(0),
         }
     }
 
-    /// What was sent so far.
+    /// Returns the transfer counters.
     pub fn stats(&self) -> FileStats {
         let stats = self.stats.lock().unwrap_or_else(PoisonError::into_inner);
         stats.clone()
     }
 
-    /// Sets what goes wrong from now on.
+    /// Replaces the faults to inject.
     pub fn set_faults(&self, faults: FileFaults) {
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = faults;
     }
 
-    fn draw_fault(&self) -> Option<Fault> {
+    fn take_fault(&self) -> Option<Fault> {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
-        faults.draw()
+        faults.take()
     }
 
-    /// Waits until `bytes` may pass.
+    /// Waits until the rate limit allows `bytes` more bytes.
     fn throttle(&self, bytes: u64) {
         let Some(bucket) = &self.bucket else { return };
         let wait = {
             let mut bucket = bucket.lock().unwrap_or_else(PoisonError::into_inner);
-            bucket.take(self.begin.elapsed(), bytes)
+            bucket.take(self.started.elapsed(), bytes)
         };
         thread::sleep(wait);
     }
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Finds what a GET asks for.
-    fn open(&self, call: &Call) -> Result<Part, Reply> {
+    /// Opens the file and range that a GET requests.
+    fn open(&self, call: &Call) -> Result<FileRange, Reply> {
         let missing = || Reply::error(404, "not_found", "no such file");
         let path = resolve(&self.dir, call.path()).ok_or_else(missing)?;
         let file = File::open(path).map_err(|_| missing())?;
@@ -194,31 +194,31 @@
         if !meta.is_file() {
             return Err(missing());
         }
-        let part = Part {
+        let part = FileRange {
             length: meta.len(),
-            tag: etag(&meta),
+            etag: etag(&meta),
             file,
             range: 0..meta.len(),
             whole: true,
         };
-        part.narrow(call)
+        part.with_range(call)
     }
 
     fn get(&self, call: Call) {
-        let fault = self.draw_fault();
+        let fault = self.take_fault();
         if fault == Some(Fault::Refuse) {
             let refusal = Reply::text(503, "refused by an injected fault");
             return call.reply(refusal.with("Retry-After", "1"));
         }
         match self.open(&call) {
             Err(refusal) => call.reply(refusal),
-            // An error means that the caller is gone.
+            // An error means that the caller has disconnected.
             Ok(part) => drop(self.send(call, part, fault)),
         }
     }
 
-    /// Sends a range piece by piece at the common rate.
-    fn send(&self, call: Call, mut part: Part, fault: Option<Fault>) -> io::Result<()> {
+    /// Sends a range block by block at the shared rate.
+    fn send(&self, call: Call, mut part: FileRange, fault: Option<Fault>) -> io::Result<()> {
         let path = call.path().to_owned();
         self.count(&path, 1, 0);
         let range = part.range.clone();
@@ -230,13 +230,13 @@
         let end = if ends_early { middle } else { range.end };
         let mut at = range.start;
         while at < end {
-            let length = self.piece.min(end - at);
+            let length = self.block.min(end - at);
             let mut bytes = part.read(at, length, fault == Some(Fault::Shift))?;
             if fault == Some(Fault::Corrupt) && (at..at + length).contains(&middle) {
-                flip(&mut bytes, middle - at);
+                flip_byte(&mut bytes, middle - at);
             }
             self.throttle(length);
-            // Counted first, so that no reader holds a byte that is not in the counts yet.
+            // The bytes are counted before they are sent, so that no caller holds a byte that is not counted.
             self.count(&path, 0, length);
             writer.write_all(&bytes)?;
             writer.flush()?;
@@ -248,47 +248,47 @@
         Ok(())
     }
 
-    /// Takes an upload into a temporary file and renames it, so that no reader sees a part.
+    /// Writes an upload to a temporary file and renames it, so that no reader sees a partial file.
     fn put(&self, call: &mut Call) -> Reply {
         let Some(path) = resolve(&self.dir, call.path()) else {
             return Reply::error(400, "invalid_request_error", "not a path of a file");
         };
-        let number = self.parts.fetch_add(1, Ordering::Relaxed);
+        let number = self.uploads_begun.fetch_add(1, Ordering::Relaxed);
         let temporary = self.dir.join(format!(".upload-{number}"));
-        match self.store(call, &path, &temporary) {
+        match self.save(call, &path, &temporary) {
             Ok(()) => Reply::text(201, "stored"),
             Err(error) => {
-                // Nothing is left of it if the file was never made.
+                // Removal fails if the file was never created.
                 let _ = fs::remove_file(&temporary);
                 Reply::error(500, "io_error", error.to_string())
             }
         }
     }
 
-    fn store(&self, call: &mut Call, path: &Path, temporary: &Path) -> io::Result<()> {
+    fn save(&self, call: &mut Call, path: &Path, temporary: &Path) -> io::Result<()> {
         if let Some(parent) = path.parent() {
             fs::create_dir_all(parent)?;
         }
         let mut file = File::create(temporary)?;
         let expected: Option<u64> = call.header("Content-Length").and_then(|n| n.parse().ok());
-        let mut taken = 0;
-        let mut piece = vec![0; usize::try_from(self.piece).unwrap_or(1024)];
+        let mut received = 0;
+        let mut block = vec![0; usize::try_from(self.block).unwrap_or(1024)];
         let mut reader = call.reader();
         loop {
-            let read = reader.read(&mut piece)?;
+            let read = reader.read(&mut block)?;
             if read == 0 {
                 break;
             }
             self.throttle(read as u64);
-            file.write_all(&piece[..read])?;
-            taken += read as u64;
+            file.write_all(&block[..read])?;
+            received += read as u64;
         }
-        if expected.is_some_and(|expected| expected != taken) {
+        if expected.is_some_and(|expected| expected != received) {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         fs::rename(temporary, path)?;
         let mut stats = self.stats.lock().unwrap_or_else(PoisonError::into_inner);
-        stats.uploaded += taken;
+        stats.uploaded += received;
         Ok(())
     }
 }
@@ -317,34 +317,34 @@
 
 fn wait_until_gone(writer: &RawWriter) {
     while !writer.gone() {
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn flip(bytes: &mut [u8], at: u64) {
+fn flip_byte(bytes: &mut [u8], at: u64) {
     let at = usize::try_from(at).unwrap_or(0);
     if let Some(byte) = bytes.get_mut(at) {
         *byte ^= 0xff;
     }
 }
 
-/// A range of an open file, which stays the same while a rename puts another version in its place.
-struct Part {
+/// A range of an open file; its content stays the same while a rename replaces the file at its path.
+struct FileRange {
     file: File,
     length: u64,
-    tag: String,
+    etag: String,
     range: Range<u64>,
     whole: bool,
 }
 
-impl Part {
-    /// Narrows to the range that the call asks for.
-    fn narrow(mut self, call: &Call) -> Result<Self, Reply> {
-        if call.header("If-Match").is_some_and(|tag| tag != self.tag) {
-            return Err(Reply::text(412, "the file has changed").with("ETag", self.tag));
+impl FileRange {
+    /// Applies the call's `If-Match`, `If-Range` and `Range` headers.
+    fn with_range(mut self, call: &Call) -> Result<Self, Reply> {
+        if call.header("If-Match").is_some_and(|tag| tag != self.etag) {
+            return Err(Reply::text(412, "the file has changed").with("ETag", self.etag));
         }
-        let fresh = call.header("If-Range").is_none_or(|tag| tag == self.tag);
-        let Some(asked) = call.header("Range").filter(|_| fresh) else {
+        let unchanged = call.header("If-Range").is_none_or(|tag| tag == self.etag);
+        let Some(asked) = call.header("Range").filter(|_| unchanged) else {
             return Ok(self);
         };
         let Some(range) = parse_range(asked, self.length) else {
@@ -356,7 +356,7 @@
         Ok(self)
     }
 
-    /// Reads `length` bytes at `at`, or those one further on if `shifted`.
+    /// Reads `length` bytes at offset `at`, or at the next offset if `shifted`.
     fn read(&mut self, at: u64, length: u64, shifted: bool) -> io::Result<Vec<u8>> {
         let mut bytes = vec![0; usize::try_from(length).unwrap_or(0)];
         if !shifted {
@@ -365,14 +365,14 @@
             return Ok(bytes);
         }
         self.file.seek(SeekFrom::Start(at + 1))?;
-        // Past the end of the file there are zeros.
+        // Zeros stand for bytes past the end of the file.
         (&self.file).chain(io::repeat(0)).read_exact(&mut bytes)?;
         Ok(bytes)
     }
 
     fn headers(&self) -> Vec<(&'static str, String)> {
         let mut headers = vec![
-            ("ETag", self.tag.clone()),
+            ("ETag", self.etag.clone()),
             ("Accept-Ranges", "bytes".to_owned()),
         ];
         if !self.whole {
@@ -384,7 +384,7 @@
     }
 }
 
-/// Changes with the file's length and time of change, as common servers have it.
+/// Returns an entity tag made of the file's modification time and length, as common servers do.
 fn etag(meta: &fs::Metadata) -> String {
     let changed = meta.modified().ok();
     let since = changed.and_then(|time| time.duration_since(UNIX_EPOCH).ok());
@@ -392,7 +392,7 @@
     format!("\"{nanos:x}-{:x}\"", meta.len())
 }
 
-/// The file that a URL's path names, if it stays below `dir`.
+/// Returns the file that a URL's path names, or `None` if it would lie outside `dir`.
 fn resolve(dir: &Path, url: &str) -> Option<PathBuf> {
     let below = Path::new(url.trim_start_matches('/'));
     let plain = |part| matches!(part, Component::Normal(_));
@@ -400,7 +400,7 @@
     within.then(|| dir.join(below))
 }
 
-/// Reads `bytes=a-b`, `bytes=a-` or `bytes=-n`; `None` if it is not within `length`.
+/// Parses `bytes=a-b`, `bytes=a-` or `bytes=-n`; returns `None` if the range is not within `length`.
 pub fn parse_range(text: &str, length: u64) -> Option<Range<u64>> {
     let (first, last) = text.strip_prefix("bytes=")?.split_once('-')?;
     let range = match (first, last) {
