--- a/crates/filbertstack-standins/src/front.rs
+++ b/crates/filbertstack-standins/src/front.rs
@@ -1,15 +1,15 @@
-//! A byte pipe before a `tiny_http` server, which can do what that server cannot: close one
-//! connection in the middle of an answer, and tell that a caller has hung up.
+//! A TCP proxy in front of a `tiny_http` server. It can close one connection in the middle of an
+//! answer and detect that a caller has disconnected, which the server cannot.
 //!
-//! `tiny_http` keeps a connection open when an answer's writer is dropped half way, so that a cut
-//! would look like a stall. The front owns both sockets, so that a cut is a real end of the
-//! connection. A caller that closes its sending side counts as gone.
+//! `tiny_http` keeps a connection open when an answer's writer is dropped before the end, so that a
+//! cut would look like a stall. The proxy owns both sockets and closes them, so that the caller sees
+//! the connection end. A caller that closes its sending side counts as disconnected.
 //!
-//! The front also opens the library's connections one after the other, each with a [`HELLO`] that
-//! is answered before the next is opened. The library's pool counts a thread as idle until it has
-//! run, although another connection may be queued for it already; of two connections opened at
-//! once, one may then wait until some other connection ends, and its caller hears nothing. With
-//! one opening at a time, every idle thread counted is really idle.
+//! The proxy opens its connections to the server one at a time and sends a [`HELLO`] request on each,
+//! which must be answered before the next is opened. The server's thread pool counts a thread as idle
+//! until it runs, even if a connection is already queued for it. Of two connections opened at once,
+//! one may therefore wait without an answer until some other connection ends. With one connection
+//! opened at a time, every thread that counts as idle is idle.
 
 use std::collections::HashMap;
 use std::io;
@@ -29,19 +29,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// Large enough for an origin to fill a loopback link.
+/// The size of a forwarding buffer in bytes, large enough for an origin to saturate loopback.
 const BUFFER: usize = 64 * 1024;
 
-/// The path of the request that shows that a connection has a thread.
+/// The path of the request whose answer shows that a server thread serves the connection.
 pub const HELLO: &str = "/.hello";
 
-/// How long the library may take to answer [`HELLO`].
+/// How long the server may take to answer [`HELLO`].
 const HELLO_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The longest answer to [`HELLO`], in bytes.
 const MAX_HELLO: usize = 4096;
 
-/// One caller's connection.
+/// A caller's connection and its connection to the server.
 #[derive(Debug)]
 pub struct Pipe {
     caller: TcpStream,
@@ -50,41 +50,41 @@
 }
 
 impl Pipe {
-    /// Whether the caller has hung up or the connection was cut.
+    /// Returns whether the caller has disconnected or the connection was closed.
     pub fn gone(&self) -> bool {
         self.gone.load(Ordering::Acquire)
     }
 
-    /// Ends the connection at once; what was not sent is lost.
+    /// Closes the connection at once; bytes that were not forwarded are lost.
     pub fn cut(&self) {
         self.gone.store(true, Ordering::Release);
-        // Both fail only when the socket is closed already.
+        // Each call fails only if the socket is already closed.
         let _ = self.caller.shutdown(Shutdown::Both);
         let _ = self.server.shutdown(Shutdown::Both);
     }
 
-    /// Ends the connection behind the bytes that the server has flushed.
+    /// Closes the connection after the bytes that the server has flushed.
     pub fn end(&self) {
         self.gone.store(true, Ordering::Release);
-        // Linux still hands out what was received before it reports the end.
+        // Linux returns the bytes that were already received before it reports the end.
         let _ = self.server.shutdown(Shutdown::Read);
     }
 
-    fn forward_up(&self) {
+    fn forward_requests(&self) {
         let mut from = BufReader::with_capacity(BUFFER, &self.caller);
-        // An error and an end both mean that the caller is gone.
+        // An error and an end of file both mean that the caller has disconnected.
         let _ = io::copy(&mut from, &mut &self.server);
         self.cut();
     }
 
-    fn forward_down(&self) {
+    fn forward_answers(&self) {
         let mut from = BufReader::with_capacity(BUFFER, &self.server);
         let _ = io::copy(&mut from, &mut &self.caller);
         self.cut();
     }
 }
 
-/// The open pipes, by the address that the server sees as its peer.
+/// The open pipes, keyed by the peer address that the server sees.
 #[derive(Debug, Default)]
 pub struct Pipes {
     open: Mutex<HashMap<SocketAddr, Arc<Pipe>>>,
@@ -92,13 +92,13 @@
 }
 
 impl Pipes {
-    /// The pipe whose server side has `peer` as its remote address.
+    /// Returns the pipe whose server side has `peer` as its remote address.
     pub fn get(&self, peer: SocketAddr) -> Option<Arc<Pipe>> {
         let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         open.get(&peer).cloned()
     }
 
-    /// Accepts no more and cuts every pipe.
+    /// Stops accepting connections and closes every pipe.
     pub fn close(&self) {
         self.closing.store(true, Ordering::Release);
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
@@ -107,13 +107,13 @@
         }
     }
 
-    /// Pipes every connection of `listener` to `server` until [`Pipes::close`].
+    /// Forwards every connection of `listener` to `server` until [`Pipes::close`].
     pub fn serve(self: &Arc<Self>, listener: &TcpListener, server: SocketAddr) {
         for caller in listener.incoming() {
             if self.closing.load(Ordering::Acquire) {
                 return;
             }
-            // A caller that is gone already and a full file table concern that caller alone.
+            // A caller that has already disconnected or a full file table affects this connection alone.
             let Ok(caller) = caller else { continue };
             let _ = self.open(caller, server);
         }
@@ -131,11 +131,11 @@
             gone: AtomicBool::new(false),
         });
         self.insert(peer, pipe.clone());
-        let up = pipe.clone();
-        thread::spawn(move || up.forward_up());
+        let requests = pipe.clone();
+        thread::spawn(move || requests.forward_requests());
         let pipes = self.clone();
         thread::spawn(move || {
-            pipe.forward_down();
+            pipe.forward_answers();
             pipes.remove(peer, &pipe);
         });
         Ok(())
@@ -143,7 +143,7 @@
 
     fn insert(&self, peer: SocketAddr, pipe: Arc<Pipe>) {
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
-        // Checked under the lock, so that no pipe outlives the drain of `close`.
+        // The check is made under the lock, so that no pipe is added after `close` has drained the map.
         if self.closing.load(Ordering::Acquire) {
             pipe.cut();
             return;
@@ -151,7 +151,7 @@
         open.insert(peer, pipe);
     }
 
-    /// Removes `pipe`, unless another has come to its address meanwhile.
+    /// Removes `pipe`, unless another pipe has taken its address since.
     fn remove(&self, peer: SocketAddr, pipe: &Arc<Pipe>) {
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         if open
@@ -163,7 +163,7 @@
     }
 }
 
-/// Waits until the library has a thread for the connection.
+/// Waits until a server thread serves the connection.
 fn await_thread(mut server: &TcpStream) -> io::Result<()> {
     server.set_read_timeout(Some(HELLO_TIMEOUT))?;
     write!(server, "GET {HELLO} HTTP/1.1\r\nHost: front\r\n\r\n")?;
@@ -179,14 +179,13 @@
     server.set_read_timeout(None)
 }
 
-/// Turns Nagle's algorithm off for every connection that `listener` accepts.
+/// Disables Nagle's algorithm for every connection that `listener` accepts.
 ///
-/// `tiny_http` does not do so, and a token's small write may then wait for the peer's delayed
-/// acknowledgement, on Linux for up to 40 ms. Accepted sockets inherit the option from the
-/// listening one.
+/// `tiny_http` leaves it enabled, so that the small write of one token may wait for the peer's delayed
+/// acknowledgement, up to 40 ms on Linux. Accepted sockets inherit the option from the listening one.
 ///
 /// # Errors
-/// What the system says of the socket.
+/// The operating system's error if the option cannot be set.
 pub fn set_nodelay(listener: &TcpListener) -> io::Result<()> {
     let socket = OwnedFd::from(listener.try_clone()?);
     TcpStream::from(socket).set_nodelay(true)
--- a/crates/filbertstack-standins/src/http.rs
+++ b/crates/filbertstack-standins/src/http.rs
@@ -1,5 +1,5 @@
-//! The HTTP side that the stand-ins share: a server with a thread for each call, typed replies
-//! and streams whose every write goes out at once.
+//! The HTTP server that the stand-ins share: one thread per call, typed replies, and streams that
+//! flush every write.
 
 use std::io;
 use std::io::Cursor;
@@ -30,16 +30,16 @@
 /// The largest body that a stand-in reads into memory, in bytes.
 pub const MAX_BODY: u64 = 4 << 20;
 
-/// Any free port on loopback.
+/// The loopback address with port 0, which binds any free port.
 pub const ANY_ADDR: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// What a stand-in does with a call.
+/// Handles the calls of a server.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers the call; runs on a thread of its own.
+    /// Answers the call. Each call runs on its own thread.
     fn handle(&self, call: Call);
 }
 
-/// A running server; dropping it closes every connection.
+/// A running server; dropping it stops its threads and closes every connection.
 #[derive(Debug)]
 pub struct HttpServer {
     addr: SocketAddr,
@@ -60,20 +60,21 @@
     /// Serves `handler` at `addr`.
     ///
     /// # Errors
-    /// [`StandinError::Bind`] if the address cannot be had.
+    /// [`StandinError::Bind`] if the address cannot be bound.
     pub fn start(addr: SocketAddr, handler: Arc<dyn Handler>) -> Result<Self, StandinError> {
         let failed = |source| StandinError::Bind { addr, source };
-        let outer = TcpListener::bind(addr).map_err(failed)?;
-        let bound = outer.local_addr().map_err(failed)?;
-        let inner = TcpListener::bind(ANY_ADDR).map_err(failed)?;
-        front::set_nodelay(&inner).map_err(failed)?;
-        let inner_addr = inner.local_addr().map_err(failed)?;
-        let server = Server::from_listener(inner, None).map_err(|e| failed(io::Error::other(e)))?;
+        let listener = TcpListener::bind(addr).map_err(failed)?;
+        let bound = listener.local_addr().map_err(failed)?;
+        let server_listener = TcpListener::bind(ANY_ADDR).map_err(failed)?;
+        front::set_nodelay(&server_listener).map_err(failed)?;
+        let server_addr = server_listener.local_addr().map_err(failed)?;
+        let server = Server::from_listener(server_listener, None)
+            .map_err(|e| failed(io::Error::other(e)))?;
         let server = Arc::new(ServerHandle(server));
         let pipes = Arc::new(Pipes::default());
         let accept = {
             let pipes = pipes.clone();
-            thread::spawn(move || pipes.serve(&outer, inner_addr))
+            thread::spawn(move || pipes.serve(&listener, server_addr))
         };
         let dispatch = {
             let (server, pipes) = (server.clone(), pipes.clone());
@@ -87,7 +88,7 @@
         })
     }
 
-    /// The address it listens on.
+    /// Returns the address that the server listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -96,13 +97,13 @@
 impl Drop for HttpServer {
     fn drop(&mut self) {
         self.pipes.close();
-        // Wakes the accepting thread, which then sees that it is to end.
+        // The connection wakes the accepting thread, which then finds the pipes closed and returns.
         let _ = TcpStream::connect(self.addr);
         if let Some(server) = self.server.take() {
             server.0.unblock();
         }
         for thread in self.threads.drain(..) {
-            // A thread that panicked has ended too.
+            // An error means that the thread panicked, so that it has ended as well.
             let _ = thread.join();
         }
     }
@@ -111,13 +112,13 @@
 fn dispatch(server: &Server, pipes: &Arc<Pipes>, handler: &Arc<dyn Handler>) {
     for request in server.incoming_requests() {
         if request.url() == front::HELLO {
-            // The front that asked is gone if this fails.
+            // This fails only if the proxy has closed the connection.
             let _ = request.respond(Response::empty(StatusCode(204)));
             continue;
         }
         let peer = request.remote_addr().copied();
         let Some(pipe) = peer.and_then(|peer| pipes.get(peer)) else {
-            // The pipe was cut before its request was taken up.
+            // The pipe was closed before its request was received.
             continue;
         };
         let call = Call { request, pipe };
@@ -126,12 +127,12 @@
     }
 }
 
-/// A typed answer that is sent whole.
+/// An answer that is sent as a whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// The status code.
     pub status: u16,
-    /// Headers besides the length and type.
+    /// Headers other than the content's length and type.
     pub headers: Vec<(&'static str, String)>,
     /// The media type.
     pub media: &'static str,
@@ -140,7 +141,7 @@
 }
 
 impl Reply {
-    /// A JSON body.
+    /// Returns a reply with a JSON body.
     pub fn json<T: Serialize>(status: u16, value: &T) -> Self {
         Self {
             status,
@@ -150,7 +151,7 @@
         }
     }
 
-    /// A text body.
+    /// Returns a reply with a plain text body.
     pub fn text(status: u16, text: impl Into<String>) -> Self {
         Self {
             status,
@@ -160,7 +161,7 @@
         }
     }
 
-    /// An error in the manner of the OpenAI API.
+    /// Returns an error in the format of the OpenAI API.
     pub fn error(status: u16, kind: &'static str, message: impl Into<String>) -> Self {
         let message = message.into();
         let error = ErrorDetail {
@@ -171,7 +172,7 @@
         Self::json(status, &ErrorBody { error })
     }
 
-    /// The reply with one more header.
+    /// Returns the reply with one more header.
     #[must_use]
     pub fn with(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
@@ -192,47 +193,47 @@
     code: u16,
 }
 
-/// One call of a stand-in.
+/// An HTTP request to a stand-in, with the means to answer it.
 pub struct Call {
     request: Request,
     pipe: Arc<Pipe>,
 }
 
 impl Call {
-    /// The method's name in capitals.
+    /// Returns the method's name in capitals.
     pub fn method(&self) -> &str {
         self.request.method().as_str()
     }
 
-    /// The path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         let url = self.request.url();
         url.split_once('?').map_or(url, |(path, _)| path)
     }
 
-    /// The value of a query key, as it was written.
+    /// Returns the value of a query key without percent-decoding.
     pub fn query(&self, key: &str) -> Option<&str> {
         let (_, query) = self.request.url().split_once('?')?;
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(k, _)| *k == key).map(|(_, value)| value)
     }
 
-    /// A header's value.
+    /// Returns the value of a header.
     pub fn header(&self, name: &'static str) -> Option<&str> {
         let mut headers = self.request.headers().iter();
         let found = headers.find(|header| header.field.equiv(name))?;
         Some(found.value.as_str())
     }
 
-    /// The connection, to ask whether the caller is still there.
+    /// Returns the connection, which reports whether the caller has disconnected.
     pub fn pipe(&self) -> Arc<Pipe> {
         self.pipe.clone()
     }
 
-    /// The body.
+    /// Reads the whole body.
     ///
     /// # Errors
-    /// The reply to give if the body is cut or above [`MAX_BODY`].
+    /// The reply to send if the body is incomplete or above [`MAX_BODY`].
     pub fn body(&mut self) -> Result<Vec<u8>, Reply> {
         let mut body = Vec::new();
         let mut reader = self.request.as_reader().take(MAX_BODY + 1);
@@ -245,10 +246,10 @@
         Ok(body)
     }
 
-    /// The body read as JSON.
+    /// Reads the body as JSON.
     ///
     /// # Errors
-    /// The reply to give if the body does not read.
+    /// The reply to send if the body cannot be read or parsed.
     pub fn json<T: DeserializeOwned>(&mut self) -> Result<T, Reply> {
         let body = self.body()?;
         serde_json::from_slice(&body).map_err(|e| {
@@ -257,12 +258,12 @@
         })
     }
 
-    /// A reader of the body as it comes.
+    /// Returns a reader that yields the body as it arrives.
     pub fn reader(&mut self) -> impl Read {
         self.request.as_reader()
     }
 
-    /// Sends `reply`; a caller that is gone gets nothing.
+    /// Sends `reply`; an error of a disconnected caller is ignored.
     pub fn reply(self, reply: Reply) {
         let length = reply.body.len();
         let headers = headers(reply.media, &reply.headers);
@@ -274,14 +275,14 @@
             .respond(response.with_chunked_threshold(usize::MAX));
     }
 
-    /// Starts a chunked answer.
+    /// Sends the head of a chunked answer; the returned writer takes the chunks.
     ///
     /// # Errors
-    /// The caller is gone.
-    pub fn stream(self, media: &str, more: &[(&'static str, String)]) -> io::Result<ChunkWriter> {
+    /// The caller has disconnected.
+    pub fn stream(self, media: &str, extra: &[(&'static str, String)]) -> io::Result<ChunkWriter> {
         let head = Response::new(
             StatusCode(200),
-            headers(media, more),
+            headers(media, extra),
             io::empty(),
             None,
             None,
@@ -292,21 +293,21 @@
         Ok(ChunkWriter {
             writer,
             pipe: self.pipe,
-            whole: false,
+            finished: false,
         })
     }
 
-    /// Starts an answer of `length` bytes whose body the caller of this function writes.
+    /// Sends the head of an answer of `length` bytes; the returned writer takes the body.
     ///
     /// # Errors
-    /// The caller is gone.
+    /// The caller has disconnected.
     pub fn raw(
         self,
         status: u16,
         length: usize,
-        more: &[(&'static str, String)],
+        extra: &[(&'static str, String)],
     ) -> io::Result<RawWriter> {
-        let headers = headers("application/octet-stream", more);
+        let headers = headers("application/octet-stream", extra);
         let body = io::empty();
         let head = Response::new(StatusCode(status), headers, body, Some(length), None);
         let head = head.with_chunked_threshold(usize::MAX);
@@ -315,38 +316,38 @@
         Ok(RawWriter {
             writer,
             pipe: self.pipe,
-            left: length,
+            remaining: length,
         })
     }
 
-    /// Ends the connection without an answer.
+    /// Closes the connection without an answer.
     pub fn cut(self) {
         self.pipe.cut();
     }
 }
 
-fn headers(media: &str, more: &[(&'static str, String)]) -> Vec<Header> {
-    let pairs = more.iter().map(|(name, value)| (*name, value.as_str()));
+fn headers(media: &str, extra: &[(&'static str, String)]) -> Vec<Header> {
+    let pairs = extra.iter().map(|(name, value)| (*name, value.as_str()));
     let pairs = std::iter::once(("Content-Type", media)).chain(pairs);
-    // A value that is no ASCII text cannot stand in a header and is left out.
+    // Headers hold ASCII text only; any other value is omitted.
     pairs
         .filter_map(|(name, value)| Header::from_bytes(name, value).ok())
         .collect()
 }
 
-/// A chunked answer in progress; one dropped before [`ChunkWriter::finish`] ends in a cut, so that
-/// the caller cannot take it as whole.
+/// A chunked answer in progress. Dropping it before [`ChunkWriter::finish`] closes the connection, so
+/// that the caller sees an incomplete answer.
 pub struct ChunkWriter {
     writer: Box<dyn Write + Send>,
     pipe: Arc<Pipe>,
-    whole: bool,
+    finished: bool,
 }
 
 impl ChunkWriter {
-    /// Sends one chunk at once.
+    /// Sends one chunk and flushes it.
     ///
     /// # Errors
-    /// The caller is gone.
+    /// The caller has disconnected.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         if self.pipe.gone() {
             return Err(io::ErrorKind::BrokenPipe.into());
@@ -358,35 +359,35 @@
         self.writer.flush()
     }
 
-    /// Sends the mark of the end.
+    /// Sends the last, empty chunk.
     ///
     /// # Errors
-    /// The caller is gone.
+    /// The caller has disconnected.
     pub fn finish(mut self) -> io::Result<()> {
         self.writer.write_all(b"0\r\n\r\n")?;
         self.writer.flush()?;
-        self.whole = true;
+        self.finished = true;
         Ok(())
     }
 }
 
 impl Drop for ChunkWriter {
     fn drop(&mut self) {
-        if !self.whole {
+        if !self.finished {
             self.pipe.end();
         }
     }
 }
 
-/// An answer of known length in progress; one dropped before its length ends in a cut.
+/// An answer of known length in progress. Dropping it before all bytes are written closes the connection.
 pub struct RawWriter {
     writer: Box<dyn Write + Send>,
     pipe: Arc<Pipe>,
-    left: usize,
+    remaining: usize,
 }
 
 impl RawWriter {
-    /// Whether the caller has hung up.
+    /// Returns whether the caller has disconnected.
     pub fn gone(&self) -> bool {
         self.pipe.gone()
     }
@@ -394,7 +395,7 @@
 
 impl Drop for RawWriter {
     fn drop(&mut self) {
-        if self.writer.flush().is_err() || self.left > 0 {
+        if self.writer.flush().is_err() || self.remaining > 0 {
             self.pipe.end();
         }
     }
@@ -403,7 +404,7 @@
 impl Write for RawWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let written = self.writer.write(bytes)?;
-        self.left = self.left.saturating_sub(written);
+        self.remaining = self.remaining.saturating_sub(written);
         Ok(written)
     }
 
