--- a/crates/filbertstack-standins/src/load/call.rs
+++ b/crates/filbertstack-standins/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One call: sent to an entry, read as it comes, judged at its end.
+//! Makes one request: sends it to an entry, reads the answer as it arrives and classifies it.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -22,39 +22,39 @@
 use crate::load::sse;
 use crate::load::sse::Line;
 
-/// The longest that a caller waits because it was told to come back later.
+/// The longest wait before a retry, whatever the answer's `Retry-After` says.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// Connections that the callers keep open to one entry.
+/// The most idle connections that the callers keep open to one entry.
 const IDLE_CONNECTIONS: usize = 256;
 
-/// What came of one request, all attempts included.
+/// The result of one request, all attempts included.
 #[derive(Clone, Debug, Default)]
 pub struct CallResult {
-    /// What the caller received.
+    /// The class of the last attempt's answer.
     pub class: Option<Class>,
-    /// Attempts made.
+    /// The number of attempts.
     pub attempts: u64,
-    /// Entries that could not be connected to.
+    /// The number of failed connections to entries.
     pub unreached: u64,
-    /// Refusals as not run without a time to come back.
+    /// The number of "not run" refusals without a `Retry-After` header.
     pub no_return_time: u64,
-    /// From when it was due to its end.
+    /// The time from the due time to the end of the request.
     pub total: Duration,
-    /// From when it was due to the first token.
+    /// The time from the due time to the first token.
     pub first: Option<Duration>,
-    /// Between tokens.
+    /// The times between consecutive tokens.
     pub gaps: Vec<Duration>,
-    /// Tokens or bytes of the answer.
+    /// The answer's length: tokens of a stream, bytes otherwise.
     pub received: usize,
-    /// What a class other than exact is about.
+    /// The reason for a class other than exact.
     pub detail: Option<String>,
 }
 
-/// One attempt's outcome.
+/// The result of one attempt.
 struct Attempt {
     class: Class,
-    after: Option<Duration>,
+    retry_after: Option<Duration>,
     first: Option<Instant>,
     gaps: Vec<Duration>,
     received: usize,
@@ -65,7 +65,7 @@
     fn failed(class: Class, detail: impl Into<String>) -> Self {
         Self {
             class,
-            after: None,
+            retry_after: None,
             first: None,
             gaps: Vec::new(),
             received: 0,
@@ -74,13 +74,14 @@
     }
 }
 
-/// What the callers share.
+/// Sends requests; all callers share the settings and connections.
 pub struct Caller {
     config: LoadConfig,
     agent: Agent,
 }
 
 impl Caller {
+    /// Creates a caller with the settings of a run.
     pub fn new(config: &LoadConfig) -> Self {
         let agent = Agent::config_builder()
             .http_status_as_error(false)
@@ -95,20 +96,20 @@
         }
     }
 
-    /// Makes a request and, if the settings say so, makes it again after "not run".
+    /// Makes a request and repeats it after "not run" as often as the settings allow.
     pub fn perform(&self, request: &Request, directory: &Directory, due: Instant) -> CallResult {
         let mut result = CallResult::default();
         loop {
             result.attempts += 1;
-            let attempt = self.reach(request, directory, due, &mut result.unreached);
-            let again = attempt.class == Class::NotRun
+            let attempt = self.try_entries(request, directory, due, &mut result.unreached);
+            let retry = attempt.class == Class::NotRun
                 && result.attempts <= u64::from(self.config.retries)
                 && due.elapsed() < self.config.deadline;
-            if attempt.class == Class::NotRun && attempt.after.is_none() {
+            if attempt.class == Class::NotRun && attempt.retry_after.is_none() {
                 result.no_return_time += 1;
             }
-            if again {
-                thread::sleep(attempt.after.unwrap_or_default().min(MAX_WAIT));
+            if retry {
+                thread::sleep(attempt.retry_after.unwrap_or_default().min(MAX_WAIT));
                 continue;
             }
             result.class = Some(attempt.class);
@@ -121,8 +122,8 @@
         }
     }
 
-    /// Tries one entry after the other until one can be connected to.
-    fn reach(
+    /// Tries the entries in turn until a connection to one succeeds.
+    fn try_entries(
         &self,
         request: &Request,
         directory: &Directory,
@@ -130,8 +131,8 @@
         unreached: &mut u64,
     ) -> Attempt {
         let addrs = directory.addrs();
-        // Callers do not all take the first.
-        let start = spread(&request.id) % addrs.len().max(1);
+        // Requests start at different entries, so that the load spreads over them.
+        let start = short_hash(&request.id) % addrs.len().max(1);
         for step in 0..addrs.len() {
             let addr = addrs[(start + step) % addrs.len()];
             match self.attempt(request, addr, due) {
@@ -148,8 +149,8 @@
         addr: SocketAddr,
         due: Instant,
     ) -> Result<Attempt, Unreached> {
-        let left = self.config.deadline.saturating_sub(due.elapsed());
-        match self.send(request, addr, left.max(Duration::from_millis(1))) {
+        let remaining = self.config.deadline.saturating_sub(due.elapsed());
+        match self.send(request, addr, remaining.max(Duration::from_millis(1))) {
             Ok(response) => Ok(self.receive(request, response)),
             Err(error) if is_unreached(&error) => Err(Unreached),
             Err(error) => Ok(Attempt::failed(Class::Unknown, error.to_string())),
@@ -160,7 +161,7 @@
         &self,
         request: &Request,
         addr: SocketAddr,
-        left: Duration,
+        timeout: Duration,
     ) -> Result<http::Response<Body>, ureq::Error> {
         let key = &self.config.organisations[request.organisation].key;
         let mut builder = http::Request::builder()
@@ -178,7 +179,7 @@
         let message = self
             .agent
             .configure_request(message)
-            .timeout_global(Some(left))
+            .timeout_global(Some(timeout))
             .build();
         self.agent.run(message)
     }
@@ -187,12 +188,12 @@
         let header = |name| header(&response, name);
         if response.status().as_u16() != 200 {
             let outcome = header("x-filbertstack-outcome");
-            let after = header("Retry-After").and_then(|text| text.parse().ok());
-            let class = check::judge_refusal(outcome.as_deref());
+            let retry_after = header("Retry-After").and_then(|text| text.parse().ok());
+            let class = check::classify_refusal(outcome.as_deref());
             let status = response.status();
             let text = response.into_body().read_to_string().unwrap_or_default();
             let mut attempt = Attempt::failed(class, format!("{status}: {text}"));
-            attempt.after = after.map(Duration::from_secs);
+            attempt.retry_after = retry_after.map(Duration::from_secs);
             return attempt;
         }
         let version = header("x-filbertstack-version");
@@ -204,7 +205,7 @@
             read_whole(response, &request.expected, &mut attempt)
         };
         received.version = version;
-        attempt.class = check::judge(&request.expected, &self.config.versions, &received);
+        attempt.class = check::classify(&request.expected, &self.config.versions, &received);
         if attempt.class == Class::Exact {
             attempt.detail = None;
         } else if attempt.detail.as_deref() == Some("") {
@@ -214,9 +215,10 @@
     }
 }
 
+/// The error of an attempt whose connection failed.
 struct Unreached;
 
-/// Whether nothing of the request can have been sent.
+/// Returns whether the connection failed, so that no part of the request can have been sent.
 fn is_unreached(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::ConnectionFailed | ureq::Error::Timeout(ureq::Timeout::Connect) => true,
@@ -230,13 +232,13 @@
     Some(value.to_str().ok()?.to_owned())
 }
 
-/// A small hash that spreads callers over entries.
-fn spread(text: &str) -> usize {
+/// Returns a 16-bit hash of `text`, which spreads requests over the entries.
+fn short_hash(text: &str) -> usize {
     let hash = blake3::hash(text.as_bytes());
     usize::from(u16::from_le_bytes([hash.as_bytes()[0], hash.as_bytes()[1]]))
 }
 
-/// Reads a stream event by event; its end is the last event and the end of the body.
+/// Reads a stream event by event up to the end of the body; it is whole if its last event came.
 fn read_stream(response: http::Response<Body>, attempt: &mut Attempt) -> Received {
     let mut received = Received::default();
     let mut last: Option<Instant> = None;
@@ -249,7 +251,7 @@
                 return received;
             }
         };
-        match sse::read_line(&line) {
+        match sse::parse_line(&line) {
             Line::Text(text) if !text.is_empty() => {
                 let now = Instant::now();
                 attempt.first.get_or_insert(now);
@@ -259,7 +261,7 @@
                 received.bytes.extend_from_slice(text.as_bytes());
             }
             Line::Done => received.whole = true,
-            Line::Unreadable => attempt.detail = Some(line),
+            Line::Invalid => attempt.detail = Some(line),
             Line::Text(_) | Line::Other => {}
         }
     }
@@ -279,7 +281,9 @@
             attempt.received = bytes.len();
             received.bytes = match expected {
                 Expected::Bytes(_) => bytes,
-                Expected::Answer { .. } => sse::text(&bytes).unwrap_or_default().into_bytes(),
+                Expected::Answer { .. } => {
+                    sse::answer_text(&bytes).unwrap_or_default().into_bytes()
+                }
             };
         }
     }
--- a/crates/filbertstack-standins/src/load/check.rs
+++ b/crates/filbertstack-standins/src/load/check.rs
@@ -1,4 +1,4 @@
-//! What an answer must be and what a caller received instead. Nothing here has a network.
+//! Compares received answers with the expected ones, without any I/O.
 
 use filbertstack_core::Digest;
 use serde::Deserialize;
@@ -7,74 +7,74 @@
 use crate::answer;
 use crate::load::config::Version;
 
-/// What a caller received.
+/// The class of what a caller received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Its whole answer, byte for byte.
+    /// The whole expected answer, byte for byte.
     Exact,
-    /// An answer that is not its own, or from other weights than it names.
+    /// Another answer than the expected one, or one from other weights than its version has.
     Wrong,
-    /// The beginning of its answer and no more.
+    /// The beginning of the expected answer only.
     Truncated,
-    /// The word that it did not run.
+    /// A refusal that states that the request did not run.
     NotRun,
-    /// No word whether it ran.
+    /// It is unknown whether the request ran.
     Unknown,
-    /// A refusal that says nothing of the kind, or no connection.
+    /// A refusal without a known outcome, or a failed connection.
     Error,
 }
 
-/// What the answer of a request must be.
+/// The answer that a request must get.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// The answer of an engine.
+    /// An answer of an engine.
     Answer {
         /// The prompt.
         prompt: String,
-        /// The tokens.
+        /// The number of tokens.
         max_tokens: usize,
-        /// Whether it comes as a stream.
+        /// Whether the answer is streamed.
         stream: bool,
     },
-    /// These bytes.
+    /// A body of exactly these bytes.
     Bytes(Vec<u8>),
 }
 
-/// An answer of status 200 as far as it was received.
+/// The received part of an answer of status 200.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Received {
-    /// The version that it names.
+    /// The version that the answer's header names.
     pub version: Option<String>,
     /// The answer's text, or its bytes for a service.
     pub bytes: Vec<u8>,
-    /// Whether it ended as an answer must: with its last event, or its full length.
+    /// Whether the answer is complete: a stream with its last event, a body of its full length.
     pub whole: bool,
 }
 
-/// Judges an answer of status 200.
-pub fn judge(expected: &Expected, versions: &[Version], received: &Received) -> Class {
-    let right = match expected {
+/// Classifies an answer of status 200.
+pub fn classify(expected: &Expected, versions: &[Version], received: &Received) -> Class {
+    let correct = match expected {
         Expected::Bytes(bytes) => bytes.clone(),
         Expected::Answer {
             prompt, max_tokens, ..
         } => {
-            let named = received.version.as_deref();
-            let Some(weights) = named.and_then(|name| weights(versions, name)) else {
+            let version = received.version.as_deref();
+            let Some(weights) = version.and_then(|name| weights(versions, name)) else {
                 return Class::Wrong;
             };
             answer::text(&weights, prompt, *max_tokens).into_bytes()
         }
     };
     if received.whole {
-        return if received.bytes == right {
+        return if received.bytes == correct {
             Class::Exact
         } else {
             Class::Wrong
         };
     }
-    // An answer of an engine that is not streamed is read as a whole or not at all.
-    if right.starts_with(&received.bytes) {
+    // An engine's answer without streaming is either complete or has no bytes here.
+    if correct.starts_with(&received.bytes) {
         Class::Truncated
     } else {
         Class::Wrong
@@ -86,8 +86,8 @@
     Some(version.weights)
 }
 
-/// Judges a status other than 200 by the header `x-filbertstack-outcome`.
-pub fn judge_refusal(outcome: Option<&str>) -> Class {
+/// Classifies an answer of another status than 200 by its header `x-filbertstack-outcome`.
+pub fn classify_refusal(outcome: Option<&str>) -> Class {
     match outcome {
         Some("not-run") => Class::NotRun,
         Some("unknown") => Class::Unknown,
--- a/crates/filbertstack-standins/src/load/config.rs
+++ b/crates/filbertstack-standins/src/load/config.rs
@@ -1,4 +1,4 @@
-//! What the load tool is to do.
+//! The settings of the load tool.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -6,19 +6,19 @@
 
 use filbertstack_core::Digest;
 
-/// An organisation whose members call.
+/// An organisation that sends requests.
 #[derive(Clone, Debug)]
 pub struct Organisation {
-    /// Its name in the report.
+    /// The organisation's name in the report.
     pub name: String,
-    /// The key that its members send as `Authorization: Bearer KEY`.
+    /// The key that its callers send as `Authorization: Bearer KEY`.
     pub key: String,
     /// Its share of the requests, relative to the others.
     pub weight: u32,
 }
 
 impl Organisation {
-    /// An organisation of weight 1.
+    /// Creates an organisation of weight 1.
     pub fn new(name: impl Into<String>, key: impl Into<String>) -> Self {
         Self {
             name: name.into(),
@@ -28,26 +28,27 @@
     }
 }
 
-/// A version that may answer.
+/// A version whose answers are accepted.
 #[derive(Clone, Debug)]
 pub struct Version {
-    /// Its name, as the header `x-filbertstack-version` gives it.
+    /// The version's digest, as in the header `x-filbertstack-version`.
     pub digest: String,
-    /// The weights that engines read for it; see [`weights_digest`](crate::answer::weights_digest).
+    /// The digest of the weights that engines load for the version; see
+    /// [`weights_digest`](crate::answer::weights_digest).
     pub weights: Digest,
 }
 
 /// How requests arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Arrivals {
-    /// At random at this mean rate, whatever becomes of the earlier ones.
+    /// Requests arrive at random at a mean rate, independently of earlier requests (open loop).
     Open {
-        /// Requests a second.
+        /// The mean number of requests a second.
         per_second: f64,
     },
-    /// From so many callers, each with one request at a time.
+    /// A fixed number of callers make one request at a time each (closed loop).
     Closed {
-        /// The callers.
+        /// The number of callers.
         callers: usize,
     },
 }
@@ -61,16 +62,16 @@
     Chat,
     /// A `POST` below `path` of the plain service `service`, each with its own `Idempotency-Key`.
     Booking {
-        /// The service's name, which its answers carry.
+        /// The service's name, which its answers contain.
         service: String,
-        /// The path that the number of the request is added to.
+        /// The path to which the number of the request is appended.
         path: String,
     },
     /// A `GET` below `path` of the plain service `service`.
     Lookup {
-        /// The service's name, which its answers carry.
+        /// The service's name, which its answers contain.
         service: String,
-        /// The path that the number of the request is added to.
+        /// The path to which the number of the request is appended.
         path: String,
     },
 }
@@ -78,44 +79,44 @@
 /// The settings of a run.
 #[derive(Clone, Debug)]
 pub struct LoadConfig {
-    /// Entries to ask for the addresses to use.
+    /// The entries that are asked for the current list of entries.
     pub bootstrap: Vec<SocketAddr>,
-    /// Who calls.
+    /// The organisations that send requests.
     pub organisations: Vec<Organisation>,
-    /// The model that is asked for.
+    /// The requested model.
     pub model: String,
-    /// The versions that may answer.
+    /// The versions whose answers are accepted.
     pub versions: Vec<Version>,
     /// How requests arrive.
     pub arrivals: Arrivals,
-    /// What is asked, each with its share relative to the others.
+    /// The kinds of requests, each with its share relative to the others.
     pub work: Vec<(u32, Work)>,
-    /// The most requests.
+    /// The most requests of the run.
     pub requests: u64,
-    /// The longest time in which requests are begun.
+    /// The longest time during which requests are started.
     pub duration: Duration,
-    /// The most requests at once of an open loop; further ones are counted as overrun.
+    /// The most concurrent requests of an open loop; further requests are skipped and counted as overrun.
     pub max_in_flight: usize,
     /// The number of different prompts.
     pub prompts: u64,
-    /// The words of a prompt that all prompts of an organisation begin with.
+    /// The number of words with which all prompts of an organisation begin.
     pub shared_words: usize,
-    /// The words of a prompt besides.
+    /// The number of further words of a prompt.
     pub own_words: usize,
-    /// The tokens of an answer, spread evenly.
+    /// The range of an answer's number of tokens, drawn uniformly.
     pub max_tokens: RangeInclusive<usize>,
     /// The share of model requests that are streamed, from 0 to 1.
     pub stream: f64,
-    /// How long a caller waits for the end of an answer.
+    /// The longest time from a request's due time to the end of its answer.
     pub deadline: Duration,
-    /// How often a caller asks again after "not run", each time when it was told to.
+    /// The most retries after "not run", each after the time in `Retry-After`.
     pub retries: u32,
-    /// The same seed gives the same requests.
+    /// The seed of the random numbers; equal seeds give equal requests.
     pub seed: u64,
 }
 
 impl LoadConfig {
-    /// Four callers, 100 streamed completions of `model`, half a minute at most.
+    /// Returns settings of four callers that make 100 streamed completions of `model` in at most 30 s.
     pub fn new(model: impl Into<String>) -> Self {
         Self {
             bootstrap: Vec::new(),
--- a/crates/filbertstack-standins/src/load/directory.rs
+++ b/crates/filbertstack-standins/src/load/directory.rs
@@ -1,4 +1,4 @@
-//! Which entries to use: asked for, kept as long as allowed, and asked for again.
+//! Fetches the list of entries and caches it until it expires.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -9,11 +9,11 @@
 use serde::Deserialize;
 use ureq::Agent;
 
-/// How long a caller waits for the addresses.
+/// The timeout of fetching the list.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a caller goes on with old addresses before it asks again.
-const RETRY: Duration = Duration::from_secs(1);
+/// How long a caller keeps using the old addresses after a failed fetch.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Deserialize)]
 struct Entry {
@@ -26,21 +26,22 @@
     max_age_s: f64,
 }
 
-struct Kept {
+/// A list of addresses and the time until which it may be used.
+struct CachedList {
     addrs: Vec<SocketAddr>,
-    until: Instant,
+    expires: Instant,
 }
 
-/// The addresses that one organisation's callers use.
+/// The cached addresses of entries for one organisation's callers.
 pub struct Directory {
     bootstrap: Vec<SocketAddr>,
     key: String,
     agent: Agent,
-    kept: Mutex<Option<Kept>>,
+    cached: Mutex<Option<CachedList>>,
 }
 
 impl Directory {
-    /// Asks `bootstrap` with `key`.
+    /// Creates a cache that fetches the list from `bootstrap` with `key`.
     pub fn new(bootstrap: &[SocketAddr], key: &str) -> Self {
         let config = Agent::config_builder()
             .timeout_global(Some(TIMEOUT))
@@ -49,33 +50,34 @@
             bootstrap: bootstrap.to_vec(),
             key: key.to_owned(),
             agent: config.new_agent(),
-            kept: Mutex::new(None),
+            cached: Mutex::new(None),
         }
     }
 
-    /// The addresses to use now. A caller that cannot ask goes on with what it has.
+    /// Returns the current addresses. If no bootstrap entry answers, the old ones stay in use.
     pub fn addrs(&self) -> Vec<SocketAddr> {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(fresh) = kept.as_ref().filter(|old| Instant::now() < old.until) {
+        let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(fresh) = cached.as_ref().filter(|old| Instant::now() < old.expires) {
             return fresh.addrs.clone();
         }
-        let old = kept.take();
-        let asked = self.bootstrap.iter().find_map(|addr| self.ask(*addr));
-        let found = asked.unwrap_or_else(|| Kept {
+        let old = cached.take();
+        let fetched = self.bootstrap.iter().find_map(|addr| self.fetch(*addr));
+        let found = fetched.unwrap_or_else(|| CachedList {
             addrs: old.map_or_else(|| self.bootstrap.clone(), |old| old.addrs),
-            until: Instant::now() + RETRY,
+            expires: Instant::now() + RETRY_INTERVAL,
         });
-        kept.insert(found).addrs.clone()
+        cached.insert(found).addrs.clone()
     }
 
-    fn ask(&self, addr: SocketAddr) -> Option<Kept> {
+    /// Fetches the list from one entry.
+    fn fetch(&self, addr: SocketAddr) -> Option<CachedList> {
         let call = self.agent.get(format!("http://{addr}/v1/entries"));
         let call = call.header("Authorization", format!("Bearer {}", self.key));
         let body = call.call().ok()?.into_body().read_to_vec().ok()?;
         let answer: Entries = serde_json::from_slice(&body).ok()?;
         let age = Duration::try_from_secs_f64(answer.max_age_s).ok()?;
         let addrs: Vec<SocketAddr> = answer.entries.iter().map(|entry| entry.addr).collect();
-        let until = Instant::now() + age;
-        (!addrs.is_empty()).then_some(Kept { addrs, until })
+        let expires = Instant::now() + age;
+        (!addrs.is_empty()).then_some(CachedList { addrs, expires })
     }
 }
--- a/crates/filbertstack-standins/src/load/mod.rs
+++ b/crates/filbertstack-standins/src/load/mod.rs
@@ -1,7 +1,7 @@
 //! The load tool: callers of several organisations that check every answer byte for byte.
 //!
-//! It asks the bootstrap addresses which entries to use, keeps that answer as long as it may, and
-//! connects there itself, as callers do. Both the number of requests and the time are bounded.
+//! As other callers do, it fetches the list of entries from the bootstrap addresses, caches it until
+//! it expires and connects to these entries. Both the number of requests and the time are bounded.
 //!
 //! ```no_run
 //! use std::time::Duration;
@@ -61,24 +61,25 @@
 use crate::load::directory::Directory;
 use crate::load::report::Tally;
 
-/// Runs the load and reports what the callers received.
+/// Runs the load and returns a report of what the callers received.
 pub fn run(config: &LoadConfig) -> LoadReport {
     let run = Arc::new(Run::new(config));
     match config.arrivals {
         Arrivals::Open { .. } => run.clone().open_loop(),
         Arrivals::Closed { callers } => run.clone().closed_loop(callers),
     }
-    let spent = run.begin.elapsed();
+    let elapsed = run.started.elapsed();
     let tally = run.tally.lock().unwrap_or_else(PoisonError::into_inner);
-    tally.report(spent, run.overrun.load(Ordering::Relaxed))
+    tally.report(elapsed, run.overrun.load(Ordering::Relaxed))
 }
 
+/// The shared state of a run.
 struct Run {
     config: LoadConfig,
     plan: Plan,
     caller: Caller,
     directories: Vec<Directory>,
-    begin: Instant,
+    started: Instant,
     next: AtomicU64,
     in_flight: AtomicUsize,
     overrun: AtomicU64,
@@ -94,7 +95,7 @@
             plan: Plan::new(config),
             caller: Caller::new(config),
             directories: directories.collect(),
-            begin: Instant::now(),
+            started: Instant::now(),
             next: AtomicU64::new(0),
             in_flight: AtomicUsize::new(0),
             overrun: AtomicU64::new(0),
@@ -102,42 +103,42 @@
         }
     }
 
-    /// The number of the next request, unless the bounds are met.
-    fn take(&self) -> Option<u64> {
-        if self.begin.elapsed() >= self.config.duration {
+    /// Returns the number of the next request, or `None` once the run has reached its bounds.
+    fn next_number(&self) -> Option<u64> {
+        if self.started.elapsed() >= self.config.duration {
             return None;
         }
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         (number < self.config.requests).then_some(number)
     }
 
-    /// Sends each request at its time, whether or not the earlier ones have ended.
+    /// Sends each request at its due time, whether or not earlier requests have ended.
     fn open_loop(self: Arc<Self>) {
         let mut threads = Vec::new();
         let mut due = Duration::ZERO;
-        while let Some(number) = self.take() {
+        while let Some(number) = self.next_number() {
             due += self.plan.gap(number);
             if due > self.config.duration {
                 break;
             }
-            thread::sleep(due.saturating_sub(self.begin.elapsed()));
+            thread::sleep(due.saturating_sub(self.started.elapsed()));
             if self.in_flight.load(Ordering::Relaxed) >= self.config.max_in_flight {
                 self.overrun.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
-            let flight = Flight::begin(&self);
-            let at = self.begin + due;
-            threads.push(thread::spawn(move || flight.0.perform(number, at)));
+            let in_flight = InFlight::new(&self);
+            let due_at = self.started + due;
+            threads.push(thread::spawn(move || in_flight.0.perform(number, due_at)));
         }
         join(threads);
     }
 
-    /// Each caller sends its next request when its last one has ended.
+    /// Runs callers that each send the next request when the previous one has ended.
     fn closed_loop(self: Arc<Self>, callers: usize) {
         let spawn = |_| {
             let run = self.clone();
             thread::spawn(move || {
-                while let Some(number) = run.take() {
+                while let Some(number) = run.next_number() {
                     run.perform(number, Instant::now());
                 }
             })
@@ -145,7 +146,7 @@
         join((0..callers).map(spawn).collect());
     }
 
-    /// Makes one request; its times count from `due`, so that a late start is not hidden.
+    /// Makes one request. Its times count from `due`, so that they include a late start.
     fn perform(&self, number: u64, due: Instant) {
         let request = self.plan.request(number);
         let directory = &self.directories[request.organisation];
@@ -156,17 +157,17 @@
     }
 }
 
-/// A request in flight; dropping it takes it out of the count.
-struct Flight(Arc<Run>);
+/// Counts a request as in flight until it is dropped.
+struct InFlight(Arc<Run>);
 
-impl Flight {
-    fn begin(run: &Arc<Run>) -> Self {
+impl InFlight {
+    fn new(run: &Arc<Run>) -> Self {
         run.in_flight.fetch_add(1, Ordering::Relaxed);
         Self(run.clone())
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
@@ -174,7 +175,7 @@
 
 fn join(threads: Vec<thread::JoinHandle<()>>) {
     for thread in threads {
-        // A caller that panicked has no result, which the report's sums then show.
+        // A caller that panicked adds no result, which shows in the totals of the report.
         let _ = thread.join();
     }
 }
--- a/crates/filbertstack-standins/src/load/plan.rs
+++ b/crates/filbertstack-standins/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! Which requests are made: a pure function of the settings and the request's number.
+//! Generates the requests of a run, each as a pure function of the settings and its number.
 
 use std::time::Duration;
 
@@ -16,12 +16,12 @@
 use crate::load::config::Work;
 use crate::service;
 
-/// One request and what its answer must be.
+/// A request and its expected answer.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id, for `x-request-id`.
+    /// The request's id, sent as `x-request-id`.
     pub id: String,
-    /// The index of its organisation.
+    /// The index of the organisation in the settings.
     pub organisation: usize,
     /// The method.
     pub method: &'static str,
@@ -29,61 +29,62 @@
     pub path: String,
     /// The body; empty for a `GET`.
     pub body: String,
-    /// The `Idempotency-Key`, if it has one.
+    /// The value of `Idempotency-Key`, if the request has one.
     pub key: Option<String>,
-    /// What the answer must be.
+    /// The answer that the request must get.
     pub expected: Expected,
 }
 
-/// Makes the requests of a run.
+/// Generates the requests of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     config: LoadConfig,
 }
 
 impl Plan {
-    /// The plan of `config`.
+    /// Creates the plan of a run with these settings.
     pub fn new(config: &LoadConfig) -> Self {
         Self {
             config: config.clone(),
         }
     }
 
-    /// Random numbers that belong to one request and one purpose.
-    fn random(&self, number: u64, purpose: u64) -> ChaCha8Rng {
+    /// Returns the random number generator of one request and one purpose.
+    fn generator(&self, number: u64, purpose: u64) -> ChaCha8Rng {
         let mut rng = ChaCha8Rng::seed_from_u64(self.config.seed);
         rng.set_stream(number * 2 + purpose);
         rng
     }
 
-    /// The time between the request before `number` and this one in an open loop: exponential, so
-    /// that arrivals are independent of each other.
+    /// Returns the time between the previous request and request `number` in an open loop. The times are
+    /// exponentially distributed, so that arrivals are independent of each other.
     pub fn gap(&self, number: u64) -> Duration {
         let Arrivals::Open { per_second } = self.config.arrivals else {
             return Duration::ZERO;
         };
-        let share: f64 = self.random(number, 1).random();
-        let gap = -(1.0 - share).ln() / per_second.max(1e-3);
-        Duration::from_secs_f64(gap.min(3600.0))
+        let uniform: f64 = self.generator(number, 1).random();
+        let seconds = -(1.0 - uniform).ln() / per_second.max(1e-3);
+        Duration::from_secs_f64(seconds.min(3600.0))
     }
 
-    /// The request `number`.
+    /// Returns request `number`.
     pub fn request(&self, number: u64) -> Request {
-        let mut rng = self.random(number, 0);
+        let mut rng = self.generator(number, 0);
         let weights = self.config.organisations.iter().map(|org| org.weight);
-        let organisation = pick(&mut rng, weights);
-        let work = pick(&mut rng, self.config.work.iter().map(|(share, _)| *share));
+        let organisation = weighted_index(&mut rng, weights);
+        let work = weighted_index(&mut rng, self.config.work.iter().map(|(share, _)| *share));
         let id = format!("load-{}-{number}", self.config.seed);
         match &self.config.work[work].1 {
             Work::Completion => self.completion(&mut rng, id, organisation),
             Work::Chat => self.chat(&mut rng, id, organisation),
             Work::Booking { service, path } => {
                 let body = json!({"organisation": organisation, "booking": number}).to_string();
-                let request = lookup(id, organisation, "POST", service, path, number, body);
+                let request =
+                    service_request(id, organisation, "POST", service, path, number, body);
                 let key = Some(format!("key-{}", request.id));
                 Request { key, ..request }
             }
-            Work::Lookup { service, path } => lookup(
+            Work::Lookup { service, path } => service_request(
                 id,
                 organisation,
                 "GET",
@@ -124,7 +125,8 @@
         (max_tokens, stream)
     }
 
-    /// A prompt whose first words depend on the organisation alone, as a house style's do.
+    /// Returns a prompt whose first words depend on the organisation alone, like an instruction that all
+    /// of its callers send.
     fn prompt(&self, rng: &mut ChaCha8Rng, organisation: usize) -> String {
         let which = rng.random_range(0..self.config.prompts.max(1));
         let shared = (0..self.config.shared_words).map(|word| format!("s{organisation}w{word}"));
@@ -144,7 +146,7 @@
     stream: bool,
 ) -> Request {
     Request {
-        // A repeated rewrite would be a second version: each has a key of its own.
+        // A repeated model request would yield a second answer, so each has an idempotency key of its own.
         key: Some(format!("key-{id}")),
         id,
         organisation,
@@ -159,7 +161,8 @@
     }
 }
 
-fn lookup(
+/// Returns a request to a plain service, which must echo it.
+fn service_request(
     id: String,
     organisation: usize,
     method: &'static str,
@@ -181,8 +184,8 @@
     }
 }
 
-/// An index drawn by weight; 0 if all weights are 0.
-fn pick(rng: &mut impl Rng, weights: impl Iterator<Item = u32> + Clone) -> usize {
+/// Returns an index drawn by weight, or 0 if all weights are 0.
+fn weighted_index(rng: &mut impl Rng, weights: impl Iterator<Item = u32> + Clone) -> usize {
     let total: u64 = weights.clone().map(u64::from).sum();
     if total == 0 {
         return 0;
--- a/crates/filbertstack-standins/src/load/report.rs
+++ b/crates/filbertstack-standins/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What the callers received, in sums and percentiles.
+//! Summarises the results of a run as counts and percentiles.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,27 +10,27 @@
 use crate::load::call::CallResult;
 use crate::load::check::Class;
 
-/// The longest time that a histogram tells apart, in microseconds: ten minutes.
+/// The longest time that a histogram records, in microseconds: ten minutes.
 const MAX_MICROS: u64 = 600_000_000;
 
-/// Significant digits of a histogram.
+/// The number of significant digits of a histogram.
 const DIGITS: u8 = 3;
 
-/// The most examples of what was not exact.
+/// The most examples of results that were not exact.
 const MAX_EXAMPLES: usize = 10;
 
-/// Times in microseconds: whole numbers, so that a report reads back as it was written.
+/// Percentiles of times in microseconds, as integers, so that a report survives a JSON round trip.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Percentiles {
-    /// The number of times.
+    /// The number of recorded times.
     pub count: u64,
-    /// Half are at most this.
+    /// The median.
     pub p50_us: u64,
-    /// 95 in 100 are at most this.
+    /// The 95th percentile.
     pub p95_us: u64,
-    /// 99 in 100 are at most this.
+    /// The 99th percentile.
     pub p99_us: u64,
-    /// All are at most this.
+    /// The maximum.
     pub max_us: u64,
 }
 
@@ -39,58 +39,58 @@
 pub struct ByOrganisation {
     /// Requests made.
     pub sent: u64,
-    /// Whole answers, byte for byte.
+    /// Answers that were whole and correct byte for byte.
     pub exact: u64,
-    /// Refused as not run.
+    /// Requests refused as not run.
     pub not_run: u64,
-    /// Everything else.
+    /// Requests with any other result.
     pub other: u64,
 }
 
-/// What the callers received.
+/// The report of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Requests made.
     pub sent: u64,
-    /// Whole answers, byte for byte.
+    /// Answers that were whole and correct byte for byte.
     pub exact: u64,
-    /// Answers that were not the caller's own or not of the version that they name.
+    /// Answers that were not the expected ones or not of the version that they name.
     pub wrong: u64,
-    /// Answers that broke off.
+    /// Answers that ended early.
     pub truncated: u64,
-    /// Refused as not run.
+    /// Requests refused as not run.
     pub not_run: u64,
-    /// Without word whether they ran.
+    /// Requests for which it is unknown whether they ran.
     pub unknown: u64,
-    /// Refused otherwise, or no entry could be connected to.
+    /// Requests refused otherwise, or made while no entry could be connected to.
     pub errors: u64,
-    /// Attempts, repeated ones included.
+    /// Attempts, retries included.
     pub attempts: u64,
-    /// Entries that could not be connected to.
+    /// Failed connections to entries.
     pub unreached: u64,
-    /// Refusals as not run without a time to come back.
+    /// Refusals as not run without a `Retry-After` header.
     pub no_return_time: u64,
     /// Requests of an open loop that were not made because too many were in flight.
     pub overrun: u64,
     /// Tokens of streams that were exact.
     pub tokens: u64,
-    /// The time of the run in milliseconds.
+    /// The duration of the run in milliseconds.
     pub spent_ms: u64,
-    /// From due to the end, of exact answers.
+    /// The time from the due time to the end of exact answers.
     pub total: Percentiles,
-    /// From due to the first token, of exact streams.
+    /// The time from the due time to the first token of exact streams.
     pub first_token: Percentiles,
-    /// Between the tokens of exact streams.
+    /// The time between consecutive tokens of exact streams.
     pub token_gap: Percentiles,
-    /// From due to the refusal, of requests refused as not run.
+    /// The time from the due time to the refusal of requests refused as not run.
     pub refusal: Percentiles,
-    /// By organisation.
+    /// The counts of each organisation.
     pub organisations: BTreeMap<String, ByOrganisation>,
-    /// Some of what was not exact, in words.
+    /// Descriptions of the first results that were not exact.
     pub examples: Vec<String>,
 }
 
-/// Times in a histogram, made when the first comes.
+/// A histogram of times, allocated when the first time is added.
 #[derive(Default)]
 struct Times(Option<Histogram<u64>>);
 
@@ -120,17 +120,18 @@
     }
 }
 
-/// Sums up as results come in.
+/// Adds up results as they arrive.
 #[derive(Default)]
 pub struct Tally {
     report: LoadReport,
     total: Times,
-    first: Times,
-    gap: Times,
+    first_token: Times,
+    token_gap: Times,
     refusal: Times,
 }
 
 impl Tally {
+    /// Adds the result of one request.
     pub fn add(&mut self, organisation: &str, result: &CallResult) {
         let class = result.class.unwrap_or(Class::Error);
         let report = &mut self.report;
@@ -177,22 +178,23 @@
 
     fn add_times(&mut self, result: &CallResult) {
         self.total.add(result.total);
-        if let Some(first) = result.first {
-            self.first.add(first);
+        if let Some(time) = result.first {
+            self.first_token.add(time);
             self.report.tokens += result.received as u64;
         }
         for gap in &result.gaps {
-            self.gap.add(*gap);
+            self.token_gap.add(*gap);
         }
     }
 
-    pub fn report(&self, spent: Duration, overrun: u64) -> LoadReport {
+    /// Returns the report of a run that took `elapsed` and skipped `overrun` requests.
+    pub fn report(&self, elapsed: Duration, overrun: u64) -> LoadReport {
         LoadReport {
             overrun,
-            spent_ms: u64::try_from(spent.as_millis()).unwrap_or(u64::MAX),
+            spent_ms: u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX),
             total: self.total.percentiles(),
-            first_token: self.first.percentiles(),
-            token_gap: self.gap.percentiles(),
+            first_token: self.first_token.percentiles(),
+            token_gap: self.token_gap.percentiles(),
             refusal: self.refusal.percentiles(),
             ..self.report.clone()
         }
--- a/crates/filbertstack-standins/src/load/sse.rs
+++ b/crates/filbertstack-standins/src/load/sse.rs
@@ -1,4 +1,4 @@
-//! The text of an answer, whole or as server-sent events.
+//! Parses the text of an answer, from a whole body or from server-sent events.
 
 use serde::Deserialize;
 
@@ -19,21 +19,21 @@
     content: Option<String>,
 }
 
-/// What one line of a stream says.
+/// The content of one line of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Line {
-    /// More text; empty for an event without any.
+    /// The text of an event, which may be empty.
     Text(String),
-    /// The mark of the end.
+    /// The event that ends the stream.
     Done,
-    /// A line that carries no data.
+    /// A line without data.
     Other,
-    /// Data that is no part of an answer, such as an error.
-    Unreadable,
+    /// Data that is not part of an answer, such as an error.
+    Invalid,
 }
 
-/// Reads a line of a stream.
-pub fn read_line(line: &str) -> Line {
+/// Parses a line of a stream.
+pub fn parse_line(line: &str) -> Line {
     let Some(data) = line.strip_prefix("data:") else {
         return Line::Other;
     };
@@ -41,11 +41,11 @@
     if data == "[DONE]" {
         return Line::Done;
     }
-    text(data.as_bytes()).map_or(Line::Unreadable, Line::Text)
+    answer_text(data.as_bytes()).map_or(Line::Invalid, Line::Text)
 }
 
-/// The text of an event or of a whole answer.
-pub fn text(json: &[u8]) -> Option<String> {
+/// Returns the text of an event or of a whole answer, or `None` if the JSON is neither.
+pub fn answer_text(json: &[u8]) -> Option<String> {
     let body: Body = serde_json::from_slice(json).ok()?;
     let choice = body.choices.into_iter().next()?;
     let content = choice.delta.or(choice.message);
