--- a/crates/filbertstack-standins/tests/examples.rs
+++ b/crates/filbertstack-standins/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The settings samples: every file is accepted, and says what its users need.
+//! Parses the sample settings under `examples` and checks the values that their users depend on.
 
 use std::fs;
 use std::path::Path;
@@ -10,15 +10,15 @@
 use filbertstack_core::declare::Rule;
 use filbertstack_core::declare::Weigh;
 
-const USERS: [&str; 2] = ["prairie-homes", "cedarline"];
+const ORGANISATIONS: [&str; 2] = ["prairie-homes", "cedarline"];
 
-fn sample(user: &str, file: &str) -> PathBuf {
+fn sample_path(organisation: &str, file: &str) -> PathBuf {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
-    root.join(user).join(file)
+    root.join(organisation).join(file)
 }
 
-fn declarations(user: &str) -> Declarations {
-    let text = fs::read_to_string(sample(user, "declarations.ini")).unwrap();
+fn declarations(organisation: &str) -> Declarations {
+    let text = fs::read_to_string(sample_path(organisation, "declarations.ini")).unwrap();
     Declarations::parse("declarations.ini", &text).unwrap_or_else(|e| panic!("{e}"))
 }
 
@@ -27,30 +27,33 @@
 }
 
 #[test]
-fn the_settings_of_entries_and_agents_are_accepted() {
-    for user in USERS {
-        let entry = filbertstack_entry::Settings::read(&sample(user, "entry.ini"));
+fn entry_and_agent_settings_parse() {
+    for organisation in ORGANISATIONS {
+        let entry = filbertstack_entry::Settings::read(&sample_path(organisation, "entry.ini"));
         let entry = entry.unwrap_or_else(|e| panic!("{e}"));
         assert_eq!(entry.voters.len(), 3);
-        let own = entry.voters.iter().any(|voter| voter.name == entry.name);
-        assert_eq!(entry.is_voter(), own, "only a voter has a disk");
-        let agent = filbertstack_agent::Settings::read(&sample(user, "agent.ini"));
+        let is_declared = entry.voters.iter().any(|voter| voter.name == entry.name);
+        assert_eq!(entry.is_voter(), is_declared, "only a voter has a disk");
+        let agent = filbertstack_agent::Settings::read(&sample_path(organisation, "agent.ini"));
         agent.unwrap_or_else(|e| panic!("{e}"));
     }
 }
 
 #[test]
-fn each_user_gets_its_replicas_and_its_weighing() {
-    let of = |user: &str, name: &str| {
-        let deployment = &declarations(user).deployments[name];
+fn deployments_declare_replicas_and_weighing() {
+    let declared = |organisation: &str, name: &str| {
+        let deployment = &declarations(organisation).deployments[name];
         (deployment.replicas, deployment.weigh)
     };
-    assert_eq!(of("prairie-homes", "drafting-models"), (12, Weigh::Time));
-    assert_eq!(of("cedarline", "voice-llm"), (16, Weigh::Origin));
+    assert_eq!(
+        declared("prairie-homes", "drafting-models"),
+        (12, Weigh::Time)
+    );
+    assert_eq!(declared("cedarline", "voice-llm"), (16, Weigh::Origin));
 }
 
 #[test]
-fn confirmations_and_rewrites_run_at_most_once() {
+fn confirmations_and_rewrites_are_not_idempotent() {
     let (prairie, cedarline) = (declarations("prairie-homes"), declarations("cedarline"));
     let confirm = rule(&prairie, "move-in-confirm");
     assert!(!confirm.idempotent);
@@ -67,9 +70,9 @@
 }
 
 #[test]
-fn selectors_lead_to_what_is_declared_and_orders_do_not_tie() {
-    for user in USERS {
-        let declared = declarations(user);
+fn selectors_match_declared_objects_and_rule_orders_are_unique() {
+    for organisation in ORGANISATIONS {
+        let declared = declarations(organisation);
         for deployment in declared.deployments.values() {
             let mut pools = declared.pools.values();
             assert!(pools.any(|pool| deployment.pools.matches(&pool.labels)));
--- a/crates/filbertstack-standins/tests/front.rs
+++ b/crates/filbertstack-standins/tests/front.rs
@@ -1,4 +1,4 @@
-//! The byte pipe before the HTTP library.
+//! Tests the TCP proxy in front of the HTTP server library.
 
 mod common;
 
@@ -16,49 +16,49 @@
 use filbertstack_standins::http::HttpServer;
 use filbertstack_standins::http::Reply;
 
-/// Connections that are opened at the same time: more than the library's idle threads.
+/// The number of connections opened at the same time, which exceeds the library's idle threads.
 const CONNECTIONS: usize = 12;
 
 const ROUNDS: usize = 40;
 
-struct Pong;
+struct PongHandler;
 
-impl Handler for Pong {
+impl Handler for PongHandler {
     fn handle(&self, call: Call) {
         call.reply(Reply::text(200, "pong"));
     }
 }
 
 /// Sends a request on a new connection, reads its answer and keeps the connection open.
-fn ask(addr: SocketAddr) -> Option<TcpStream> {
+fn connect_and_get(addr: SocketAddr) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(addr).unwrap();
-    // Only ends a test that would hang.
-    let limit = Some(Duration::from_secs(20));
-    stream.set_read_timeout(limit).unwrap();
+    // The timeout only ends a test that would hang.
+    let timeout = Some(Duration::from_secs(20));
+    stream.set_read_timeout(timeout).unwrap();
     stream
         .write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         .unwrap();
     let mut answer = Vec::new();
-    let mut piece = [0; 512];
+    let mut block = [0; 512];
     while !answer.ends_with(b"pong") {
-        let read = stream.read(&mut piece).ok()?;
-        answer.extend_from_slice(&piece[..read]);
+        let read = stream.read(&mut block).ok()?;
+        answer.extend_from_slice(&block[..read]);
     }
     Some(stream)
 }
 
-// Twelve callers connect at once and keep their connections. The library hands connections to a
-// pool whose count of idle threads lags: a connection may be queued for a thread that has already
-// been given another, and then waits until some other connection ends. Its caller hears nothing.
+// Twelve callers connect at once and keep their connections open. The library's thread pool updates its
+// count of idle threads late, so that it may queue a connection for a thread that already has another.
+// Such a connection waits without an answer until some other connection ends.
 #[test]
 fn connections_opened_at_once_are_all_served() {
     for round in 0..ROUNDS {
-        let server = HttpServer::start(ANY_ADDR, Arc::new(Pong)).unwrap();
+        let server = HttpServer::start(ANY_ADDR, Arc::new(PongHandler)).unwrap();
         let addr = server.addr();
-        let callers = (0..CONNECTIONS).map(|_| thread::spawn(move || ask(addr)));
+        let callers = (0..CONNECTIONS).map(|_| thread::spawn(move || connect_and_get(addr)));
         let callers: Vec<_> = callers.collect();
-        let kept: Vec<_> = callers.into_iter().map(|c| c.join().unwrap()).collect();
-        let answered = kept.iter().flatten().count();
+        let connections: Vec<_> = callers.into_iter().map(|c| c.join().unwrap()).collect();
+        let answered = connections.iter().flatten().count();
         assert_eq!(answered, CONNECTIONS, "round {round}");
     }
 }
--- a/crates/filbertstack-standins/tests/load.rs
+++ b/crates/filbertstack-standins/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool against scripted entries: what it calls what it receives.
+//! Tests how the load tool classifies the answers of scripted entries.
 
 mod common;
 
@@ -37,64 +37,65 @@
     Digest::of(b"weights")
 }
 
-/// What the scripted entry does with one request.
+/// The reaction of a scripted entry to one request.
 #[derive(Clone)]
-enum Act {
-    /// Answers rightly.
-    Right,
-    /// Answers rightly and names this version.
-    Named(&'static str),
-    /// Answers rightly and names no version.
-    Unnamed,
-    /// Answers another prompt.
-    Crossed,
-    /// Streams this many tokens and closes the connection.
+enum Action {
+    /// Sends the correct answer.
+    Correct,
+    /// Sends the correct answer under this version.
+    OtherVersion(&'static str),
+    /// Sends the correct answer without a version.
+    NoVersion,
+    /// Sends the answer to another prompt.
+    OtherPrompt,
+    /// Sends this many tokens and closes the connection.
     Cut(usize),
-    /// Streams this many tokens and ends the body without the last event.
-    Short(usize),
-    /// Refuses with a status, an outcome and a time to come back.
+    /// Sends this many tokens and ends the body without the last event.
+    MissingEnd(usize),
+    /// Refuses with a status, an outcome and a `Retry-After` in seconds.
     Refuse(u16, Option<&'static str>, Option<u64>),
-    /// Answers once the gate opens.
+    /// Sends the correct answer once the gate opens.
     Hold(Arc<Gate>),
 }
 
+/// The reactions of a scripted entry and what it received.
 struct Script {
-    acts: Mutex<VecDeque<Act>>,
+    actions: Mutex<VecDeque<Action>>,
     entries: Mutex<Vec<SocketAddr>>,
-    asked: Mutex<u32>,
-    age: f64,
+    entry_fetches: Mutex<u32>,
+    max_age_s: f64,
 }
 
 impl Handler for Script {
     fn handle(&self, mut call: Call) {
         assert_eq!(call.header("Authorization"), Some("Bearer acme-key"));
         if call.path() == "/v1/entries" {
-            *self.asked.lock().unwrap() += 1;
+            *self.entry_fetches.lock().unwrap() += 1;
             let entries = self.entries.lock().unwrap().clone();
             let entries: Vec<Value> = entries.iter().map(|addr| json!({"addr": addr})).collect();
-            let body = json!({"entries": entries, "max_age_s": self.age});
+            let body = json!({"entries": entries, "max_age_s": self.max_age_s});
             return call.reply(Reply::json(200, &body));
         }
         let body: Value = call.json().unwrap();
-        let act = self.acts.lock().unwrap().pop_front();
-        play(act.unwrap_or(Act::Right), call, &body);
+        let action = self.actions.lock().unwrap().pop_front();
+        perform(action.unwrap_or(Action::Correct), call, &body);
     }
 }
 
-fn play(act: Act, call: Call, body: &Value) {
+fn perform(action: Action, call: Call, body: &Value) {
     let prompt = body["prompt"].as_str().unwrap();
-    match act {
-        Act::Right => send(call, body, prompt, Some("v1"), None),
-        Act::Named(version) => send(call, body, prompt, Some(version), None),
-        Act::Unnamed => send(call, body, prompt, None, None),
-        Act::Crossed => send(call, body, "somebody else's", Some("v1"), None),
-        Act::Cut(tokens) => send(call, body, prompt, Some("v1"), Some((tokens, false))),
-        Act::Short(tokens) => send(call, body, prompt, Some("v1"), Some((tokens, true))),
-        Act::Hold(gate) => {
+    match action {
+        Action::Correct => send(call, body, prompt, Some("v1"), None),
+        Action::OtherVersion(version) => send(call, body, prompt, Some(version), None),
+        Action::NoVersion => send(call, body, prompt, None, None),
+        Action::OtherPrompt => send(call, body, "somebody else's", Some("v1"), None),
+        Action::Cut(tokens) => send(call, body, prompt, Some("v1"), Some((tokens, false))),
+        Action::MissingEnd(tokens) => send(call, body, prompt, Some("v1"), Some((tokens, true))),
+        Action::Hold(gate) => {
             gate.pass();
             send(call, body, prompt, Some("v1"), None);
         }
-        Act::Refuse(status, outcome, after) => {
+        Action::Refuse(status, outcome, after) => {
             let mut reply = Reply::error(status, "refused", "scripted");
             reply
                 .headers
@@ -107,8 +108,8 @@
     }
 }
 
-/// Sends an answer; `end` cuts it after so many tokens, with or without the end of the body.
-fn send(call: Call, body: &Value, prompt: &str, version: Option<&str>, end: Option<(usize, bool)>) {
+/// Sends an answer. `cut` ends it after a number of tokens, with the end of the body if its flag is set.
+fn send(call: Call, body: &Value, prompt: &str, version: Option<&str>, cut: Option<(usize, bool)>) {
     let max_tokens = usize::try_from(body["max_tokens"].as_u64().unwrap()).unwrap();
     let headers = version.map(|version| (VERSION, version.to_owned()));
     let headers: Vec<_> = headers.into_iter().collect();
@@ -119,40 +120,41 @@
         return call.reply(reply);
     }
     let mut writer = call.stream("text/event-stream", &headers).unwrap();
-    let (limit, close) = end.unwrap_or((max_tokens, true));
+    let (limit, finish) = cut.unwrap_or((max_tokens, true));
     for token in &tokens[..limit] {
         let event = json!({"choices": [{"text": token}]});
         writer
             .send(format!("data: {event}\n\n").as_bytes())
             .unwrap();
     }
-    if end.is_none() {
+    if cut.is_none() {
         writer.send(b"data: [DONE]\n\n").unwrap();
     }
-    if close {
+    if finish {
         writer.finish().unwrap();
     }
 }
 
-struct Scripted {
+/// A running scripted entry.
+struct ScriptedEntry {
     server: HttpServer,
     script: Arc<Script>,
 }
 
-impl Scripted {
-    fn new(acts: impl IntoIterator<Item = Act>, age: f64) -> Self {
+impl ScriptedEntry {
+    fn new(actions: impl IntoIterator<Item = Action>, max_age_s: f64) -> Self {
         let script = Arc::new(Script {
-            acts: Mutex::new(acts.into_iter().collect()),
+            actions: Mutex::new(actions.into_iter().collect()),
             entries: Mutex::default(),
-            asked: Mutex::new(0),
-            age,
+            entry_fetches: Mutex::new(0),
+            max_age_s,
         });
         let server = HttpServer::start(ANY_ADDR, script.clone()).unwrap();
         *script.entries.lock().unwrap() = vec![server.addr()];
         Self { server, script }
     }
 
-    /// One caller that makes `requests` requests in order.
+    /// Returns settings of one caller that makes `requests` requests in sequence.
     fn config(&self, requests: u64) -> LoadConfig {
         LoadConfig {
             bootstrap: vec![self.server.addr()],
@@ -169,17 +171,17 @@
     }
 }
 
-/// The report on one request that meets `act`.
-fn one(act: Act, stream: f64) -> LoadReport {
-    let scripted = Scripted::new([act], 60.0);
+/// Runs one request that gets the reaction `action` and returns the report.
+fn run_one(action: Action, stream: f64) -> LoadReport {
+    let entry = ScriptedEntry::new([action], 60.0);
     let config = LoadConfig {
         stream,
-        ..scripted.config(1)
+        ..entry.config(1)
     };
     load::run(&config)
 }
 
-/// The classes of a report, in a fixed order.
+/// Returns the counts of all classes in a fixed order.
 fn classes(report: &LoadReport) -> [u64; 6] {
     [
         report.exact,
@@ -199,48 +201,51 @@
 const ERROR: [u64; 6] = [0, 0, 0, 0, 0, 1];
 
 #[test]
-fn each_answer_has_its_class() {
+fn answers_are_classified() {
     let cases = [
-        ("right, streamed", Act::Right, 1.0, EXACT),
-        ("right, whole", Act::Right, 0.0, EXACT),
-        ("of another version", Act::Named("v0"), 1.0, WRONG),
-        ("of no version", Act::Unnamed, 1.0, WRONG),
-        ("crossed, streamed", Act::Crossed, 1.0, WRONG),
-        ("crossed, whole", Act::Crossed, 0.0, WRONG),
-        ("cut", Act::Cut(2), 1.0, TRUNCATED),
-        ("cut behind the last token", Act::Cut(4), 1.0, TRUNCATED),
+        ("right, streamed", Action::Correct, 1.0, EXACT),
+        ("right, whole", Action::Correct, 0.0, EXACT),
+        ("of another version", Action::OtherVersion("v0"), 1.0, WRONG),
+        ("of no version", Action::NoVersion, 1.0, WRONG),
+        ("crossed, streamed", Action::OtherPrompt, 1.0, WRONG),
+        ("crossed, whole", Action::OtherPrompt, 0.0, WRONG),
+        ("cut", Action::Cut(2), 1.0, TRUNCATED),
+        ("cut behind the last token", Action::Cut(4), 1.0, TRUNCATED),
         (
             "ended without the last event",
-            Act::Short(2),
+            Action::MissingEnd(2),
             1.0,
             TRUNCATED,
         ),
         (
             "not run",
-            Act::Refuse(503, Some("not-run"), Some(1)),
+            Action::Refuse(503, Some("not-run"), Some(1)),
             1.0,
             NOT_RUN,
         ),
         (
             "unknown",
-            Act::Refuse(502, Some("unknown"), None),
+            Action::Refuse(502, Some("unknown"), None),
             1.0,
             UNKNOWN,
         ),
-        ("bare 503", Act::Refuse(503, None, None), 1.0, ERROR),
-        ("bare 401", Act::Refuse(401, None, None), 0.0, ERROR),
+        ("bare 503", Action::Refuse(503, None, None), 1.0, ERROR),
+        ("bare 401", Action::Refuse(401, None, None), 0.0, ERROR),
     ];
-    for (what, act, stream, expected) in cases {
-        let report = one(act, stream);
+    for (what, action, stream, expected) in cases {
+        let report = run_one(action, stream);
         assert_eq!(classes(&report), expected, "{what}: {:?}", report.examples);
         assert_eq!((report.sent, report.attempts), (1, 1), "{what}");
     }
 }
 
 #[test]
-fn times_and_tokens_are_those_of_exact_streams() {
-    let scripted = Scripted::new([Act::Right, Act::Crossed, Act::Right], 60.0);
-    let report = load::run(&scripted.config(3));
+fn times_and_tokens_count_exact_streams_only() {
+    let entry = ScriptedEntry::new(
+        [Action::Correct, Action::OtherPrompt, Action::Correct],
+        60.0,
+    );
+    let report = load::run(&entry.config(3));
     assert_eq!((report.exact, report.wrong), (2, 1));
     assert_eq!(report.tokens, 8);
     assert_eq!(report.total.count, 2);
@@ -252,86 +257,88 @@
     assert_eq!(serde_json::from_str::<LoadReport>(&text).unwrap(), report);
 }
 
-// An entry refuses a request as not run, once with a time to come back and once without. A caller
-// that asks again gets its answer; the refusal without a time is counted, since callers must be
-// told when to come back.
+// An entry refuses a request as not run, once with `Retry-After` and once without. The caller's retries
+// lead to the answer. The refusal without the header is counted, since each such refusal must state
+// when to retry.
 #[test]
-fn a_caller_asks_again_when_it_was_told_to() {
+fn not_run_refusals_are_retried() {
     let refusals = [
-        Act::Refuse(503, Some("not-run"), Some(0)),
-        Act::Refuse(429, Some("not-run"), None),
+        Action::Refuse(503, Some("not-run"), Some(0)),
+        Action::Refuse(429, Some("not-run"), None),
     ];
-    let scripted = Scripted::new(refusals, 60.0);
+    let entry = ScriptedEntry::new(refusals, 60.0);
     let config = LoadConfig {
         retries: 2,
-        ..scripted.config(1)
+        ..entry.config(1)
     };
     let report = load::run(&config);
     assert_eq!(classes(&report), EXACT);
     assert_eq!((report.attempts, report.no_return_time), (3, 1));
 }
 
-// The answer never comes within the deadline. The caller cannot know whether it ran.
+// The answer does not come within the deadline, so that the caller cannot know whether the request ran.
 #[test]
-fn a_late_answer_is_unknown() {
+fn an_answer_after_the_deadline_is_unknown() {
     let gate = Arc::new(Gate::default());
-    let scripted = Scripted::new([Act::Hold(gate.clone())], 60.0);
+    let entry = ScriptedEntry::new([Action::Hold(gate.clone())], 60.0);
     let config = LoadConfig {
         deadline: Duration::from_millis(50),
-        ..scripted.config(1)
+        ..entry.config(1)
     };
     let report = load::run(&config);
     gate.open();
     assert_eq!(classes(&report), UNKNOWN);
 }
 
-// One of the two addresses that callers were given is dead. No request may be lost by it: nothing
-// was sent there, so the caller goes to the other.
+// One of the two entries in the list is down. No request may fail for that reason: a failed connection
+// has sent nothing, so that the caller may use the other entry.
 #[test]
-fn an_entry_that_is_gone_costs_no_request() {
-    let gone = HttpServer::start(ANY_ADDR, Arc::new(Idle)).unwrap().addr();
-    let scripted = Scripted::new([], 60.0);
-    scripted.script.entries.lock().unwrap().push(gone);
-    let report = load::run(&scripted.config(20));
+fn an_unreachable_entry_fails_no_request() {
+    let stopped = HttpServer::start(ANY_ADDR, Arc::new(CutHandler))
+        .unwrap()
+        .addr();
+    let entry = ScriptedEntry::new([], 60.0);
+    entry.script.entries.lock().unwrap().push(stopped);
+    let report = load::run(&entry.config(20));
     assert_eq!(report.exact, 20);
     assert!(report.unreached > 0);
 }
 
-struct Idle;
+struct CutHandler;
 
-impl Handler for Idle {
+impl Handler for CutHandler {
     fn handle(&self, call: Call) {
         call.cut();
     }
 }
 
 #[test]
-fn addresses_are_asked_for_again_when_they_are_too_old() {
-    for (age, asked) in [(60.0, 1), (0.0, 3)] {
-        let scripted = Scripted::new([], age);
-        assert_eq!(load::run(&scripted.config(3)).exact, 3);
-        assert_eq!(*scripted.script.asked.lock().unwrap(), asked);
+fn expired_addresses_are_fetched_again() {
+    for (max_age_s, fetches) in [(60.0, 1), (0.0, 3)] {
+        let entry = ScriptedEntry::new([], max_age_s);
+        assert_eq!(load::run(&entry.config(3)).exact, 3);
+        assert_eq!(*entry.script.entry_fetches.lock().unwrap(), fetches);
     }
 }
 
-// Four callers are held in the middle of their requests: an open loop must go on sending up to its
-// bound, a closed loop must not.
+// Four requests wait for their answers. An open loop must keep sending up to its bound and count the
+// requests beyond it, whereas a closed loop would wait.
 #[test]
 fn an_open_loop_does_not_wait_for_answers() {
     let gate = Arc::new(Gate::default());
-    let scripted = Scripted::new((0..50).map(|_| Act::Hold(gate.clone())), 60.0);
+    let entry = ScriptedEntry::new((0..50).map(|_| Action::Hold(gate.clone())), 60.0);
     let config = LoadConfig {
         arrivals: Arrivals::Open { per_second: 2000.0 },
         max_in_flight: 4,
-        ..scripted.config(50)
+        ..entry.config(50)
     };
     let opener = std::thread::spawn(move || {
-        let script = &scripted.script;
+        let script = &entry.script;
         common::wait_until("four requests in flight", || {
-            script.acts.lock().unwrap().len() <= 46
+            script.actions.lock().unwrap().len() <= 46
         });
         gate.open();
-        scripted
+        entry
     });
     let report = load::run(&config);
     drop(opener.join().unwrap());
@@ -341,10 +348,10 @@
 }
 
 #[test]
-fn bookings_and_lookups_are_checked_by_their_echo() {
+fn bookings_and_lookups_must_be_echoed() {
     let service = Service::start(ServiceConfig::new("move-in-desk")).unwrap();
-    let desk = |service: &str, path: &str| (service.to_owned(), path.to_owned());
-    let (service_name, path) = desk("move-in-desk", "/bookings");
+    let work_fields = |service: &str, path: &str| (service.to_owned(), path.to_owned());
+    let (service_name, path) = work_fields("move-in-desk", "/bookings");
     let config = LoadConfig {
         bootstrap: vec![service.addr()],
         organisations: vec![Organisation::new("acme", "acme-key")],
@@ -373,7 +380,7 @@
     assert_eq!(runs.most_by_key(), 1);
     assert!(!runs.by_key.is_empty() && runs.by_key.len() < 40);
 
-    let (service_name, path) = desk("casework", "/bookings");
+    let (service_name, path) = work_fields("casework", "/bookings");
     let other = vec![(
         1,
         Work::Booking {
@@ -390,7 +397,7 @@
 }
 
 #[test]
-fn a_plan_is_a_function_of_its_seed() {
+fn plans_depend_on_the_seed() {
     let config = LoadConfig {
         organisations: vec![Organisation::new("a", "k"), Organisation::new("b", "k")],
         work: vec![(1, Work::Completion), (1, Work::Chat)],
@@ -407,8 +414,8 @@
     };
     assert_ne!(bodies(&config), bodies(&other));
     let plan = Plan::new(&config);
-    let of_b = (0..1000)
+    let of_second = (0..1000)
         .filter(|n| plan.request(*n).organisation == 1)
         .count();
-    assert!((400..600).contains(&of_b), "{of_b}");
+    assert!((400..600).contains(&of_second), "{of_second}");
 }
--- a/crates/filbertstack-standins/tests/origin.rs
+++ b/crates/filbertstack-standins/tests/origin.rs
@@ -1,4 +1,4 @@
-//! An origin and a weight store over loopback: ranges, counts, the shared rate and faults.
+//! Tests an origin and a weight store over loopback: ranges, counters, the shared rate and faults.
 
 mod common;
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn serves_whole_files_and_ranges_with_one_etag() {
+fn files_and_ranges_have_the_same_etag() {
     let dir = weights("abcd");
     let origin = origin(&dir);
     let whole = get(&origin.addr(), FILE);
@@ -42,12 +42,12 @@
     let stats = origin.stats();
     assert_eq!((stats.requests, stats.bytes), (2, 4100));
     assert_eq!(stats.paths[FILE].bytes, 4100);
-    let told = get(&origin.addr(), "/stats").json();
-    assert_eq!(told["bytes"], 4100);
+    let stats_body = get(&origin.addr(), "/stats").json();
+    assert_eq!(stats_body["bytes"], 4100);
 }
 
 #[test]
-fn a_range_outside_the_file_is_416_and_a_path_upwards_is_404() {
+fn ranges_outside_the_file_are_416_and_paths_outside_the_directory_404() {
     let dir = weights("abcd");
     let origin = origin(&dir);
     let part = get_with(&origin.addr(), FILE, &[("Range", "bytes=4096-")]);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn ranges_read_as_http_has_them() {
+fn range_headers_parse() {
     let cases = [
         ("bytes=0-0", Some(0..1)),
         ("bytes=2-", Some(2..10)),
@@ -76,10 +76,11 @@
     }
 }
 
-// An operator replaces a file while a copy of it is in flight. The reader asks for the rest with
-// the tag of the version that it began; it must get a refusal, not bytes of the new version.
+// An operator replaces a file while a client downloads it. The client requests the rest with the entity
+// tag of the old file. With `If-Match` it must get a refusal and with `If-Range` the whole new file, never a
+// range of the new file that it would join to the old one.
 #[test]
-fn a_file_that_changed_refuses_the_old_tag() {
+fn a_replaced_file_refuses_the_old_etag() {
     let dir = weights("abcd");
     let origin = origin(&dir);
     let first = get_with(&origin.addr(), FILE, &[("Range", "bytes=0-99")]);
@@ -94,13 +95,13 @@
 }
 
 #[test]
-fn each_fault_strikes_the_next_answers_only() {
+fn each_fault_affects_the_next_answer_only() {
     let dir = weights("abcd");
     let origin = origin(&dir);
     let whole = get(&origin.addr(), FILE).bytes();
-    let strike = |faults| origin.set_faults(faults);
+    let set_faults = |faults| origin.set_faults(faults);
 
-    strike(FileFaults {
+    set_faults(FileFaults {
         corrupt: 1,
         ..FileFaults::default()
     });
@@ -108,7 +109,7 @@
     assert_eq!(bad.iter().zip(&whole).filter(|(a, b)| a != b).count(), 1);
     assert_eq!(get(&origin.addr(), FILE).bytes(), whole);
 
-    strike(FileFaults {
+    set_faults(FileFaults {
         shift: 1,
         ..FileFaults::default()
     });
@@ -116,7 +117,7 @@
     assert_eq!(part.header("Content-Range"), Some("bytes 0-9/4096"));
     assert_eq!(part.bytes(), whole[1..11]);
 
-    strike(FileFaults {
+    set_faults(FileFaults {
         cut: 1,
         ..FileFaults::default()
     });
@@ -124,7 +125,7 @@
     let cut = agent().get(&url).call().unwrap().into_body().read_to_vec();
     assert!(cut.is_err(), "a cut answer must not look whole");
 
-    strike(FileFaults {
+    set_faults(FileFaults {
         refuse: 1,
         ..FileFaults::default()
     });
@@ -132,8 +133,8 @@
     assert_eq!(get(&origin.addr(), FILE).bytes(), whole);
 }
 
-// The link stalls half way through an answer. The reader holds the first half, and nothing more
-// is sent, so that a reader without a bound of its own would wait for ever.
+// The connection stalls in the middle of an answer: the client gets the first half and nothing more, so
+// that a client without a timeout of its own would wait for ever.
 #[test]
 fn a_stalled_answer_sends_its_first_half() {
     let dir = weights("abcd");
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn a_store_takes_uploads_whole() {
+fn a_store_accepts_uploads() {
     let dir = tempfile::tempdir().unwrap();
     let store = Store::start(OriginConfig::new(dir.path())).unwrap();
     assert_eq!(
@@ -164,10 +165,10 @@
     assert_eq!(put(&origin.addr(), "/v1/chunk", b"no").status(), 405);
 }
 
-// Two readers take from one link of 1000 bytes a second with a burst of 500. Whatever the order in
-// which they ask, all bytes beyond the burst must be waited for in full.
+// Two clients share a rate of 1000 bytes a second with a burst of 500 bytes. Whatever the order of their
+// requests, they must wait in full for all bytes beyond the burst.
 #[test]
-fn all_takers_together_keep_to_the_rate() {
+fn concurrent_takes_share_the_rate() {
     let mut bucket = Bucket::new(1000, 500);
     let now = Duration::from_secs(10);
     assert_eq!(bucket.take(now, 500), Duration::ZERO);
@@ -175,16 +176,16 @@
     assert_eq!(bucket.take(now, 100), Duration::from_millis(200));
     let later = now + Duration::from_millis(150);
     assert_eq!(bucket.take(later, 100), Duration::from_millis(150));
-    // A pause fills the bucket to its burst and no further.
-    let rested = now + Duration::from_secs(100);
-    assert_eq!(bucket.take(rested, 500), Duration::ZERO);
-    assert_eq!(bucket.take(rested, 1), Duration::from_millis(1));
+    // An idle period fills the bucket up to the burst and no further.
+    let after_pause = now + Duration::from_secs(100);
+    assert_eq!(bucket.take(after_pause, 500), Duration::ZERO);
+    assert_eq!(bucket.take(after_pause, 1), Duration::from_millis(1));
 }
 
-// The link carries a byte a second after a burst of one piece. A reader gets the burst; the next
-// piece would come in 17 minutes, so that nothing more has been counted when the reader hangs up.
+// The rate is one byte a second after a burst of one block. The client gets the burst. The next block
+// would come after 17 minutes, so that no more bytes are counted when the client disconnects.
 #[test]
-fn an_answer_waits_for_the_rate() {
+fn answers_are_rate_limited() {
     let dir = weights("abcd");
     let mut config = OriginConfig::new(dir.path());
     config.rate = Some(Rate {
@@ -193,8 +194,8 @@
     });
     let origin = Origin::start(config).unwrap();
     let mut body = get(&origin.addr(), FILE).into_reader();
-    let mut piece = [0; 1024];
-    body.read_exact(&mut piece).unwrap();
+    let mut block = [0; 1024];
+    body.read_exact(&mut block).unwrap();
     drop(body);
     assert_eq!(origin.stats().bytes, 1024);
 }
--- a/crates/filbertstack-standins/tests/service.rs
+++ b/crates/filbertstack-standins/tests/service.rs
@@ -1,4 +1,4 @@
-//! A plain service over loopback: echoes, counts and faults.
+//! Tests a plain service over loopback: echoes, run counts and faults.
 
 mod common;
 
@@ -34,16 +34,16 @@
     assert_eq!(runs.by_key["k1"], 2);
     assert_eq!(runs.by_request["r1"], 2);
     assert_eq!(runs.most_by_key(), 2);
-    let told = get(&service.addr(), "/admin/runs").json();
-    assert_eq!(told["by_key"]["k1"], 2);
+    let runs_body = get(&service.addr(), "/admin/runs").json();
+    assert_eq!(runs_body["by_key"]["k1"], 2);
     let lookup = get(&service.addr(), "/bookings/7").bytes();
     assert_eq!(lookup, echo("move-in-desk", "GET", "/bookings/7", ""));
 }
 
-// A caller's connection ends without an answer, once before the call ran and once after it. The
-// caller cannot tell the two apart; the counts can.
+// The connection closes without an answer, once before the call runs and once after. The caller cannot
+// distinguish the two cases; the run counts do.
 #[test]
-fn a_cut_before_runs_nothing_and_a_cut_after_ran_once() {
+fn a_cut_before_a_call_runs_nothing_and_a_cut_after_it_runs_once() {
     let service = service();
     let url = format!("http://{}/bookings", service.addr());
     let book = |key: &str| {
