--- a/crates/filbertstack-standins/src/http.rs
+++ b/crates/filbertstack-standins/src/http.rs
@@ -23,9 +23,9 @@
 use tiny_http::StatusCode;
 
 use crate::error::StandinError;
-use crate::front;
-use crate::front::Pipe;
-use crate::front::Pipes;
+use crate::proxy;
+use crate::proxy::Pipe;
+use crate::proxy::Pipes;
 
 /// The largest body that a stand-in reads into memory, in bytes.
 pub const MAX_BODY: u64 = 4 << 20;
@@ -66,7 +66,7 @@
         let listener = TcpListener::bind(addr).map_err(failed)?;
         let bound = listener.local_addr().map_err(failed)?;
         let server_listener = TcpListener::bind(ANY_ADDR).map_err(failed)?;
-        front::set_nodelay(&server_listener).map_err(failed)?;
+        proxy::set_nodelay(&server_listener).map_err(failed)?;
         let server_addr = server_listener.local_addr().map_err(failed)?;
         let server = Server::from_listener(server_listener, None)
             .map_err(|e| failed(io::Error::other(e)))?;
@@ -111,7 +111,7 @@
 
 fn dispatch(server: &Server, pipes: &Arc<Pipes>, handler: &Arc<dyn Handler>) {
     for request in server.incoming_requests() {
-        if request.url() == front::HELLO {
+        if request.url() == proxy::HELLO {
             // This fails only if the proxy has closed the connection.
             let _ = request.respond(Response::empty(StatusCode(204)));
             continue;
