--- a/crates/filbertstack-standins/src/engine/api.rs
+++ b/crates/filbertstack-standins/src/engine/api.rs
@@ -204,7 +204,7 @@
     let mut text = String::new();
     let mut given = 0;
     loop {
-        match ticket.next(|| pipe.gone()) {
+        match ticket.next(|| pipe.is_closed()) {
             Some(Piece::Token(_, token)) => {
                 text.push_str(&token);
                 given += 1;
@@ -217,7 +217,7 @@
             None => return call.cut(),
         }
         if faults.stall_after.is_some_and(|limit| given >= limit) {
-            stall(|| pipe.gone());
+            stall(|| pipe.is_closed());
             return call.cut();
         }
         if faults.cut_after.is_some_and(|limit| given >= limit) {
@@ -252,7 +252,7 @@
     let mut writer = call.stream("text/event-stream", &[("Cache-Control", "no-cache".into())])?;
     let mut given = 0;
     loop {
-        match ticket.next(|| pipe.gone()) {
+        match ticket.next(|| pipe.is_closed()) {
             Some(Piece::Token(index, text)) => {
                 let event = ask.shape.token(&id, model, &text);
                 send_event(&mut writer, Some(index), &event)?;
@@ -262,7 +262,7 @@
             Some(Piece::Lost) | None => return Ok(()),
         }
         if faults.stall_after.is_some_and(|limit| given >= limit) {
-            stall(|| pipe.gone());
+            stall(|| pipe.is_closed());
             return Ok(());
         }
         if faults.cut_after.is_some_and(|limit| given >= limit) {
--- a/crates/filbertstack-standins/src/http.rs
+++ b/crates/filbertstack-standins/src/http.rs
@@ -349,7 +349,7 @@
     /// # Errors
     /// The caller has disconnected.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if self.pipe.gone() {
+        if self.pipe.is_closed() {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
         let mut chunk = format!("{:x}\r\n", bytes.len()).into_bytes();
@@ -389,7 +389,7 @@
 impl RawWriter {
     /// Returns whether the caller has disconnected.
     pub fn gone(&self) -> bool {
-        self.pipe.gone()
+        self.pipe.is_closed()
     }
 }
 
--- a/crates/filbertstack-standins/src/proxy.rs
+++ b/crates/filbertstack-standins/src/proxy.rs
@@ -46,18 +46,18 @@
 pub struct Pipe {
     caller: TcpStream,
     server: TcpStream,
-    gone: AtomicBool,
+    closed: AtomicBool,
 }
 
 impl Pipe {
     /// Returns whether the caller has disconnected or the connection was closed.
-    pub fn gone(&self) -> bool {
-        self.gone.load(Ordering::Acquire)
+    pub fn is_closed(&self) -> bool {
+        self.closed.load(Ordering::Acquire)
     }
 
     /// Closes the connection at once; bytes that were not forwarded are lost.
     pub fn cut(&self) {
-        self.gone.store(true, Ordering::Release);
+        self.closed.store(true, Ordering::Release);
         // Each call fails only if the socket is already closed.
         let _ = self.caller.shutdown(Shutdown::Both);
         let _ = self.server.shutdown(Shutdown::Both);
@@ -65,7 +65,7 @@
 
     /// Closes the connection after the bytes that the server has flushed.
     pub fn end(&self) {
-        self.gone.store(true, Ordering::Release);
+        self.closed.store(true, Ordering::Release);
         // Linux returns the bytes that were already received before it reports the end.
         let _ = self.server.shutdown(Shutdown::Read);
     }
@@ -128,7 +128,7 @@
         let pipe = Arc::new(Pipe {
             caller,
             server,
-            gone: AtomicBool::new(false),
+            closed: AtomicBool::new(false),
         });
         self.insert(peer, pipe.clone());
         let requests = pipe.clone();
