--- a/crates/filbertstack-standins/src/files.rs
+++ b/crates/filbertstack-standins/src/files.rs
@@ -243,7 +243,7 @@
             at += length;
         }
         if fault == Some(Fault::Stall) {
-            wait_until_gone(&writer);
+            wait_until_closed(&writer);
         }
         Ok(())
     }
@@ -315,8 +315,8 @@
     }
 }
 
-fn wait_until_gone(writer: &RawWriter) {
-    while !writer.gone() {
+fn wait_until_closed(writer: &RawWriter) {
+    while !writer.is_closed() {
         thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/filbertstack-standins/src/http.rs
+++ b/crates/filbertstack-standins/src/http.rs
@@ -388,7 +388,7 @@
 
 impl RawWriter {
     /// Returns whether the caller has disconnected.
-    pub fn gone(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.pipe.is_closed()
     }
 }
