--- a/crates/filbertstack-standins/src/load/plan.rs
+++ b/crates/filbertstack-standins/src/load/plan.rs
@@ -13,7 +13,7 @@
 use crate::load::check::Expected;
 use crate::load::config::Arrivals;
 use crate::load::config::LoadConfig;
-use crate::load::config::Work;
+use crate::load::config::RequestKind;
 use crate::service;
 
 /// A request and its expected answer.
@@ -75,16 +75,16 @@
         let work = weighted_index(&mut rng, self.config.work.iter().map(|(share, _)| *share));
         let id = format!("load-{}-{number}", self.config.seed);
         match &self.config.work[work].1 {
-            Work::Completion => self.completion(&mut rng, id, organisation),
-            Work::Chat => self.chat(&mut rng, id, organisation),
-            Work::Booking { service, path } => {
+            RequestKind::Completion => self.completion(&mut rng, id, organisation),
+            RequestKind::Chat => self.chat(&mut rng, id, organisation),
+            RequestKind::Booking { service, path } => {
                 let body = json!({"organisation": organisation, "booking": number}).to_string();
                 let request =
                     service_request(id, organisation, "POST", service, path, number, body);
                 let key = Some(format!("key-{}", request.id));
                 Request { key, ..request }
             }
-            Work::Lookup { service, path } => service_request(
+            RequestKind::Lookup { service, path } => service_request(
                 id,
                 organisation,
                 "GET",
--- a/crates/filbertstack-standins/tests/load.rs
+++ b/crates/filbertstack-standins/tests/load.rs
@@ -24,8 +24,8 @@
 use filbertstack_standins::load::LoadReport;
 use filbertstack_standins::load::Organisation;
 use filbertstack_standins::load::Plan;
+use filbertstack_standins::load::RequestKind;
 use filbertstack_standins::load::Version;
-use filbertstack_standins::load::Work;
 use serde_json::Value;
 use serde_json::json;
 
@@ -358,14 +358,14 @@
         work: vec![
             (
                 1,
-                Work::Booking {
+                RequestKind::Booking {
                     service: service_name.clone(),
                     path: path.clone(),
                 },
             ),
             (
                 1,
-                Work::Lookup {
+                RequestKind::Lookup {
                     service: service_name,
                     path,
                 },
@@ -383,7 +383,7 @@
     let (service_name, path) = work_fields("casework", "/bookings");
     let other = vec![(
         1,
-        Work::Booking {
+        RequestKind::Booking {
             service: service_name,
             path,
         },
@@ -400,7 +400,7 @@
 fn plans_depend_on_the_seed() {
     let config = LoadConfig {
         organisations: vec![Organisation::new("a", "k"), Organisation::new("b", "k")],
-        work: vec![(1, Work::Completion), (1, Work::Chat)],
+        work: vec![(1, RequestKind::Completion), (1, RequestKind::Chat)],
         ..LoadConfig::new(MODEL)
     };
     let bodies = |config: &LoadConfig| -> Vec<String> {
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -10,8 +10,8 @@
 use filbertstack_standins::load::Arrivals;
 use filbertstack_standins::load::LoadConfig;
 use filbertstack_standins::load::Organisation;
+use filbertstack_standins::load::RequestKind;
 use filbertstack_standins::load::Version;
-use filbertstack_standins::load::Work;
 use thiserror::Error;
 
 pub use report::Report;
@@ -110,7 +110,7 @@
 }
 
 fn load_config(world: &World, version: String, requests: u32) -> LoadConfig {
-    let bookings = Work::Booking {
+    let bookings = RequestKind::Booking {
         service: SERVICE.into(),
         path: "/move-in/".into(),
     };
@@ -122,7 +122,7 @@
         weights: world.weights(),
     }];
     config.arrivals = Arrivals::Closed { callers: CALLERS };
-    config.work = vec![(SHARES.0, Work::Completion), (SHARES.1, bookings)];
+    config.work = vec![(SHARES.0, RequestKind::Completion), (SHARES.1, bookings)];
     config.requests = requests.into();
     config.duration = PATIENCE;
     config.retries = RETRIES;
