--- a/crates/filbertstack-standins/src/load/config.rs
+++ b/crates/filbertstack-standins/src/load/config.rs
@@ -90,7 +90,7 @@
     /// How requests arrive.
     pub arrivals: Arrivals,
     /// The kinds of requests, each with its share relative to the others.
-    pub work: Vec<(u32, RequestKind)>,
+    pub kinds: Vec<(u32, RequestKind)>,
     /// The most requests of the run.
     pub requests: u64,
     /// The longest time during which requests are started.
@@ -124,7 +124,7 @@
             model: model.into(),
             versions: Vec::new(),
             arrivals: Arrivals::Closed { callers: 4 },
-            work: vec![(1, RequestKind::Completion)],
+            kinds: vec![(1, RequestKind::Completion)],
             requests: 100,
             duration: Duration::from_secs(30),
             max_in_flight: 1000,
--- a/crates/filbertstack-standins/src/load/plan.rs
+++ b/crates/filbertstack-standins/src/load/plan.rs
@@ -72,9 +72,9 @@
         let mut rng = self.generator(number, 0);
         let weights = self.config.organisations.iter().map(|org| org.weight);
         let organisation = weighted_index(&mut rng, weights);
-        let work = weighted_index(&mut rng, self.config.work.iter().map(|(share, _)| *share));
+        let kind = weighted_index(&mut rng, self.config.kinds.iter().map(|(share, _)| *share));
         let id = format!("load-{}-{number}", self.config.seed);
-        match &self.config.work[work].1 {
+        match &self.config.kinds[kind].1 {
             RequestKind::Completion => self.completion(&mut rng, id, organisation),
             RequestKind::Chat => self.chat(&mut rng, id, organisation),
             RequestKind::Booking { service, path } => {
--- a/crates/filbertstack-standins/tests/load.rs
+++ b/crates/filbertstack-standins/tests/load.rs
@@ -350,12 +350,12 @@
 #[test]
 fn bookings_and_lookups_must_be_echoed() {
     let service = Service::start(ServiceConfig::new("move-in-desk")).unwrap();
-    let work_fields = |service: &str, path: &str| (service.to_owned(), path.to_owned());
-    let (service_name, path) = work_fields("move-in-desk", "/bookings");
+    let kind_fields = |service: &str, path: &str| (service.to_owned(), path.to_owned());
+    let (service_name, path) = kind_fields("move-in-desk", "/bookings");
     let config = LoadConfig {
         bootstrap: vec![service.addr()],
         organisations: vec![Organisation::new("acme", "acme-key")],
-        work: vec![
+        kinds: vec![
             (
                 1,
                 RequestKind::Booking {
@@ -380,7 +380,7 @@
     assert_eq!(runs.most_by_key(), 1);
     assert!(!runs.by_key.is_empty() && runs.by_key.len() < 40);
 
-    let (service_name, path) = work_fields("casework", "/bookings");
+    let (service_name, path) = kind_fields("casework", "/bookings");
     let other = vec![(
         1,
         RequestKind::Booking {
@@ -389,7 +389,7 @@
         },
     )];
     let config = LoadConfig {
-        work: other,
+        kinds: other,
         requests: 1,
         ..config
     };
@@ -400,7 +400,7 @@
 fn plans_depend_on_the_seed() {
     let config = LoadConfig {
         organisations: vec![Organisation::new("a", "k"), Organisation::new("b", "k")],
-        work: vec![(1, RequestKind::Completion), (1, RequestKind::Chat)],
+        kinds: vec![(1, RequestKind::Completion), (1, RequestKind::Chat)],
         ..LoadConfig::new(MODEL)
     };
     let bodies = |config: &LoadConfig| -> Vec<String> {
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -122,7 +122,7 @@
         weights: world.weights(),
     }];
     config.arrivals = Arrivals::Closed { callers: CALLERS };
-    config.work = vec![(SHARES.0, RequestKind::Completion), (SHARES.1, bookings)];
+    config.kinds = vec![(SHARES.0, RequestKind::Completion), (SHARES.1, bookings)];
     config.requests = requests.into();
     config.duration = PATIENCE;
     config.retries = RETRIES;
