--- a/crates/filbertstack-standins/src/files.rs
+++ b/crates/filbertstack-standins/src/files.rs
@@ -344,10 +344,10 @@
             return Err(Reply::text(412, "the file has changed").with("ETag", self.etag));
         }
         let unchanged = call.header("If-Range").is_none_or(|tag| tag == self.etag);
-        let Some(asked) = call.header("Range").filter(|_| unchanged) else {
+        let Some(header) = call.header("Range").filter(|_| unchanged) else {
             return Ok(self);
         };
-        let Some(range) = parse_range(asked, self.length) else {
+        let Some(range) = parse_range(header, self.length) else {
             let refusal = Reply::text(416, "the range is not in the file");
             return Err(refusal.with("Content-Range", format!("bytes */{}", self.length)));
         };
@@ -386,9 +386,9 @@
 
 /// Returns an entity tag made of the file's modification time and length, as common servers do.
 fn etag(meta: &fs::Metadata) -> String {
-    let changed = meta.modified().ok();
-    let since = changed.and_then(|time| time.duration_since(UNIX_EPOCH).ok());
-    let nanos = since.unwrap_or_default().as_nanos();
+    let modified = meta.modified().ok();
+    let since_epoch = modified.and_then(|time| time.duration_since(UNIX_EPOCH).ok());
+    let nanos = since_epoch.unwrap_or_default().as_nanos();
     format!("\"{nanos:x}-{:x}\"", meta.len())
 }
 
--- a/crates/filbertstack-standins/src/proxy.rs
+++ b/crates/filbertstack-standins/src/proxy.rs
@@ -131,8 +131,8 @@
             closed: AtomicBool::new(false),
         });
         self.insert(peer, pipe.clone());
-        let requests = pipe.clone();
-        thread::spawn(move || requests.forward_requests());
+        let upstream = pipe.clone();
+        thread::spawn(move || upstream.forward_requests());
         let pipes = self.clone();
         thread::spawn(move || {
             pipe.forward_answers();
--- a/crates/filbertstack-standins/tests/load.rs
+++ b/crates/filbertstack-standins/tests/load.rs
@@ -95,14 +95,14 @@
             gate.pass();
             send(call, body, prompt, Some("v1"), None);
         }
-        Action::Refuse(status, outcome, after) => {
+        Action::Refuse(status, outcome, retry_after) => {
             let mut reply = Reply::error(status, "refused", "scripted");
             reply
                 .headers
                 .extend(outcome.map(|text| (OUTCOME, text.to_owned())));
             reply
                 .headers
-                .extend(after.map(|s| ("Retry-After", s.to_string())));
+                .extend(retry_after.map(|s| ("Retry-After", s.to_string())));
             call.reply(reply);
         }
     }
@@ -203,14 +203,19 @@
 #[test]
 fn answers_are_classified() {
     let cases = [
-        ("right, streamed", Action::Correct, 1.0, EXACT),
-        ("right, whole", Action::Correct, 0.0, EXACT),
+        ("correct, streamed", Action::Correct, 1.0, EXACT),
+        ("correct, whole", Action::Correct, 0.0, EXACT),
         ("of another version", Action::OtherVersion("v0"), 1.0, WRONG),
         ("of no version", Action::NoVersion, 1.0, WRONG),
-        ("crossed, streamed", Action::OtherPrompt, 1.0, WRONG),
-        ("crossed, whole", Action::OtherPrompt, 0.0, WRONG),
+        (
+            "to another prompt, streamed",
+            Action::OtherPrompt,
+            1.0,
+            WRONG,
+        ),
+        ("to another prompt, whole", Action::OtherPrompt, 0.0, WRONG),
         ("cut", Action::Cut(2), 1.0, TRUNCATED),
-        ("cut behind the last token", Action::Cut(4), 1.0, TRUNCATED),
+        ("cut after the last token", Action::Cut(4), 1.0, TRUNCATED),
         (
             "ended without the last event",
             Action::MissingEnd(2),
