--- a/crates/filbertstack-standins/src/files.rs
+++ b/crates/filbertstack-standins/src/files.rs
@@ -122,7 +122,7 @@
 pub struct Files {
     dir: PathBuf,
     uploads: bool,
-    block: u64,
+    block_size: u64,
     started: Instant,
     bucket: Option<Mutex<Bucket>>,
     stats: Mutex<FileStats>,
@@ -133,12 +133,12 @@
 impl Files {
     /// Creates a server of `dir`, which accepts uploads if `uploads` is set.
     pub fn new(dir: PathBuf, uploads: bool, rate: Option<Rate>, faults: FileFaults) -> Self {
-        let block = rate.map_or(MAX_BLOCK, |rate| rate.bytes / BLOCKS_PER_SECOND);
+        let block_size = rate.map_or(MAX_BLOCK, |rate| rate.bytes / BLOCKS_PER_SECOND);
         let bucket = rate.map(|rate| Mutex::new(Bucket::new(rate.bytes, rate.burst)));
         Self {
             dir,
             uploads,
-            block: block.clamp(MIN_BLOCK, MAX_BLOCK),
+            block_size: block_size.clamp(MIN_BLOCK, MAX_BLOCK),
             started: Instant::now(),
             bucket,
             stats: Mutex::default(),
@@ -230,7 +230,7 @@
         let end = if ends_early { middle } else { range.end };
         let mut at = range.start;
         while at < end {
-            let length = self.block.min(end - at);
+            let length = self.block_size.min(end - at);
             let mut bytes = part.read(at, length, fault == Some(Fault::Shift))?;
             if fault == Some(Fault::Corrupt) && (at..at + length).contains(&middle) {
                 flip_byte(&mut bytes, middle - at);
@@ -272,7 +272,7 @@
         let mut file = File::create(temporary)?;
         let expected: Option<u64> = call.header("Content-Length").and_then(|n| n.parse().ok());
         let mut received = 0;
-        let mut block = vec![0; usize::try_from(self.block).unwrap_or(1024)];
+        let mut block = vec![0; usize::try_from(self.block_size).unwrap_or(1024)];
         let mut reader = call.reader();
         loop {
             let read = reader.read(&mut block)?;
--- a/crates/filbertstack-standins/src/load/call.rs
+++ b/crates/filbertstack-standins/src/load/call.rs
@@ -17,13 +17,13 @@
 use crate::load::check::Expected;
 use crate::load::check::Received;
 use crate::load::config::LoadConfig;
-use crate::load::directory::Directory;
+use crate::load::entry_list::EntryList;
 use crate::load::plan::Request;
 use crate::load::sse;
 use crate::load::sse::Line;
 
 /// The longest wait before a retry, whatever the answer's `Retry-After` says.
-const MAX_WAIT: Duration = Duration::from_secs(30);
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(30);
 
 /// The most idle connections that the callers keep open to one entry.
 const IDLE_CONNECTIONS: usize = 256;
@@ -42,7 +42,7 @@
     /// The time from the due time to the end of the request.
     pub total: Duration,
     /// The time from the due time to the first token.
-    pub first: Option<Duration>,
+    pub first_token: Option<Duration>,
     /// The times between consecutive tokens.
     pub gaps: Vec<Duration>,
     /// The answer's length: tokens of a stream, bytes otherwise.
@@ -55,7 +55,7 @@
 struct Attempt {
     class: Class,
     retry_after: Option<Duration>,
-    first: Option<Instant>,
+    first_token_at: Option<Instant>,
     gaps: Vec<Duration>,
     received: usize,
     detail: Option<String>,
@@ -66,7 +66,7 @@
         Self {
             class,
             retry_after: None,
-            first: None,
+            first_token_at: None,
             gaps: Vec::new(),
             received: 0,
             detail: Some(detail.into()),
@@ -97,11 +97,11 @@
     }
 
     /// Makes a request and repeats it after "not run" as often as the settings allow.
-    pub fn perform(&self, request: &Request, directory: &Directory, due: Instant) -> CallResult {
+    pub fn perform(&self, request: &Request, entry_list: &EntryList, due: Instant) -> CallResult {
         let mut result = CallResult::default();
         loop {
             result.attempts += 1;
-            let attempt = self.try_entries(request, directory, due, &mut result.unreached);
+            let attempt = self.try_entries(request, entry_list, due, &mut result.unreached);
             let retry = attempt.class == Class::NotRun
                 && result.attempts <= u64::from(self.config.retries)
                 && due.elapsed() < self.config.deadline;
@@ -109,12 +109,14 @@
                 result.no_return_time += 1;
             }
             if retry {
-                thread::sleep(attempt.retry_after.unwrap_or_default().min(MAX_WAIT));
+                thread::sleep(attempt.retry_after.unwrap_or_default().min(MAX_RETRY_WAIT));
                 continue;
             }
             result.class = Some(attempt.class);
             result.total = due.elapsed();
-            result.first = attempt.first.map(|at| at.saturating_duration_since(due));
+            result.first_token = attempt
+                .first_token_at
+                .map(|at| at.saturating_duration_since(due));
             result.gaps = attempt.gaps;
             result.received = attempt.received;
             result.detail = attempt.detail;
@@ -126,11 +128,11 @@
     fn try_entries(
         &self,
         request: &Request,
-        directory: &Directory,
+        entry_list: &EntryList,
         due: Instant,
         unreached: &mut u64,
     ) -> Attempt {
-        let addrs = directory.addrs();
+        let addrs = entry_list.addrs();
         // Requests start at different entries, so that the load spreads over them.
         let start = short_hash(&request.id) % addrs.len().max(1);
         for step in 0..addrs.len() {
@@ -254,7 +256,7 @@
         match sse::parse_line(&line) {
             Line::Text(text) if !text.is_empty() => {
                 let now = Instant::now();
-                attempt.first.get_or_insert(now);
+                attempt.first_token_at.get_or_insert(now);
                 attempt.gaps.extend(last.map(|last| now - last));
                 last = Some(now);
                 attempt.received += 1;
--- a/crates/filbertstack-standins/src/load/directory.rs
+++ b/crates/filbertstack-standins/src/load/entry_list.rs
@@ -33,14 +33,14 @@
 }
 
 /// The cached addresses of entries for one organisation's callers.
-pub struct Directory {
+pub struct EntryList {
     bootstrap: Vec<SocketAddr>,
     key: String,
     agent: Agent,
     cached: Mutex<Option<CachedList>>,
 }
 
-impl Directory {
+impl EntryList {
     /// Creates a cache that fetches the list from `bootstrap` with `key`.
     pub fn new(bootstrap: &[SocketAddr], key: &str) -> Self {
         let config = Agent::config_builder()
--- a/crates/filbertstack-standins/src/load/mod.rs
+++ b/crates/filbertstack-standins/src/load/mod.rs
@@ -30,7 +30,7 @@
 mod call;
 mod check;
 mod config;
-mod directory;
+mod entry_list;
 mod plan;
 mod report;
 mod sse;
@@ -58,7 +58,7 @@
 pub use report::Percentiles;
 
 use crate::load::call::Caller;
-use crate::load::directory::Directory;
+use crate::load::entry_list::EntryList;
 use crate::load::report::Tally;
 
 /// Runs the load and returns a report of what the callers received.
@@ -78,7 +78,7 @@
     config: LoadConfig,
     plan: Plan,
     caller: Caller,
-    directories: Vec<Directory>,
+    entry_lists: Vec<EntryList>,
     started: Instant,
     next: AtomicU64,
     in_flight: AtomicUsize,
@@ -89,12 +89,12 @@
 impl Run {
     fn new(config: &LoadConfig) -> Self {
         let organisations = config.organisations.iter();
-        let directories = organisations.map(|org| Directory::new(&config.bootstrap, &org.key));
+        let entry_lists = organisations.map(|org| EntryList::new(&config.bootstrap, &org.key));
         Self {
             config: config.clone(),
             plan: Plan::new(config),
             caller: Caller::new(config),
-            directories: directories.collect(),
+            entry_lists: entry_lists.collect(),
             started: Instant::now(),
             next: AtomicU64::new(0),
             in_flight: AtomicUsize::new(0),
@@ -149,8 +149,8 @@
     /// Makes one request. Its times count from `due`, so that they include a late start.
     fn perform(&self, number: u64, due: Instant) {
         let request = self.plan.request(number);
-        let directory = &self.directories[request.organisation];
-        let result = self.caller.perform(&request, directory, due);
+        let entry_list = &self.entry_lists[request.organisation];
+        let result = self.caller.perform(&request, entry_list, due);
         let name = &self.config.organisations[request.organisation].name;
         let mut tally = self.tally.lock().unwrap_or_else(PoisonError::into_inner);
         tally.add(name, &result);
--- a/crates/filbertstack-standins/src/load/report.rs
+++ b/crates/filbertstack-standins/src/load/report.rs
@@ -178,7 +178,7 @@
 
     fn add_times(&mut self, result: &CallResult) {
         self.total.add(result.total);
-        if let Some(time) = result.first {
+        if let Some(time) = result.first_token {
             self.first_token.add(time);
             self.report.tokens += result.received as u64;
         }
