--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -9,10 +9,10 @@
 
 use filbertstack_standins::load;
 use filbertstack_standins::load::Arrivals;
+use filbertstack_standins::load::RequestKind;
 use filbertstack_standins::load::LoadConfig;
 use filbertstack_standins::load::Organisation;
 use filbertstack_standins::load::Version;
-use filbertstack_standins::load::Work;
 use thiserror::Error;
 
 pub use report::Report;
@@ -122,7 +122,7 @@
 }
 
 fn load_config(system: &System, version: String, requests: u32) -> LoadConfig {
-    let bookings = Work::Booking {
+    let bookings = RequestKind::Booking {
         service: SERVICE.into(),
         path: "/move-in/".into(),
     };
@@ -134,7 +134,7 @@
         weights: system.weights(),
     }];
     config.arrivals = Arrivals::Closed { callers: CALLERS };
-    config.work = vec![(WORK_SHARES.0, Work::Completion), (WORK_SHARES.1, bookings)];
+    config.kinds = vec![(WORK_SHARES.0, RequestKind::Completion), (WORK_SHARES.1, bookings)];
     config.requests = requests.into();
     config.duration = STEP_TIMEOUT;
     config.retries = RETRIES;
