--- a/crates/filbertstack-standins/src/engine/admin.rs
+++ b/crates/filbertstack-standins/src/engine/admin.rs
@@ -1,4 +1,5 @@
-//! The orders that an engine takes: load, unload, adapter, role, faults.
+//! The administrative calls of an engine: state, runs, faults, steps, and the orders load, unload, adapter
+//! and role.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -12,7 +13,7 @@
 use crate::engine::config::Fencing;
 use crate::engine::config::Pace;
 use crate::engine::core::Core;
-use crate::engine::core::Memory;
+use crate::engine::core::SharedState;
 use crate::engine::weights::AdapterOrder;
 use crate::engine::weights::EngineState;
 use crate::engine::weights::LoadOrder;
@@ -22,14 +23,14 @@
 use crate::http::Call;
 use crate::http::Reply;
 
-/// What a refused order gets.
+/// The body of the reply to an order with an old fencing number.
 #[derive(Serialize)]
 struct StaleFence {
     error: &'static str,
     fence: u64,
 }
 
-/// Answers a call below `/admin/`.
+/// Answers a call to a path under `/admin/`.
 pub fn handle(core: &Arc<Core>, mut call: Call) {
     let path = call.path().to_owned();
     let reply = match (call.method(), path.as_str()) {
@@ -40,16 +41,16 @@
         ("POST", "/admin/adapter") => call.json().and_then(|order| load_adapter(core, order)),
         ("POST", "/admin/role") => call.json().and_then(|order| set_role(core, order)),
         ("POST", "/admin/faults") => call.json().map(|faults| {
-            core.memory().faults = faults;
+            core.lock().faults = faults;
             Reply::json(200, &state(core))
         }),
-        ("POST", "/admin/steps") => call.json().and_then(|steps| allow(core, &steps)),
+        ("POST", "/admin/steps") => call.json().and_then(|steps| grant_passes(core, &steps)),
         _ => Err(Reply::error(404, "not_found", "no such order")),
     };
     call.reply(reply.unwrap_or_else(|refusal| refusal));
 }
 
-/// Passes for an engine whose pace is a gate; the body of `POST /admin/steps`.
+/// Passes for an engine whose pace is [`Pace::Gated`]; the body of `POST /admin/steps`.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Steps {
@@ -57,7 +58,7 @@
     open: bool,
 }
 
-fn allow(core: &Core, steps: &Steps) -> Result<Reply, Reply> {
+fn grant_passes(core: &Core, steps: &Steps) -> Result<Reply, Reply> {
     let Pace::Gated(gate) = &core.config.pace else {
         return Err(Reply::error(
             409,
@@ -65,52 +66,58 @@
             "the engine's pace is no gate",
         ));
     };
-    gate.allow(steps.steps);
+    gate.add_passes(steps.steps);
     if steps.open {
         gate.open();
     }
     Ok(Reply::json(200, &state(core)))
 }
 
-/// The state that the engine reports.
+/// Returns the state that the engine reports, with the injected version if that fault is set.
 pub fn state(core: &Core) -> EngineState {
-    let memory = core.memory();
-    let mut state = memory.weights.clone();
-    if let Some(version) = &memory.faults.report {
+    let shared = core.lock();
+    let mut state = shared.weights.clone();
+    if let Some(version) = &shared.faults.report {
         state.digest = Some(version.clone());
     }
     state
 }
 
-/// Checks an order's fencing number and keeps the highest.
-fn admit(core: &Core, memory: &mut Memory, fence: u64) -> Result<(), Reply> {
-    let seen = memory.weights.fence;
-    if fence < seen && core.config.fencing == Fencing::Enforced {
+/// Checks an order's fencing number, records the highest one and counts the order.
+fn admit_order(core: &Core, shared: &mut SharedState, fence: u64) -> Result<(), Reply> {
+    let highest = shared.weights.fence;
+    if fence < highest && core.config.fencing == Fencing::Enforced {
         let error = "the order is older than one carried out already";
-        return Err(Reply::json(409, &StaleFence { error, fence: seen }));
+        return Err(Reply::json(
+            409,
+            &StaleFence {
+                error,
+                fence: highest,
+            },
+        ));
     }
-    memory.weights.fence = seen.max(fence);
-    memory.orders += 1;
+    shared.weights.fence = highest.max(fence);
+    shared.order_count += 1;
     Ok(())
 }
 
-/// Starts a load; the reply comes before its end, which `GET /admin/state` tells.
+/// Starts a load and replies before it ends; `GET /admin/state` reports the end.
 ///
 /// # Errors
-/// The refusal of an order with an old fencing number.
+/// Returns the reply that refuses an order with an old fencing number.
 pub fn load(core: &Arc<Core>, order: LoadOrder) -> Result<Reply, Reply> {
-    let mut memory = core.memory();
-    admit(core, &mut memory, order.fence)?;
-    let number = memory.orders;
-    let weights = &mut memory.weights;
+    let mut shared = core.lock();
+    admit_order(core, &mut shared, order.fence)?;
+    let number = shared.order_count;
+    let weights = &mut shared.weights;
     weights.state = Phase::Loading;
     weights.model = Some(order.model);
     weights.digest = Some(order.digest);
     weights.weights = None;
     weights.adapters.clear();
     weights.reason = None;
-    memory.cache.clear(core.now());
-    drop(memory);
+    shared.cache.clear(core.now());
+    drop(shared);
     let loader = core.clone();
     thread::spawn(move || finish_load(&loader, number, &order.dir));
     Ok(Reply::json(202, &state(core)))
@@ -118,23 +125,23 @@
 
 fn finish_load(core: &Core, number: u64, dir: &Path) {
     thread::sleep(core.config.load_time);
-    let read = answer::weights_digest(dir).map_err(|e| e.to_string());
-    let mut memory = core.memory();
-    if memory.orders != number || memory.faults.hang_loads {
+    let digest = answer::weights_digest(dir).map_err(|e| e.to_string());
+    let mut shared = core.lock();
+    if shared.order_count != number || shared.faults.hang_loads {
         return;
     }
-    let outcome = if memory.faults.fail_loads > 0 {
-        memory.faults.fail_loads -= 1;
+    let outcome = if shared.faults.fail_loads > 0 {
+        shared.faults.fail_loads -= 1;
         Err("the load failed by an injected fault".to_owned())
     } else {
-        read
+        digest
     };
-    settle(&mut memory.weights, outcome);
-    drop(memory);
+    record_outcome(&mut shared.weights, outcome);
+    drop(shared);
     core.wake();
 }
 
-fn settle(weights: &mut EngineState, outcome: Result<Digest, String>) {
+fn record_outcome(weights: &mut EngineState, outcome: Result<Digest, String>) {
     match outcome {
         Ok(digest) => {
             weights.state = Phase::Serving;
@@ -148,36 +155,36 @@
 }
 
 fn unload(core: &Arc<Core>, order: UnloadOrder) -> Result<Reply, Reply> {
-    let mut memory = core.memory();
-    admit(core, &mut memory, order.fence)?;
-    memory.weights = EngineState {
-        fence: memory.weights.fence,
-        role: memory.weights.role,
+    let mut shared = core.lock();
+    admit_order(core, &mut shared, order.fence)?;
+    shared.weights = EngineState {
+        fence: shared.weights.fence,
+        role: shared.weights.role,
         ..EngineState::default()
     };
-    memory.cache.clear(core.now());
-    drop(memory);
+    shared.cache.clear(core.now());
+    drop(shared);
     core.wake();
     Ok(Reply::json(200, &state(core)))
 }
 
 fn load_adapter(core: &Arc<Core>, order: AdapterOrder) -> Result<Reply, Reply> {
-    let read = answer::weights_digest(&order.dir);
-    let digest = read.map_err(|e| Reply::error(400, "invalid_request_error", e.to_string()))?;
-    let mut memory = core.memory();
-    if memory.weights.state != Phase::Serving {
+    let digest = answer::weights_digest(&order.dir);
+    let digest = digest.map_err(|e| Reply::error(400, "invalid_request_error", e.to_string()))?;
+    let mut shared = core.lock();
+    if shared.weights.state != Phase::Serving {
         return Err(Reply::error(409, "conflict", "load a model first"));
     }
-    admit(core, &mut memory, order.fence)?;
-    memory.weights.adapters.insert(order.name, digest);
-    drop(memory);
+    admit_order(core, &mut shared, order.fence)?;
+    shared.weights.adapters.insert(order.name, digest);
+    drop(shared);
     Ok(Reply::json(200, &state(core)))
 }
 
 fn set_role(core: &Arc<Core>, order: RoleOrder) -> Result<Reply, Reply> {
-    let mut memory = core.memory();
-    admit(core, &mut memory, order.fence)?;
-    memory.weights.role = order.role;
-    drop(memory);
+    let mut shared = core.lock();
+    admit_order(core, &mut shared, order.fence)?;
+    shared.weights.role = order.role;
+    drop(shared);
     Ok(Reply::json(200, &state(core)))
 }
--- a/crates/filbertstack-standins/src/engine/api.rs
+++ b/crates/filbertstack-standins/src/engine/api.rs
@@ -10,19 +10,19 @@
 use crate::engine::batch::Sequence;
 use crate::engine::config::EngineFaults;
 use crate::engine::core::Core;
-use crate::engine::core::Piece;
+use crate::engine::core::Output;
 use crate::engine::core::Refusal;
-use crate::engine::core::Ticket;
-use crate::engine::shape::Shape;
-use crate::engine::shape::Usage;
+use crate::engine::core::SequenceHandle;
+use crate::engine::response::ResponseFormat;
+use crate::engine::response::Usage;
 use crate::http::Call;
 use crate::http::ChunkWriter;
 use crate::http::Reply;
 
-/// The tokens of an answer whose request names no number, as the API has it.
-const DEFAULT_TOKENS: usize = 16;
+/// The number of tokens of an answer whose request gives none; it is the API's default.
+const DEFAULT_MAX_TOKENS: usize = 16;
 
-/// The most tokens of an answer.
+/// The most tokens that a request may ask for.
 const MAX_TOKENS: usize = 100_000;
 
 #[derive(Debug, Default, Deserialize)]
@@ -31,9 +31,9 @@
     include_usage: bool,
 }
 
-/// What both kinds of request share.
+/// The fields that completion and chat requests share.
 #[derive(Debug, Deserialize)]
-struct Common {
+struct Params {
     model: String,
     max_tokens: Option<usize>,
     max_completion_tokens: Option<usize>,
@@ -51,7 +51,7 @@
 struct Completion {
     prompt: String,
     #[serde(flatten)]
-    common: Common,
+    params: Params,
 }
 
 #[derive(Debug, Deserialize)]
@@ -64,33 +64,38 @@
 struct Chat {
     messages: Vec<Message>,
     #[serde(flatten)]
-    common: Common,
+    params: Params,
 }
 
-/// A request in its final form.
-struct Ask {
-    shape: Shape,
+/// A request of either kind, parsed and checked.
+struct Request {
+    format: ResponseFormat,
     prompt: String,
-    common: Common,
-    from: usize,
+    params: Params,
+    start: usize,
     end: usize,
 }
 
-impl Ask {
-    fn new(shape: Shape, prompt: String, common: Common, call: &Call) -> Result<Self, Reply> {
-        let wanted = common.max_completion_tokens.or(common.max_tokens);
-        let end = wanted.unwrap_or(DEFAULT_TOKENS);
+impl Request {
+    fn new(
+        format: ResponseFormat,
+        prompt: String,
+        params: Params,
+        call: &Call,
+    ) -> Result<Self, Reply> {
+        let requested = params.max_completion_tokens.or(params.max_tokens);
+        let end = requested.unwrap_or(DEFAULT_MAX_TOKENS);
         if end == 0 || end > MAX_TOKENS {
             let message = format!("max_tokens is {end}: give 1 to {MAX_TOKENS}");
             return Err(Reply::error(400, "invalid_request_error", message));
         }
-        let seen = call.header("Last-Event-ID").and_then(|id| id.parse().ok());
-        let from = seen.map_or(common.resume_from, |id: usize| id + 1);
+        let last_event = call.header("Last-Event-ID").and_then(|id| id.parse().ok());
+        let start = last_event.map_or(params.resume_from, |id: usize| id + 1);
         Ok(Self {
-            shape,
+            format,
             prompt,
-            common,
-            from: from.min(end),
+            params,
+            start: start.min(end),
             end,
         })
     }
@@ -98,74 +103,80 @@
     fn read(call: &mut Call) -> Result<Self, Reply> {
         if call.path() == "/v1/completions" {
             let request: Completion = call.json()?;
-            return Self::new(Shape::Text, request.prompt, request.common, call);
+            return Self::new(ResponseFormat::Text, request.prompt, request.params, call);
         }
         let request: Chat = call.json()?;
         let messages = request.messages.iter();
         let pairs = messages.map(|m| (m.role.as_str(), m.content.as_str()));
         let prompt = answer::chat_prompt(pairs);
-        Self::new(Shape::Chat, prompt, request.common, call)
+        Self::new(ResponseFormat::Chat, prompt, request.params, call)
     }
 
-    fn usage(&self, given: usize) -> Usage {
+    fn usage(&self, generated: usize) -> Usage {
         let prompt = self.prompt.split_whitespace().count();
         Usage {
             prompt,
-            answer: given,
-            total: prompt + given,
+            answer: generated,
+            total: prompt + generated,
         }
     }
 }
 
 /// Answers `POST /v1/completions` and `POST /v1/chat/completions`.
 pub fn handle(core: &Arc<Core>, mut call: Call) {
-    let ask = match Ask::read(&mut call) {
-        Ok(ask) => ask,
+    let request = match Request::read(&mut call) {
+        Ok(request) => request,
         Err(reply) => return call.reply(reply),
     };
-    let faults = core.memory().faults.clone();
+    let faults = core.lock().faults.clone();
     if faults.refuse {
         let reply = Reply::error(503, "unavailable", "refused by an injected fault");
         return call.reply(reply.with("Retry-After", "1"));
     }
     let sequence = Sequence {
-        priority: ask.common.priority,
-        prefill: 0,
-        next: ask.from,
-        end: ask.end,
+        priority: request.params.priority,
+        prefill_steps: 0,
+        next: request.start,
+        end: request.end,
     };
-    match core.submit(&ask.common.model, &ask.prompt, sequence) {
-        Err(refusal) => call.reply(refuse(refusal, &ask.common.model)),
-        Ok(ticket) => {
+    match core.submit(&request.params.model, &request.prompt, sequence) {
+        Err(refusal) => call.reply(refusal_reply(refusal, &request.params.model)),
+        Ok(handle) => {
             core.runs
                 .begin(call.header("x-request-id"), call.header("Idempotency-Key"));
-            run(core, &ask, call, ticket, &faults);
+            respond(core, &request, call, handle, &faults);
         }
     }
 }
 
-fn refuse(refusal: Refusal, model: &str) -> Reply {
+fn refusal_reply(refusal: Refusal, model: &str) -> Reply {
     match refusal {
         Refusal::NoModel => {
             let message = format!("the model '{model}' is not served here");
             Reply::error(404, "model_not_found", message)
         }
-        Refusal::Full => {
+        Refusal::QueueFull => {
             Reply::error(429, "rate_limit_error", "the queue is full").with("Retry-After", "1")
         }
     }
 }
 
-fn run(core: &Arc<Core>, ask: &Ask, call: Call, ticket: Ticket, faults: &EngineFaults) {
-    if ask.common.stream {
-        // The caller is gone: the ticket has cancelled the sequence.
-        let _ = stream(core, ask, call, ticket, faults);
+fn respond(
+    core: &Arc<Core>,
+    request: &Request,
+    call: Call,
+    handle: SequenceHandle,
+    faults: &EngineFaults,
+) {
+    if request.params.stream {
+        // A write fails once the caller is gone; dropping the handle cancels the sequence.
+        let _ = respond_stream(core, request, call, handle, faults);
     } else {
-        whole(core, ask, call, ticket, faults);
+        respond_whole(core, request, call, handle, faults);
     }
 }
 
-/// The models that the engine answers for.
+/// The reply to `GET /v1/models`: the models that the engine serves.
 #[derive(Serialize)]
 struct ModelList {
     object: &'static str,
@@ -181,9 +192,9 @@
 
 /// Answers `GET /v1/models`.
 pub fn models(core: &Core) -> Reply {
-    let weights = core.memory().weights.clone();
+    let weights = core.lock().weights.clone();
     let names = weights.model.iter().chain(weights.adapters.keys());
-    let served = names.filter(|name| weights.answers(name).is_some());
+    let served = names.filter(|name| weights.answer_digest(name).is_some());
     let data = served.map(|name| ModelEntry {
         id: name.clone(),
         object: "model",
@@ -199,82 +210,88 @@
     )
 }
 
-fn whole(core: &Core, ask: &Ask, call: Call, mut ticket: Ticket, faults: &EngineFaults) {
+fn respond_whole(
+    core: &Core,
+    request: &Request,
+    call: Call,
+    mut handle: SequenceHandle,
+    faults: &EngineFaults,
+) {
     let pipe = call.pipe();
     let mut text = String::new();
-    let mut given = 0;
+    let mut generated = 0;
     loop {
-        match ticket.next(|| pipe.gone()) {
-            Some(Piece::Token(_, token)) => {
+        match handle.next(|| pipe.gone()) {
+            Some(Output::Token(_, token)) => {
                 text.push_str(&token);
-                given += 1;
+                generated += 1;
             }
-            Some(Piece::End) => break,
-            Some(Piece::Lost) => {
+            Some(Output::End) => break,
+            Some(Output::Unloaded) => {
                 let reply = Reply::error(500, "engine_error", "the weights were unloaded");
                 return call.reply(reply);
             }
             None => return call.cut(),
         }
-        if faults.stall_after.is_some_and(|limit| given >= limit) {
-            stall(|| pipe.gone());
+        if faults.stall_after.is_some_and(|limit| generated >= limit) {
+            wait_for_hangup(|| pipe.gone());
             return call.cut();
         }
-        if faults.cut_after.is_some_and(|limit| given >= limit) {
+        if faults.cut_after.is_some_and(|limit| generated >= limit) {
             return call.cut();
         }
     }
     core.runs.complete();
     let id = call.header("x-request-id").unwrap_or("0").to_owned();
-    let body = ask
-        .shape
-        .whole(&id, &ask.common.model, &text, ask.usage(given));
+    let body = request
+        .format
+        .whole(&id, &request.params.model, &text, request.usage(generated));
     call.reply(Reply::json(200, &body));
 }
 
-/// Holds an answer until its caller gives up.
-fn stall(gone: impl Fn() -> bool) {
+/// Blocks until the caller closes the connection.
+fn wait_for_hangup(gone: impl Fn() -> bool) {
     while !gone() {
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
 }
 
-fn stream(
+fn respond_stream(
     core: &Core,
-    ask: &Ask,
+    request: &Request,
     call: Call,
-    mut ticket: Ticket,
+    mut handle: SequenceHandle,
     faults: &EngineFaults,
 ) -> io::Result<()> {
     let pipe = call.pipe();
     let id = call.header("x-request-id").unwrap_or("0").to_owned();
-    let model = ask.common.model.as_str();
+    let model = request.params.model.as_str();
     let mut writer = call.stream("text/event-stream", &[("Cache-Control", "no-cache".into())])?;
-    let mut given = 0;
+    let mut generated = 0;
     loop {
-        match ticket.next(|| pipe.gone()) {
-            Some(Piece::Token(index, text)) => {
-                let event = ask.shape.token(&id, model, &text);
+        match handle.next(|| pipe.gone()) {
+            Some(Output::Token(index, text)) => {
+                let event = request.format.token(&id, model, &text);
                 send_event(&mut writer, Some(index), &event)?;
-                given += 1;
+                generated += 1;
             }
-            Some(Piece::End) => break,
-            Some(Piece::Lost) | None => return Ok(()),
+            Some(Output::End) => break,
+            Some(Output::Unloaded) | None => return Ok(()),
         }
-        if faults.stall_after.is_some_and(|limit| given >= limit) {
-            stall(|| pipe.gone());
+        if faults.stall_after.is_some_and(|limit| generated >= limit) {
+            wait_for_hangup(|| pipe.gone());
             return Ok(());
         }
-        if faults.cut_after.is_some_and(|limit| given >= limit) {
+        if faults.cut_after.is_some_and(|limit| generated >= limit) {
             return Ok(());
         }
     }
-    let usage = ask
-        .common
+    let usage = request
+        .params
         .stream_options
         .include_usage
-        .then(|| ask.usage(given));
-    send_event(&mut writer, None, &ask.shape.last(&id, model, usage))?;
+        .then(|| request.usage(generated));
+    send_event(&mut writer, None, &request.format.last(&id, model, usage))?;
     core.runs.complete();
     writer.send(b"data: [DONE]\n\n")?;
     writer.finish()
--- a/crates/filbertstack-standins/src/engine/cache.rs
+++ b/crates/filbertstack-standins/src/engine/cache.rs
@@ -1,8 +1,8 @@
-//! The cache of prompt prefixes in limited memory, and the events that tell of it.
+//! The prefix cache, which holds a limited number of prompt blocks, and the events of its changes.
 //!
-//! A prompt is cut into blocks of [`BLOCK_WORDS`] words. A block's id stands for all words up to
-//! its end, so that a block is of use only behind the blocks before it. What was used longest ago
-//! makes room. Nothing here has a clock: time is passed in.
+//! A prompt is divided into blocks of [`BLOCK_WORDS`] words. A block's id is a hash of all words up to
+//! its end, so that a block matches only after the same preceding blocks. The cache evicts the least recently
+//! used block. This module reads no clock: callers pass the time.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -13,13 +13,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The words of a block.
+/// The number of words in a block.
 pub const BLOCK_WORDS: usize = 16;
 
 /// The most events that are kept for readers.
 const MAX_EVENTS: usize = 4096;
 
-/// Names a block by all words up to its end.
+/// Identifies a block by a hash of all words up to its end.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BlockId(pub u64);
@@ -30,84 +30,84 @@
     }
 }
 
-/// The blocks of a prompt; words that fill no block are never cached.
+/// Returns the blocks of a prompt; words at the end that do not fill a block are never cached.
 pub fn blocks(prompt: &str) -> Vec<BlockId> {
     let words: Vec<&str> = prompt.split_whitespace().collect();
     let mut hasher = blake3::Hasher::new();
-    let full = words.chunks_exact(BLOCK_WORDS);
+    let full_blocks = words.chunks_exact(BLOCK_WORDS);
     let id = |block: &[&str]| {
         for word in block {
             hasher.update(word.as_bytes());
             hasher.update(b" ");
         }
         let hash = hasher.finalize();
-        let first = hash.as_bytes().first_chunk().copied();
-        BlockId(u64::from_le_bytes(first.unwrap_or_default()))
+        let prefix = hash.as_bytes().first_chunk().copied();
+        BlockId(u64::from_le_bytes(prefix.unwrap_or_default()))
     };
-    full.map(id).collect()
+    full_blocks.map(id).collect()
 }
 
-/// What happened to a block.
+/// A change of the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind", content = "block")]
 pub enum Change {
-    /// It was stored.
+    /// The block was stored.
     Stored(BlockId),
-    /// It made room.
+    /// The block was evicted.
     Removed(BlockId),
-    /// All were dropped, because the weights changed.
+    /// All blocks were removed because the weights changed.
     Cleared,
 }
 
-/// A change and its number.
+/// A change of the cache and its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts the changes from 1; a reader sees from a gap that it missed some.
+    /// The number of the change, counted from 1; a reader detects missed events by a gap in the numbers.
     pub seq: u64,
     /// The change.
     #[serde(flatten)]
     pub change: Change,
 }
 
-/// What `GET /cache/events?after=SEQ` answers.
+/// The answer of `GET /cache/events?after=SEQ`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The events behind `after`, in order.
+    /// The events after number `after`, in order.
     pub events: Vec<CacheEvent>,
 }
 
-/// How a prompt met the cache.
+/// The result of looking a prompt up in the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lookup {
-    /// The prompt's blocks.
+    /// The number of blocks of the prompt.
     pub blocks: usize,
-    /// Those at its beginning that were in the cache.
+    /// The number of blocks at its beginning that were in the cache.
     pub hits: usize,
 }
 
-/// The cached blocks and the latest changes.
+/// The cached blocks and the latest events.
 #[derive(Debug, Default)]
 pub struct PrefixCache {
     capacity: usize,
-    gap: u64,
+    drop_every: u64,
     tick: u64,
     seq: u64,
-    used: HashMap<BlockId, u64>,
-    order: BTreeMap<u64, BlockId>,
+    last_used: HashMap<BlockId, u64>,
+    by_last_use: BTreeMap<u64, BlockId>,
     events: VecDeque<(Duration, CacheEvent)>,
 }
 
 impl PrefixCache {
-    /// A cache of `capacity` blocks that loses every `gap`th event; 0 loses none.
-    pub fn new(capacity: usize, gap: u64) -> Self {
+    /// Creates a cache of `capacity` blocks that drops every `drop_every`th event; 0 drops none.
+    pub fn new(capacity: usize, drop_every: u64) -> Self {
         Self {
             capacity,
-            gap,
+            drop_every,
             ..Self::default()
         }
     }
 
-    /// Looks a prompt's blocks up and stores those that are missing.
+    /// Looks up a prompt's blocks and stores the missing ones.
     pub fn admit(&mut self, prompt: &str, now: Duration) -> Lookup {
         let blocks = blocks(prompt);
         let hits = self.cached(&blocks);
@@ -120,41 +120,41 @@
         }
     }
 
-    /// How many of `blocks` are cached, counted from the first to the first that is not.
+    /// Returns how many of `blocks` are cached, counted from the first block to the first missing one.
     pub fn cached(&self, blocks: &[BlockId]) -> usize {
-        let cached = |block: &&BlockId| self.used.contains_key(block);
+        let cached = |block: &&BlockId| self.last_used.contains_key(block);
         blocks.iter().take_while(cached).count()
     }
 
-    /// Stores a block or notes its use.
+    /// Stores a block or, if it is cached already, marks it as used.
     pub fn store(&mut self, block: BlockId, now: Duration) {
         self.tick += 1;
-        match self.used.insert(block, self.tick) {
-            Some(before) => {
-                self.order.remove(&before);
+        match self.last_used.insert(block, self.tick) {
+            Some(previous) => {
+                self.by_last_use.remove(&previous);
             }
             None => self.publish(Change::Stored(block), now),
         }
-        self.order.insert(self.tick, block);
-        while self.used.len() > self.capacity {
-            let Some((_, oldest)) = self.order.pop_first() else {
+        self.by_last_use.insert(self.tick, block);
+        while self.last_used.len() > self.capacity {
+            let Some((_, oldest)) = self.by_last_use.pop_first() else {
                 return;
             };
-            self.used.remove(&oldest);
+            self.last_used.remove(&oldest);
             self.publish(Change::Removed(oldest), now);
         }
     }
 
-    /// Drops everything.
+    /// Removes all blocks.
     pub fn clear(&mut self, now: Duration) {
-        self.used.clear();
-        self.order.clear();
+        self.last_used.clear();
+        self.by_last_use.clear();
         self.publish(Change::Cleared, now);
     }
 
     fn publish(&mut self, change: Change, now: Duration) {
         self.seq += 1;
-        if self.gap > 0 && self.seq.is_multiple_of(self.gap) {
+        if self.drop_every > 0 && self.seq.is_multiple_of(self.drop_every) {
             return;
         }
         if self.events.len() == MAX_EVENTS {
@@ -164,17 +164,17 @@
         self.events.push_back((now, CacheEvent { seq, change }));
     }
 
-    /// The events behind `after` that happened at `until` or before.
+    /// Returns the events after number `after` that happened at `until` or before.
     pub fn events(&self, after: u64, until: Duration) -> CacheEvents {
-        let old = |(at, event): &&(Duration, CacheEvent)| *at <= until && event.seq > after;
-        let events = self.events.iter().filter(old).map(|(_, event)| *event);
+        let visible = |(at, event): &&(Duration, CacheEvent)| *at <= until && event.seq > after;
+        let events = self.events.iter().filter(visible).map(|(_, event)| *event);
         CacheEvents {
             events: events.collect(),
         }
     }
 
-    /// The share of the capacity in use, in thousandths.
+    /// Returns the share of the capacity in use, in thousandths.
     pub fn usage(&self) -> usize {
-        self.used.len() * 1000 / self.capacity.max(1)
+        self.last_used.len() * 1000 / self.capacity.max(1)
     }
 }
--- a/crates/filbertstack-standins/src/engine/config.rs
+++ b/crates/filbertstack-standins/src/engine/config.rs
@@ -1,4 +1,4 @@
-//! How an engine stand-in behaves.
+//! The settings and injected faults of an engine stand-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,55 +10,55 @@
 use crate::engine::pace::Gate;
 use crate::http::ANY_ADDR;
 
-/// What the engine does with an order that carries a fencing number lower than one it has seen.
+/// The handling of an order whose fencing number is lower than one the engine has seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
-    /// Refuses the order with 409.
+    /// The engine refuses the order with 409.
     #[default]
     Enforced,
-    /// Carries the order out.
+    /// The engine carries the order out.
     Ignored,
 }
 
-/// What sets the pace of the engine's steps.
+/// The source of the pace of the engine's steps.
 #[derive(Clone, Debug, Default)]
 pub enum Pace {
-    /// The clock: each step takes `step` and `growth` for each sequence beyond the first.
+    /// The clock: each step takes `step`, plus `growth` for each sequence beyond the first.
     #[default]
     Timed,
-    /// Whoever holds the gate: each step needs one pass.
+    /// A gate: each step takes one pass, which a test adds.
     Gated(Arc<Gate>),
 }
 
 /// The settings of an [`Engine`](crate::Engine).
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub addr: SocketAddr,
-    /// What sets the pace.
+    /// The source of the pace.
     pub pace: Pace,
     /// The time of a step with one sequence.
     pub step: Duration,
     /// The time that each further sequence adds to a step.
     pub growth: Duration,
-    /// The sequences of a batch.
+    /// The most sequences in a batch.
     pub slots: usize,
-    /// The sequences that may wait for a slot; beyond them the engine answers 429.
+    /// The most sequences that wait for a slot; the engine answers further requests with 429.
     pub queue: usize,
     /// The prefix cache's capacity, in blocks.
-    pub cache: usize,
-    /// The blocks of a prompt that are prefilled in one step.
-    pub prefill: usize,
-    /// The age of the load figures at `/metrics` and of the cache events.
+    pub cache_blocks: usize,
+    /// The number of prompt blocks that one step prefills.
+    pub prefill_blocks: usize,
+    /// The delay before `/metrics` shows load figures and `/cache/events` shows cache events.
     pub lag: Duration,
-    /// Every so many cache events one is lost; 0 loses none.
+    /// The engine drops one cache event out of this many; 0 drops none.
     pub event_gap: u64,
-    /// The time that loading takes besides the reading.
+    /// The time that a load takes in addition to reading the files.
     pub load_time: Duration,
-    /// What it does with old orders.
+    /// The handling of orders with an old fencing number.
     pub fencing: Fencing,
-    /// What it does wrong from the start.
+    /// The faults that are injected from the start.
     pub faults: EngineFaults,
 }
 
@@ -71,8 +71,8 @@
             growth: Duration::from_micros(50),
             slots: 16,
             queue: 256,
-            cache: 1024,
-            prefill: 8,
+            cache_blocks: 1024,
+            prefill_blocks: 8,
             lag: Duration::from_millis(500),
             event_gap: 0,
             load_time: Duration::from_millis(50),
@@ -82,11 +82,11 @@
     }
 }
 
-/// What an engine does wrong; each can be set at any time with `POST /admin/faults`.
+/// The faults that are injected into an engine; `POST /admin/faults` replaces them at any time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// The next loads fail, this many of them.
+    /// The number of next loads that fail.
     pub fail_loads: u32,
     /// Loads never end.
     pub hang_loads: bool,
@@ -94,10 +94,10 @@
     pub report: Option<String>,
     /// Steps take this many times longer; 0 and 1 change nothing.
     pub slow: u32,
-    /// Requests get 503 before anything runs.
+    /// The engine answers requests with 503 before it runs anything.
     pub refuse: bool,
-    /// Answers are cut after this many tokens.
+    /// The engine closes the connection of an answer after this many tokens.
     pub cut_after: Option<usize>,
-    /// Answers stop coming after this many tokens, with the connection left open.
+    /// The engine sends nothing more after this many tokens of an answer and leaves the connection open.
     pub stall_after: Option<usize>,
 }
--- a/crates/filbertstack-standins/src/engine/core.rs
+++ b/crates/filbertstack-standins/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! The engine's memory and its step loop.
+//! The state that the engine's threads share, and its step loop.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,86 +16,86 @@
 
 use crate::answer;
 use crate::engine::batch::Batch;
-use crate::engine::batch::Emit;
-use crate::engine::batch::SeqId;
 use crate::engine::batch::Sequence;
+use crate::engine::batch::SequenceId;
+use crate::engine::batch::StepEvent;
 use crate::engine::cache::PrefixCache;
 use crate::engine::config::EngineConfig;
 use crate::engine::config::EngineFaults;
 use crate::engine::config::Pace;
-use crate::engine::late::LateLoad;
-use crate::engine::late::Load;
+use crate::engine::load_report::LoadReport;
+use crate::engine::load_report::LoadSample;
 use crate::engine::weights::EngineState;
 use crate::engine::weights::Phase;
 use crate::engine::weights::Role;
 use crate::runs::RunLog;
 
-/// How often a thread that waits for a token looks whether its caller is still there.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often a thread that waits for a token checks whether its caller has closed the connection.
+const HANGUP_POLL: Duration = Duration::from_millis(20);
 
-/// One piece of an answer.
+/// One output of a sequence.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum Output {
     /// The token at an index.
     Token(usize, String),
-    /// The last token has been given.
+    /// The last token was generated.
     End,
-    /// The weights went away under the sequence.
-    Lost,
+    /// The weights were unloaded while the sequence ran.
+    Unloaded,
 }
 
-/// Why a request did not get into the batch; nothing ran.
+/// The reason why a request was not queued; nothing ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// The engine does not serve the model.
     NoModel,
     /// The queue is full.
-    Full,
+    QueueFull,
 }
 
 struct Job {
     model: String,
     prompt: Arc<str>,
-    pieces: Sender<Piece>,
+    outputs: Sender<Output>,
 }
 
-/// What changes while the engine runs.
-pub struct Memory {
-    /// The weights.
+/// The state that changes while the engine runs.
+pub struct SharedState {
+    /// The loaded weights and the state of the load.
     pub weights: EngineState,
-    /// Counts the orders, so that a load that was overtaken is dropped.
-    pub orders: u64,
-    /// The faults.
+    /// The number of accepted orders, so that the result of a load is discarded after a later order.
+    pub order_count: u64,
+    /// The injected faults.
     pub faults: EngineFaults,
     /// The cached prefixes.
     pub cache: PrefixCache,
-    /// The load as it is reported.
-    pub late: LateLoad,
+    /// The load report, which is delayed.
+    pub load_report: LoadReport,
     batch: Batch,
-    jobs: BTreeMap<SeqId, Job>,
+    jobs: BTreeMap<SequenceId, Job>,
     closing: bool,
 }
 
-/// What the engine's threads share.
+/// The settings and the state that the engine's threads share.
 pub struct Core {
     /// The settings.
     pub config: EngineConfig,
-    /// What ran.
+    /// The counts of runs.
     pub runs: RunLog,
-    begin: Instant,
-    memory: Mutex<Memory>,
+    started: Instant,
+    shared: Mutex<SharedState>,
     wake: Condvar,
 }
 
 impl Core {
-    /// An engine without weights.
+    /// Creates an engine without weights.
     pub fn new(config: EngineConfig) -> Self {
-        let memory = Memory {
+        let shared = SharedState {
             weights: EngineState::default(),
-            orders: 0,
+            order_count: 0,
             faults: config.faults.clone(),
-            cache: PrefixCache::new(config.cache, config.event_gap),
-            late: LateLoad::new(config.lag),
+            cache: PrefixCache::new(config.cache_blocks, config.event_gap),
+            load_report: LoadReport::new(config.lag),
             batch: Batch::new(config.slots, config.queue),
             jobs: BTreeMap::new(),
             closing: false,
@@ -103,74 +103,74 @@
         Self {
             config,
             runs: RunLog::default(),
-            begin: Instant::now(),
-            memory: Mutex::new(memory),
+            started: Instant::now(),
+            shared: Mutex::new(shared),
             wake: Condvar::new(),
         }
     }
 
-    /// The memory, locked.
-    pub fn memory(&self) -> MutexGuard<'_, Memory> {
-        self.memory.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the shared state.
+    pub fn lock(&self) -> MutexGuard<'_, SharedState> {
+        self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The time since the engine began.
+    /// Returns the time since the engine started.
     pub fn now(&self) -> Duration {
-        self.begin.elapsed()
+        self.started.elapsed()
     }
 
-    /// Wakes the step loop after a change of the memory.
+    /// Wakes the step loop after a change of the shared state.
     pub fn wake(&self) {
         self.wake.notify_all();
     }
 
     /// Ends the step loop.
     pub fn close(&self) {
-        self.memory().closing = true;
+        self.lock().closing = true;
         if let Pace::Gated(gate) = &self.config.pace {
             gate.open();
         }
         self.wake();
     }
 
-    /// Queues a sequence; its prefill follows from what the cache holds of the prompt.
+    /// Queues a sequence; the number of prefill steps depends on the cached prefix of the prompt.
     ///
     /// # Errors
-    /// Why it was refused; nothing ran.
+    /// Returns the reason for the refusal; nothing ran.
     pub fn submit(
         self: &Arc<Self>,
         model: &str,
         prompt: &str,
         mut sequence: Sequence,
-    ) -> Result<Ticket, Refusal> {
-        let (pieces, receiver) = mpsc::channel();
-        let mut memory = self.memory();
-        if memory.weights.answers(model).is_none() {
+    ) -> Result<SequenceHandle, Refusal> {
+        let (outputs, receiver) = mpsc::channel();
+        let mut shared = self.lock();
+        if shared.weights.answer_digest(model).is_none() {
             return Err(Refusal::NoModel);
         }
-        if memory.batch.is_full() {
-            return Err(Refusal::Full);
+        if shared.batch.is_full() {
+            return Err(Refusal::QueueFull);
         }
-        let lookup = memory.cache.admit(prompt, self.now());
+        let lookup = shared.cache.admit(prompt, self.now());
         let missing = lookup.blocks - lookup.hits;
-        sequence.prefill = missing.div_ceil(self.config.prefill.max(1)).max(1);
-        if memory.weights.role == Role::Prefill {
+        sequence.prefill_steps = missing.div_ceil(self.config.prefill_blocks.max(1)).max(1);
+        if shared.weights.role == Role::Prefill {
             sequence.end = sequence.next;
         }
-        let id = memory.batch.push(sequence).ok_or(Refusal::Full)?;
+        let id = shared.batch.push(sequence).ok_or(Refusal::QueueFull)?;
         let job = Job {
             model: model.to_owned(),
             prompt: prompt.into(),
-            pieces,
+            outputs,
         };
-        memory.jobs.insert(id, job);
-        memory.report(self.now());
-        drop(memory);
+        shared.jobs.insert(id, job);
+        shared.record_load(self.now());
+        drop(shared);
         self.wake();
-        Ok(Ticket {
+        Ok(SequenceHandle {
             core: self.clone(),
             id,
-            pieces: receiver,
+            outputs: receiver,
             ended: false,
         })
     }
@@ -182,26 +182,26 @@
                 Pace::Timed => thread::sleep(time),
                 Pace::Gated(gate) => gate.pass(),
             }
-            let mut memory = self.memory();
-            memory.step();
-            memory.report(self.now());
+            let mut shared = self.lock();
+            shared.step();
+            shared.record_load(self.now());
         }
     }
 
-    /// Waits for something to run; gives the time of the next step, `None` at the end.
+    /// Waits until a sequence can run; returns the time of the next step, or `None` once the engine stops.
     fn await_work(&self) -> Option<Duration> {
-        let mut memory = self.memory();
+        let mut shared = self.lock();
         loop {
-            if memory.closing {
+            if shared.closing {
                 return None;
             }
-            let width = memory.batch.width();
-            if width > 0 && memory.weights.state != Phase::Loading {
-                return Some(self.step_time(width, memory.faults.slow));
+            let width = shared.batch.width();
+            if width > 0 && shared.weights.state != Phase::Loading {
+                return Some(self.step_time(width, shared.faults.slow));
             }
-            memory = self
+            shared = self
                 .wake
-                .wait(memory)
+                .wait(shared)
                 .unwrap_or_else(PoisonError::into_inner);
         }
     }
@@ -213,68 +213,73 @@
     }
 }
 
-impl Memory {
-    /// Notes the load for the reports.
-    fn report(&mut self, now: Duration) {
-        let load = Load {
+impl SharedState {
+    /// Records the present load for the report.
+    fn record_load(&mut self, now: Duration) {
+        let load = LoadSample {
             running: self.batch.running(),
             waiting: self.batch.waiting(),
             usage: self.cache.usage(),
         };
-        self.late.push(now, load);
+        self.load_report.push(now, load);
     }
 
     fn step(&mut self) {
-        for emit in self.batch.step() {
-            match emit {
-                Emit::Token(id, index) => self.give(id, index),
-                Emit::End(id) => self.end(id, Piece::End),
+        for event in self.batch.step() {
+            match event {
+                StepEvent::Token(id, index) => self.generate(id, index),
+                StepEvent::End(id) => self.finish(id, Output::End),
             }
         }
     }
 
-    /// Makes a token from the weights that are in memory now: a sequence whose weights change
-    /// under it gives a mixed answer, as the engines that this one stands in for do.
-    fn give(&mut self, id: SeqId, index: usize) {
+    /// Generates a token from the weights that are loaded now: a sequence during which the weights change
+    /// gives a mixed answer, as it does with the engines that this one stands in for.
+    fn generate(&mut self, id: SequenceId, index: usize) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let Some(digest) = self.weights.answers(&job.model).or(self.weights.weights) else {
+        let Some(digest) = self
+            .weights
+            .answer_digest(&job.model)
+            .or(self.weights.weights)
+        else {
             self.batch.cancel(id);
-            self.end(id, Piece::Lost);
+            self.finish(id, Output::Unloaded);
             return;
         };
         let text = answer::token(&digest, &job.prompt, index);
-        // A receiver that is gone cancels the sequence itself.
-        let _ = job.pieces.send(Piece::Token(index, text));
+        // A send fails once the handle is dropped, and dropping it cancels the sequence.
+        let _ = job.outputs.send(Output::Token(index, text));
     }
 
-    fn end(&mut self, id: SeqId, last: Piece) {
+    fn finish(&mut self, id: SequenceId, last: Output) {
         if let Some(job) = self.jobs.remove(&id) {
-            let _ = job.pieces.send(last);
+            let _ = job.outputs.send(last);
         }
     }
 }
 
-/// A sequence's place; dropping it before the end cancels the sequence.
-pub struct Ticket {
+/// The handle of a queued sequence; dropping it before the end cancels the sequence.
+pub struct SequenceHandle {
     core: Arc<Core>,
-    id: SeqId,
-    pieces: Receiver<Piece>,
+    id: SequenceId,
+    outputs: Receiver<Output>,
     ended: bool,
 }
 
-impl Ticket {
-    /// The next piece; `None` once `gone` says that the caller has hung up or the engine stopped.
-    pub fn next(&mut self, gone: impl Fn() -> bool) -> Option<Piece> {
+impl SequenceHandle {
+    /// Returns the next output; returns `None` once `gone` reports that the caller has closed the connection
+    /// or the engine has stopped.
+    pub fn next(&mut self, gone: impl Fn() -> bool) -> Option<Output> {
         loop {
             if gone() {
                 return None;
             }
-            match self.pieces.recv_timeout(LOOK) {
-                Ok(piece) => {
-                    self.ended |= !matches!(piece, Piece::Token(..));
-                    return Some(piece);
+            match self.outputs.recv_timeout(HANGUP_POLL) {
+                Ok(output) => {
+                    self.ended |= !matches!(output, Output::Token(..));
+                    return Some(output);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return None,
@@ -283,15 +288,15 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for SequenceHandle {
     fn drop(&mut self) {
         if self.ended {
             return;
         }
-        let mut memory = self.core.memory();
-        memory.batch.cancel(self.id);
-        memory.report(self.core.now());
-        if memory.jobs.remove(&self.id).is_some() {
+        let mut shared = self.core.lock();
+        shared.batch.cancel(self.id);
+        shared.record_load(self.core.now());
+        if shared.jobs.remove(&self.id).is_some() {
             self.core.runs.cancel();
         }
     }
--- a/crates/filbertstack-standins/src/engine/kv.rs
+++ b/crates/filbertstack-standins/src/engine/kv.rs
@@ -1,5 +1,5 @@
-//! What the engine tells of its memory: the load report, cache events, and KV cache moved to or
-//! from another engine.
+//! The calls about load and cache: the load report, the cache events, and the KV cache blocks that are
+//! exported to or imported from another engine.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,9 +13,9 @@
 
 /// Answers `GET /metrics`.
 pub fn metrics(core: &Core) -> Reply {
-    let memory = core.memory();
-    let load = memory.late.read(core.now());
-    let model = memory.weights.model.as_deref().unwrap_or_default();
+    let shared = core.lock();
+    let load = shared.load_report.read(core.now());
+    let model = shared.weights.model.as_deref().unwrap_or_default();
     Reply::text(200, load.render(model))
 }
 
@@ -23,8 +23,8 @@
 pub fn events(core: &Core, call: &Call) -> Reply {
     let after = call.query("after").and_then(|text| text.parse().ok());
     let until = core.now().checked_sub(core.config.lag);
-    let memory = core.memory();
-    let events = until.map(|until| memory.cache.events(after.unwrap_or(0), until));
+    let shared = core.lock();
+    let events = until.map(|until| shared.cache.events(after.unwrap_or(0), until));
     Reply::json(200, &events.unwrap_or_default())
 }
 
@@ -33,8 +33,8 @@
     prompt: String,
 }
 
-/// What moves between engines in place of the cache's content. Blocks are of use only to an engine
-/// with the same weights.
+/// The block ids that stand for exported cache content. Only an engine with the same weights can use the
+/// blocks.
 #[derive(Serialize, Deserialize)]
 struct Moved {
     weights: String,
@@ -44,41 +44,41 @@
 /// Answers `POST /kv/export` and `POST /kv/import`.
 pub fn handle(core: &Core, mut call: Call) {
     let reply = if call.path() == "/kv/export" {
-        call.json().and_then(|export| give(core, &export))
+        call.json().and_then(|export| export_blocks(core, &export))
     } else {
-        call.json().and_then(|moved| take(core, &moved))
+        call.json().and_then(|moved| import_blocks(core, &moved))
     };
     call.reply(reply.unwrap_or_else(|refusal| refusal));
 }
 
-/// The weights that are being served, as text.
-fn serving(core: &Core) -> Result<String, Reply> {
-    let memory = core.memory();
-    let serving = memory.weights.state == Phase::Serving;
-    let weights = memory.weights.weights.filter(|_| serving);
+/// Returns the digest of the served weights as text.
+fn served_weights(core: &Core) -> Result<String, Reply> {
+    let shared = core.lock();
+    let serving = shared.weights.state == Phase::Serving;
+    let weights = shared.weights.weights.filter(|_| serving);
     let weights = weights.ok_or_else(|| Reply::error(409, "conflict", "load a model first"))?;
     Ok(weights.to_string())
 }
 
-fn give(core: &Core, export: &Export) -> Result<Reply, Reply> {
-    let weights = serving(core)?;
+fn export_blocks(core: &Core, export: &Export) -> Result<Reply, Reply> {
+    let weights = served_weights(core)?;
     let mut blocks = cache::blocks(&export.prompt);
-    let cached = core.memory().cache.cached(&blocks);
+    let cached = core.lock().cache.cached(&blocks);
     blocks.truncate(cached);
     Ok(Reply::json(200, &Moved { weights, blocks }))
 }
 
-fn take(core: &Core, moved: &Moved) -> Result<Reply, Reply> {
-    if serving(core)? != moved.weights {
+fn import_blocks(core: &Core, moved: &Moved) -> Result<Reply, Reply> {
+    if served_weights(core)? != moved.weights {
         return Err(Reply::error(
             409,
             "conflict",
             "the blocks are of other weights",
         ));
     }
-    let mut memory = core.memory();
+    let mut shared = core.lock();
     for block in &moved.blocks {
-        memory.cache.store(*block, core.now());
+        shared.cache.store(*block, core.now());
     }
     Ok(Reply::json(200, moved))
 }
--- a/crates/filbertstack-standins/src/engine/late.rs
+++ b/crates/filbertstack-standins/src/engine/load_report.rs
@@ -1,25 +1,25 @@
-//! The load report, which tells how things stood a while ago.
+//! The load report, which shows the engine's load after a delay.
 
 use std::collections::VecDeque;
 use std::fmt::Write;
 use std::time::Duration;
 
-/// The samples of one lag.
-const SAMPLES: u32 = 32;
+/// The most samples that are kept for the span of one lag.
+const SAMPLES_PER_LAG: u32 = 32;
 
-/// How busy the engine was at a moment.
+/// A sample of the engine's load at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Load {
-    /// Sequences in the batch.
+pub struct LoadSample {
+    /// The sequences in the batch.
     pub running: usize,
-    /// Sequences that waited for a slot.
+    /// The sequences that waited for a slot.
     pub waiting: usize,
     /// The share of the cache in use, in thousandths.
     pub usage: usize,
 }
 
-impl Load {
-    /// The Prometheus text, with the names that common engines give these figures.
+impl LoadSample {
+    /// Returns the Prometheus text, with the metric names of common engines.
     pub fn render(&self, model: &str) -> String {
         let mut text = String::new();
         let whole = self.usage / 1000;
@@ -38,42 +38,42 @@
     }
 }
 
-/// Samples of the load, of which a reader sees only those that are old enough.
+/// The samples of the load; a reader sees only those that are at least one lag old.
 #[derive(Clone, Debug)]
-pub struct LateLoad {
+pub struct LoadReport {
     lag: Duration,
-    samples: VecDeque<(Duration, Load)>,
+    samples: VecDeque<(Duration, LoadSample)>,
 }
 
-impl LateLoad {
-    /// A report that is at least `lag` old.
+impl LoadReport {
+    /// Creates a report whose figures are at least `lag` old.
     pub fn new(lag: Duration) -> Self {
         let samples = VecDeque::new();
         Self { lag, samples }
     }
 
-    /// Notes the load at `now`.
-    pub fn push(&mut self, now: Duration, load: Load) {
+    /// Adds a sample of the load at `now`.
+    pub fn push(&mut self, now: Duration, load: LoadSample) {
         match self.samples.back_mut() {
-            // Samples close together are one, so that their number is bounded.
-            Some((at, last)) if now < *at + self.lag / SAMPLES => *last = load,
+            // Samples that are close together are merged, so that their number is bounded.
+            Some((at, last)) if now < *at + self.lag / SAMPLES_PER_LAG => *last = load,
             _ => self.samples.push_back((now, load)),
         }
-        while self.is_over(now) {
+        while self.is_superseded(now) {
             self.samples.pop_front();
         }
     }
 
-    /// Whether no reader will see the oldest sample any more.
-    fn is_over(&self, now: Duration) -> bool {
+    /// Returns whether no reader sees the oldest sample any more.
+    fn is_superseded(&self, now: Duration) -> bool {
         let second = self.samples.get(1);
         second.is_some_and(|(at, _)| *at + self.lag <= now)
     }
 
-    /// The load as a reader sees it at `now`.
-    pub fn read(&self, now: Duration) -> Load {
-        let old = |(at, _): &&(Duration, Load)| *at + self.lag <= now;
-        let newest = self.samples.iter().rev().find(old);
+    /// Returns the load that a reader sees at `now`.
+    pub fn read(&self, now: Duration) -> LoadSample {
+        let visible = |(at, _): &&(Duration, LoadSample)| *at + self.lag <= now;
+        let newest = self.samples.iter().rev().find(visible);
         newest.map(|(_, load)| *load).unwrap_or_default()
     }
 }
--- a/crates/filbertstack-standins/src/engine/mod.rs
+++ b/crates/filbertstack-standins/src/engine/mod.rs
@@ -1,7 +1,7 @@
-//! A model engine: OpenAI's HTTP API, continuous batching and orders to load weights.
+//! A model engine: the OpenAI HTTP API, continuous batching and orders to load weights.
 //!
-//! It holds one model, read from the directory that the order names, and answers with a pure
-//! function of what it read (see [`crate::answer`]).
+//! The engine serves one model, which it reads from the directory that the order names. Its answers are a
+//! pure function of the files it read (see [`crate::answer`]).
 
 mod admin;
 mod api;
@@ -10,9 +10,9 @@
 pub mod config;
 mod core;
 mod kv;
-pub mod late;
+pub mod load_report;
 pub mod pace;
-mod shape;
+mod response;
 pub mod weights;
 
 use std::net::SocketAddr;
@@ -38,77 +38,77 @@
 use crate::http::Reply;
 use crate::runs::Runs;
 
-/// A running engine; dropping it stops it and closes every connection.
+/// A running engine; dropping it stops the engine and closes every connection.
 pub struct Engine {
     core: Arc<Core>,
     server: HttpServer,
-    steps: Option<JoinHandle<()>>,
+    step_thread: Option<JoinHandle<()>>,
 }
 
 impl Engine {
     /// Starts an engine without weights.
     ///
     /// # Errors
-    /// The address cannot be listened on.
+    /// Returns an error if the engine cannot listen on the address.
     pub fn start(config: EngineConfig) -> Result<Self, StandinError> {
         let addr = config.addr;
         let core = Arc::new(Core::new(config));
         let server = HttpServer::start(addr, Arc::new(Routes(core.clone())))?;
-        let steps = core.clone();
-        let steps = thread::spawn(move || steps.run());
+        let step_core = core.clone();
+        let step_thread = thread::spawn(move || step_core.run());
         Ok(Self {
             core,
             server,
-            steps: Some(steps),
+            step_thread: Some(step_thread),
         })
     }
 
     /// Starts an engine that already serves the weights in `dir` as `model`.
     ///
     /// # Errors
-    /// The address cannot be listened on or the weights cannot be read.
+    /// Returns an error if the engine cannot listen on the address or cannot read the weights.
     pub fn serving(config: EngineConfig, model: &str, dir: &Path) -> Result<Self, StandinError> {
         let weights = crate::answer::weights_digest(dir)?;
         let engine = Self::start(config)?;
-        let mut memory = engine.core.memory();
-        memory.weights.state = Phase::Serving;
-        memory.weights.model = Some(model.to_owned());
-        memory.weights.digest = Some(weights.to_string());
-        memory.weights.weights = Some(weights);
-        drop(memory);
+        let mut shared = engine.core.lock();
+        shared.weights.state = Phase::Serving;
+        shared.weights.model = Some(model.to_owned());
+        shared.weights.digest = Some(weights.to_string());
+        shared.weights.weights = Some(weights);
+        drop(shared);
         Ok(engine)
     }
 
-    /// The address it listens on.
+    /// Returns the address on which the engine listens.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// What `GET /admin/state` answers.
+    /// Returns the state that `GET /admin/state` answers.
     pub fn state(&self) -> EngineState {
         admin::state(&self.core)
     }
 
-    /// What ran so far.
+    /// Returns the counts of runs so far.
     pub fn runs(&self) -> Runs {
         self.core.runs.read()
     }
 
-    /// Sets what it does wrong from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: EngineFaults) {
-        self.core.memory().faults = faults;
+        self.core.lock().faults = faults;
     }
 
-    /// Stops it; the same as dropping it.
+    /// Stops the engine, as dropping it does.
     pub fn stop(self) {}
 }
 
 impl Drop for Engine {
     fn drop(&mut self) {
         self.core.close();
-        if let Some(steps) = self.steps.take() {
-            // A loop that panicked has ended too.
-            let _ = steps.join();
+        if let Some(thread) = self.step_thread.take() {
+            // An error means that the step loop panicked, so it has ended as well.
+            let _ = thread.join();
         }
     }
 }
--- a/crates/filbertstack-standins/src/engine/pace.rs
+++ b/crates/filbertstack-standins/src/engine/pace.rs
@@ -1,4 +1,4 @@
-//! The pace of steps: by the clock or by a gate that a test holds.
+//! The gate with which a test sets the pace of an engine's steps.
 
 use std::sync::Condvar;
 use std::sync::Mutex;
@@ -10,7 +10,7 @@
     open: bool,
 }
 
-/// Lets through one step for each pass, so that a test decides what has been made when.
+/// A gate that lets through one step for each pass, so that a test decides when each token is generated.
 #[derive(Debug, Default)]
 pub struct Gate {
     state: Mutex<GateState>,
@@ -19,20 +19,20 @@
 
 impl Gate {
     /// Adds passes for `steps` steps.
-    pub fn allow(&self, steps: u64) {
+    pub fn add_passes(&self, steps: u64) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.passes += steps;
         self.changed.notify_all();
     }
 
-    /// Lets everything through from now on.
+    /// Opens the gate: from now on, steps need no pass.
     pub fn open(&self) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.open = true;
         self.changed.notify_all();
     }
 
-    /// The passes that nobody has taken.
+    /// Returns the number of passes that are left.
     pub fn passes(&self) -> u64 {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.passes
--- a/crates/filbertstack-standins/src/engine/shape.rs
+++ b/crates/filbertstack-standins/src/engine/response.rs
@@ -1,31 +1,31 @@
-//! The two forms of an answer: a text completion and a chat message.
+//! The response bodies of the API in its two formats: text completion and chat completion.
 
 use serde::Serialize;
 
-/// Which form an answer takes.
+/// The format of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
-    /// `text_completion`
+pub enum ResponseFormat {
+    /// The text completion format, `text_completion`.
     Text,
-    /// `chat.completion`
+    /// The chat completion format, `chat.completion`.
     Chat,
 }
 
-/// The tokens that a request took.
+/// The number of tokens that a request used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Usage {
-    /// The prompt's, counted in words.
+    /// The tokens of the prompt, counted as words.
     #[serde(rename = "prompt_tokens")]
     pub prompt: usize,
-    /// The answer's.
+    /// The tokens of the answer.
     #[serde(rename = "completion_tokens")]
     pub answer: usize,
-    /// Both.
+    /// The tokens of the prompt and the answer together.
     #[serde(rename = "total_tokens")]
     pub total: usize,
 }
 
-/// One answer or event.
+/// The body of a whole answer or of one event.
 #[derive(Clone, Debug, Serialize)]
 pub struct Body<'a> {
     id: &'a str,
@@ -57,12 +57,12 @@
     content: Option<&'a str>,
 }
 
-/// Every answer ends because it has its `max_tokens`.
-const FINISH: &str = "length";
+/// The finish reason of every answer, which always ends at its `max_tokens`.
+const FINISH_REASON: &str = "length";
 
-impl Shape {
-    fn body<'a>(self, id: &'a str, model: &'a str, part: bool, choice: Choice<'a>) -> Body<'a> {
-        let object = match (self, part) {
+impl ResponseFormat {
+    fn body<'a>(self, id: &'a str, model: &'a str, is_chunk: bool, choice: Choice<'a>) -> Body<'a> {
+        let object = match (self, is_chunk) {
             (Self::Text, _) => "text_completion",
             (Self::Chat, false) => "chat.completion",
             (Self::Chat, true) => "chat.completion.chunk",
@@ -70,7 +70,7 @@
         Body {
             id,
             object,
-            // Left at zero, so that two runs of a request give the same bytes.
+            // Zero, so that two runs of a request give the same bytes.
             created: 0,
             model,
             choices: vec![choice],
@@ -78,7 +78,7 @@
         }
     }
 
-    /// A whole answer.
+    /// Returns the body of a whole answer.
     pub fn whole<'a>(self, id: &'a str, model: &'a str, text: &'a str, usage: Usage) -> Body<'a> {
         let message = Content {
             role: Some("assistant"),
@@ -90,14 +90,14 @@
             text: (!chat).then_some(text),
             message: chat.then_some(message),
             delta: None,
-            finish_reason: Some(FINISH),
+            finish_reason: Some(FINISH_REASON),
         };
         let mut body = self.body(id, model, false, choice);
         body.usage = Some(usage);
         body
     }
 
-    /// The event of one token.
+    /// Returns the event of one token.
     pub fn token<'a>(self, id: &'a str, model: &'a str, text: &'a str) -> Body<'a> {
         let delta = Content {
             role: None,
@@ -114,7 +114,7 @@
         self.body(id, model, true, choice)
     }
 
-    /// The event behind the last token.
+    /// Returns the event after the last token.
     pub fn last<'a>(self, id: &'a str, model: &'a str, usage: Option<Usage>) -> Body<'a> {
         let chat = self == Self::Chat;
         let choice = Choice {
@@ -122,7 +122,7 @@
             text: (!chat).then_some(""),
             message: None,
             delta: chat.then(Content::default),
-            finish_reason: Some(FINISH),
+            finish_reason: Some(FINISH_REASON),
         };
         let mut body = self.body(id, model, true, choice);
         body.usage = usage;
--- a/crates/filbertstack-standins/src/engine/weights.rs
+++ b/crates/filbertstack-standins/src/engine/weights.rs
@@ -1,4 +1,4 @@
-//! The weights in an engine's memory and the orders that change them.
+//! The state of an engine's weights and the orders that change it.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 pub struct LoadOrder {
     /// The model's name in requests.
     pub model: String,
-    /// The version's name, reported back as it was given.
+    /// The version's name, which the engine reports unchanged.
     pub digest: String,
     /// The directory of the weights.
     pub dir: PathBuf,
@@ -24,7 +24,7 @@
 /// An order to load an adapter beside the model; the body of `POST /admin/adapter`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AdapterOrder {
-    /// The adapter's name, which requests give as their model.
+    /// The adapter's name, which requests use as their model.
     pub name: String,
     /// The directory of the adapter's weights.
     pub dir: PathBuf,
@@ -51,69 +51,69 @@
     pub fence: u64,
 }
 
-/// The part of the work that an engine does.
+/// The phases of inference that an engine carries out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Prefill and decode.
+    /// The engine prefills and decodes.
     #[default]
     Both,
-    /// Prefill only: fills the cache for export and generates no token.
+    /// The engine only prefills: it fills the cache for export and generates no token.
     Prefill,
-    /// Decode.
+    /// The engine decodes.
     Decode,
 }
 
-/// Where the engine stands with its weights.
+/// The phase of the engine's weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// No weights.
+    /// The engine has no weights.
     #[default]
     Empty,
-    /// Reading weights; answers nothing.
+    /// The engine reads weights and answers no request.
     Loading,
-    /// Answering.
+    /// The engine answers requests.
     Serving,
     /// The last load failed.
     Failed,
 }
 
-/// What `GET /admin/state` answers.
+/// The state that `GET /admin/state` reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
     /// The phase.
     pub state: Phase,
-    /// The model ordered last.
+    /// The model of the last load order.
     pub model: Option<String>,
-    /// The version as the order named it.
+    /// The version's name as the order gave it.
     pub digest: Option<String>,
-    /// What [`weights_digest`](crate::answer::weights_digest) gave for the files that were read.
+    /// The digest of the files that were read; see [`weights_digest`](crate::answer::weights_digest).
     pub weights: Option<Digest>,
-    /// The adapters and their weights.
+    /// The adapters by name, with the digests of their weights.
     pub adapters: BTreeMap<String, Digest>,
     /// The highest fencing number seen.
     pub fence: u64,
     /// The role.
     pub role: Role,
-    /// Why the last load failed.
+    /// The reason why the last load failed.
     pub reason: Option<String>,
 }
 
 impl EngineState {
-    /// The digest that a request for `model` is answered with, if it can be.
-    pub fn answers(&self, model: &str) -> Option<Digest> {
+    /// Returns the digest from which a request for `model` is answered, or `None` if it cannot be answered.
+    pub fn answer_digest(&self, model: &str) -> Option<Digest> {
         let base = self.weights.filter(|_| self.state == Phase::Serving)?;
         if self.model.as_deref() == Some(model) {
             return Some(base);
         }
         let adapter = self.adapters.get(model)?;
-        Some(adapted(&base, adapter))
+        Some(adapted_digest(&base, adapter))
     }
 }
 
-/// The digest that stands for a model with an adapter on top.
-pub fn adapted(base: &Digest, adapter: &Digest) -> Digest {
+/// Returns the digest of a model combined with an adapter.
+pub fn adapted_digest(base: &Digest, adapter: &Digest) -> Digest {
     let both = [base.as_bytes(), adapter.as_bytes()].concat();
     Digest::of(&both)
 }
--- a/crates/filbertstack-standins/tests/engine.rs
+++ b/crates/filbertstack-standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! An engine over loopback: answers, streams, cancels, resumes and faults.
+//! An engine on the loopback address: answers, streams, cancellation, resumed streams and faults.
 
 mod common;
 
@@ -27,15 +27,15 @@
 use common::wait_until;
 use common::weights;
 
-struct Serving {
+struct EngineFixture {
     engine: Engine,
     gate: Arc<Gate>,
     digest: Digest,
     _dir: TempDir,
 }
 
-/// An engine that serves and makes a step for each pass of its gate.
-fn gated(change: impl FnOnce(&mut EngineConfig)) -> Serving {
+/// Starts an engine that serves a model and runs one step for each pass of its gate.
+fn gated(configure: impl FnOnce(&mut EngineConfig)) -> EngineFixture {
     let dir = weights("one");
     let gate = Arc::new(Gate::default());
     let mut config = EngineConfig {
@@ -43,8 +43,8 @@
         lag: Duration::ZERO,
         ..EngineConfig::default()
     };
-    change(&mut config);
-    Serving {
+    configure(&mut config);
+    EngineFixture {
         engine: Engine::serving(config, MODEL, dir.path()).unwrap(),
         gate,
         digest: answer::weights_digest(dir.path()).unwrap(),
@@ -52,21 +52,21 @@
     }
 }
 
-/// An engine that serves without waiting for anybody.
-fn open() -> Serving {
-    let serving = gated(|_| {});
-    serving.gate.open();
-    serving
+/// Starts an engine that serves a model and runs steps without waiting for passes.
+fn ungated() -> EngineFixture {
+    let open = gated(|_| {});
+    open.gate.open();
+    open
 }
 
-/// The `data:` lines of a stream, the last event included.
-fn data(body: impl std::io::Read) -> Vec<String> {
+/// Returns the `data:` lines of a stream, including the last event.
+fn event_data(body: impl std::io::Read) -> Vec<String> {
     let lines = BufReader::new(body).lines().map(Result::unwrap);
     let data = lines.filter_map(|line| line.strip_prefix("data: ").map(str::to_owned));
     data.collect()
 }
 
-fn texts(events: &[String]) -> String {
+fn token_text(events: &[String]) -> String {
     let text = |event: &String| {
         let value: Value = serde_json::from_str(event).ok()?;
         let choice = &value["choices"][0];
@@ -79,19 +79,19 @@
 }
 
 #[test]
-fn a_whole_answer_is_the_function_of_weights_and_prompt() {
-    let s = open();
+fn a_whole_answer_depends_on_weights_and_prompt_only() {
+    let fixture = ungated();
     let body = completion("how many chairs", 5, false);
-    let got = post(&s.engine.addr(), "/v1/completions", &body).json();
+    let got = post(&fixture.engine.addr(), "/v1/completions", &body).json();
     let text = got["choices"][0]["text"].as_str().unwrap();
-    assert_eq!(text, answer::text(&s.digest, "how many chairs", 5));
+    assert_eq!(text, answer::text(&fixture.digest, "how many chairs", 5));
     assert_eq!(got["usage"]["completion_tokens"], 5);
     assert_eq!(got["usage"]["prompt_tokens"], 3);
 }
 
 #[test]
 fn a_chat_is_answered_whole_and_as_a_stream() {
-    let s = open();
+    let fixture = ungated();
     let mut body = json!({
         "model": MODEL, "max_tokens": 4, "stream_options": {"include_usage": true},
         "messages": [
@@ -100,44 +100,47 @@
         ],
     });
     let prompt = answer::chat_prompt([("system", "be brief"), ("user", "which logo")]);
-    let expected = answer::text(&s.digest, &prompt, 4);
+    let expected = answer::text(&fixture.digest, &prompt, 4);
     let path = "/v1/chat/completions";
-    let whole = post(&s.engine.addr(), path, &body).json();
+    let whole = post(&fixture.engine.addr(), path, &body).json();
     assert_eq!(whole["choices"][0]["message"]["content"], expected);
     body["stream"] = json!(true);
-    let events = data(post(&s.engine.addr(), path, &body).into_reader());
-    assert_eq!(texts(&events), expected);
+    let events = event_data(post(&fixture.engine.addr(), path, &body).into_reader());
+    assert_eq!(token_text(&events), expected);
     assert_eq!(events.last().unwrap(), "[DONE]");
     assert!(events[events.len() - 2].contains("\"completion_tokens\":4"));
 }
 
-// A caller streams an answer of three tokens while the engine is held after the first. The first
-// token must arrive although the last has not been made: an engine or server that buffers would
-// leave the caller waiting here for ever.
+// A caller streams an answer of three tokens while the gate holds the engine after the first. The first
+// token must arrive although the last is not generated yet: with an engine or server that buffers, this test
+// would hang.
 #[test]
-fn the_first_token_arrives_before_the_last_is_made() {
-    let s = gated(|_| {});
-    s.gate.allow(2); // One step of prefill, one token.
+fn the_first_token_arrives_before_the_last_is_generated() {
+    let fixture = gated(|_| {});
+    fixture.gate.add_passes(2); // One step of prefill, one token.
     let body = completion("hello", 3, true);
-    let response = post(&s.engine.addr(), "/v1/completions", &body);
+    let response = post(&fixture.engine.addr(), "/v1/completions", &body);
     let mut lines = BufReader::new(response.into_reader()).lines();
     let mut next = || lines.next().unwrap().unwrap();
     assert_eq!(next(), "id: 0");
     let first = next();
-    assert!(first.contains(&format!("\"{}\"", answer::token(&s.digest, "hello", 0))));
-    s.gate.open();
+    assert!(first.contains(&format!(
+        "\"{}\"",
+        answer::token(&fixture.digest, "hello", 0)
+    )));
+    fixture.gate.open();
     let rest: Vec<String> = lines.map(Result::unwrap).collect();
     assert!(rest.contains(&"id: 2".to_owned()));
     assert_eq!(rest[rest.len() - 2], "data: [DONE]");
 }
 
-// A caller hangs up in the middle of its answer, once as a stream and once while it waits for the
-// whole. The engine must stop generating, although it never gets to write to the lost connection.
+// A caller closes its connection in the middle of its answer, once of a stream and once of a whole answer.
+// The engine must stop generating, although it never writes to the closed connection.
 #[test]
-fn a_caller_that_hangs_up_frees_its_slot() {
+fn a_closed_connection_frees_its_slot() {
     for stream in [true, false] {
-        let s = gated(|_| {});
-        let url = format!("http://{}/v1/completions", s.engine.addr());
+        let fixture = gated(|_| {});
+        let url = format!("http://{}/v1/completions", fixture.engine.addr());
         let body = completion("hello", 1000, stream).to_string();
         let caller = std::thread::spawn(move || {
             let call = agent().post(url);
@@ -145,98 +148,101 @@
             let call = call.config().timeout_global(limit).build();
             call.send(body).map(|answer| drop(answer.into_body()))
         });
-        s.gate.allow(3);
-        wait_until("the run begins", || s.engine.runs().total == 1);
-        // The caller is gone: the stream was dropped, the whole answer timed out.
+        fixture.gate.add_passes(3);
+        wait_until("the run begins", || fixture.engine.runs().total == 1);
+        // The caller has closed the connection: the stream was dropped, the whole answer timed out.
         let _ = caller.join().unwrap();
-        wait_until("the cancel", || s.engine.runs().cancelled == 1);
-        let load = get(&s.engine.addr(), "/metrics").bytes();
+        wait_until("the cancel", || fixture.engine.runs().cancelled == 1);
+        let load = get(&fixture.engine.addr(), "/metrics").bytes();
         let load = String::from_utf8(load).unwrap();
         assert!(load.contains("num_requests_running{model_name=\"prairie-draft\"} 0"));
-        assert_eq!(s.engine.runs().completed, 0);
+        assert_eq!(fixture.engine.runs().completed, 0);
     }
 }
 
 #[test]
-fn a_stream_resumes_behind_the_last_token_seen() {
-    let s = open();
-    let tokens = answer::tokens(&s.digest, "hello", 6);
+fn a_stream_resumes_after_the_last_token_received() {
+    let fixture = ungated();
+    let tokens = answer::tokens(&fixture.digest, "hello", 6);
     let mut body = completion("hello", 6, true);
     let path = "/v1/completions";
     let headers = [("Last-Event-ID", "2")];
-    let resumed = post_with(&s.engine.addr(), path, &body, &headers);
-    assert_eq!(texts(&data(resumed.into_reader())), tokens[3..].concat());
+    let resumed = post_with(&fixture.engine.addr(), path, &body, &headers);
+    assert_eq!(
+        token_text(&event_data(resumed.into_reader())),
+        tokens[3..].concat()
+    );
     body["resume_from"] = json!(5);
-    let resumed = post(&s.engine.addr(), path, &body);
-    assert_eq!(texts(&data(resumed.into_reader())), tokens[5]);
+    let resumed = post(&fixture.engine.addr(), path, &body);
+    assert_eq!(token_text(&event_data(resumed.into_reader())), tokens[5]);
 }
 
 #[test]
 fn runs_are_counted_by_request_and_key() {
-    let s = open();
+    let fixture = ungated();
     let headers = [("x-request-id", "r1"), ("Idempotency-Key", "k1")];
     for _ in 0..2 {
         let body = completion("hello", 1, false);
-        post_with(&s.engine.addr(), "/v1/completions", &body, &headers).json();
+        post_with(&fixture.engine.addr(), "/v1/completions", &body, &headers).json();
     }
-    let runs = get(&s.engine.addr(), "/admin/runs").json();
+    let runs = get(&fixture.engine.addr(), "/admin/runs").json();
     assert_eq!(runs["by_request"]["r1"], 2);
     assert_eq!(runs["by_key"]["k1"], 2);
-    assert_eq!(s.engine.runs().completed, 2);
+    assert_eq!(fixture.engine.runs().completed, 2);
 }
 
 #[test]
-fn what_cannot_be_answered_is_refused_and_does_not_run() {
-    let s = open();
+fn an_invalid_request_is_refused_and_does_not_run() {
+    let fixture = ungated();
     let path = "/v1/completions";
-    let status = |body: &Value| post(&s.engine.addr(), path, body).status();
+    let status = |body: &Value| post(&fixture.engine.addr(), path, body).status();
     assert_eq!(status(&json!({"prompt": "no model"})), 400);
     assert_eq!(status(&json!({"model": "other", "prompt": "x"})), 404);
     assert_eq!(status(&completion("x", 0, false)), 400);
     assert_eq!(status(&completion(&"x".repeat(5 << 20), 1, false)), 413);
-    assert_eq!(get(&s.engine.addr(), "/nowhere").status(), 404);
-    assert_eq!(s.engine.runs().total, 0);
+    assert_eq!(get(&fixture.engine.addr(), "/nowhere").status(), 404);
+    assert_eq!(fixture.engine.runs().total, 0);
 }
 
 #[test]
-fn a_full_queue_refuses_with_a_time_to_come_back() {
-    let s = gated(|config| {
+fn a_full_queue_refuses_with_a_retry_after_header() {
+    let fixture = gated(|config| {
         config.slots = 1;
         config.queue = 1;
     });
     let first = post(
-        &s.engine.addr(),
+        &fixture.engine.addr(),
         "/v1/completions",
         &completion("a", 9, true),
     );
     let second = post(
-        &s.engine.addr(),
+        &fixture.engine.addr(),
         "/v1/completions",
         &completion("b", 9, true),
     );
     assert_eq!(second.status(), 429);
     assert_eq!(second.header("Retry-After"), Some("1"));
-    assert_eq!(s.engine.runs().total, 1);
-    s.gate.open();
-    assert_eq!(data(first.into_reader()).last().unwrap(), "[DONE]");
+    assert_eq!(fixture.engine.runs().total, 1);
+    fixture.gate.open();
+    assert_eq!(event_data(first.into_reader()).last().unwrap(), "[DONE]");
 }
 
 #[test]
 fn a_cached_prefix_shortens_the_prefill() {
-    let s = gated(|config| config.prefill = 1);
+    let fixture = gated(|config| config.prefill_blocks = 1);
     let words: Vec<String> = (0..64).map(|n| format!("w{n}")).collect();
     let body = completion(&words.join(" "), 1, true);
-    s.gate.allow(5); // Four blocks and one token.
-    let first = post(&s.engine.addr(), "/v1/completions", &body);
-    assert_eq!(data(first.into_reader()).len(), 3);
-    s.gate.allow(2); // At least one step of prefill and one token.
-    let again = post(&s.engine.addr(), "/v1/completions", &body);
-    assert_eq!(data(again.into_reader()).len(), 3);
-    let events = get(&s.engine.addr(), "/cache/events?after=1").json();
+    fixture.gate.add_passes(5); // Four blocks and one token.
+    let first = post(&fixture.engine.addr(), "/v1/completions", &body);
+    assert_eq!(event_data(first.into_reader()).len(), 3);
+    fixture.gate.add_passes(2); // At least one step of prefill and one token.
+    let again = post(&fixture.engine.addr(), "/v1/completions", &body);
+    assert_eq!(event_data(again.into_reader()).len(), 3);
+    let events = get(&fixture.engine.addr(), "/cache/events?after=1").json();
     assert_eq!(events["events"].as_array().unwrap().len(), 3);
 
     let export = json!({"prompt": words.join(" ")});
-    let moved = post(&s.engine.addr(), "/kv/export", &export).json();
+    let moved = post(&fixture.engine.addr(), "/kv/export", &export).json();
     assert_eq!(moved["blocks"].as_array().unwrap().len(), 4);
     let other = gated(|_| {});
     assert_eq!(
@@ -253,28 +259,28 @@
 }
 
 #[test]
-fn a_gate_opens_over_http() {
-    let s = gated(|_| {});
+fn a_gate_takes_passes_over_http() {
+    let fixture = gated(|_| {});
     let steps = json!({"steps": 2});
-    post(&s.engine.addr(), "/admin/steps", &steps);
+    post(&fixture.engine.addr(), "/admin/steps", &steps);
     let body = completion("hello", 1, false);
     assert_eq!(
-        post(&s.engine.addr(), "/v1/completions", &body).status(),
+        post(&fixture.engine.addr(), "/v1/completions", &body).status(),
         200
     );
     let timed = Engine::start(EngineConfig::default()).unwrap();
     assert_eq!(post(&timed.addr(), "/admin/steps", &steps).status(), 409);
 }
 
-// An answer is cut after two tokens, then one stalls after two. In both the caller has two tokens
-// and no last event; it can take neither for the whole answer.
+// One answer is cut after two tokens, the other stalls after two. In both cases the caller gets two tokens
+// and no last event, so that it cannot mistake either for a complete answer.
 #[test]
-fn cut_and_stalled_answers_never_look_whole() {
-    let s = open();
-    let url = format!("http://{}/v1/completions", s.engine.addr());
+fn cut_and_stalled_answers_never_look_complete() {
+    let fixture = ungated();
+    let url = format!("http://{}/v1/completions", fixture.engine.addr());
     let body = completion("hello", 5, true).to_string();
     for stalls in [false, true] {
-        s.engine.set_faults(EngineFaults {
+        fixture.engine.set_faults(EngineFaults {
             cut_after: (!stalls).then_some(2),
             stall_after: stalls.then_some(2),
             ..EngineFaults::default()
@@ -290,7 +296,7 @@
                 end => break end,
             }
         };
-        // A cut is an end of the connection; a stall lasts until the caller gives up.
+        // A cut closes the connection; a stall lasts until the caller's timeout.
         let error = end.expect("the body must not end well").unwrap_err();
         let gave_up = error.to_string().starts_with("timeout");
         assert_eq!(gave_up, stalls, "{error}");
@@ -300,15 +306,15 @@
 }
 
 #[test]
-fn a_refusal_runs_nothing() {
-    let s = open();
+fn an_injected_refusal_runs_nothing() {
+    let fixture = ungated();
     let refuse = json!({"refuse": true});
     assert_eq!(
-        post(&s.engine.addr(), "/admin/faults", &refuse).status(),
+        post(&fixture.engine.addr(), "/admin/faults", &refuse).status(),
         200
     );
     let refused = post(
-        &s.engine.addr(),
+        &fixture.engine.addr(),
         "/v1/completions",
         &completion("x", 1, false),
     );
@@ -316,10 +322,10 @@
         (refused.status(), refused.header("Retry-After")),
         (503, Some("1"))
     );
-    assert_eq!(s.engine.runs().total, 0);
+    assert_eq!(fixture.engine.runs().total, 0);
     let unknown = json!({"refuze": true});
     assert_eq!(
-        post(&s.engine.addr(), "/admin/faults", &unknown).status(),
+        post(&fixture.engine.addr(), "/admin/faults", &unknown).status(),
         400
     );
 }
--- a/crates/filbertstack-standins/tests/orders.rs
+++ b/crates/filbertstack-standins/tests/orders.rs
@@ -1,4 +1,4 @@
-//! The orders that an engine takes: loads, fencing and what mixed weights lead to.
+//! The orders of an engine: loads, fencing and the effects of mixed weights.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use filbertstack_standins::engine::Gate;
 use filbertstack_standins::engine::Pace;
 use filbertstack_standins::engine::Phase;
-use filbertstack_standins::engine::weights::adapted;
+use filbertstack_standins::engine::weights::adapted_digest;
 use serde_json::Value;
 use serde_json::json;
 
@@ -27,7 +27,7 @@
 use common::wait_until;
 use common::weights;
 
-fn engine(fencing: Fencing) -> Engine {
+fn start_engine(fencing: Fencing) -> Engine {
     let config = EngineConfig {
         step: Duration::ZERO,
         load_time: Duration::ZERO,
@@ -37,23 +37,27 @@
     Engine::start(config).unwrap()
 }
 
-fn order(dir: &Path, digest: &str, fence: u64) -> Value {
+fn load_order(dir: &Path, digest: &str, fence: u64) -> Value {
     json!({"model": MODEL, "digest": digest, "dir": dir, "fence": fence})
 }
 
 fn load(engine: &Engine, dir: &Path, digest: &str, fence: u64) {
-    let answer = post(&engine.addr(), "/admin/load", &order(dir, digest, fence));
+    let answer = post(
+        &engine.addr(),
+        "/admin/load",
+        &load_order(dir, digest, fence),
+    );
     assert_eq!(answer.status(), 202);
-    settled(engine);
+    wait_for_load(engine);
 }
 
-fn settled(engine: &Engine) {
+fn wait_for_load(engine: &Engine) {
     wait_until("the end of the load", || {
         engine.state().state != Phase::Loading
     });
 }
 
-fn ask(addr: &SocketAddr, model: &str) -> String {
+fn complete(addr: &SocketAddr, model: &str) -> String {
     let mut body = completion("hello", 4, false);
     body["model"] = json!(model);
     let answer = post(addr, "/v1/completions", &body).json();
@@ -61,9 +65,9 @@
 }
 
 #[test]
-fn an_engine_answers_from_what_it_read() {
+fn an_engine_answers_from_the_weights_it_read() {
     let (one, two) = (weights("one"), weights("two"));
-    let engine = engine(Fencing::Enforced);
+    let engine = start_engine(Fencing::Enforced);
     let early = post(
         &engine.addr(),
         "/v1/completions",
@@ -74,7 +78,7 @@
         load(&engine, dir.path(), "v", fence);
         let digest = answer::weights_digest(dir.path()).unwrap();
         assert_eq!(
-            ask(&engine.addr(), MODEL),
+            complete(&engine.addr(), MODEL),
             answer::text(&digest, "hello", 4)
         );
     }
@@ -86,30 +90,30 @@
     assert_eq!(models["data"], json!([]));
 }
 
-// A directory holds one file of a version and one of another, or lacks a file, or has one cut
-// short. The engine loads it without a complaint, as engines do; what it answers must differ from
-// the answers of every whole version, so that a caller's check finds it out.
+// A directory has files of two versions, lacks a file or has a truncated file. The engine loads it without an
+// error, as real engines do; its answers must differ from those of every complete version, so that a caller's
+// check detects the fault.
 #[test]
-fn mixed_and_partial_weights_answer_as_no_version_does() {
+fn mixed_and_partial_weights_answer_unlike_every_version() {
     let (one, two) = (weights("one"), weights("two"));
     let mixed = tempfile::tempdir().unwrap();
     let copy = |from: &Path, file: &str| {
         fs::copy(from.join(file), mixed.path().join(file)).unwrap();
     };
     let mut digests = Vec::new();
-    let mut note = |dir: &Path| digests.push(answer::weights_digest(dir).unwrap());
-    note(one.path());
-    note(two.path());
+    let mut record = |dir: &Path| digests.push(answer::weights_digest(dir).unwrap());
+    record(one.path());
+    record(two.path());
     copy(one.path(), "config.json");
-    note(mixed.path());
+    record(mixed.path());
     copy(two.path(), "weights.bin");
-    note(mixed.path());
+    record(mixed.path());
     fs::write(mixed.path().join("weights.bin"), b"oneone").unwrap();
-    note(mixed.path());
+    record(mixed.path());
     for (i, digest) in digests.iter().enumerate() {
         assert!(!digests[..i].contains(digest), "{i}");
     }
-    let engine = engine(Fencing::Enforced);
+    let engine = start_engine(Fencing::Enforced);
     load(&engine, mixed.path(), "v1", 1);
     let state = engine.state();
     assert_eq!(
@@ -118,13 +122,13 @@
     );
     assert_eq!(state.weights, digests.last().copied());
     assert_eq!(
-        ask(&engine.addr(), MODEL),
+        complete(&engine.addr(), MODEL),
         answer::text(&digests[4], "hello", 4)
     );
 }
 
 #[test]
-fn bytes_moved_between_names_and_files_change_the_digest() {
+fn bytes_moved_between_names_and_contents_change_the_digest() {
     let dir = |files: &[(&str, &str)]| {
         let dir = tempfile::tempdir().unwrap();
         for (name, content) in files {
@@ -149,32 +153,36 @@
     assert!(answer::weights_digest(empty.path()).is_err());
 }
 
-// A leader that was cut off sends an order with its old fencing number after a newer leader's. An
-// engine that checks refuses it; one that does not carries it out, which is why something else
-// must stand before such an engine.
+// A partitioned leader sends an order with its old fencing number after the order of a newer leader. An
+// engine that enforces fencing refuses it; an engine that ignores fencing carries it out, which is why such
+// an engine needs another check in front of it.
 #[test]
-fn old_orders_are_refused_or_carried_out_by_setting() {
+fn old_orders_are_refused_only_if_fencing_is_enforced() {
     let (new, old) = (weights("new"), weights("old"));
     for (fencing, status, version) in [
         (Fencing::Enforced, 409, "new"),
         (Fencing::Ignored, 202, "old"),
     ] {
-        let engine = engine(fencing);
+        let engine = start_engine(fencing);
         load(&engine, new.path(), "new", 7);
-        let late = post(&engine.addr(), "/admin/load", &order(old.path(), "old", 6));
+        let late = post(
+            &engine.addr(),
+            "/admin/load",
+            &load_order(old.path(), "old", 6),
+        );
         assert_eq!(late.status(), status);
-        settled(&engine);
+        wait_for_load(&engine);
         assert_eq!(engine.state().digest.as_deref(), Some(version));
         assert_eq!(engine.state().fence, 7);
-        // A resend under the same number is no old order.
+        // A repeated order with the same number does not count as old.
         load(&engine, new.path(), "new", 7);
     }
 }
 
 #[test]
-fn every_kind_of_order_is_fenced() {
+fn every_kind_of_order_checks_the_fencing_number() {
     let dir = weights("one");
-    let engine = engine(Fencing::Enforced);
+    let engine = start_engine(Fencing::Enforced);
     load(&engine, dir.path(), "v", 5);
     let old = [
         ("/admin/unload", json!({"fence": 4})),
@@ -196,37 +204,37 @@
 #[test]
 fn adapters_answer_under_their_own_name() {
     let (base, adapter) = (weights("base"), weights("adapter"));
-    let engine = engine(Fencing::Enforced);
+    let engine = start_engine(Fencing::Enforced);
     load(&engine, base.path(), "v", 1);
     let order = json!({"name": "house-style", "dir": adapter.path(), "fence": 1});
     assert_eq!(post(&engine.addr(), "/admin/adapter", &order).status(), 200);
     let digest = |dir: &Path| answer::weights_digest(dir).unwrap();
-    let both = adapted(&digest(base.path()), &digest(adapter.path()));
+    let both = adapted_digest(&digest(base.path()), &digest(adapter.path()));
     assert_eq!(
-        ask(&engine.addr(), "house-style"),
+        complete(&engine.addr(), "house-style"),
         answer::text(&both, "hello", 4)
     );
     let plain = answer::text(&digest(base.path()), "hello", 4);
-    assert_eq!(ask(&engine.addr(), MODEL), plain);
+    assert_eq!(complete(&engine.addr(), MODEL), plain);
 }
 
 #[test]
-fn a_prefill_engine_generates_nothing() {
+fn a_prefill_engine_generates_no_token() {
     let dir = weights("one");
-    let engine = engine(Fencing::Enforced);
+    let engine = start_engine(Fencing::Enforced);
     load(&engine, dir.path(), "v", 1);
     post(
         &engine.addr(),
         "/admin/role",
         &json!({"role": "prefill", "fence": 1}),
     );
-    assert_eq!(ask(&engine.addr(), MODEL), "");
+    assert_eq!(complete(&engine.addr(), MODEL), "");
 }
 
 #[test]
-fn loads_fail_hang_and_lie_when_told_to() {
+fn injected_faults_fail_hang_and_misreport_loads() {
     let dir = weights("one");
-    let engine = engine(Fencing::Enforced);
+    let engine = start_engine(Fencing::Enforced);
     let faults = |faults| engine.set_faults(faults);
     faults(EngineFaults {
         fail_loads: 1,
@@ -241,9 +249,9 @@
         report: Some("v0".to_owned()),
         ..EngineFaults::default()
     });
-    let told = get(&engine.addr(), "/admin/state").json();
+    let reported = get(&engine.addr(), "/admin/state").json();
     assert_eq!(
-        (&told["digest"], &told["state"]),
+        (&reported["digest"], &reported["state"]),
         (&json!("v0"), &json!("serving"))
     );
 
@@ -251,7 +259,11 @@
         hang_loads: true,
         ..EngineFaults::default()
     });
-    post(&engine.addr(), "/admin/load", &order(dir.path(), "v", 3));
+    post(
+        &engine.addr(),
+        "/admin/load",
+        &load_order(dir.path(), "v", 3),
+    );
     assert_eq!(engine.state().state, Phase::Loading);
     let missing = dir.path().join("none");
     faults(EngineFaults::default());
@@ -260,11 +272,11 @@
     assert!(engine.state().reason.unwrap().contains("none"));
 }
 
-// An order to load another version comes while an answer is being made. Like the engines that it
-// stands in for, the stand-in goes on with the new weights in the middle of the answer: whoever
-// orders must drain first, and the check of the answer shows it if nobody did.
+// An order to load another version arrives while an answer is generated. Like the engines that it stands in
+// for, the stand-in continues the answer with the new weights: the sender of the order must drain the engine
+// first, and the check of the answer shows a missing drain.
 #[test]
-fn a_load_under_a_running_answer_mixes_it() {
+fn a_load_during_an_answer_mixes_its_tokens() {
     let (one, two) = (weights("one"), weights("two"));
     let gate = Arc::new(Gate::default());
     let config = EngineConfig {
@@ -274,8 +286,8 @@
     };
     let engine = Engine::serving(config, MODEL, one.path()).unwrap();
     let addr = engine.addr();
-    gate.allow(3); // One step of prefill, two tokens.
-    let caller = std::thread::spawn(move || ask(&addr, MODEL));
+    gate.add_passes(3); // One step of prefill, two tokens.
+    let caller = std::thread::spawn(move || complete(&addr, MODEL));
     wait_until("two tokens", || gate.passes() == 0);
     load(&engine, two.path(), "v2", 1);
     gate.open();
