--- a/crates/filbertstack-standins/tests/common/mod.rs
+++ b/crates/filbertstack-standins/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the stand-ins share: weights on disk and a small client.
+//! Helpers that the tests of the stand-ins share: weights on disk and a small HTTP client.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::fs;
@@ -14,7 +14,7 @@
 /// The model that the tests serve.
 pub const MODEL: &str = "prairie-draft";
 
-/// A directory with two files of weights that depend on `seed`.
+/// Creates a directory with two weight files whose contents depend on `seed`.
 pub fn weights(seed: &str) -> TempDir {
     let dir = tempfile::tempdir().unwrap();
     fs::write(
@@ -27,7 +27,7 @@
     dir
 }
 
-/// A completion's body.
+/// Returns the body of a completion request.
 pub fn completion(prompt: &str, max_tokens: usize, stream: bool) -> Value {
     json!({"model": MODEL, "prompt": prompt, "max_tokens": max_tokens, "stream": stream})
 }
@@ -93,7 +93,7 @@
     Answer(request.send(body).unwrap())
 }
 
-/// Polls until `done`; the bound only ends a test that would hang.
+/// Polls until `done` returns `true`; the limit on polls only fails a test that would hang.
 pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     for _ in 0..6_000 {
         if done() {
