--- a/crates/filbertstack-standins/src/engine/admin.rs
+++ b/crates/filbertstack-standins/src/engine/admin.rs
@@ -125,7 +125,7 @@
 
 fn finish_load(core: &Core, number: u64, dir: &Path) {
     thread::sleep(core.config.load_time);
-    let digest = answer::weights_digest(dir).map_err(|e| e.to_string());
+    let result = answer::weights_digest(dir).map_err(|e| e.to_string());
     let mut shared = core.lock();
     if shared.order_count != number || shared.faults.hang_loads {
         return;
@@ -134,7 +134,7 @@
         shared.faults.fail_loads -= 1;
         Err("the load failed by an injected fault".to_owned())
     } else {
-        digest
+        result
     };
     record_outcome(&mut shared.weights, outcome);
     drop(shared);
@@ -169,8 +169,8 @@
 }
 
 fn load_adapter(core: &Arc<Core>, order: AdapterOrder) -> Result<Reply, Reply> {
-    let digest = answer::weights_digest(&order.dir);
-    let digest = digest.map_err(|e| Reply::error(400, "invalid_request_error", e.to_string()))?;
+    let result = answer::weights_digest(&order.dir);
+    let digest = result.map_err(|e| Reply::error(400, "invalid_request_error", e.to_string()))?;
     let mut shared = core.lock();
     if shared.weights.state != Phase::Serving {
         return Err(Reply::error(409, "conflict", "load a model first"));
--- a/crates/filbertstack-standins/src/engine/api.rs
+++ b/crates/filbertstack-standins/src/engine/api.rs
@@ -11,8 +11,8 @@
 use crate::engine::config::EngineFaults;
 use crate::engine::core::Core;
 use crate::engine::core::Output;
+use crate::engine::core::QueuedSequence;
 use crate::engine::core::Refusal;
-use crate::engine::core::SequenceHandle;
 use crate::engine::response::ResponseFormat;
 use crate::engine::response::Usage;
 use crate::http::Call;
@@ -89,8 +89,8 @@
             let message = format!("max_tokens is {end}: give 1 to {MAX_TOKENS}");
             return Err(Reply::error(400, "invalid_request_error", message));
         }
-        let last_event = call.header("Last-Event-ID").and_then(|id| id.parse().ok());
-        let start = last_event.map_or(params.resume_from, |id: usize| id + 1);
+        let last_event_id = call.header("Last-Event-ID").and_then(|id| id.parse().ok());
+        let start = last_event_id.map_or(params.resume_from, |id: usize| id + 1);
         Ok(Self {
             format,
             prompt,
@@ -141,10 +141,10 @@
     };
     match core.submit(&request.params.model, &request.prompt, sequence) {
         Err(refusal) => call.reply(refusal_reply(refusal, &request.params.model)),
-        Ok(handle) => {
+        Ok(queued) => {
             core.runs
                 .begin(call.header("x-request-id"), call.header("Idempotency-Key"));
-            respond(core, &request, call, handle, &faults);
+            respond(core, &request, call, queued, &faults);
         }
     }
 }
@@ -165,14 +165,14 @@
     core: &Arc<Core>,
     request: &Request,
     call: Call,
-    handle: SequenceHandle,
+    queued: QueuedSequence,
     faults: &EngineFaults,
 ) {
     if request.params.stream {
-        // A write fails once the caller is gone; dropping the handle cancels the sequence.
-        let _ = respond_stream(core, request, call, handle, faults);
+        // A write fails once the caller is gone; dropping the queued sequence cancels it.
+        let _ = respond_stream(core, request, call, queued, faults);
     } else {
-        respond_whole(core, request, call, handle, faults);
+        respond_whole(core, request, call, queued, faults);
     }
 }
 
@@ -214,14 +214,14 @@
     core: &Core,
     request: &Request,
     call: Call,
-    mut handle: SequenceHandle,
+    mut queued: QueuedSequence,
     faults: &EngineFaults,
 ) {
     let pipe = call.pipe();
     let mut text = String::new();
     let mut generated = 0;
     loop {
-        match handle.next(|| pipe.gone()) {
+        match queued.next(|| pipe.gone()) {
             Some(Output::Token(_, token)) => {
                 text.push_str(&token);
                 generated += 1;
@@ -260,7 +260,7 @@
     core: &Core,
     request: &Request,
     call: Call,
-    mut handle: SequenceHandle,
+    mut queued: QueuedSequence,
     faults: &EngineFaults,
 ) -> io::Result<()> {
     let pipe = call.pipe();
@@ -269,7 +269,7 @@
     let mut writer = call.stream("text/event-stream", &[("Cache-Control", "no-cache".into())])?;
     let mut generated = 0;
     loop {
-        match handle.next(|| pipe.gone()) {
+        match queued.next(|| pipe.gone()) {
             Some(Output::Token(index, text)) => {
                 let event = request.format.token(&id, model, &text);
                 send_event(&mut writer, Some(index), &event)?;
--- a/crates/filbertstack-standins/src/engine/core.rs
+++ b/crates/filbertstack-standins/src/engine/core.rs
@@ -142,7 +142,7 @@
         model: &str,
         prompt: &str,
         mut sequence: Sequence,
-    ) -> Result<SequenceHandle, Refusal> {
+    ) -> Result<QueuedSequence, Refusal> {
         let (outputs, receiver) = mpsc::channel();
         let mut shared = self.lock();
         if shared.weights.answer_digest(model).is_none() {
@@ -167,7 +167,7 @@
         shared.record_load(self.now());
         drop(shared);
         self.wake();
-        Ok(SequenceHandle {
+        Ok(QueuedSequence {
             core: self.clone(),
             id,
             outputs: receiver,
@@ -249,7 +249,7 @@
             return;
         };
         let text = answer::token(&digest, &job.prompt, index);
-        // A send fails once the handle is dropped, and dropping it cancels the sequence.
+        // A send fails once the `QueuedSequence` is dropped, and dropping it cancels the sequence.
         let _ = job.outputs.send(Output::Token(index, text));
     }
 
@@ -260,15 +260,15 @@
     }
 }
 
-/// The handle of a queued sequence; dropping it before the end cancels the sequence.
-pub struct SequenceHandle {
+/// A queued or running sequence, as its caller holds it; dropping it before the end cancels it.
+pub struct QueuedSequence {
     core: Arc<Core>,
     id: SequenceId,
     outputs: Receiver<Output>,
     ended: bool,
 }
 
-impl SequenceHandle {
+impl QueuedSequence {
     /// Returns the next output; returns `None` once `gone` reports that the caller has closed the connection
     /// or the engine has stopped.
     pub fn next(&mut self, gone: impl Fn() -> bool) -> Option<Output> {
@@ -288,7 +288,7 @@
     }
 }
 
-impl Drop for SequenceHandle {
+impl Drop for QueuedSequence {
     fn drop(&mut self) {
         if self.ended {
             return;
--- a/crates/filbertstack-standins/src/engine/mod.rs
+++ b/crates/filbertstack-standins/src/engine/mod.rs
@@ -106,9 +106,9 @@
 impl Drop for Engine {
     fn drop(&mut self) {
         self.core.close();
-        if let Some(thread) = self.step_thread.take() {
+        if let Some(step_thread) = self.step_thread.take() {
             // An error means that the step loop panicked, so it has ended as well.
-            let _ = thread.join();
+            let _ = step_thread.join();
         }
     }
 }
--- a/crates/filbertstack-standins/tests/engine.rs
+++ b/crates/filbertstack-standins/tests/engine.rs
@@ -54,9 +54,9 @@
 
 /// Starts an engine that serves a model and runs steps without waiting for passes.
 fn ungated() -> EngineFixture {
-    let open = gated(|_| {});
-    open.gate.open();
-    open
+    let fixture = gated(|_| {});
+    fixture.gate.open();
+    fixture
 }
 
 /// Returns the `data:` lines of a stream, including the last event.
