--- a/crates/filbertstack-standins/src/engine/config.rs
+++ b/crates/filbertstack-standins/src/engine/config.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::engine::pace::Gate;
+use crate::engine::pace::StepGate;
 use crate::http::ANY_ADDR;
 
 /// The handling of an order whose fencing number is lower than one the engine has seen.
@@ -28,7 +28,7 @@
     #[default]
     Timed,
     /// A gate: each step takes one pass, which a test adds.
-    Gated(Arc<Gate>),
+    Gated(Arc<StepGate>),
 }
 
 /// The settings of an [`Engine`](crate::Engine).
--- a/crates/filbertstack-standins/src/engine/mod.rs
+++ b/crates/filbertstack-standins/src/engine/mod.rs
@@ -25,7 +25,7 @@
 pub use config::EngineFaults;
 pub use config::Fencing;
 pub use config::Pace;
-pub use pace::Gate;
+pub use pace::StepGate;
 pub use weights::EngineState;
 pub use weights::LoadOrder;
 pub use weights::Phase;
--- a/crates/filbertstack-standins/src/engine/pace.rs
+++ b/crates/filbertstack-standins/src/engine/pace.rs
@@ -12,12 +12,12 @@
 
 /// A gate that lets through one step for each pass, so that a test decides when each token is generated.
 #[derive(Debug, Default)]
-pub struct Gate {
+pub struct StepGate {
     state: Mutex<GateState>,
     changed: Condvar,
 }
 
-impl Gate {
+impl StepGate {
     /// Adds passes for `steps` steps.
     pub fn add_passes(&self, steps: u64) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/filbertstack-standins/tests/engine.rs
+++ b/crates/filbertstack-standins/tests/engine.rs
@@ -12,8 +12,8 @@
 use filbertstack_standins::EngineConfig;
 use filbertstack_standins::answer;
 use filbertstack_standins::engine::EngineFaults;
-use filbertstack_standins::engine::Gate;
 use filbertstack_standins::engine::Pace;
+use filbertstack_standins::engine::StepGate;
 use serde_json::Value;
 use serde_json::json;
 use tempfile::TempDir;
@@ -29,7 +29,7 @@
 
 struct EngineFixture {
     engine: Engine,
-    gate: Arc<Gate>,
+    gate: Arc<StepGate>,
     digest: Digest,
     _dir: TempDir,
 }
@@ -37,7 +37,7 @@
 /// Starts an engine that serves a model and runs one step for each pass of its gate.
 fn gated(configure: impl FnOnce(&mut EngineConfig)) -> EngineFixture {
     let dir = weights("one");
-    let gate = Arc::new(Gate::default());
+    let gate = Arc::new(StepGate::default());
     let mut config = EngineConfig {
         pace: Pace::Gated(gate.clone()),
         lag: Duration::ZERO,
--- a/crates/filbertstack-standins/tests/load.rs
+++ b/crates/filbertstack-standins/tests/load.rs
@@ -12,7 +12,7 @@
 use filbertstack_standins::Service;
 use filbertstack_standins::ServiceConfig;
 use filbertstack_standins::answer;
-use filbertstack_standins::engine::Gate;
+use filbertstack_standins::engine::StepGate;
 use filbertstack_standins::http::ANY_ADDR;
 use filbertstack_standins::http::Call;
 use filbertstack_standins::http::Handler;
@@ -55,7 +55,7 @@
     /// Refuses with a status, an outcome and a time to come back.
     Refuse(u16, Option<&'static str>, Option<u64>),
     /// Answers once the gate opens.
-    Hold(Arc<Gate>),
+    Hold(Arc<StepGate>),
 }
 
 struct Script {
@@ -274,7 +274,7 @@
 // The answer never comes within the deadline. The caller cannot know whether it ran.
 #[test]
 fn a_late_answer_is_unknown() {
-    let gate = Arc::new(Gate::default());
+    let gate = Arc::new(StepGate::default());
     let scripted = Scripted::new([Act::Hold(gate.clone())], 60.0);
     let config = LoadConfig {
         deadline: Duration::from_millis(50),
@@ -318,7 +318,7 @@
 // bound, a closed loop must not.
 #[test]
 fn an_open_loop_does_not_wait_for_answers() {
-    let gate = Arc::new(Gate::default());
+    let gate = Arc::new(StepGate::default());
     let scripted = Scripted::new((0..50).map(|_| Act::Hold(gate.clone())), 60.0);
     let config = LoadConfig {
         arrivals: Arrivals::Open { per_second: 2000.0 },
--- a/crates/filbertstack-standins/tests/orders.rs
+++ b/crates/filbertstack-standins/tests/orders.rs
@@ -13,9 +13,9 @@
 use filbertstack_standins::answer;
 use filbertstack_standins::engine::EngineFaults;
 use filbertstack_standins::engine::Fencing;
-use filbertstack_standins::engine::Gate;
 use filbertstack_standins::engine::Pace;
 use filbertstack_standins::engine::Phase;
+use filbertstack_standins::engine::StepGate;
 use filbertstack_standins::engine::weights::adapted_digest;
 use serde_json::Value;
 use serde_json::json;
@@ -278,7 +278,7 @@
 #[test]
 fn a_load_during_an_answer_mixes_its_tokens() {
     let (one, two) = (weights("one"), weights("two"));
-    let gate = Arc::new(Gate::default());
+    let gate = Arc::new(StepGate::default());
     let config = EngineConfig {
         pace: Pace::Gated(gate.clone()),
         load_time: Duration::ZERO,
--- a/tests/system/input.rs
+++ b/tests/system/input.rs
@@ -11,8 +11,8 @@
 
 use filbertstack_standins::Engine;
 use filbertstack_standins::EngineConfig;
-use filbertstack_standins::engine::Gate;
 use filbertstack_standins::engine::Pace;
+use filbertstack_standins::engine::StepGate;
 use serde_json::json;
 
 use crate::support::CALLER_KEY;
@@ -151,7 +151,7 @@
     let weights = system.weights(7, 1 << 16);
     let origin = Process::start(&["stand-in", "origin", weights.dir()]);
     let url = format!("http://{}", origin.addr("listening"));
-    let gate = Arc::new(Gate::default());
+    let gate = Arc::new(StepGate::default());
     let config = EngineConfig {
         pace: Pace::Gated(gate.clone()),
         ..EngineConfig::default()
