--- a/crates/filbertstack-standins/src/engine/core.rs
+++ b/crates/filbertstack-standins/src/engine/core.rs
@@ -180,7 +180,7 @@
         while let Some(time) = self.await_work() {
             match &self.config.pace {
                 Pace::Timed => thread::sleep(time),
-                Pace::Gated(gate) => gate.pass(),
+                Pace::Gated(gate) => gate.take_pass(),
             }
             let mut shared = self.lock();
             shared.step();
--- a/crates/filbertstack-standins/src/engine/pace.rs
+++ b/crates/filbertstack-standins/src/engine/pace.rs
@@ -39,7 +39,7 @@
     }
 
     /// Waits for a pass and takes it.
-    pub fn pass(&self) {
+    pub fn take_pass(&self) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         while state.passes == 0 && !state.open {
             state = self
--- a/crates/filbertstack-standins/tests/load.rs
+++ b/crates/filbertstack-standins/tests/load.rs
@@ -91,7 +91,7 @@
         Act::Cut(tokens) => send(call, body, prompt, Some("v1"), Some((tokens, false))),
         Act::Short(tokens) => send(call, body, prompt, Some("v1"), Some((tokens, true))),
         Act::Hold(gate) => {
-            gate.pass();
+            gate.take_pass();
             send(call, body, prompt, Some("v1"), None);
         }
         Act::Refuse(status, outcome, after) => {
