--- a/crates/filbertstack-standins/src/engine/core.rs
+++ b/crates/filbertstack-standins/src/engine/core.rs
@@ -269,8 +269,8 @@
 }
 
 impl QueuedSequence {
-    /// Returns the next output; returns `None` once `gone` reports that the caller has closed the connection
-    /// or the engine has stopped.
+    /// Returns the next output; returns `None` once `gone` returns `true`, because the caller has closed
+    /// the connection or the engine has stopped, or once the sequence has no more output.
     pub fn next(&mut self, gone: impl Fn() -> bool) -> Option<Output> {
         loop {
             if gone() {
