--- a/crates/filbertstack-standins/src/engine/pace.rs
+++ b/crates/filbertstack-standins/src/engine/pace.rs
@@ -1,4 +1,4 @@
-//! The pace of steps: by the clock or by a gate that a test holds.
+//! The gate with which a test sets the pace of an engine's steps.
 
 use std::sync::Condvar;
 use std::sync::Mutex;
@@ -10,36 +10,36 @@
     open: bool,
 }
 
-/// Lets through one step for each pass, so that a test decides what has been made when.
+/// A gate that lets through one step for each pass, so that a test decides when each token is generated.
 #[derive(Debug, Default)]
-pub struct Gate {
+pub struct StepGate {
     state: Mutex<GateState>,
     changed: Condvar,
 }
 
-impl Gate {
+impl StepGate {
     /// Adds passes for `steps` steps.
-    pub fn allow(&self, steps: u64) {
+    pub fn add_passes(&self, steps: u64) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.passes += steps;
         self.changed.notify_all();
     }
 
-    /// Lets everything through from now on.
+    /// Opens the gate: from now on, steps need no pass.
     pub fn open(&self) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.open = true;
         self.changed.notify_all();
     }
 
-    /// The passes that nobody has taken.
+    /// Returns the number of passes that are left.
     pub fn passes(&self) -> u64 {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.passes
     }
 
     /// Waits for a pass and takes it.
-    pub fn pass(&self) {
+    pub fn take_pass(&self) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         while state.passes == 0 && !state.open {
             state = self
--- a/crates/filbertstack-standins/tests/load.rs
+++ b/crates/filbertstack-standins/tests/load.rs
@@ -12,7 +12,7 @@
 use filbertstack_standins::Service;
 use filbertstack_standins::ServiceConfig;
 use filbertstack_standins::answer;
-use filbertstack_standins::engine::Gate;
+use filbertstack_standins::engine::StepGate;
 use filbertstack_standins::http::ANY_ADDR;
 use filbertstack_standins::http::Call;
 use filbertstack_standins::http::Handler;
@@ -55,7 +55,7 @@
     /// Refuses with a status, an outcome and a `Retry-After` in seconds.
     Refuse(u16, Option<&'static str>, Option<u64>),
     /// Sends the correct answer once the gate opens.
-    Hold(Arc<Gate>),
+    Hold(Arc<StepGate>),
 }
 
 /// The reactions of a scripted entry and what it received.
@@ -92,7 +92,7 @@
         Action::Cut(tokens) => send(call, body, prompt, Some("v1"), Some((tokens, false))),
         Action::MissingEnd(tokens) => send(call, body, prompt, Some("v1"), Some((tokens, true))),
         Action::Hold(gate) => {
-            gate.pass();
+            gate.take_pass();
             send(call, body, prompt, Some("v1"), None);
         }
         Action::Refuse(status, outcome, retry_after) => {
@@ -284,7 +284,7 @@
 // The answer does not come within the deadline, so that the caller cannot know whether the request ran.
 #[test]
 fn an_answer_after_the_deadline_is_unknown() {
-    let gate = Arc::new(Gate::default());
+    let gate = Arc::new(StepGate::default());
     let entry = ScriptedEntry::new([Action::Hold(gate.clone())], 60.0);
     let config = LoadConfig {
         deadline: Duration::from_millis(50),
@@ -330,7 +330,7 @@
 // requests beyond it, whereas a closed loop would wait.
 #[test]
 fn an_open_loop_does_not_wait_for_answers() {
-    let gate = Arc::new(Gate::default());
+    let gate = Arc::new(StepGate::default());
     let entry = ScriptedEntry::new((0..50).map(|_| Action::Hold(gate.clone())), 60.0);
     let config = LoadConfig {
         arrivals: Arrivals::Open { per_second: 2000.0 },
