--- a/crates/filbertstack-entry/src/process.rs
+++ b/crates/filbertstack-entry/src/process.rs
@@ -191,7 +191,7 @@
         let passed_on = self.guard.await_answers(deadline);
         let requests = inner.active_requests.load(Ordering::SeqCst);
         if requests > 0 || !passed_on {
-            warn!("stop timeout expired; requests in progress are aborted", kv: { requests, passed_on });
+            warn!("stop timeout ran out, requests break off", kv: { requests, passed_on });
         }
         if let Some(voter) = &inner.voter {
             voter.stop();
