--- a/crates/filbertstack-standins/src/engine/api.rs
+++ b/crates/filbertstack-standins/src/engine/api.rs
@@ -8,13 +8,13 @@
 
 use crate::answer;
 use crate::engine::batch::Sequence;
-use crate::engine::response::ResponseFormat;
-use crate::engine::response::Usage;
 use crate::engine::config::EngineFaults;
 use crate::engine::core::Core;
-use crate::engine::core::QueuedSequence;
 use crate::engine::core::Output;
+use crate::engine::core::QueuedSequence;
 use crate::engine::core::Refusal;
+use crate::engine::response::ResponseFormat;
+use crate::engine::response::Usage;
 use crate::http::Call;
 use crate::http::ChunkWriter;
 use crate::http::Reply;
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -9,9 +9,9 @@
 
 use filbertstack_standins::load;
 use filbertstack_standins::load::Arrivals;
-use filbertstack_standins::load::RequestKind;
 use filbertstack_standins::load::LoadConfig;
 use filbertstack_standins::load::Organisation;
+use filbertstack_standins::load::RequestKind;
 use filbertstack_standins::load::Version;
 use thiserror::Error;
 
@@ -134,7 +134,10 @@
         weights: system.weights(),
     }];
     config.arrivals = Arrivals::Closed { callers: CALLERS };
-    config.kinds = vec![(WORK_SHARES.0, RequestKind::Completion), (WORK_SHARES.1, bookings)];
+    config.kinds = vec![
+        (WORK_SHARES.0, RequestKind::Completion),
+        (WORK_SHARES.1, bookings),
+    ];
     config.requests = requests.into();
     config.duration = STEP_TIMEOUT;
     config.retries = RETRIES;
