--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, in an order that the seed fixes; some begin before the one before has ended.
+//! Random faults, whose order depends only on the seed; a fault may start before the previous one ends.
 
 use std::thread;
 use std::time::Duration;
@@ -11,55 +11,55 @@
 use crate::fleet::ENTRIES;
 use crate::fleet::Fleet;
 use crate::fleet::VOTERS;
-use crate::proxy::Harm;
+use crate::proxy::LinkFault;
 
-/// Faults of one play.
-const FAULTS: usize = 7;
+/// The number of faults of a run.
+const FAULT_COUNT: usize = 7;
 
-/// A fault.
+/// A fault that the test injects.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// A process is killed and starts again after a while.
+    /// A process is killed and restarted later.
     Kill(usize),
     /// All processes are killed at once.
     KillAll,
-    /// A process is told to end, does, and starts again.
+    /// A process gets SIGTERM, exits and is restarted.
     Term(usize),
-    /// A process is stopped and goes on after a while.
+    /// A process is suspended and resumed later.
     Freeze(usize),
     /// A voter loses its disk.
-    Wipe(usize),
-    /// Connections to an engine are harmed.
-    Link(usize, Harm),
-    /// Connections to the origin are harmed.
-    Origin(Harm),
-    /// An engine starts again; without power it loses its staged pieces.
+    LoseDisk(usize),
+    /// Connections to an engine have a fault.
+    Link(usize, LinkFault),
+    /// Connections to the origin have a fault.
+    Origin(LinkFault),
+    /// An engine restarts; if its power was lost, it loses its staged pieces.
     Crash(usize, bool),
-    /// A piece turns bad where it lies staged.
-    Rot(usize),
-    /// New weights are named.
-    Weights,
+    /// A staged piece is corrupted.
+    CorruptPiece(usize),
+    /// New versions of the weights are published.
+    NewWeights,
 }
 
-/// Plays faults and tells which.
-pub fn play(fleet: &Fleet, rng: &mut ChaCha8Rng) -> Vec<Fault> {
-    let faults: Vec<Fault> = (0..FAULTS).map(|_| draw(fleet, rng)).collect();
+/// Injects faults and returns them.
+pub fn inject(fleet: &Fleet, rng: &mut ChaCha8Rng) -> Vec<Fault> {
+    let faults: Vec<Fault> = (0..FAULT_COUNT).map(|_| random_fault(fleet, rng)).collect();
     for fault in &faults {
         let span = Duration::from_millis(rng.random_range(100..1_800));
         let share = rng.random_range(0.3..1.2);
-        let ending = begin(fleet, *fault, span);
+        let ending = start_fault(fleet, *fault, span);
         thread::sleep(span.mul_f64(share));
         if rng.random_bool(0.5) {
             ending.join().expect("a fault ends");
         }
     }
-    // What still runs down ends by itself within two seconds.
+    // Each remaining fault ends by itself within two seconds.
     thread::sleep(Duration::from_secs(2));
     faults
 }
 
-/// Now and then, a model engine leaves an order without an answer and carries it out late, beside all
-/// other faults, until they are over. Drawn by itself, so that older seeds play the same faults.
+/// Makes random model engines leave orders unanswered and execute them late, until the faults are over.
+/// It has its own random generator, so that the other faults of a seed do not depend on it.
 pub fn delay_orders(fleet: &Fleet, seed: u64) -> thread::JoinHandle<()> {
     let fleet = fleet.clone();
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x6c61_7465);
@@ -73,102 +73,108 @@
     })
 }
 
-fn draw(fleet: &Fleet, rng: &mut ChaCha8Rng) -> Fault {
+/// Returns a random fault.
+fn random_fault(fleet: &Fleet, rng: &mut ChaCha8Rng) -> Fault {
     let entry = rng.random_range(0..ENTRIES);
     let process = rng.random_range(0..ENTRIES + fleet.agents().len());
     let target = rng.random_range(0..fleet.targets().len());
     let model =
         rng.random_range(fleet.targets().len() - fleet.agents().len()..fleet.targets().len());
-    let delay = Harm::Delay(Duration::from_millis(rng.random_range(5..80)));
-    let harms = [
+    let delay = LinkFault::Delay(Duration::from_millis(rng.random_range(5..80)));
+    let link_faults = [
         delay,
-        Harm::Reset,
-        Harm::CutThere,
-        Harm::CutBack,
-        Harm::Silence,
+        LinkFault::Reset,
+        LinkFault::DropToServer,
+        LinkFault::DropFromServer,
+        LinkFault::DropAll,
     ];
-    let harm = harms[rng.random_range(0..harms.len())];
+    let link_fault = link_faults[rng.random_range(0..link_faults.len())];
     match rng.random_range(0..12) {
         0 => Fault::Kill(process),
         1 => Fault::KillAll,
         2 => Fault::Term(entry),
         3 | 4 => Fault::Freeze(process),
-        5 => Fault::Wipe(rng.random_range(0..VOTERS)),
-        6 | 7 => Fault::Link(target, harm),
-        8 => Fault::Origin(harm),
+        5 => Fault::LoseDisk(rng.random_range(0..VOTERS)),
+        6 | 7 => Fault::Link(target, link_fault),
+        8 => Fault::Origin(link_fault),
         9 => Fault::Crash(model, rng.random_bool(0.5)),
-        10 => Fault::Rot(model),
-        _ => Fault::Weights,
+        10 => Fault::CorruptPiece(model),
+        _ => Fault::NewWeights,
     }
 }
 
-/// Begins a fault; the thread ends it after `span`.
-fn begin(fleet: &Fleet, fault: Fault, span: Duration) -> thread::JoinHandle<()> {
+/// Starts a fault and returns the thread that ends it after `span`.
+fn start_fault(fleet: &Fleet, fault: Fault, span: Duration) -> thread::JoinHandle<()> {
     let fleet = fleet.clone();
     let all = 0..ENTRIES + fleet.agents().len();
     match fault {
         Fault::Kill(n) => {
-            fleet.world().kill(n);
-            after(span, move || fleet.world().ensure_running(n))
+            fleet.cluster().kill(n);
+            end_after(span, move || fleet.cluster().ensure_running(n))
         }
         Fault::KillAll => {
-            all.clone().for_each(|n| fleet.world().kill(n));
-            after(span, move || {
-                all.for_each(|n| fleet.world().ensure_running(n));
+            all.clone().for_each(|n| fleet.cluster().kill(n));
+            end_after(span, move || {
+                all.for_each(|n| fleet.cluster().ensure_running(n));
             })
         }
         Fault::Term(n) => {
-            fleet.world().signal(n, "TERM");
-            let told = fleet.world().id(n);
+            fleet.cluster().signal(n, "TERM");
+            let stopped = fleet.cluster().id(n);
             thread::spawn(move || {
-                // Another fault may have killed it and started it again meanwhile.
+                // Another fault may have killed and restarted the process meanwhile.
                 wait_until(&format!("process {n} has ended"), || {
-                    let mut world = fleet.world();
-                    world.has_ended(n) || world.id(n) != told
+                    let mut cluster = fleet.cluster();
+                    cluster.has_ended(n) || cluster.id(n) != stopped
                 });
-                fleet.world().ensure_running(n);
+                fleet.cluster().ensure_running(n);
             })
         }
         Fault::Freeze(n) => {
-            fleet.world().signal(n, "STOP");
-            after(span, move || fleet.world().signal(n, "CONT"))
+            fleet.cluster().signal(n, "STOP");
+            end_after(span, move || fleet.cluster().signal(n, "CONT"))
         }
-        Fault::Wipe(n) => {
-            let before = fleet.world().lose_disk(n);
-            // A second disk may be lost only when the first is made up for.
+        Fault::LoseDisk(n) => {
+            let before = fleet.cluster().lose_disk(n);
+            // No other disk may be lost until this entry is a voter again.
             wait_until(&format!("entry {n} is a voter again"), || {
-                fleet.world().promotions(n) > before
+                fleet.cluster().promotions(n) > before
             });
-            after(Duration::ZERO, || {})
+            end_after(Duration::ZERO, || {})
         }
-        Fault::Link(n, harm) => {
-            fleet.targets()[n].proxy.set(harm);
-            after(span, move || fleet.targets()[n].proxy.set(Harm::None))
+        Fault::Link(n, link_fault) => {
+            fleet.targets()[n].proxy.set_fault(link_fault);
+            end_after(span, move || {
+                fleet.targets()[n].proxy.set_fault(LinkFault::None)
+            })
         }
-        Fault::Origin(harm) => {
-            fleet.origin().set(harm);
-            after(span, move || fleet.origin().set(Harm::None))
+        Fault::Origin(link_fault) => {
+            fleet.origin_proxy().set_fault(link_fault);
+            end_after(span, move || {
+                fleet.origin_proxy().set_fault(LinkFault::None)
+            })
         }
-        Fault::Crash(n, power) => {
-            fleet.targets()[n].proxy.set(Harm::Reset);
-            after(span, move || {
-                fleet.targets()[n].restart(power);
-                fleet.targets()[n].proxy.set(Harm::None);
+        Fault::Crash(n, power_lost) => {
+            fleet.targets()[n].proxy.set_fault(LinkFault::Reset);
+            end_after(span, move || {
+                fleet.targets()[n].restart(power_lost);
+                fleet.targets()[n].proxy.set_fault(LinkFault::None);
             })
         }
-        Fault::Rot(n) => {
-            let mut held = fleet.targets()[n].model.state();
-            if let Some(piece) = held.staged.values_mut().next() {
+        Fault::CorruptPiece(n) => {
+            let mut state = fleet.targets()[n].model.state();
+            if let Some(piece) = state.staged.values_mut().next() {
                 piece.reverse();
             }
-            drop(held);
-            after(Duration::ZERO, || {})
+            drop(state);
+            end_after(Duration::ZERO, || {})
         }
-        Fault::Weights => after(Duration::ZERO, move || fleet.name_weights()),
+        Fault::NewWeights => end_after(Duration::ZERO, move || fleet.publish_weights()),
     }
 }
 
-fn after(span: Duration, end: impl FnOnce() + Send + 'static) -> thread::JoinHandle<()> {
+/// Starts a thread that calls `end` after `span`.
+fn end_after(span: Duration, end: impl FnOnce() + Send + 'static) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         thread::sleep(span);
         end();
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of one play, its engines and their links.
+//! The processes of a run, its engines and the proxies of their links.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,150 +28,151 @@
 use crate::model::Model;
 use crate::model::Origin;
 use crate::model::services;
-use crate::proxy::Harm;
+use crate::proxy::LinkFault;
 use crate::proxy::Proxy;
 
-/// Entries with a disk.
+/// The number of entries that are voters, with a disk.
 pub const VOTERS: usize = 3;
 
-/// All entries.
+/// The number of all entries.
 pub const ENTRIES: usize = 4;
 
-/// Events of a whole stream.
-pub const EVENTS: u64 = 12;
+/// The number of events of a whole stream.
+pub const STREAM_EVENTS: u64 = 12;
 
 /// The pause between two events of a stream.
-const PACE: Duration = Duration::from_millis(15);
+const EVENT_PAUSE: Duration = Duration::from_millis(15);
 
-/// How often an engine announces itself.
-const BEAT: Duration = Duration::from_millis(300);
+/// The interval between two announcements of an engine.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// One engine and what stands before it.
+/// An engine and the proxy of its connections.
 pub struct Target {
-    /// The service.
+    /// The name of its service.
     pub service: &'static str,
-    /// What all connections to it pass.
+    /// The proxy that all connections to it use.
     pub proxy: Proxy,
-    /// Its weights, if it is a model engine.
+    /// Its weights, which only a model engine uses.
     pub model: Model,
-    /// The Unix millisecond of its last start.
-    born: AtomicU64,
+    /// The Unix time of its last start in milliseconds.
+    started_millis: AtomicU64,
     sequence: AtomicU64,
     runs: Arc<Mutex<BTreeMap<String, u32>>>,
 }
 
-/// The pause between two versions of the weights that follow each other.
-const BETWEEN_NAMES: Duration = Duration::from_millis(250);
+/// The pause between two versions of the weights that are published in sequence.
+const VERSION_PAUSE: Duration = Duration::from_millis(250);
 
-/// Everything of one play.
+/// The shared state of a run.
 #[derive(Clone)]
-pub struct Fleet(Arc<Parts>);
+pub struct Fleet(Arc<FleetState>);
 
-struct Parts {
-    world: Mutex<Cluster>,
+struct FleetState {
+    cluster: Mutex<Cluster>,
     targets: Vec<Target>,
     agents: Vec<usize>,
-    published: Origin,
-    origin: Proxy,
-    /// How many versions of the weights are named one after the other where one is.
-    names: u32,
+    origin_store: Origin,
+    origin_proxy: Proxy,
+    /// The number of versions of the weights that are published in sequence at a time.
+    version_count: u32,
     over: AtomicBool,
-    /// The document's version that was acknowledged last, and the newest sent.
+    /// The newest acknowledged version of the document.
     acknowledged: AtomicU64,
+    /// The newest version of the document that was sent.
     version: AtomicU64,
     weights: AtomicU64,
-    answers: Mutex<BTreeMap<String, u32>>,
+    outcomes: Mutex<BTreeMap<String, u32>>,
 }
 
 impl Fleet {
-    /// Starts four entries, two engines for each plain service, and two model engines with agents. Where
-    /// weights are named, `names` versions follow each other.
-    pub fn start(seed: u64, names: u32) -> Self {
-        let mut world = Cluster::start(VOTERS, ENTRIES - VOTERS);
-        let published = Origin::default();
-        let origin = Proxy::start(published.start().addr);
+    /// Starts four entries, two engines for each plain service, and two model engines with agents.
+    /// Weights are published as `version_count` versions in sequence.
+    pub fn start(seed: u64, version_count: u32) -> Self {
+        let mut cluster = Cluster::start(VOTERS, ENTRIES - VOTERS);
+        let origin_store = Origin::default();
+        let origin_proxy = Proxy::start(origin_store.start().addr);
         let services = ["safe", "safe", "once", "once", "stream", "stream"];
         let targets: Vec<Target> = services.into_iter().map(Target::start).collect();
         let models = targets.iter().filter(|t| t.service == "stream");
         let agents = models
-            .map(|t| world.start_agent("stream", t.proxy.addr))
+            .map(|t| cluster.start_agent("stream", t.proxy.addr))
             .collect();
-        let fleet = Self(Arc::new(Parts {
-            world: Mutex::new(world),
+        let fleet = Self(Arc::new(FleetState {
+            cluster: Mutex::new(cluster),
             targets,
             agents,
-            published,
-            origin,
-            names,
+            origin_store,
+            origin_proxy,
+            version_count,
             over: AtomicBool::new(false),
             acknowledged: AtomicU64::new(0),
             version: AtomicU64::new(seed % 7),
             weights: AtomicU64::new(1),
-            answers: Mutex::default(),
+            outcomes: Mutex::default(),
         }));
-        fleet.change();
+        fleet.send_document();
         wait_until("the first document is acknowledged", || {
             fleet.acknowledged() > 0
         });
-        fleet.beat();
-        fleet.await_service();
+        fleet.announce_all();
+        fleet.wait_served();
         fleet
     }
 
-    /// The processes.
-    pub fn world(&self) -> MutexGuard<'_, Cluster> {
-        self.0.world.lock().expect("not poisoned")
+    /// Returns the processes.
+    pub fn cluster(&self) -> MutexGuard<'_, Cluster> {
+        self.0.cluster.lock().expect("not poisoned")
     }
 
-    /// The engines.
+    /// Returns the engines.
     pub fn targets(&self) -> &[Target] {
         &self.0.targets
     }
 
-    /// The model engines.
+    /// Returns the model engines.
     pub fn models(&self) -> impl Iterator<Item = &Target> {
         self.0.targets.iter().filter(|t| t.service == "stream")
     }
 
-    /// The numbers of the agents' processes.
+    /// Returns the process numbers of the agents.
     pub fn agents(&self) -> &[usize] {
         &self.0.agents
     }
 
-    /// The link to the origin of weights.
-    pub fn origin(&self) -> &Proxy {
-        &self.0.origin
+    /// Returns the proxy of the weights' origin.
+    pub fn origin_proxy(&self) -> &Proxy {
+        &self.0.origin_proxy
     }
 
-    /// Whether the faults are over.
+    /// Returns whether the faults are over.
     pub fn is_over(&self) -> bool {
         self.0.over.load(Ordering::Relaxed)
     }
 
-    /// The version of the document that was acknowledged last.
+    /// Returns the newest acknowledged version of the document.
     pub fn acknowledged(&self) -> u64 {
         self.0.acknowledged.load(Ordering::SeqCst)
     }
 
-    /// The newest version of the weights that was named.
+    /// Returns the newest version of the weights that was published and declared.
     pub fn weights(&self) -> u64 {
         self.0.weights.load(Ordering::SeqCst)
     }
 
-    /// Counts how a caller's request ended.
-    pub fn count(&self, ended: &str) {
-        let mut answers = self.0.answers.lock().expect("not poisoned");
-        *answers.entry(ended.into()).or_default() += 1;
+    /// Counts the outcome of a caller's request.
+    pub fn count_outcome(&self, outcome: &str) {
+        let mut outcomes = self.0.outcomes.lock().expect("not poisoned");
+        *outcomes.entry(outcome.into()).or_default() += 1;
     }
 
-    /// How callers' requests ended.
-    pub fn counts(&self) -> BTreeMap<String, u32> {
-        self.0.answers.lock().expect("not poisoned").clone()
+    /// Returns the number of requests by outcome.
+    pub fn outcome_counts(&self) -> BTreeMap<String, u32> {
+        self.0.outcomes.lock().expect("not poisoned").clone()
     }
 
-    /// Sends a call to the control address of an entry. The world is not held meanwhile.
+    /// Sends a call to the control address of an entry. The cluster is not locked meanwhile.
     pub fn control(&self, n: usize, method: &str, path: &str, body: &str) -> Option<Value> {
-        let addr = self.world().control_addr(n);
+        let addr = self.cluster().control_addr(n);
         let request = format!(
             "{method} {path} HTTP/1.1\r\nHost: control\r\nConnection: close\r\n\
              Content-Length: {}\r\n\r\n{body}",
@@ -183,15 +184,15 @@
     }
 
     /// Sends the next document to every entry in turn until one acknowledges it.
-    pub fn change(&self) {
+    pub fn send_document(&self) {
         let version = self.0.version.fetch_add(1, Ordering::SeqCst) + 1;
         let mut declared = document(version);
-        declared["services"] = services(self.0.origin.addr);
+        declared["services"] = services(self.0.origin_proxy.addr);
         let body = declared.to_string();
         let fleet = self.clone();
         thread::spawn(move || {
             let mut entries = (0..ENTRIES).cycle();
-            while let Some(n) = entries.next().filter(|_| !fleet.is_late(version)) {
+            while let Some(n) = entries.next().filter(|_| !fleet.is_acknowledged(version)) {
                 if fleet.control(n, "PUT", "/config", &body).is_some() {
                     fleet.0.acknowledged.fetch_max(version, Ordering::SeqCst);
                     return;
@@ -201,40 +202,40 @@
         });
     }
 
-    /// Whether nobody asks for a document's acknowledgement any more, as a later one has it.
-    fn is_late(&self, version: u64) -> bool {
+    /// Returns whether this or a later version of the document was acknowledged.
+    fn is_acknowledged(&self, version: u64) -> bool {
         self.acknowledged() >= version
     }
 
-    /// Names the next versions of the weights.
-    pub fn name_weights(&self) {
-        for n in 0..self.0.names {
+    /// Publishes and declares the next versions of the weights.
+    pub fn publish_weights(&self) {
+        for n in 0..self.0.version_count {
             if n > 0 {
-                thread::sleep(BETWEEN_NAMES);
+                thread::sleep(VERSION_PAUSE);
             }
-            self.name_next();
+            self.publish_next();
         }
     }
 
-    fn name_next(&self) {
+    fn publish_next(&self) {
         let version = self.weights() + 1;
-        self.0.published.publish(version);
+        self.0.origin_store.publish(version);
         let body = json!({"model": "m", "version": version}).to_string();
         let fleet = self.clone();
-        wait_until("the weights are named", || {
+        wait_until("the weights are declared", || {
             (0..ENTRIES).any(|n| fleet.control(n, "POST", "/version-put", &body).is_some())
         });
         self.0.weights.store(version, Ordering::SeqCst);
     }
 
-    /// Keeps all engines announced for as long as the play lasts.
-    fn beat(&self) {
+    /// Announces all engines at an interval until the fleet is dropped.
+    fn announce_all(&self) {
         for n in 0..self.targets().len() {
             let fleet = Arc::downgrade(&self.0);
             thread::spawn(move || {
-                while let Some(parts) = fleet.upgrade() {
-                    Fleet(parts).announce(n);
-                    thread::sleep(BEAT);
+                while let Some(state) = fleet.upgrade() {
+                    Fleet(state).announce(n);
+                    thread::sleep(ANNOUNCE_INTERVAL);
                 }
             });
         }
@@ -245,7 +246,7 @@
         if target.proxy.is_reset() {
             return;
         }
-        let born = target.born.load(Ordering::SeqCst);
+        let born = target.started_millis.load(Ordering::SeqCst);
         let sequence = target.sequence.fetch_add(1, Ordering::SeqCst);
         let body = json!({
             "service": target.service, "address": target.proxy.addr.to_string(), "zone": "z0",
@@ -263,9 +264,9 @@
     }
 
     /// Waits until every entry serves every service.
-    fn await_service(&self) {
+    fn wait_served(&self) {
         for n in 0..ENTRIES {
-            let addr = self.world().front_addr(n);
+            let addr = self.cluster().front_addr(n);
             for path in ["/safe/", "/once/", "/stream/"] {
                 wait_until(&format!("entry {n} serves {path}"), || {
                     let answer = exchange(&addr, &get(path, &format!("probe-{n}"), ""));
@@ -275,13 +276,13 @@
         }
     }
 
-    /// Ends all faults and waits until everything is served, read back and in place.
-    pub fn heal(&self) {
+    /// Ends all link faults and waits until every service is served and every engine has the newest weights.
+    pub fn end_faults(&self) {
         for target in self.targets() {
-            target.proxy.set(Harm::None);
+            target.proxy.set_fault(LinkFault::None);
         }
-        self.origin().set(Harm::None);
-        self.await_service();
+        self.origin_proxy().set_fault(LinkFault::None);
+        self.wait_served();
         wait_until("every engine serves the newest weights", || {
             self.models()
                 .all(|t| t.model.state().version == self.weights())
@@ -289,21 +290,25 @@
         self.0.over.store(true, Ordering::SeqCst);
     }
 
-    /// Ends all processes, for good.
+    /// Ends all processes.
     pub fn end(&self) {
         self.0.over.store(true, Ordering::SeqCst);
-        let mut world = self.0.world.lock().unwrap_or_else(PoisonError::into_inner);
-        world.end();
+        let mut cluster = self
+            .0
+            .cluster
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        cluster.end();
     }
 
-    /// Orders to load that came while a staged piece was not what it must be.
-    pub fn wrong_orders(&self) -> Vec<String> {
+    /// Returns a violation if engines got orders to load corrupt or missing pieces.
+    pub fn wrong_loads(&self) -> Vec<String> {
         let wrong: u32 = self.models().map(|t| t.model.state().bad_loads).sum();
-        let told = (wrong > 0).then(|| format!("{wrong} loads of spoilt or missing pieces"));
-        told.into_iter().collect()
+        let violation = (wrong > 0).then(|| format!("{wrong} loads of corrupt or missing pieces"));
+        violation.into_iter().collect()
     }
 
-    /// How often a request ran, at all engines.
+    /// Returns the number of runs of a request, at all engines.
     pub fn runs(&self, attempt: &str) -> u32 {
         let targets = self.targets().iter();
         targets.map(|target| target.runs_of(attempt)).sum()
@@ -314,28 +319,28 @@
     fn start(service: &'static str) -> Self {
         let runs: Arc<Mutex<BTreeMap<String, u32>>> = Arc::default();
         let model = Model::default();
-        let (counted, held) = (runs.clone(), model.clone());
+        let (run_counts, weights) = (runs.clone(), model.clone());
         let behaviour = move |seen: &Received| {
-            if let Some(answer) = held.answer(seen) {
+            if let Some(answer) = weights.answer(seen) {
                 return answer;
             }
             let attempt = seen.header("x-filbertstack-attempt-id");
-            *counted
+            *run_counts
                 .lock()
                 .expect("not poisoned")
                 .entry(attempt.into())
                 .or_default() += 1;
             match service {
-                "stream" => stream(seen, EVENTS, 0),
+                "stream" => stream(seen, STREAM_EVENTS, 0),
                 _ => answer(seen, "200 OK", &format!("answer to {attempt}")),
             }
         };
-        let engine = Engine::paced(PACE, Box::new(behaviour));
+        let engine = Engine::paced(EVENT_PAUSE, Box::new(behaviour));
         Self {
             service,
             proxy: Proxy::start(engine.addr),
             model,
-            born: AtomicU64::new(unix_millis()),
+            started_millis: AtomicU64::new(unix_millis()),
             sequence: AtomicU64::new(1),
             runs,
         }
@@ -346,10 +351,10 @@
         runs.get(attempt).copied().unwrap_or(0)
     }
 
-    /// The engine starts again and serves no weights; without power, staged pieces are lost too.
-    pub fn restart(&self, power: bool) {
-        self.model.state().restart(power);
-        self.born.store(unix_millis(), Ordering::SeqCst);
+    /// Restarts the engine without loaded weights; if power was lost, staged pieces are lost too.
+    pub fn restart(&self, power_lost: bool) {
+        self.model.state().restart(power_lost);
+        self.started_millis.store(unix_millis(), Ordering::SeqCst);
         self.sequence.store(1, Ordering::SeqCst);
     }
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,14 +1,15 @@
-//! A randomized soak: real processes on loopback, faults from outside, and promises that are checked
-//! from what callers, operators and engines see.
+//! A randomized soak test: real processes on loopback, injected faults, and guarantees that are checked
+//! by callers, operators and engines.
 //!
-//! In CI some seeds are played. By hand, fifty fresh ones, four at a time:
+//! CI runs some fixed seeds. This command runs fifty others, four at a time:
 //!
 //!     SOAK_SEEDS=1000-1049 cargo test --test soak -- --nocapture
 //!
-//! With `SOAK_NAMES=6`, six versions of the weights follow each other wherever one is named.
+//! With `SOAK_NAMES=6`, six versions of the weights are published in sequence instead of one.
 //!
-//! A seed fixes which faults come in which order, what operators do and what callers ask; the
-//! machine's scheduling is not fixed, so a seed that failed is played again as it is.
+//! A seed determines the faults and their order, the changes of the operator and the requests of
+//! callers; the scheduling of threads and processes is not determined. A failed seed is repeated unchanged,
+//! and may pass.
 
 mod callers;
 #[allow(dead_code, reason = "shared with the tests of the gateway")]
@@ -31,55 +32,58 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-/// The seeds of CI: those that ever failed, each with its cause.
+/// The seeds that CI runs, each with the fault that it guards against.
 const SEEDS: [u64; 4] = [
-    // An engine dropped an idle connection; the agent took that for pieces that turned bad.
+    // An engine closes an idle connection, and the agent treats that as corrupt pieces.
     1, 2,
-    // The soak's own: it waited for the end of a process that another fault had started again.
+    // The soak test itself waits for the exit of a process that another fault has restarted.
     2025,
-    // An agent was killed while its order of the first weights had no answer; the one in its place
-    // staged the next over them, and the engine loaded both.
+    // An agent is killed while its order to load the first weights is unanswered; its successor stages the
+    // next weights over them, and the engine loads both.
     3002,
 ];
 
-/// How many seeds are played at a time: each runs eight processes.
-const AT_ONCE: usize = 4;
+/// The number of seeds that run at a time; each runs eight processes.
+const PARALLEL_SEEDS: usize = 4;
 
-/// Plays a seed in which `names` versions of the weights follow each other where any is named.
-fn play(seed: u64, names: u32) -> Vec<String> {
+/// Runs a seed, with `version_count` versions of the weights published in sequence, and returns the
+/// broken guarantees.
+fn run_seed(seed: u64, version_count: u32) -> Vec<String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let fleet = Fleet::start(seed, names);
-    let _ends = Ends(fleet.clone());
+    let fleet = Fleet::start(seed, version_count);
+    let _end = EndOnDrop(fleet.clone());
     let callers = callers::start(&fleet, seed);
     let operator = operator::start(&fleet, seed);
     let delaying = faults::delay_orders(&fleet, seed);
-    let told = faults::play(&fleet, &mut rng);
-    fleet.heal();
-    delaying.join().expect("orders are delayed no more");
-    let mut broken = operator.finish(&fleet);
-    broken.extend(callers.finish(&fleet));
-    broken.extend(fleet.wrong_orders());
-    println!("seed {seed}: {told:?}; {}", callers::summary(&fleet));
-    broken
+    let faults = faults::inject(&fleet, &mut rng);
+    fleet.end_faults();
+    delaying.join().expect("the delays end");
+    let mut violations = operator.finish(&fleet);
+    violations.extend(callers.finish(&fleet));
+    violations.extend(fleet.wrong_loads());
+    println!("seed {seed}: {faults:?}; {}", callers::summary(&fleet));
+    violations
         .into_iter()
-        .map(|broken| format!("seed {seed}: {broken}"))
+        .map(|violation| format!("seed {seed}: {violation}"))
         .collect()
 }
 
-/// Ends all processes of a play, also when it panics and threads still hold its fleet.
-struct Ends(Fleet);
+/// Ends all processes of a run on drop, also when the run panics while threads still hold its fleet.
+struct EndOnDrop(Fleet);
 
-impl Drop for Ends {
+impl Drop for EndOnDrop {
     fn drop(&mut self) {
         self.0.end();
     }
 }
 
-fn names() -> u32 {
-    let names = std::env::var("SOAK_NAMES").ok();
-    names.map_or(1, |n| n.parse().expect("SOAK_NAMES=COUNT"))
+/// Returns the number of versions that `SOAK_NAMES` sets, 1 by default.
+fn version_count() -> u32 {
+    let count = std::env::var("SOAK_NAMES").ok();
+    count.map_or(1, |n| n.parse().expect("SOAK_NAMES=COUNT"))
 }
 
+/// Returns the seeds that `SOAK_SEEDS` sets, or those of CI.
 fn seeds() -> Vec<u64> {
     let Ok(range) = std::env::var("SOAK_SEEDS") else {
         return SEEDS.to_vec();
@@ -89,40 +93,40 @@
     (bound(first)..=bound(last)).collect()
 }
 
-/// Processes are killed, frozen, stopped and started, disks are lost, connections are delayed, reset,
-/// cut one way and silenced, engines crash and lose their weights, or carry out orders late and
-/// without an answer, versions and configurations change. Every caller gets its own whole answer or knows that it did not; what was acknowledged
-/// stays; and all is served when the faults are over.
+/// Processes are killed, frozen, stopped and restarted, disks are lost, connections are delayed, reset or
+/// lose bytes in one or both directions, engines crash and lose their weights, or execute orders late and
+/// without an answer, and versions and configurations change. Every caller gets its own whole answer or
+/// can tell that it did not, acknowledged changes are kept, and all services are served after the faults.
 #[test]
-fn promises_hold_under_random_faults() {
+fn guarantees_hold_under_random_faults() {
     let seeds = seeds();
-    let mut broken = Vec::new();
-    for some in seeds.chunks(AT_ONCE) {
-        let plays = some.iter().map(|seed| {
+    let mut violations = Vec::new();
+    for group in seeds.chunks(PARALLEL_SEEDS) {
+        let runs = group.iter().map(|seed| {
             let seed = *seed;
-            thread::spawn(move || play(seed, names()))
+            thread::spawn(move || run_seed(seed, version_count()))
         });
-        let plays: Vec<_> = plays.collect();
-        for play in plays {
-            broken.extend(
-                play.join()
-                    .unwrap_or_else(|_| vec!["a play ended early".into()]),
+        let runs: Vec<_> = runs.collect();
+        for run in runs {
+            violations.extend(
+                run.join()
+                    .unwrap_or_else(|_| vec!["a run ended early".into()]),
             );
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// Guards against staging a newer version over one that an engine may yet be told to load.
+/// Guards against staging a newer version over one that an engine may still get an order to load.
 #[test]
-fn a_version_that_nobody_names_any_more_may_be_ordered() {
-    let broken = play(5000, 1);
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+fn an_ordered_version_is_not_overwritten() {
+    let violations = run_seed(5000, 1);
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
-/// Guards against staging over an ordered version that six others followed before a restart of all.
+/// Guards against staging over an ordered version after six newer versions and a restart of all processes.
 #[test]
-fn a_version_that_many_others_followed_may_be_ordered() {
-    let broken = play(7024, 6);
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+fn an_ordered_version_is_not_overwritten_after_six_others() {
+    let violations = run_seed(7024, 6);
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback whose connections can be harmed while it runs.
+//! A loopback proxy that injects faults into its connections.
 
 use std::io::Read;
 use std::io::Write;
@@ -11,71 +11,71 @@
 use std::thread;
 use std::time::Duration;
 
-/// What is done to connections.
+/// A fault of all connections of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
-    /// Nothing.
+pub enum LinkFault {
+    /// No fault.
     None,
-    /// Bytes of both directions wait that long.
+    /// Each block of bytes is delayed by this time, in both directions.
     Delay(Duration),
-    /// Connections are closed, new ones at once.
+    /// Connections are closed, new ones at once after they are accepted.
     Reset,
-    /// What goes to the server is swallowed.
-    CutThere,
-    /// What comes from the server is swallowed.
-    CutBack,
-    /// Both directions are swallowed.
-    Silence,
+    /// Bytes to the server are dropped.
+    DropToServer,
+    /// Bytes from the server are dropped.
+    DropFromServer,
+    /// Bytes of both directions are dropped.
+    DropAll,
 }
 
 /// A running proxy.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// The address that the proxy listens on.
     pub addr: SocketAddr,
-    harm: Arc<Mutex<Harm>>,
+    fault: Arc<Mutex<LinkFault>>,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    ToServer,
+    FromServer,
 }
 
 impl Proxy {
-    /// Starts a proxy before `server`.
+    /// Starts a proxy for `server`.
     pub fn start(server: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let proxy = Self {
             addr: listener.local_addr().expect("bound"),
-            harm: Arc::new(Mutex::new(Harm::None)),
+            fault: Arc::new(Mutex::new(LinkFault::None)),
         };
-        let kept = proxy.clone();
+        let acceptor = proxy.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let proxy = kept.clone();
-                thread::spawn(move || proxy.carry(stream, server));
+                let proxy = acceptor.clone();
+                thread::spawn(move || proxy.forward(stream, server));
             }
         });
         proxy
     }
 
-    /// Does this to all connections from now on.
-    pub fn set(&self, harm: Harm) {
-        *self.harm.lock().expect("not poisoned") = harm;
+    /// Sets the fault of all connections from now on.
+    pub fn set_fault(&self, fault: LinkFault) {
+        *self.fault.lock().expect("not poisoned") = fault;
     }
 
-    /// Whether connections are closed now.
+    /// Returns whether connections are closed now.
     pub fn is_reset(&self) -> bool {
-        self.harm() == Harm::Reset
+        self.fault() == LinkFault::Reset
     }
 
-    fn harm(&self) -> Harm {
-        *self.harm.lock().expect("not poisoned")
+    fn fault(&self) -> LinkFault {
+        *self.fault.lock().expect("not poisoned")
     }
 
-    fn carry(&self, caller: TcpStream, server: SocketAddr) {
-        if self.harm() == Harm::Reset {
+    fn forward(&self, caller: TcpStream, server: SocketAddr) {
+        if self.fault() == LinkFault::Reset {
             return;
         }
         let Ok(server) = TcpStream::connect(server) else {
@@ -85,17 +85,17 @@
             return;
         };
         let proxy = self.clone();
-        thread::spawn(move || proxy.copy(server, caller, Way::Back));
-        self.copy(from, to, Way::There);
+        thread::spawn(move || proxy.copy(server, caller, Direction::FromServer));
+        self.copy(from, to, Direction::ToServer);
     }
 
-    /// Copies one direction until either end closes. A connection that lost bytes is of no use any
-    /// more: it stays silent and is closed when the harm is over.
-    fn copy(&self, mut from: TcpStream, mut to: TcpStream, way: Way) {
-        // So that a reset is done while nothing comes.
+    /// Copies one direction until either end closes. A connection that lost bytes can't be used any
+    /// more: it stays silent during the fault and is closed afterwards.
+    fn copy(&self, mut from: TcpStream, mut to: TcpStream, direction: Direction) {
+        // A short timeout applies a reset also while no bytes arrive.
         let _ = from.set_read_timeout(Some(Duration::from_millis(20)));
         let mut bytes = [0; 16 << 10];
-        let mut lost = false;
+        let mut bytes_lost = false;
         loop {
             let read = match from.read(&mut bytes) {
                 Ok(0) => break,
@@ -103,29 +103,29 @@
                 Err(e) if is_timeout(&e) => 0,
                 Err(_) => break,
             };
-            let harm = self.harm();
-            let swallowed = match harm {
-                Harm::Reset => break,
-                Harm::Silence => true,
-                Harm::CutThere => way == Way::There,
-                Harm::CutBack => way == Way::Back,
-                Harm::None | Harm::Delay(_) => false,
+            let fault = self.fault();
+            let dropped = match fault {
+                LinkFault::Reset => break,
+                LinkFault::DropAll => true,
+                LinkFault::DropToServer => direction == Direction::ToServer,
+                LinkFault::DropFromServer => direction == Direction::FromServer,
+                LinkFault::None | LinkFault::Delay(_) => false,
             };
-            if swallowed {
-                lost |= read > 0;
+            if dropped {
+                bytes_lost |= read > 0;
                 continue;
             }
-            if lost {
+            if bytes_lost {
                 break;
             }
-            if let Harm::Delay(span) = harm {
+            if let LinkFault::Delay(span) = fault {
                 thread::sleep(span);
             }
             if to.write_all(&bytes[..read]).is_err() {
                 break;
             }
         }
-        // Either may be closed already.
+        // Either socket may be closed already.
         let _ = from.shutdown(Shutdown::Both);
         let _ = to.shutdown(Shutdown::Both);
     }
