--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -93,7 +93,7 @@
     wrong.then(|| format!("{attempt}: wrong body: {:?}", answer.body))
 }
 
-/// Returns whether a body is whole, or is shorter than its content-length.
+/// Returns whether a body is the expected one, or a part of it whose content-length shows that it is cut off.
 fn body_matches(answer: &Answer, expected: &str) -> bool {
     let has_length = has_line(answer, &format!("content-length: {}", expected.len()));
     answer.body == expected || (has_length && expected.starts_with(&answer.body))
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -143,22 +143,18 @@
             end_after(Duration::ZERO, || {})
         }
         Fault::Link(n, link_fault) => {
-            fleet.targets()[n].proxy.set_fault(link_fault);
-            end_after(span, move || {
-                fleet.targets()[n].proxy.set_fault(LinkFault::None)
-            })
+            fleet.targets()[n].proxy.set(link_fault);
+            end_after(span, move || fleet.targets()[n].proxy.set(LinkFault::None))
         }
         Fault::Origin(link_fault) => {
-            fleet.origin_proxy().set_fault(link_fault);
-            end_after(span, move || {
-                fleet.origin_proxy().set_fault(LinkFault::None)
-            })
+            fleet.origin_proxy().set(link_fault);
+            end_after(span, move || fleet.origin_proxy().set(LinkFault::None))
         }
         Fault::Crash(n, power_lost) => {
-            fleet.targets()[n].proxy.set_fault(LinkFault::Reset);
+            fleet.targets()[n].proxy.set(LinkFault::Reset);
             end_after(span, move || {
                 fleet.targets()[n].restart(power_lost);
-                fleet.targets()[n].proxy.set_fault(LinkFault::None);
+                fleet.targets()[n].proxy.set(LinkFault::None);
             })
         }
         Fault::CorruptPiece(n) => {
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -279,9 +279,9 @@
     /// Ends all link faults and waits until every service is served and every engine has the newest weights.
     pub fn end_faults(&self) {
         for target in self.targets() {
-            target.proxy.set_fault(LinkFault::None);
+            target.proxy.set(LinkFault::None);
         }
-        self.origin_proxy().set_fault(LinkFault::None);
+        self.origin_proxy().set(LinkFault::None);
         self.wait_served();
         wait_until("every engine serves the newest weights", || {
             self.models()
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -61,7 +61,7 @@
     }
 
     /// Sets the fault of all connections from now on.
-    pub fn set_fault(&self, fault: LinkFault) {
+    pub fn set(&self, fault: LinkFault) {
         *self.fault.lock().expect("not poisoned") = fault;
     }
 
--- a/tests/system/control.rs
+++ b/tests/system/control.rs
@@ -263,8 +263,8 @@
                 .as_array()
                 .cloned()
                 .unwrap_or_default();
-            let fresh = voters.iter().all(|voter| voter["node"] != old.as_str());
-            voters.len() == 3 && fresh && status["control"]["learners"] == json!([])
+            let replaced = voters.iter().all(|voter| voter["node"] != old.as_str());
+            voters.len() == 3 && replaced && status["control"]["learners"] == json!([])
         });
         last = apply(&addrs, 40 + lost);
     }
--- a/tests/system/served.rs
+++ b/tests/system/served.rs
@@ -19,11 +19,17 @@
 
 /// A system whose engines serve one model.
 pub struct ServedModel {
+    /// The processes' settings, keys and data.
     pub system: System,
+    /// The entries, in the order of `system.entries`.
     pub entries: Vec<Process>,
+    /// The agents, in the order of `engines`.
     pub agents: Vec<Process>,
+    /// The model engines.
     pub engines: Vec<Process>,
+    /// The weights of the served version.
     pub weights: Weights,
+    /// The served version.
     pub version: String,
     _origin: Process,
 }
@@ -31,11 +37,11 @@
 impl ServedModel {
     /// Starts three entries, an origin and `targets` engines with their agents; all engines serve.
     pub fn start(targets: usize) -> Self {
-        Self::start_with(targets, targets)
+        Self::start_replicas(targets, targets)
     }
 
     /// Starts the same with `replicas` of the `targets` engines serving.
-    pub fn start_with(targets: usize, replicas: usize) -> Self {
+    pub fn start_replicas(targets: usize, replicas: usize) -> Self {
         let system = System::new(3);
         let entries = system.start_entries();
         let weights = system.weights(3, 1 << 20);
@@ -79,11 +85,11 @@
     }
 }
 
-/// Sends a streamed request, calls `at_first` at the first token, and returns the whole text.
+/// Sends a streamed request, calls `on_first_token` when the first token arrives, and returns the whole text.
 pub fn stream_answer(
     entry: SocketAddr,
     prompt: &str,
-    at_first: impl FnOnce(),
+    on_first_token: impl FnOnce(),
 ) -> Result<String, String> {
     let body = json!({
         "model": "draft-model", "prompt": prompt, "max_tokens": ANSWER_TOKENS, "stream": true,
@@ -94,15 +100,15 @@
         .map_err(|error| error.to_string())?;
     let reader = BufReader::new(response.into_body().into_reader());
     let mut text = String::new();
-    let mut at_first = Some(at_first);
+    let mut on_first_token = Some(on_first_token);
     let mut ended = false;
     for line in reader.lines() {
         let line = line.map_err(|error| format!("stream broken off: {error}"))?;
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
         };
-        if let Some(at_first) = at_first.take() {
-            at_first();
+        if let Some(on_first_token) = on_first_token.take() {
+            on_first_token();
         }
         if data == "[DONE]" {
             ended = true;
--- a/tests/system/support.rs
+++ b/tests/system/support.rs
@@ -147,15 +147,21 @@
 
 /// The name, the addresses and the settings file of an entry.
 pub struct EntryConfig {
+    /// The name of the entry.
     pub name: String,
+    /// The address for callers and operators.
     pub http: SocketAddr,
+    /// The address for links of entries and agents.
     pub links: SocketAddr,
+    /// The settings file.
     pub settings: PathBuf,
 }
 
 /// A system of processes: a folder with their settings, keys, weights and data.
 pub struct System {
+    /// The folder of all files.
     pub dir: TempDir,
+    /// The entries; the first ones are the voters.
     pub entries: Vec<EntryConfig>,
     ip: Ipv4Addr,
     voters: usize,
@@ -359,8 +365,11 @@
 /// The answer to a request.
 #[derive(Debug)]
 pub struct Answer {
+    /// The HTTP status code.
     pub status: u16,
+    /// The names and values of the headers.
     pub headers: Vec<(String, String)>,
+    /// The whole body.
     pub body: Vec<u8>,
 }
 
@@ -374,6 +383,7 @@
         found.map(|(_, value)| value.as_str()).unwrap_or_default()
     }
 
+    /// Returns the body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
--- a/tests/system/version_change.rs
+++ b/tests/system/version_change.rs
@@ -25,7 +25,7 @@
 // for the version it was routed to, and an engine is unloaded only when no request runs on it.
 #[test]
 fn a_version_changes_under_load_and_every_answer_is_whole() {
-    let served = ServedModel::start_with(3, 2);
+    let served = ServedModel::start_replicas(3, 2);
     let system = &served.system;
     let next = system.weights(9, 1 << 20);
     let origin = Process::start(&["stand-in", "origin", next.dir()]);
