--- a/crates/filbertstack-gateway/src/control/registry.rs
+++ b/crates/filbertstack-gateway/src/control/registry.rs
@@ -24,11 +24,11 @@
 const TARGET_TIMEOUT: Millis = Millis::secs(8);
 
 /// How long an entry may be silent before it is removed: three missed reports, one each
-/// [`ROW_INTERVAL`](crate::entry::OWN_ROW).
+/// [`ROW_INTERVAL`](crate::entry::ROW_INTERVAL).
 const ENTRY_TIMEOUT: Millis = Millis(1_600);
 
 /// How long an agent may be silent before it is removed: three missed reports, one each
-/// [`ROW_REPEAT`](crate::agent::reports::AGAIN).
+/// [`ROW_REPEAT`](crate::agent::reports::ROW_REPEAT).
 const AGENT_TIMEOUT: Millis = Millis::secs(3);
 
 struct Follower {
--- a/crates/filbertstack-log/src/storage/mod.rs
+++ b/crates/filbertstack-log/src/storage/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The write-ahead log consists of segments `wal-NNNNNNNNNN`, each a sequence of [frames](frame)
 //! with one sync per frame. `snapshot-NNNN...` holds the latest snapshot, and `identity` the
-//! replica's [`NodeId`](crate::NodeId). Nothing is acknowledged before it is synced. Opening the
+//! replica's [`NodeId`]. Nothing is acknowledged before it is synced. Opening the
 //! folder rewrites and syncs the last segment: after a failed sync, the data read back may come
 //! from the kernel's page cache and not from the disk.
 
--- a/crates/filbertstack-policy/src/placement.rs
+++ b/crates/filbertstack-policy/src/placement.rs
@@ -2,7 +2,7 @@
 //!
 //! The module does no I/O. The leader builds a [`Fleet`] from the agents' reports, reads the
 //! declared [`DeploymentSpec`]s and the current [`Assignments`] from the replicated state, and
-//! calls [`decide`]. The returned [`Decision`] contains the desired state of every target; the
+//! calls [`decide()`]. The returned [`Decision`] contains the desired state of every target; the
 //! leader commits the entries that differ. Apart from the replicated state, a leader keeps only the
 //! [`LoadFailures`], so a new leader continues where the previous one stopped.
 //!
